--- a/pepperhook/control_plane/balancer_view.py
+++ b/pepperhook/control_plane/balancer_view.py
@@ -38,7 +38,7 @@
         },
         in_flight=policy.capacity.level.mean,
         usual_latency_ms={
-            name: times.usual(now, start.service_classes[number]) / NS_PER_MS
+            name: times.mean_service_time(now, start.service_classes[number]) / NS_PER_MS
             for name, number in names.service_classes.items()
             if times.durations[number].weight >= MIN_LATENCY_SAMPLES
         },
--- a/pepperhook/policy/completion.py
+++ b/pepperhook/policy/completion.py
@@ -60,7 +60,7 @@
         is_retry = request.accepted_at < now
         wait = self.client_waits.upper(2) if returned > FEW_RETURNS else ASSUMED_CLIENT_WAIT * objective
         if is_retry or 3 * returned < given_up - 0.5 or wait > MAX_CLIENT_WAIT * objective:
-            wait = is_retry * self.balancer.service_times.usual(now, request.service_class)
+            wait = is_retry * self.balancer.service_times.mean_service_time(now, request.service_class)
         return request.accepted_at + objective - int(wait)
 
     def _is_worthless_late(self, request: Request) -> bool:
--- a/pepperhook/policy/priority.py
+++ b/pepperhook/policy/priority.py
@@ -19,7 +19,7 @@
         """Set the request's value, and count it in the means."""
         value = request.service_class.priority_weight
         if not self.settings.weight_is_per_work:
-            value *= SECOND / self.balancer.service_times.usual(now, request.service_class)
+            value *= SECOND / self.balancer.service_times.mean_service_time(now, request.service_class)
         if request.tenant is not None and self.settings.tier == 0:
             value *= self._quota_factor(now, request, request.tenant)
         request.value = value
--- a/pepperhook/policy/retry_budget.py
+++ b/pepperhook/policy/retry_budget.py
@@ -70,7 +70,7 @@
             return RetryVerdict.OVERLOAD
         if not self.balancer.guard.may_retry(now, request, None, None):
             return RetryVerdict.EFFECT
-        usual = self.balancer.service_times.usual(now, request.service_class)
+        usual = self.balancer.service_times.mean_service_time(now, request.service_class)
         return RetryVerdict.OBJECTIVE if now + usual > request.objective_at else None
 
     def _is_overloaded(self, now: int) -> bool:
--- a/pepperhook/service_times.py
+++ b/pepperhook/service_times.py
@@ -42,9 +42,11 @@
     def expected(self, now: int, request: Request) -> float:
         """Return what this request should take."""
         in_proportion = self.model.cost_part * self.relative_cost(now, request)
-        return self.usual(now, request.service_class) * (self.model.fixed_part + in_proportion)
+        return self.mean_service_time(now, request.service_class) * (
+            self.model.fixed_part + in_proportion
+        )
 
-    def usual(self, now: int, service_class: ServiceClass) -> float:
+    def mean_service_time(self, now: int, service_class: ServiceClass) -> float:
         """Return what a request of the class takes on the mean."""
         assumed = self.model.assumed_part * service_class.objective_ns
         durations = self.durations[service_class.number]
@@ -52,7 +54,7 @@
 
     def quickest(self, now: int, service_class: ServiceClass) -> float:
         """Return the best that a request of the class took, or its mean where that is less."""
-        return min(self.best[service_class.number], self.usual(now, service_class))
+        return min(self.best[service_class.number], self.mean_service_time(now, service_class))
 
     def relative_age(self, now: int, attempt: Attempt) -> float:
         """Return the logarithm of an attempt's age in expected times."""
@@ -72,4 +74,4 @@
         self.durations[number].add(now, attempt.duration_ns)
         # Against objectives so long that an upstream is crowded well within them.
         grown = self.model.growth * self.best[number]
-        self.best[number] = min(self.usual(now, service_class), grown)
+        self.best[number] = min(self.mean_service_time(now, service_class), grown)
