--- a/pepperhook/balancer.py
+++ b/pepperhook/balancer.py
@@ -88,7 +88,7 @@
 
     def on_endpoint_service_moved(self, now: int) -> None:
         """Poll the new service."""
-        self.endpoints.watch_anew(now)
+        self.endpoints.restart_watch(now)
 
     def on_request(self, now: int, request: Request) -> None:
         """Send the request down the pipeline."""
--- a/pepperhook/domain.py
+++ b/pepperhook/domain.py
@@ -145,7 +145,7 @@
         """Whether the endpoint list has it as ready."""
         return self.state is UpstreamState.READY
 
-    def chance(self) -> float:
+    def draw_weight(self) -> float:
         """Return the weight with which it is drawn."""
         return self.weight * self.proximity
 
@@ -170,7 +170,7 @@
             return 1.0
         return start + (1 - start) * max(0, now - self.slow_start_since) / span_ns
 
-    def earn_credit(self, now: int, attempts_per_s: float, fraction: float) -> float:
+    def accrue_credit(self, now: int, attempts_per_s: float, fraction: float) -> float:
         """Return the credit, grown by a fraction of a rate since it was last asked for."""
         earned = (now - self.credit_updated_at) / SECOND * attempts_per_s * fraction
         self.warm_up_credit = min(1.0, self.warm_up_credit + earned)
--- a/pepperhook/policy/__init__.py
+++ b/pepperhook/policy/__init__.py
@@ -1,5 +1,6 @@
-"""Every decision of a balancer, one stage or component a module; see docs/design.md.
+"""The load balancing policy, one pipeline stage or shared component per module; see docs/design.md.
 
-Stages, from a request to its attempt: completion, priority, admission, retry_budget, selection, guard.
-Outcomes go the other way. ``pepperhook.balancer`` joins them, ``policy_interface`` has the calls.
+A request passes the stages completion, priority, admission, retry_budget, selection and guard in this order;
+the outcome of an attempt passes them in reverse. ``pepperhook.balancer`` links the stages, and
+``pepperhook.policy_interface`` defines the entry points that the host calls.
 """
--- a/pepperhook/policy/capacity.py
+++ b/pepperhook/policy/capacity.py
@@ -1,4 +1,4 @@
-"""Whether an upstream has capacity for one more attempt of this balancer."""
+"""Concurrency limits: whether an upstream has capacity for one more attempt of this balancer."""
 
 from pepperhook.domain import Attempt, Outcome, Request, ServiceClass, Upstream
 from pepperhook.pipeline import Component
@@ -6,65 +6,74 @@
 from pepperhook.statistics import DecayingMean, DecayingMoments
 from pepperhook.units import MILLISECOND, SECOND
 
-LEVEL_SPAN, VALUE_SPAN = 2 * SECOND, 5 * SECOND
-JUDGED_BELOW = 0.3  # weight below which an upstream is considered only with its weight's chance
-MAX_TIME_OF_OBJECTIVE, MAX_TIME_OF_BEST = 0.35, 2.5  # mean duration let grow: in objectives, in best times
-PRESSURE_STEP, MAX_PRESSURE = 0.1, 3.0  # of one attempt: its weight in the pressure, the most it counts
-HIGH_PRESSURE, SLACK = 1.4, 1.4  # pressure from which limits bind; times its limit a mean of few may reach
-MIN_FACTOR, MAX_FACTOR = 0.5, 2.0  # of priority
-MIN_MEAN_VALUE = MILLISECOND / SECOND
+LEVEL_SPAN, VALUE_SPAN = 2 * SECOND, 5 * SECOND  # time constants of the means
+ALWAYS_CONSIDERED_WEIGHT = 0.3  # below it an upstream is considered with its weight as the probability
+# Target duration of attempts: the lesser of these multiples of the objective and of the best service time.
+TARGET_OF_OBJECTIVE, TARGET_OF_BEST = 0.35, 2.5
+PRESSURE_STEP, MAX_PRESSURE = 0.1, 3.0  # of one attempt: weight in the moving average, and upper bound
+# Latency pressure from which limits are not rounded up to one attempt; allowed ratio of the mean level of
+# attempts in flight to the subset's limit where the limit per upstream is below one attempt.
+HIGH_PRESSURE, LEVEL_SLACK = 1.4, 1.4
+MIN_FACTOR, MAX_FACTOR = 0.5, 2.0  # bounds of the priority factor
+MIN_MEAN_VALUE = MILLISECOND / SECOND  # avoids division by zero
 
 
 SERVICE_TIMES = ServiceTimeModel(10 * SECOND, assumed_part=0.2, fixed_part=0.3, cost_part=0.7, growth=1.001)
 
 
 class Capacity(Component):
-    """Limits concurrency by Little's law, by latency pressure and by the value of what wants in."""
+    """Limits concurrency by Little's law, by latency pressure and by the value of the request."""
 
     def _set_up(self, now: int) -> None:
-        self.level = DecayingMean(LEVEL_SPAN, now)  # attempts in flight at all members
-        self.latency_pressure = 0.0  # durations of late, in target times
+        self.level = DecayingMean(LEVEL_SPAN, now)  # attempts in flight at all members of the subset
+        self.latency_pressure = 0.0  # moving average of durations in target times
         self.values = DecayingMoments(VALUE_SPAN, now)
 
     def priority_factor(self, now: int, request: Request) -> float:
-        """Return the request's value over the mean: against cheap ones taking what valuable ones want."""
+        """Return the request's value relative to the mean, bounded.
+
+        Keeps requests of low value from using the capacity that requests of high value need.
+        """
         mean = max(MIN_MEAN_VALUE, self.values.mean(now, request.value, 1))
         return min(MAX_FACTOR, max(MIN_FACTOR, request.value / mean))
 
     def allows(self, now: int, upstream: Upstream, request: Request, priority_factor: float) -> bool:
         """Return whether the upstream has capacity for the request."""
-        # Against quick errors, which look idle, drawing all that crowded upstreams hold back.
-        if upstream.weight < JUDGED_BELOW and self.balancer.random() >= upstream.weight:
+        # An upstream that fails quickly looks idle and would attract all requests that busy upstreams refuse.
+        if upstream.weight < ALWAYS_CONSIDERED_WEIGHT and self.balancer.random() >= upstream.weight:
             return False
-        reported = self.balancer.load_queries.reported(now, upstream)
-        if reported is not None:
-            best = self.balancer.service_times.quickest(now, request.service_class)
-            return now + (reported + 1) * best / min(1.0, priority_factor) < request.objective_at
-        # Against overloading one that only times out: what was abandoned still runs there.
+        reported_in_flight = self.balancer.load_queries.reported_in_flight(now, upstream)
+        if reported_in_flight is not None:
+            best = self.balancer.service_times.best_service_time(now, request.service_class)
+            return now + (reported_in_flight + 1) * best / min(1.0, priority_factor) < request.objective_at
+        # Abandoned attempts may still run: not counting them would overload an upstream that only times out.
         in_flight = upstream.estimated_in_flight(now)
         limit = max(self.balancer.subset.fair_share, upstream.completion_rate(now))
         if self.latency_pressure < HIGH_PRESSURE * priority_factor:
             return in_flight < max(limit, 1)
-        # Against many balancers that each round a share up: if responses are slow it holds for the mean.
+        # If each of many balancers rounded a fraction up to one attempt they would overload the
+        # upstream together: while responses are slow a limit below one is applied to the mean
+        # number in flight instead.
         return in_flight < limit and (limit >= 1 or self._has_slack(now, priority_factor))
 
     def _has_slack(self, now: int, priority_factor: float) -> bool:
+        # Compares the mean number in flight at all members with the limit of the subset as a whole.
         subset = self.balancer.subset
         level = self.update_level(now)
         completed = sum(u.completion_rate(now) for u in subset.members)
-        return level < SLACK * priority_factor * max(subset.fair_share * len(subset.members), completed)
+        return level < LEVEL_SLACK * priority_factor * max(subset.fair_share * len(subset.members), completed)
 
     def update_level(self, now: int) -> float:
-        """Return the mean of attempts in flight; to be called before each change of them."""
+        """Return the mean number of attempts in flight; call this before each change of the number."""
         return self.level.update(now, sum(u.estimated_in_flight(now) for u in self.balancer.subset.members))
 
     def target_time(self, service_class: ServiceClass) -> float:
-        """Return the duration that attempts are let grow to."""
+        """Return the target duration of attempts in nanoseconds, above which latency pressure exceeds 1."""
         best = self.balancer.service_times.best[service_class.number]
-        return min(MAX_TIME_OF_OBJECTIVE * service_class.objective_ns, MAX_TIME_OF_BEST * best)
+        return min(TARGET_OF_OBJECTIVE * service_class.objective_ns, TARGET_OF_BEST * best)
 
     def record(self, attempt: Attempt, target_time: float) -> None:
-        """Learn from how long an attempt took."""
+        """Update the latency pressure with the duration of an attempt."""
         if attempt.outcome in (Outcome.SERVED, Outcome.TIMED_OUT):
             pressure = min(MAX_PRESSURE, attempt.duration_ns / target_time)
             self.latency_pressure += PRESSURE_STEP * (pressure - self.latency_pressure)
--- a/pepperhook/policy/guard.py
+++ b/pepperhook/policy/guard.py
@@ -1,4 +1,4 @@
-"""The one place that sends, and the last check before a byte leaves: rules 1 to 4."""
+"""The only place that starts attempts, and the last check of rules 1 to 4 before a byte is written."""
 
 from pepperhook.actions import StartAttempt
 from pepperhook.domain import Attempt, Effect, Outcome, RepeatGroup, Request, Upstream
@@ -6,10 +6,14 @@
 
 
 class Guard(Stage):
-    """Lets nothing out that would break a rule."""
+    """Starts an attempt only if that breaks none of the rules."""
 
     def may_retry(self, now: int, request: Request, upstream: Upstream | None, own: Attempt | None) -> bool:
-        """Rule 2: return whether an attempt (``own``) has no second effect at ``upstream``, or anywhere."""
+        """Rule 2: return whether one more attempt cannot take effect a second time.
+
+        ``upstream`` is its destination, or None if that is not selected yet; ``own`` is the attempt
+        itself if it exists already.
+        """
         effect, group = request.service_class.effect, request.service_class.repeat_group
         executed = request.possibly_executed(own)
         if not executed or effect is Effect.SAFE:
@@ -18,21 +22,24 @@
             return False
         if upstream is None or group is RepeatGroup.ALL:
             return True
-        return all(getattr(one.upstream, group) == getattr(upstream, group) for one in executed)
+        return all(getattr(earlier.upstream, group) == getattr(upstream, group) for earlier in executed)
 
     def may_write(self, now: int, request: Request, upstream: Upstream, attempt: Attempt | None) -> bool:
-        """Return whether bytes may leave now: rules 1, 2 and 3; ``attempt``: the one about to be written."""
+        """Return whether rules 1 to 3 allow writing bytes now.
+
+        ``attempt`` is the one about to be written, or None if it does not exist yet.
+        """
         if request.finished or request.streaming or now >= request.deadline:
             return False
         if not upstream.is_ready or self.balancer.endpoints.is_stale(now, upstream):
             return False
-        # Restarted since the attempt was chosen, which was reckoned for a warm upstream (rule 4).
+        # The upstream has restarted since it was selected as a warm one (rule 4).
         if attempt is not None and attempt.sent_at < upstream.started_at:
             return False
         return self.may_retry(now, request, upstream, attempt)
 
     def may_start(self, now: int, request: Request, upstream: Upstream) -> bool:
-        """Return whether a new attempt may be chosen: also by the bound on attempts and rule 4."""
+        """Return whether a new attempt may be started: rules 1 to 4 and the limit on attempts per request."""
         sent = sum(attempt.outcome is not Outcome.NOT_SENT for attempt in request.attempts)
         if request.open_attempts or sent >= self.settings.max_attempts:
             return False
@@ -40,13 +47,13 @@
         return is_allowed and self.balancer.slow_start.has_credit(now, upstream)
 
     def send(self, now: int, request: Request, upstream: Upstream) -> bool:
-        """Start an attempt, if it may be started."""
+        """Start an attempt if that is allowed; return whether it was started."""
         if not self.may_start(now, request, upstream):
             return False
-        upstream.warm_up_credit -= 1  # of no account once it is warm
+        upstream.warm_up_credit -= 1  # the credit is ignored once the upstream is warm
         self.balancer.capacity.update_level(now)
         attempt = request.start_attempt(upstream, now)
-        if self.balancer.load_queries.reported(now, upstream) is not None:
+        if self.balancer.load_queries.reported_in_flight(now, upstream) is not None:
             upstream.count_into_load_report()
         for rate in self.balancer.retry_budget.rate, self.balancer.retry_budget.steady_rate:
             rate.add(now)
@@ -54,7 +61,7 @@
         return True
 
     def attempt_ended(self, now: int, attempt: Attempt) -> None:
-        """Take the attempt off the books, with its credit where it was never sent."""
+        """Close the attempt, and return its warm-up credit if it was never sent."""
         is_due = now >= attempt.request.objective_at - self.balancer.completion.margin
         if attempt.outcome is Outcome.CANCELLED and is_due:
             attempt.outcome = Outcome.TIMED_OUT
--- a/pepperhook/policy/priority.py
+++ b/pepperhook/policy/priority.py
@@ -1,4 +1,4 @@
-"""The value of a request: its priority weight, which is small beyond its tenant's quota."""
+"""The value of a request: its priority weight, reduced beyond the quota of its tenant."""
 
 from pepperhook.decision_notes import OverQuotaNote
 from pepperhook.domain import Request
@@ -6,17 +6,17 @@
 from pepperhook.statistics import DecayingMoments
 from pepperhook.units import SECOND
 
-QUOTA_SPAN = 10 * SECOND
+QUOTA_SPAN = 10 * SECOND  # time constant of the tenants' request rates
 
 
 class Priority(Stage):
-    """Values each request once, as it comes."""
+    """Sets the value of each request once, on arrival."""
 
     def _set_up(self, now: int) -> None:
         self.tenant_rates = [DecayingMoments(QUOTA_SPAN, now) for _ in self.settings.tenants]
 
     def handle(self, now: int, request: Request) -> bool:
-        """Set the request's value, and count it in the means."""
+        """Set the value of the request, and add value and cost to the means."""
         value = request.service_class.priority_weight
         if not self.settings.weight_is_per_work:
             value *= SECOND / self.balancer.service_times.mean_service_time(now, request.service_class)
@@ -28,7 +28,8 @@
         return self.inner.handle(now, request)
 
     def _quota_factor(self, now: int, request: Request, tenant: int) -> float:
-        # Before this one is counted: the mean of few would be high by it, and quotas look overdrawn.
+        # Read before this request is counted, which would raise a low rate so much that it seems
+        # over the quota.
         rate = self.tenant_rates[tenant].rate(now)
         self.tenant_rates[tenant].add(now)
         quota = self.settings.tenants[tenant].quota_per_s / self.balancer.fleet_size
--- a/pepperhook/policy/subset.py
+++ b/pepperhook/policy/subset.py
@@ -1,4 +1,4 @@
-"""Subsetting: the few upstreams that this balancer sends to, by its index on a hash ring."""
+"""Subsetting: the few upstreams that this balancer sends to, chosen on a hash ring by its fleet index."""
 
 from collections.abc import Sequence
 from math import ceil, exp
@@ -8,58 +8,59 @@
 from pepperhook.pipeline import Component
 from pepperhook.units import SECOND
 
-MIN_SIZE, MIN_SIZE_FREE_CONNECTIONS = 3, 8
-BALANCERS_PER_UPSTREAM = 4  # at least so many balancers' subsets hold an upstream
-CONCURRENCY_PER_MEMBER = 0.7  # mean attempts in flight at one member from which the subset widens
-DEMAND_DECAY = 0.98  # of the remembered demand, from one review to the next
-CROSS_ZONE_SCALE = 0.013  # price of crossing zones that makes a remote upstream 1/e as likely
-KEEP_GONE = 60 * SECOND
-CONCURRENCY_PER_UPSTREAM = 3  # attempts in flight at one upstream from all balancers, always allowed
+MIN_SIZE, MIN_SIZE_FREE_CONNECTIONS = 3, 8  # the latter where connections and handshakes cost nothing
+BALANCERS_PER_UPSTREAM = 4  # each upstream is in the subsets of at least so many balancers
+CONCURRENCY_PER_MEMBER = 0.7  # mean attempts in flight per member above which the subset grows
+DEMAND_DECAY = 0.98  # factor of the peak demand from one review to the next
+CROSS_ZONE_SCALE = 0.013  # cross-zone price at which a remote upstream is 1/e as likely
+KEEP_GONE = 60 * SECOND  # how long gone upstreams keep their position on the ring
+CONCURRENCY_PER_UPSTREAM = 3  # attempts in flight at one upstream that the fleet together may always have
 
 
 class Subset(Component):
-    """Keeps the endpoint list and chooses the members from it."""
+    """Holds the endpoint list and chooses the members of the subset from it."""
 
     def _set_up(self, now: int) -> None:
         self.ring = EndpointRing(KEEP_GONE)
         self.same_zone: list[Upstream] = []
         self.members: list[Upstream] = []
         self.demand = 0.0  # mean attempts in flight that this balancer needs
-        self.fair_share = 1.0  # of an upstream's concurrency, for this balancer
+        self.fair_share = 1.0  # attempts in flight per upstream that this balancer may always have
 
     def apply(self, now: int, whole: bool, updates: Sequence[EndpointUpdate]) -> None:
-        """Take in an endpoint list; ``whole``: what it does not name is gone."""
+        """Apply an endpoint list; ``whole``: upstreams that it does not name are gone."""
         for upstream, _, started_at in updates:
             self.balancer.slow_start.notice_start(now, upstream, started_at)
         self.ring.apply(now, whole, updates)
         self.same_zone = self.ring.in_zone(self.settings.zone)
 
     def update(self, now: int) -> None:
-        """Choose the members anew."""
+        """Recompute demand and fair share, and choose the members again."""
         needed = self.balancer.retry_budget.rate.rate(now) * max(self.balancer.service_times.best) / SECOND
         self.demand = max(DEMAND_DECAY * self.demand, needed)
-        count = len(self.ring.ready)
-        width = self._width(count)
-        # Against many balancers that each have little in flight and together overload an upstream.
-        callers = self.balancer.fleet_size * max(1, min(count, width))
-        self.fair_share = CONCURRENCY_PER_UPSTREAM * count / callers
-        # Against a subset that is mostly unreachable: it goes on round the ring.
-        rings = (self.same_zone, self._same_zone_size(width, count)), (self.ring.positions, count)
+        ready_count = len(self.ring.ready)
+        width = self._width(ready_count)
+        # Divided among the balancers: many with few attempts each could together overload an upstream.
+        callers = self.balancer.fleet_size * max(1, min(ready_count, width))
+        self.fair_share = CONCURRENCY_PER_UPSTREAM * ready_count / callers
+        # While members are unreachable, choose_members continues round the whole ring to reach MIN_SIZE.
+        rings = (self.same_zone, self._same_zone_size(width, ready_count)), (self.ring.positions, ready_count)
         self.members = choose_members(rings, self.balancer.index, self.balancer.fleet_size, width, MIN_SIZE)
 
-    def _width(self, count: int) -> int:
+    def _width(self, ready_count: int) -> int:
         is_free = self.settings.connection_price == self.settings.handshake_price == 0
         smallest = MIN_SIZE_FREE_CONNECTIONS if is_free else MIN_SIZE
-        covered = max(BALANCERS_PER_UPSTREAM * count, len(self.ring.positions))
+        memberships = max(BALANCERS_PER_UPSTREAM * ready_count, len(self.ring.positions))
         return max(
-            smallest, -(-covered // self.balancer.fleet_size), ceil(self.demand / CONCURRENCY_PER_MEMBER)
+            smallest, -(-memberships // self.balancer.fleet_size), ceil(self.demand / CONCURRENCY_PER_MEMBER)
         )
 
-    def _same_zone_size(self, width: int, count: int) -> int:
-        # Against crossing zones: what coverage does not need of the whole ring comes from the own zone.
-        for_coverage = -(-count // self.balancer.fleet_size)
+    def _same_zone_size(self, width: int, ready_count: int) -> int:
+        # To reduce cross-zone traffic, members that coverage of the whole ring does not need are of
+        # the own zone.
+        for_coverage = -(-ready_count // self.balancer.fleet_size)
         return min(len(self.same_zone), round((1 - self.remote_proximity()) * (width - for_coverage)))
 
     def remote_proximity(self) -> float:
-        """Return the proximity of an upstream in another zone."""
+        """Return the proximity factor (0 to 1) of an upstream in another zone."""
         return exp(-self.settings.cross_zone_price / CROSS_ZONE_SCALE)
--- a/pepperhook/service_times.py
+++ b/pepperhook/service_times.py
@@ -39,12 +39,10 @@
         costs = self.costs[request.service_class.number]
         return request.cost_ns / costs.mean(now, request.cost_ns, PRIOR_OBSERVATIONS)
 
-    def expected(self, now: int, request: Request) -> float:
+    def expected_service_time(self, now: int, request: Request) -> float:
         """Return what this request should take."""
         in_proportion = self.model.cost_part * self.relative_cost(now, request)
-        return self.mean_service_time(now, request.service_class) * (
-            self.model.fixed_part + in_proportion
-        )
+        return self.mean_service_time(now, request.service_class) * (self.model.fixed_part + in_proportion)
 
     def mean_service_time(self, now: int, service_class: ServiceClass) -> float:
         """Return what a request of the class takes on the mean."""
@@ -52,13 +50,13 @@
         durations = self.durations[service_class.number]
         return max(MILLISECOND, durations.mean(now, assumed, PRIOR_OBSERVATIONS))
 
-    def quickest(self, now: int, service_class: ServiceClass) -> float:
+    def best_service_time(self, now: int, service_class: ServiceClass) -> float:
         """Return the best that a request of the class took, or its mean where that is less."""
         return min(self.best[service_class.number], self.mean_service_time(now, service_class))
 
-    def relative_age(self, now: int, attempt: Attempt) -> float:
+    def log_relative_age(self, now: int, attempt: Attempt) -> float:
         """Return the logarithm of an attempt's age in expected times."""
-        return log(max(1, now - attempt.sent_at) / self.expected(now, attempt.request))
+        return log(max(1, now - attempt.sent_at) / self.expected_service_time(now, attempt.request))
 
     def record_cost(self, now: int, request: Request) -> None:
         """Count the cost that a request announces, if it does."""
@@ -67,7 +65,7 @@
 
     def record_served(self, now: int, attempt: Attempt) -> None:
         """Learn from an attempt that was served: of its upstream's latency, then of its class."""
-        expected = self.expected(now, attempt.request)
+        expected = self.expected_service_time(now, attempt.request)
         attempt.upstream.latency.add(now, log(max(1, attempt.duration_ns) / expected))
         service_class = attempt.request.service_class
         number = service_class.number
--- a/pepperhook/unserved_requests.py
+++ b/pepperhook/unserved_requests.py
@@ -26,7 +26,7 @@
         ended = UnservedRequest(request.accepted_at, now, request.tenant)
         self.by_class[request.service_class.number].append(ended)
 
-    def first_of(
+    def find_original(
         self, now: int, request: Request, tolerance: int, is_marked: bool
     ) -> UnservedRequest | None:
         """Return the request that this one retries, the latest of those that match.
