--- a/pepperhook/actions.py
+++ b/pepperhook/actions.py
@@ -1,4 +1,4 @@
-"""What the policy asks of its host, one type each; a host carries them out in their order."""
+"""Actions that the policy returns; the host carries them out in order."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send ``attempt.request`` to ``attempt.upstream`` and give up after ``timeout_ns``."""
+    """Send ``attempt.request`` to ``attempt.upstream``, with a timeout of ``timeout_ns``."""
 
     attempt: Attempt
     timeout_ns: int
@@ -15,14 +15,14 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for the attempt; how it ended is still to be reported."""
+    """Stop waiting for the attempt; the host still reports its outcome."""
 
     attempt: Attempt
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final response: rejected, harmless to retry after ``retry_after_ns`` (0: no advice when)."""
+    """Final response: rejected, and harmless to retry after ``retry_after_ns`` (0: unspecified)."""
 
     request: Request
     retry_after_ns: int
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final response: failed, with no promise that nothing was executed."""
+    """Final response: failed; the request may have been executed."""
 
     request: Request
 
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Open a watch on the endpoint list; each of its polls waits ``wait_ns`` for changes."""
+    """Watch the endpoint list by polls that each wait up to ``wait_ns`` for changes."""
 
     wait_ns: int
 
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class WakeAt:
-    """Call ``wake`` at ``at_ns`` or later."""
+    """Call the policy's ``wake`` at ``at_ns`` or later."""
 
     at_ns: int
 
--- a/pepperhook/balancer.py
+++ b/pepperhook/balancer.py
@@ -1,4 +1,4 @@
-"""One balancer: joins the stages and hands each call from outside to the one that decides."""
+"""The balancer: builds the pipeline and dispatches each call of the host to the stage in charge."""
 
 from collections.abc import Sequence
 
@@ -22,10 +22,10 @@
 
 
 class Balancer(Policy):
-    """The decisions are in the stages, and in the components that they share."""
+    """The load balancing policy, made of pipeline stages and the components that they share."""
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
-        """Start from nothing."""
+        """Create a balancer without endpoints."""
         super().__init__(settings, seed, now)
         self.service_times = ServiceTimes(SERVICE_TIMES, settings.service_classes, now)
         self.subset = Subset(self)
@@ -52,14 +52,14 @@
         self.call_every(REVIEW_PERIOD, self._review)
 
     def configure(self, settings: Settings) -> None:
-        """Go by these settings from now on; what each request needs of them is made out once."""
+        """Apply settings; values that each request needs are derived from them once."""
         self.settings.replace_with(settings)
         self.fleet_size, self.index = settings.position
         self.completion.configure()
         self.load_queries.configure()
 
     def _review(self, now: int) -> None:
-        """Judge all upstreams anew, and use the capacity that this shows."""
+        """Update the members and their weights, then send queued requests if there is capacity."""
         self._update_members(now)
         self.admission.release(now)
 
@@ -74,40 +74,40 @@
     def on_endpoints_changed(
         self, now: int, whole: bool, updates: Sequence[EndpointUpdate]
     ) -> None:
-        """Choose the members from the new list."""
+        """Apply the endpoint list and update the members of the subset."""
         self.subset.apply(now, whole, updates)
         self._update_members(now)
 
     def on_endpoints_confirmed(self, at: int) -> None:
-        """Go by the list for longer."""
+        """Extend the time for which the endpoint list is good."""
         self.endpoints.confirm(at)
 
     def on_endpoint_poll_failed(self, now: int, failure: PollFailure, retry_after_ns: int) -> None:
-        """Plan the next watch."""
+        """Schedule the next watch."""
         self.endpoints.poll_failed(now, failure, retry_after_ns)
 
     def on_endpoint_service_moved(self, now: int) -> None:
-        """Poll the new service."""
+        """Open a watch on the new service."""
         self.endpoints.restart_watch(now)
 
     def on_request(self, now: int, request: Request) -> None:
-        """Send the request down the pipeline."""
+        """Pass the request to the outermost stage."""
         self.completion.handle(now, request)
 
     def on_attempt_ended(self, now: int, attempt: Attempt) -> None:
-        """Send the outcome up the pipeline."""
+        """Pass the outcome to the innermost stage."""
         self.guard.attempt_ended(now, attempt)
 
-    def on_client_left(self, now: int, request: Request) -> None:  # noqa: ARG002 as all calls
-        """Hold nothing more for the request."""
+    def on_client_left(self, now: int, request: Request) -> None:  # noqa: ARG002 signature of all calls
+        """Release what is held for the request."""
         self.completion.client_left(request)
 
     def on_health_check_ended(self, now: int, upstream: Upstream, outcome: Outcome) -> None:
-        """Judge the upstream, then go on with what waited for its report."""
+        """Update the upstream's health, then continue requests that waited for its load report."""
         self.outliers.check_ended(now, upstream, outcome)
         self.load_queries.check_ended(now, upstream)
 
     def on_reconfigured(self, now: int, settings: Settings) -> None:
-        """Go by other settings from now on."""
+        """Apply other settings and update the members of the subset."""
         self.configure(settings)
         self._update_members(now)
--- a/pepperhook/decision_notes.py
+++ b/pepperhook/decision_notes.py
@@ -1,4 +1,4 @@
-"""Reasons of the decisions, for whoever traces; made only while somebody does."""
+"""Reasons of decisions for traces; recorded only while tracing is on."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -11,11 +11,11 @@
     """Why a retry was granted or not."""
 
     GRANTED = "granted"
-    BUDGET = "budget"  # the retry budget is spent
-    OVERLOAD = "overload"  # upstreams reject for want of capacity
-    EFFECT = "effect"  # it might take effect twice
-    OBJECTIVE = "goal"  # it would be served too late
-    CHANCE = "chance"  # the draw against the budget was lost
+    BUDGET = "budget"  # the retry budget is exhausted
+    OVERLOAD = "overload"  # upstreams reject attempts for lack of capacity
+    EFFECT = "effect"  # the request might take effect twice
+    OBJECTIVE = "goal"  # the retry would be served after the objective
+    CHANCE = "chance"  # the random draw was not below the allowed probability
 
 
 class RejectionReason(StrEnum):
@@ -27,7 +27,7 @@
 
 
 class Candidate(NamedTuple):
-    """One upstream of those that were compared."""
+    """One of the upstreams that were compared for a request."""
 
     address: bytes
     weight: float
@@ -39,24 +39,26 @@
 class SelectionNote:
     """Which upstreams were compared for a request."""
 
-    from_subset: bool  # else from all ready ones
+    from_subset: bool  # otherwise from all ready upstreams
     usable: int
     with_capacity: int
     candidates: list[Candidate]
 
     @classmethod
-    def of(cls, from_subset: bool, usable: int, fit: int, loads: dict[Upstream, float]) -> Self:
-        """Make the note from the candidates' loads."""
+    def of(
+        cls, from_subset: bool, usable: int, with_capacity: int, loads: dict[Upstream, float]
+    ) -> Self:
+        """Build the note from the candidates' loads."""
         candidates = [
             Candidate(u.address, u.weight * u.proximity, load, u.latency_score)
             for u, load in loads.items()
         ]
-        return cls(from_subset, usable, fit, candidates)
+        return cls(from_subset, usable, with_capacity, candidates)
 
 
 @dataclass(slots=True)
 class QueuedNote:
-    """The request entered the admission queue at this place."""
+    """The request was queued for admission, at this position."""
 
     position: int
     length: int
@@ -64,7 +66,7 @@
 
 @dataclass(slots=True)
 class RetryNote:
-    """A retry was considered: the verdict, the draw and what it was drawn against."""
+    """A retry was considered: the verdict, the random draw and the allowed probability."""
 
     verdict: RetryVerdict
     drawn: float | None
@@ -75,7 +77,7 @@
 
 @dataclass(slots=True)
 class OverQuotaNote:
-    """The request is beyond its tenant's quota."""
+    """The request exceeds its tenant's quota; rates in requests per second."""
 
     rate: float
     quota: float
@@ -83,7 +85,7 @@
 
 @dataclass(slots=True)
 class RejectionNote:
-    """The request is given up."""
+    """The request is rejected or fails without a response of an upstream."""
 
     reason: RejectionReason
 
--- a/pepperhook/domain.py
+++ b/pepperhook/domain.py
@@ -1,4 +1,4 @@
-"""What the decisions are about: requests, attempts and upstreams, with their states."""
+"""The domain model of the policy: requests, attempts and upstreams, with their states."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class UpstreamState(StrEnum):
-    """What the endpoint list says of an upstream."""
+    """State of an upstream in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -24,7 +24,7 @@
 
     SERVED = "served"
     ERROR = "error"
-    OVERLOADED = "overloaded"  # rejected by the upstream, provably not executed
+    OVERLOADED = "overloaded"  # rejected by the upstream, certainly not executed
     TIMED_OUT = "timed out"
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
@@ -37,15 +37,15 @@
 
 
 class Effect(StrEnum):
-    """What executing a request twice would do."""
+    """Effect of executing a request twice."""
 
-    SAFE = "safe"  # nothing: it may be repeated at will
-    KEYED = "keyed"  # nothing within its key's window and group: idempotent by key
+    SAFE = "safe"  # none: it may be executed any number of times
+    KEYED = "keyed"  # none within the window and repeat group of its key: idempotent by key
     UNSAFE = "unsafe"  # harm
 
 
 class RepeatGroup(StrEnum):
-    """Which upstreams recognise the key of a keyed request."""
+    """Upstreams that recognise the key of a keyed request: all, or one zone, or one cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class ServiceClass:
-    """One class of requests, as the settings declare it; times in nanoseconds."""
+    """Service class of requests, as declared in the settings; times in nanoseconds."""
 
     number: int
     time_limit_ns: int
@@ -68,19 +68,19 @@
 
 
 LoadReport = dict[str, float]
-IN_FLIGHT = "in flight"  # figure of a load report: requests that the upstream holds
+IN_FLIGHT = "in flight"  # figure of a load report: requests in flight at the upstream
 
 
 class PollFailure(StrEnum):
-    """How a poll of the endpoint list, or a watch on it, ended without an answer."""
+    """How a poll of the endpoint list or a watch on it failed."""
 
-    UNREACHABLE = "unreachable"  # no connection, or one that broke
-    REFUSED = "refused"  # an answer that is no list
-    SILENT = "silent"  # no answer in its time
+    UNREACHABLE = "unreachable"  # the connection failed or was lost
+    REFUSED = "refused"  # the response was not an endpoint list
+    SILENT = "silent"  # no response within the timeout
 
 
 class Upstream:
-    """One instance that requests can be sent to, as this balancer knows it.
+    """An instance that requests can be sent to, with what this balancer knows of it.
 
     The statistics are unset until the endpoint list names the upstream for the first time.
     """
@@ -88,12 +88,12 @@
     latency: DecayingMoments  # ln(response time / expected time)
     failures: DecayingMoments  # 0 or 1 for each attempt
     completed: DecayingMoments  # target response times of what it served, in nanoseconds
-    abandoned: DecayingMoments  # attempts given up here that may still run there
+    abandoned: DecayingMoments  # attempts abandoned by this balancer that may still run there
 
     def __init__(
         self, address: bytes, zone: int = 0, cell: int = 0, units: float = 1.0, kind: int = 0
     ) -> None:
-        """Describe an upstream that no list has named yet."""
+        """Create an upstream that no endpoint list has named yet."""
         self.address = address
         self.zone = zone
         self.cell = cell
@@ -102,35 +102,38 @@
         self.state = UpstreamState.GONE
         self.started_at = 0
         self.in_flight: dict[Attempt, bool] = {}  # attempts, oldest first
-        self.is_known = False  # whether the statistics are set
-        self.is_outlier = False  # failing while its peers do not
+        self.is_known = False  # whether the statistics have been set
+        self.is_outlier = False  # fails while its peers do not
         self.latency_score = 1.0
-        self.proximity = 1.0  # factor of its chance to be drawn: near zones and operators' weight
+        self.proximity = 1.0  # factor of its draw weight: by zone and operator's weight
         self.operator_weight = 1.0
         self.unreachable_since: int | None = None
         self.health_check_running = False
         self.health_check_began_at = 0
-        self.shown_ready_at = (
-            0  # when the latest health check began that it passed: none is while it drains
-        )
+        # Start of the latest passed health check; a draining upstream passes none.
+        self.shown_ready_at = 0
         self.health_check_due_at = 0
         self.slow_start_since: int | None = None
-        # Attempts that it may be sent during slow start. The credit grows by a, what this balancer
-        # may send in a time, from a random start in 0 to 1, so floor(start + a) are sent: a on the
-        # mean, off by less than one. Of M balancers with N in all that is N on the mean, with a
-        # variance of at most M / 4 and at most N: a deviation of 0.5, 1.0, 1.7, 2.2, 2.7 attempts
-        # at the most for M of 1, 4, 12, 20, 30, where 2 * sqrt(N) + 2 are put down to chance.
-        # tests/policy/fleet.py plays it (SlowStartFleet).
+        # Attempts that may be sent during slow start. The credit starts at a random value from 0 to
+        # 1. When it has grown by a, this balancer has sent floor(start + a) attempts: a on average,
+        # with an error below one. If M balancers may send N attempts in total, they send N on
+        # average, with a variance of at most min(M / 4, N): a standard deviation of at most 0.5,
+        # 1.0, 1.7, 2.2 and 2.7 attempts for M of 1, 4, 12, 20 and 30. An excess of up to
+        # 2 * sqrt(N) + 2 attempts counts as chance. SlowStartFleet in tests/policy/fleet.py
+        # simulates this.
         self.warm_up_credit = 0.0
         self.credit_updated_at = 0
-        self.weight = 1.0  # chance to be considered when drawn
+        self.weight = 1.0  # by health: factor of its draw weight
         self.load_report: LoadReport | None = None
         self.load_report_at = 0
 
     def reset_statistics(
         self, now: int, latency_span: int, failure_span: int, completion_span: int
     ) -> None:
-        """Forget all that was measured: a new instance has nothing in common with the last one."""
+        """Discard all statistics, as a new instance has nothing in common with the last one.
+
+        The spans are the time constants of the decay in nanoseconds.
+        """
         self.latency = DecayingMoments(latency_span, now)
         self.failures = DecayingMoments(failure_span, now)
         self.completed = DecayingMoments(completion_span, now)
@@ -142,15 +145,15 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the endpoint list has it as ready."""
+        """Whether it is ready according to the endpoint list."""
         return self.state is UpstreamState.READY
 
     def draw_weight(self) -> float:
-        """Return the weight with which it is drawn."""
+        """Return its weight in the random draw of candidates."""
         return self.weight * self.proximity
 
     def has_restarted(self, started_at: int) -> bool:
-        """Take note of when it started; return whether that is later than was known."""
+        """Record a start time; return whether it is later than the known one."""
         if started_at <= self.started_at:
             return False
         self.started_at = started_at
@@ -158,54 +161,60 @@
         return True
 
     def begin_slow_start(self, now: int, since: int, credit: float) -> None:
-        """Note that it is cold as of ``since``, with a first credit of attempts."""
+        """Record that it has been cold since ``since``, and set its initial credit of attempts."""
         self.slow_start_since = since
         self.credit_updated_at = now
         self.warm_up_credit = credit
 
     def warm_fraction(self, now: int, start: float, span_ns: int) -> float:
-        """Return the share of its capacity that it surely has: from ``start`` evenly to 1."""
+        """Return the share of its full capacity that it has at least.
+
+        It grows linearly from ``start`` to 1 within ``span_ns`` after the start of slow start.
+        """
         if self.slow_start_since is None or now - self.slow_start_since >= span_ns:
             self.slow_start_since = None
             return 1.0
         return start + (1 - start) * max(0, now - self.slow_start_since) / span_ns
 
     def accrue_credit(self, now: int, attempts_per_s: float, fraction: float) -> float:
-        """Return the credit, grown by a fraction of a rate since it was last asked for."""
+        """Return the credit after adding what ``fraction`` of a rate yields since the last call."""
         earned = (now - self.credit_updated_at) / SECOND * attempts_per_s * fraction
         self.warm_up_credit = min(1.0, self.warm_up_credit + earned)
         self.credit_updated_at = now
         return self.warm_up_credit
 
     def record_load_report(self, now: int, report: Mapping[str, float] | None) -> None:
-        """Keep a copy of a report: later attempts are counted into it, unseen by captures."""
+        """Store a copy of a load report.
+
+        It is a copy because later attempts are counted into it, which captures must not record.
+        """
         if report:
             self.load_report = dict(report)
             self.load_report_at = now
 
     def count_into_load_report(self) -> None:
-        """Count an attempt that is sent after the last report into it."""
+        """Add an attempt that is sent after the last load report to its requests in flight."""
         if self.load_report:
             self.load_report[IN_FLIGHT] += 1
 
     def mark_unreachable(self, now: int, check_at: int) -> None:
-        """Note that it could not be reached; it is to be checked at ``check_at``."""
+        """Record that it cannot be reached; the next health check is due at ``check_at``."""
         self.unreachable_since = now
         self.health_check_due_at = check_at
         self.weight = 0.0
 
     def estimated_in_flight(self, now: int) -> float:
-        """Return this balancer's attempts there, with abandoned ones that may still run."""
+        """Return this balancer's attempts in flight, with abandoned ones that may still run."""
         return len(self.in_flight) + self.abandoned.decay(now).weight
 
     def completion_rate(self, now: int) -> float:
-        """Return the concurrency that it is seen to serve (Little's law)."""
+        """Return the concurrency that it has served lately, by Little's law."""
         completed = self.completed.decay(now)
         return completed.total / completed.span_ns
 
 
 class EndpointUpdate(NamedTuple):
-    """One row of an endpoint list; ``started_at``: when that instance began, in nanoseconds."""
+    """One row of an endpoint list; ``started_at``: start of the instance in nanoseconds."""
 
     upstream: Upstream
     state: UpstreamState
@@ -213,7 +222,7 @@
 
 
 class Request:
-    """What a client asked for; it ends with exactly one final response."""
+    """A client's request, which ends with exactly one final response."""
 
     __slots__ = (
         "accepted_at",
@@ -244,7 +253,7 @@
         cost_ns: int | None = None,
         is_retry: bool = False,
     ) -> None:
-        """Describe a request; ``deadline`` is the instant by which its final response is due."""
+        """Create a request; ``deadline`` is the time by which its final response is due."""
         self.id = id
         self.service_class = service_class
         self.tenant = tenant
@@ -263,7 +272,7 @@
         self.load_query_rounds = 0
 
     def start_attempt(self, upstream: Upstream, now: int) -> Attempt:
-        """Enter a new attempt in the books of the request and of the upstream."""
+        """Create an attempt, and register it with the request and the upstream."""
         attempt = Attempt(self, upstream, now)
         self.attempts.append(attempt)
         self.open_attempts += 1
@@ -276,12 +285,12 @@
 
 
 class Attempt:
-    """One sending of a request to an upstream."""
+    """One attempt to have a request served by an upstream."""
 
     __slots__ = ("duration_ns", "number", "outcome", "request", "sent_at", "upstream")
 
     def __init__(self, request: Request, upstream: Upstream, now: int) -> None:
-        """Describe the next attempt of ``request``."""
+        """Create the next attempt of ``request``, without registering it."""
         self.request = request
         self.upstream = upstream
         self.sent_at = now
@@ -290,11 +299,11 @@
         self.duration_ns = 0
 
     def close(self) -> None:
-        """Take the attempt off the books of its request and of its upstream."""
+        """Remove the attempt from the open attempts of its request and its upstream."""
         self.request.open_attempts -= 1
         self.upstream.in_flight.pop(self)
 
     @property
     def may_have_executed(self) -> bool:
-        """Whether the upstream may have executed the request: also while the outcome is open."""
+        """Whether the upstream may have executed the request, also while there is no outcome."""
         return self.outcome not in NEVER_EXECUTED
--- a/pepperhook/endpoint_ring.py
+++ b/pepperhook/endpoint_ring.py
@@ -1,4 +1,4 @@
-"""The endpoint list as a hash ring, on which gone upstreams keep their positions for a while."""
+"""The endpoint list as a hash ring on which gone upstreams temporarily keep their positions."""
 
 from collections.abc import Iterable, Iterator
 from zlib import crc32
@@ -7,21 +7,21 @@
 
 
 class EndpointRing:
-    """All upstreams that are or were listed, in the order of their addresses' hashes."""
+    """Upstreams that are or were listed lately, ordered by the hashes of their addresses."""
 
     def __init__(self, keep_gone_ns: int) -> None:
-        """Start empty; what is gone keeps its position for ``keep_gone_ns``.
+        """Create an empty ring; gone upstreams keep their position for ``keep_gone_ns``.
 
-        Without that all subsets would move, with their connections, when a zone is lost.
+        Otherwise the loss of a zone would shift all subsets, and connections would be replaced.
         """
         self.keep_gone_ns = keep_gone_ns
-        self.listed: dict[Upstream, int] = {}  # not gone, with when it was last listed
-        self.seen: dict[Upstream, int] = {}  # also those gone of late
+        self.listed: dict[Upstream, int] = {}  # not gone -> time when last listed
+        self.seen: dict[Upstream, int] = {}  # also those recently gone -> time when last listed
         self.positions: list[Upstream] = []
         self.ready: list[Upstream] = []
 
     def apply(self, now: int, whole: bool, updates: Iterable[EndpointUpdate]) -> None:
-        """Take in an endpoint list; ``whole``: what it does not name is gone."""
+        """Apply an endpoint list; ``whole``: upstreams that it does not name are gone."""
         for upstream in self.listed if whole else ():
             upstream.state = UpstreamState.GONE
         for upstream, state, _ in updates:
@@ -34,12 +34,12 @@
         self.ready = [u for u in self.positions if u.is_ready]
 
     def in_zone(self, zone: int | None) -> list[Upstream]:
-        """Return the positions of one zone; all where ``zone`` is None."""
+        """Return the positions of upstreams in one zone, or all if ``zone`` is None."""
         return [u for u in self.positions if zone is None or u.zone == zone]
 
 
 def walk(ring: list[Upstream], index: int, count: int) -> Iterator[Upstream]:
-    """Yield all of a ring, from the position of the caller ``index`` of ``count`` on."""
+    """Yield all upstreams of a ring, from the position of balancer ``index`` of ``count`` on."""
     start = index * len(ring) // count
     for step in range(len(ring)):
         yield ring[(start + step) % len(ring)]
@@ -52,10 +52,10 @@
     width: int,
     min_reachable: int,
 ) -> list[Upstream]:
-    """Return the members of the subset of the caller ``index`` of ``count``, in their order.
+    """Return the ordered members of the subset of balancer ``index`` of ``count``.
 
-    Each ring is walked from the caller's position on, up to as many members as stand beside it.
-    ``width`` members are enough, once ``min_reachable`` of them can be reached.
+    Each ring is walked from the balancer's position on, until there are as many members as the
+    limit given with the ring, or ``width`` members of which ``min_reachable`` are reachable.
     """
     members: dict[Upstream, bool] = {}
     reachable = 0
--- a/pepperhook/errors.py
+++ b/pepperhook/errors.py
@@ -1,5 +1,5 @@
-"""The base of every error that pepperhook raises on purpose."""
+"""Base class of the errors that pepperhook raises."""
 
 
 class PepperhookError(Exception):
-    """Base class of the errors that callers of pepperhook can tell apart."""
+    """Base class of the errors that callers of pepperhook may handle."""
--- a/pepperhook/pipeline.py
+++ b/pepperhook/pipeline.py
@@ -1,4 +1,4 @@
-"""The frame of the policy: components that share a balancer, and stages of its pipeline."""
+"""Base classes of the policy: components of a balancer, and stages of its pipeline."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 
 
 class Component:
-    """Part of a balancer, with state of its own."""
+    """A part of a balancer with its own state."""
 
     def __init__(self, balancer: Balancer) -> None:
-        """Belong to ``balancer``, whose settings change in place."""
+        """Attach to ``balancer``, whose settings object is updated in place."""
         self.balancer = balancer
         self.settings = balancer.settings
         self._set_up(balancer.now)
 
     def _set_up(self, now: int) -> None:
-        """Create the component's own state."""
+        """Create the state of the component."""
 
 
 class Stage(Component):
-    """Passes everything on: requests to the inner stage, outcomes to the outer one."""
+    """A pipeline stage; passes requests to the inner stage and outcomes to the outer one."""
 
     inner: Stage
     outer: Stage
 
     def handle(self, now: int, request: Request) -> bool:
-        """Return whether the request was sent or is kept; otherwise the caller has to see to it."""
+        """Return whether the request was sent, queued or finished; else the caller handles it."""
         return self.inner.handle(now, request)
 
     def attempt_ended(self, now: int, attempt: Attempt) -> None:
-        """See to an attempt that has its outcome."""
+        """Process the outcome of an attempt."""
         self.outer.attempt_ended(now, attempt)
 
 
 def link(*stages: Stage) -> None:
-    """Join stages to a pipeline, the outermost first."""
+    """Link stages to a pipeline; the first is the outermost."""
     for outer, inner in pairwise(stages):
         outer.inner = inner
         inner.outer = outer
--- a/pepperhook/policy_interface.py
+++ b/pepperhook/policy_interface.py
@@ -1,8 +1,8 @@
-"""The calls from outside that every policy takes, with the bookkeeping that is the same for all.
+"""The entry points of every policy, with the bookkeeping that all policies share.
 
-A host owns one policy for each balancer that it runs, and calls it as things happen. Every call
-takes ``now`` (whole nanoseconds) and returns the actions that follow (``pepperhook.actions``), to
-be carried out in their order. What a policy decides is in its ``on_...`` methods.
+A host owns one policy for each balancer that it runs, and calls it for each event. Every call
+takes ``now`` (integer nanoseconds) and returns actions (``pepperhook.actions``), which the host
+carries out in order. Subclasses implement their decisions in the ``on_...`` methods.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 
 
 class Policy(Scheduler):
-    """Base of all policies: ``on_...`` methods ignore what they are given until overridden."""
+    """Base class of all policies, whose ``on_...`` methods do nothing unless overridden."""
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
-        """Start from nothing; ``wake`` is to be called once."""
+        """Create a policy without endpoints; the host has to call ``wake`` once after it."""
         super().__init__(seed, now)
         self.settings = settings
 
     def may_send(self, now: int, attempt: Attempt) -> bool:
         """Return whether the first byte of an attempt may still be written; changes nothing.
 
-        Asked in the one place that writes: a connection may be long in coming up, and what was so
-        when the attempt was chosen need not be so then. Where not, nothing is written and the
-        attempt ends as ``NOT_SENT``.
+        The host calls this right before it writes, because the state may have changed since the
+        attempt was started, for instance while a connection was established. If it returns False,
+        nothing is written and the attempt ends as ``NOT_SENT``.
         """
         request = attempt.request
         is_ready = attempt.upstream.state is UpstreamState.READY
@@ -44,20 +44,20 @@
 
     @entry_point
     def endpoints_changed(self, now: int, whole: bool, updates: Sequence[EndpointUpdate]) -> None:
-        """Take in an endpoint list or changes of one; ``whole``: what is not named is gone."""
+        """Process an endpoint list or changes of one; ``whole``: upstreams not named are gone."""
         self.on_endpoints_confirmed(now)
         self.on_endpoints_changed(now, whole, updates)
 
     @entry_point
     def endpoints_corrected(self, now: int, updates: Sequence[EndpointUpdate]) -> None:
-        """Take in states that operators set beside the endpoint list, which they say nothing of."""
+        """Process states set by operators; these do not confirm the endpoint list."""
         self.on_endpoints_changed(now, False, updates)
 
     @entry_point
     def endpoints_confirmed(self, now: int, age_ns: int = 0) -> None:
-        """Take note that the service had nothing newer ``age_ns`` ago.
+        """Record that the endpoint list was up to date ``age_ns`` ago.
 
-        It answered so, or it has held a poll for that long.
+        The service has answered so, or it has held a poll open for that long.
         """
         self.on_endpoints_confirmed(now - age_ns)
 
@@ -65,22 +65,22 @@
     def endpoint_poll_failed(
         self, now: int, failure: PollFailure = PollFailure.REFUSED, retry_after_ns: int = 0
     ) -> None:
-        """Take note that a poll of the endpoint list failed, or that the watch ended."""
+        """Process the failure of a poll of the endpoint list or the end of a watch."""
         self.on_endpoint_poll_failed(now, failure, retry_after_ns)
 
     @entry_point
     def endpoint_service_moved(self, now: int) -> None:
-        """Take note that another service has the endpoint list from now on."""
+        """Switch to another service that provides the endpoint list."""
         self.on_endpoint_service_moved(now)
 
     @entry_point
     def accept(self, now: int, request: Request) -> None:
-        """Take a client's request; it gets exactly one final response."""
+        """Accept a client's request, which gets exactly one final response."""
         self.on_request(now, request)
 
     @entry_point
-    def response_started(self, now: int, attempt: Attempt) -> None:  # noqa: ARG002 as all calls
-        """Take note that the response has begun to stream to the client."""
+    def response_started(self, now: int, attempt: Attempt) -> None:  # noqa: ARG002 signature of all calls
+        """Record that the response has begun to stream to the client."""
         attempt.request.streaming = True
 
     @entry_point
@@ -93,7 +93,7 @@
         final: bool,
         report: LoadReport | None = None,
     ) -> None:
-        """Take in an attempt's outcome, once; ``final``: the client has its response."""
+        """Process the outcome of an attempt, once; ``final``: the client has its final response."""
         if attempt.outcome is not None:
             return
         attempt.outcome = outcome
@@ -104,7 +104,7 @@
 
     @entry_point
     def client_left(self, now: int, request: Request) -> None:
-        """Take note that the client is gone: nothing is owed any more."""
+        """Process the disconnection of a client, which needs no response any more."""
         request.finished = True
         self.on_client_left(now, request)
 
@@ -114,23 +114,23 @@
         now: int,
         upstream: Upstream,
         outcome: Outcome,
-        duration_ns: int,  # noqa: ARG002 part of the interface: captures hold it
+        duration_ns: int,  # noqa: ARG002 part of the interface and of captures
         report: LoadReport | None = None,
     ) -> None:
-        """Take in the end of a health check."""
+        """Process the result of a health check."""
         if upstream.is_known:
             upstream.record_load_report(now, report)
             self.on_health_check_ended(now, upstream, outcome)
 
     @entry_point
     def peer_message(self, now: int, peer: int, body: bytes) -> None:
-        """Ignore a peer's message: no decision depends on one."""
+        """Ignore a message of a peer, as no decision depends on one."""
 
     @entry_point
     def reconfigure(
         self, now: int, settings: Settings, weights: Sequence[tuple[Upstream, float]]
     ) -> None:
-        """Take other settings with the same classes and tenants, and operators' weights."""
+        """Apply settings with the same service classes and tenants, and operators' weights."""
         for upstream, weight in weights:
             upstream.operator_weight = weight
         self.on_reconfigured(now, settings)
@@ -138,28 +138,28 @@
     def on_endpoints_changed(
         self, now: int, whole: bool, updates: Sequence[EndpointUpdate]
     ) -> None:
-        """Decide what follows from an endpoint list."""
+        """React to a new or changed endpoint list."""
 
     def on_endpoints_confirmed(self, at: int) -> None:
-        """Decide how long the endpoint list is good."""
+        """React to a confirmation that the endpoint list was up to date at ``at``."""
 
     def on_endpoint_poll_failed(self, now: int, failure: PollFailure, retry_after_ns: int) -> None:
-        """Decide when to poll again."""
+        """Decide when to poll the endpoint list again."""
 
     def on_endpoint_service_moved(self, now: int) -> None:
-        """Decide when to poll the new service."""
+        """Decide when to poll the new endpoint service."""
 
     def on_request(self, now: int, request: Request) -> None:
-        """Decide what becomes of a new request."""
+        """Send, queue or finish a new request."""
 
     def on_attempt_ended(self, now: int, attempt: Attempt) -> None:
-        """Decide what follows from an attempt's outcome."""
+        """React to the outcome of an attempt."""
 
     def on_client_left(self, now: int, request: Request) -> None:
-        """Decide what becomes of the attempts of a request that nobody waits for."""
+        """Decide whether to cancel the attempts of a request whose client has disconnected."""
 
     def on_health_check_ended(self, now: int, upstream: Upstream, outcome: Outcome) -> None:
-        """Decide what follows from a health check."""
+        """React to the result of a health check."""
 
     def on_reconfigured(self, now: int, settings: Settings) -> None:
-        """Go by other settings from now on."""
+        """Apply other settings."""
--- a/pepperhook/policy_proxy.py
+++ b/pepperhook/policy_proxy.py
@@ -1,4 +1,4 @@
-"""Stands in a policy's place: for whoever records, traces or compares its calls."""
+"""Proxies of a policy that record, trace or compare its calls."""
 
 from typing import Any
 
@@ -6,10 +6,10 @@
 
 
 class PolicyProxy:
-    """Passes on what it does not define; what is set on it is set on the policy."""
+    """Delegates attributes that it does not define to the policy, both reads and writes."""
 
     def __init__(self, module: Any, **own: Any) -> None:
-        """Stand in the place of ``module``; ``own`` are the proxy's own attributes."""
+        """Wrap the policy ``module``; ``own`` are attributes of the proxy itself."""
         self.__dict__.update(module=module, **own)
 
     def __getattr__(self, name: str) -> Any:
@@ -17,14 +17,14 @@
         return getattr(self.module, name)
 
     def __setattr__(self, name: str, value: Any) -> None:
-        """Set it on the policy: the host takes what a failed call left, and clears it."""
+        """Set an attribute of the policy, as hosts do to clear the actions of a failed call."""
         setattr(self.module, name, value)
 
 
-def route_calls(kind: type) -> None:
-    """Give a proxy class all calls of a policy, each by way of ``call(name, now, *arguments)``."""
+def route_calls(proxy_class: type) -> None:
+    """Define all entry points on a proxy class; each calls ``call(name, now, *arguments)``."""
 
-    def through(name: str) -> Any:
+    def make_entry_point(name: str) -> Any:
         def call(self: Any, now: int, *arguments: Any) -> Any:
             return self.call(name, now, *arguments)
 
@@ -32,4 +32,4 @@
         return call
 
     for name in CALLS:
-        setattr(kind, name, through(name))
+        setattr(proxy_class, name, make_entry_point(name))
--- a/pepperhook/scheduler.py
+++ b/pepperhook/scheduler.py
@@ -1,4 +1,4 @@
-"""Time, timers and seeded random draws of one balancer; it reads no clock and owns no thread."""
+"""Time, timers and seeded random numbers of one balancer, without a clock or threads."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def random_fraction(name: bytes) -> float:
-    """Return a number from 0 to 1 that ``name`` determines.
+    """Return a number from 0 to 1 that is determined by ``name``.
 
-    Hashed twice, through decimal digits: one CRC is linear, so neighbouring names would give
-    draws that depend on each other.
+    The CRC is applied twice, with its decimal digits in between: a single CRC is linear, so
+    neighbouring names would give correlated numbers.
     """
     return crc32(b"%d" % crc32(name)) / 2**32
 
@@ -28,14 +28,14 @@
 def entry_point(
     method: Callable[Concatenate[Any, int, Parameters], None],
 ) -> Callable[Concatenate[Any, int, Parameters], list[Action]]:
-    """Make a method a call from outside: it takes the time and returns the actions that follow."""
+    """Make a method an entry point: it takes the time, and returns the resulting actions."""
 
     @wraps(method)
     def call(
-        self: Any, now: int, /, *arguments: Parameters.args, **named: Parameters.kwargs
+        self: Any, now: int, /, *arguments: Parameters.args, **keywords: Parameters.kwargs
     ) -> list[Action]:
         self.now = now
-        method(self, now, *arguments, **named)
+        method(self, now, *arguments, **keywords)
         self.request_wake_up()
         actions: list[Action] = self.take_actions()
         return actions
@@ -44,29 +44,29 @@
 
 
 class Scheduler:
-    """Keeps the time of the last call, the timers and the actions of the call under way.
+    """Holds the time of the last call, the timers, and the actions of the current call.
 
-    Every draw comes from the seed and a counter, so the same calls give the same actions.
+    Random numbers depend on the seed and a counter only, so the same calls give the same actions.
     """
 
     def __init__(self, seed: int, now: int) -> None:
-        """Start without timers."""
+        """Create a scheduler without timers."""
         self.seed = seed
         self.now = now
         self.counter = 0
         self.actions: list[Action] = []
         self.timers: list[tuple[int, int, Callback, Any]] = []
         self.next_wake_at: int | None = None
-        # None while nobody traces: then no note is made.
+        # None while tracing is off.
         self.notes: list[tuple[Request, DecisionNote]] | None = None
 
     def random(self) -> float:
-        """Return the next draw, evenly from 0 to 1."""
+        """Return the next random number, uniformly distributed from 0 to 1."""
         self.counter += 1
         return random_fraction(b"%d %d" % (self.seed, self.counter))
 
     def note(self, request: Request, kind: Callable[..., DecisionNote], *values: Any) -> None:
-        """Record a reason about ``request``, if somebody traces."""
+        """Record the reason of a decision about ``request`` if tracing is on."""
         if self.notes is not None:
             self.notes.append((request, kind(*values)))
 
@@ -76,29 +76,32 @@
         heappush(self.timers, (at, self.counter, callback, argument))
 
     def call_every(self, period: int, callback: Callable[[int], None]) -> None:
-        """Call ``callback(now)`` again and again, a ``period`` apart."""
+        """Call ``callback(now)`` periodically, every ``period`` nanoseconds."""
         self.call_at(self.now + period, self.repeat, (period, callback))
 
     def repeat(self, now: int, repeated: tuple[int, Callable[[int], None]]) -> None:
-        """Carry out one turn of a repeated call."""
+        """Execute one call of a periodic callback, and schedule the next one."""
         period, callback = repeated
         self.call_at(now + period, self.repeat, repeated)
         callback(now)
 
     def request_wake_up(self) -> None:
-        """Ask the host for a wake-up, unless one as early is on its way."""
+        """Request a wake-up from the host unless one is pending that is early enough."""
         if self.timers and (self.next_wake_at is None or self.timers[0][0] < self.next_wake_at):
             self.next_wake_at = self.timers[0][0]
             self.actions.append(WakeAt(self.next_wake_at))
 
     def take_actions(self) -> list[Action]:
-        """Hand over the actions; also after a call that failed, or requests would hang on them."""
+        """Return the actions and clear them.
+
+        Hosts also call this after a call that failed: requests would hang if its actions were lost.
+        """
         actions, self.actions = self.actions, []
         return actions
 
     @entry_point
     def wake(self, now: int) -> None:
-        """Carry out the timers that are due; early, late and doubled wake-ups do no harm."""
+        """Run the timers that are due; early, late and duplicate wake-ups are harmless."""
         if self.next_wake_at is not None and now >= self.next_wake_at:
             self.next_wake_at = None
         while self.timers and self.timers[0][0] <= now:
--- a/pepperhook/units.py
+++ b/pepperhook/units.py
@@ -1,4 +1,4 @@
-"""Units of time; every time in the decisions is a whole number of nanoseconds."""
+"""Units of time in nanoseconds; the policy uses integer nanoseconds throughout."""
 
 MICROSECOND = 1_000
 MILLISECOND = 1_000_000
--- a/pepperhook/unserved_requests.py
+++ b/pepperhook/unserved_requests.py
@@ -1,4 +1,4 @@
-"""Requests that ended unserved of late, by which a client's retry is recognised."""
+"""Recent requests that ended unserved, by which clients' retries are recognised."""
 
 from collections import deque
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class UnservedRequest(NamedTuple):
-    """What is kept of a request that ended without a response of an upstream."""
+    """Record of a request that ended without a response of an upstream; times in nanoseconds."""
 
     accepted_at: int
     ended_at: int
@@ -15,35 +15,37 @@
 
 
 class UnservedRequests:
-    """The last few of each service class."""
+    """The last unserved requests of each service class."""
 
-    def __init__(self, classes: int, kept: int) -> None:
-        """Keep ``kept`` requests for each of so many classes."""
-        self.by_class = [deque[UnservedRequest](maxlen=kept) for _ in range(classes)]
+    def __init__(self, classes: int, max_kept: int) -> None:
+        """Create empty records for ``classes`` service classes, of ``max_kept`` requests each."""
+        self.by_class = [deque[UnservedRequest](maxlen=max_kept) for _ in range(classes)]
 
     def add(self, now: int, request: Request) -> None:
-        """Keep a request that ends now."""
+        """Record a request that ends unserved at ``now``."""
         ended = UnservedRequest(request.accepted_at, now, request.tenant)
         self.by_class[request.service_class.number].append(ended)
 
     def find_original(
         self, now: int, request: Request, tolerance: int, is_marked: bool
     ) -> UnservedRequest | None:
-        """Return the request that this one retries, the latest of those that match.
+        """Return the latest request that this one may retry, or None.
 
-        A client waits for its time limit in all, so an equal deadline, within ``tolerance``, shows
-        the first request. Where none has it, a request that is marked as a retry is one of any
-        within the limit.
+        The time limit of a client includes its retries, so a request of the same tenant that was
+        accepted one time limit before this one's deadline, within ``tolerance`` nanoseconds, is the
+        original, unless it was accepted less than ``tolerance`` ago. If there is none and this one
+        is marked as a retry, the original is the latest request of the tenant that was accepted
+        within the time limit.
         """
         limit = request.service_class.time_limit_ns
-        begun = request.deadline - limit
+        first_accepted_at = request.deadline - limit
         matching = None
         within_limit = None
-        for one in self.by_class[request.service_class.number]:
-            if one.tenant != request.tenant:
+        for earlier in self.by_class[request.service_class.number]:
+            if earlier.tenant != request.tenant:
                 continue
-            if abs(one.accepted_at - begun) < tolerance < now - one.accepted_at:
-                matching = one
-            if is_marked and now - one.accepted_at < limit:
-                within_limit = one
+            if abs(earlier.accepted_at - first_accepted_at) < tolerance < now - earlier.accepted_at:
+                matching = earlier
+            if is_marked and now - earlier.accepted_at < limit:
+                within_limit = earlier
         return matching or within_limit
--- a/pepperhook/value_queue.py
+++ b/pepperhook/value_queue.py
@@ -1,10 +1,10 @@
-"""Requests in the order of their value, then of their age."""
+"""A queue of requests ordered by value, then by age."""
 
 from pepperhook.domain import Request
 
 
 class ValueQueue(list[Request]):
-    """A short list that is kept in order; the first is the most valuable."""
+    """A short list that is kept sorted; the first request is the most valuable."""
 
     def add(self, request: Request) -> int:
         """Queue a request and return its position."""
@@ -14,7 +14,7 @@
         return self.index(request)
 
     def discard(self, request: Request) -> None:
-        """Take a request out, if it is queued."""
+        """Remove a request if it is queued."""
         if request.queued:
             self.remove(request)
             request.queued = False
