--- a/pepperhook/settings.py
+++ b/pepperhook/settings.py
@@ -1,4 +1,4 @@
-"""Reads a deployment's settings, for every host; what is wrong is named by its key."""
+"""The settings of a deployment, and their validation; errors name the key of the setting."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field, fields
@@ -9,13 +9,13 @@
 from pepperhook.errors import PepperhookError
 from pepperhook.units import MICROSECOND, MILLISECOND, SECOND
 
-MAX_NUMBER = 2**62  # in our unit: captures and journals store 64 bits
+MAX_NUMBER = 2**62  # after conversion to the unit of the field: captures and journals store 64 bits
 EFFECTS = {
     "idempotent": Effect.SAFE,
     "deduplicated": Effect.KEYED,
     "at_most_once": Effect.UNSAFE,
 }
-# Figures of load reports: by their names in the settings, and as the decisions know them.
+# Names of load report figures in the settings -> names in the policy.
 REPORT_FIGURES = {
     "outstanding": IN_FLIGHT,
     "backlog": "waiting",
@@ -27,11 +27,11 @@
 
 
 class SettingsError(PepperhookError, ValueError):
-    """A setting is missing or wrong; the text names its key."""
+    """A setting is missing or invalid; the message names its key."""
 
 
 class ReportSource(StrEnum):
-    """Where load reports of upstreams come from."""
+    """Source of the load reports of upstreams."""
 
     RESPONSES = "answers"
     HEALTH_CHECKS = "probe"
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class TenantQuota:
-    """What one tenant is entitled to; ``quota_per_s`` 0: no limit."""
+    """Quota of a tenant in requests per second; 0: no limit."""
 
     quota_per_s: float = 0.0
     share: float = 0.0
@@ -48,19 +48,19 @@
 
 @dataclass(slots=True)
 class Settings:
-    """A deployment's settings in the project's terms, times in nanoseconds.
+    """Settings of a deployment under the names of the policy, times in nanoseconds.
 
-    The defaults are what the decisions take an absent setting to mean.
+    A default is the value that the policy assumes for an absent setting.
     """
 
-    index: int = 0  # of this balancer in its fleet
+    index: int = 0  # index of this balancer in its fleet
     fleet_size: int = 1
     tier: int = 0
     zone: int | None = None
     service_classes: list[ServiceClass] = field(default_factory=list)
     tenants: list[TenantQuota] = field(default_factory=list)
-    excess_weight_factor: float = 1.0  # of the priority weight beyond a tenant's quota
-    weight_is_per_work: bool = False  # priority weights count per unit of work, not per request
+    excess_weight_factor: float = 1.0  # factor of the priority weight beyond a tenant's quota
+    weight_is_per_work: bool = False  # priority weights apply per unit of work, not per request
     tick_ns: int = MILLISECOND
     clients_mark_retries: bool = False
     objective_tail: float = 0.0
@@ -82,35 +82,37 @@
     drain_grace_ns: int = 0
     overload_multiple: float = 0.0
     overload_window_ns: int = 0
-    slow_start_capacity: float = 1.0  # share of its capacity that a cold upstream has at its start
+    slow_start_capacity: float = 1.0  # share of its capacity that an upstream has at its start
     slow_start_ns: int = 0
-    polls_endpoints: bool = False  # the host asks for the endpoint list
-    endpoints_are_pushed: bool = False  # what the machine's agent has counts as notified
+    polls_endpoints: bool = False  # the host polls the endpoint list
+    endpoints_are_pushed: bool = (
+        False  # changes count as notified once the machine's agent has them
+    )
     report_source: ReportSource = ReportSource.NONE
-    report_names: list[str] = field(default_factory=list)  # as on the wire
-    report_figures: list[str] = field(default_factory=list)  # as the decisions know them
+    report_names: list[str] = field(default_factory=list)  # names on the wire
+    report_figures: list[str] = field(default_factory=list)  # names in the policy
 
     @property
     def position(self) -> tuple[int, int]:
-        """The number of balancers in the fleet, and which of them this is."""
+        """The number of balancers in the fleet, and the index of this one."""
         size = max(1, self.fleet_size)
         return size, self.index % size
 
     @property
     def health_check_figures(self) -> list[str]:
-        """The figures that health checks bring, as the decisions know them."""
-        is_theirs = self.report_source is ReportSource.HEALTH_CHECKS and self.may_health_check
-        return self.report_figures if is_theirs else []
+        """The figures that health checks report, by their names in the policy."""
+        are_reported = self.report_source is ReportSource.HEALTH_CHECKS and self.may_health_check
+        return self.report_figures if are_reported else []
 
     def replace_with(self, other: "Settings") -> None:
-        """Take over another's values; whoever holds this object goes by them from now on."""
-        for row in fields(Settings):
-            setattr(self, row.name, getattr(other, row.name))
+        """Copy all values of ``other`` in place, so that all users of this object see them."""
+        for setting in fields(Settings):
+            setattr(self, setting.name, getattr(other, setting.name))
 
 
 @dataclass(slots=True)
 class SettingSpec:
-    """How one key of the platform is read: the field, and the factor to our unit (None: a flag)."""
+    """The field of a platform key, and the factor to the unit of the field (None: a flag)."""
 
     name: str
     factor: int | None = 1
@@ -150,7 +152,7 @@
 
 @dataclass(slots=True)
 class Names:
-    """Numbers by name, for hosts that speak in names."""
+    """Numbers by name, for hosts that use names."""
 
     service_classes: dict[str, int]
     tenants: dict[str, int]
@@ -159,14 +161,14 @@
 
 
 def read(document: Any) -> Settings:
-    """Read the settings of a platform's configuration. Raises SettingsError."""
-    expect(isinstance(document, dict), "settings", "an object is wanted")
+    """Read settings from the configuration of a platform. Raises SettingsError."""
+    expect(isinstance(document, dict), "settings", "must be an object")
     values = {spec.name: value for spec, value in read_plain(document)}
     return Settings(
         **values,
         polls_endpoints=document.get("discovery") == "ask",
-        # Where lists are pushed, what the machine's agent has counts as notified from the start
-        # on, also by a host that polls; an absent key says nothing of an agent.
+        # Where lists are pushed, a change counts as notified once the machine's agent has it, even
+        # if the host polls. An absent key does not imply an agent.
         endpoints_are_pushed=document.get("discovery") == "push",
         weight_is_per_work=document.get("earningsPer") == "work",
         tenants=read_tenants(document),
@@ -176,22 +178,22 @@
 
 
 def read_plain(document: dict[str, Any]) -> Iterator[tuple[SettingSpec, Any]]:
-    """Yield the settings that stand under a key of their own and are present, checked."""
+    """Yield the validated values of the keys in SETTINGS that are present."""
     for key, spec in SETTINGS.items():
         value = lookup(document, key)
         if value is None:
             continue
         if spec.factor is None:
-            yield spec, flag(key, value)
+            yield spec, parse_flag(key, value)
         else:
-            yield spec, number(key, value, spec.factor)
+            yield spec, parse_number(key, value, spec.factor)
 
 
 def lookup(document: dict[str, Any], key: str) -> Any:
     """Return the value at a dotted key, or None where it is absent."""
     value: Any = document
     for part in key.split("."):
-        expect(value is None or isinstance(value, dict), key, "an object is wanted around it")
+        expect(value is None or isinstance(value, dict), key, "must be in an object")
         value = None if value is None else value.get(part)
     return value
 
@@ -200,54 +202,57 @@
     """Read the tenants' quotas in the order of the document."""
     return [
         TenantQuota(
-            quota_per_s=number(f"orgs[{at}].quotaPerS", row.get("quotaPerS", 0.0)),
-            share=number(f"orgs[{at}].share", row.get("share", 0.0)),
+            quota_per_s=parse_number(f"orgs[{index}].quotaPerS", row.get("quotaPerS", 0.0)),
+            share=parse_number(f"orgs[{index}].share", row.get("share", 0.0)),
         )
-        for at, row in enumerate(rows(document, "orgs"))
+        for index, row in enumerate(parse_rows(document, "orgs"))
     ]
 
 
 def read_service_classes(document: dict[str, Any]) -> list[ServiceClass]:
     """Read the service classes, at least one."""
-    listed = rows(document, "serviceGrades")
-    expect(bool(listed), "serviceGrades", "at least one is wanted")
-    return [read_service_class(f"serviceGrades[{at}]", at, row) for at, row in enumerate(listed)]
+    listed = parse_rows(document, "serviceGrades")
+    expect(bool(listed), "serviceGrades", "must have at least one row")
+    return [
+        read_service_class(f"serviceGrades[{index}]", index, row)
+        for index, row in enumerate(listed)
+    ]
 
 
-def read_service_class(key: str, at: int, row: dict[str, Any]) -> ServiceClass:
-    """Read one service class; an effect of no known kind is unsafe, which is right for all."""
-    for wanted in ("timeLimitUs", "effect"):
-        expect(row.get(wanted) is not None, f"{key}.{wanted}", "is missing")
-    limit = number(f"{key}.timeLimitUs", row["timeLimitUs"], MICROSECOND)
+def read_service_class(key: str, number: int, row: dict[str, Any]) -> ServiceClass:
+    """Read one service class; an unknown effect counts as unsafe, which is correct for any."""
+    for required in ("timeLimitUs", "effect"):
+        expect(row.get(required) is not None, f"{key}.{required}", "is missing")
+    limit = parse_number(f"{key}.timeLimitUs", row["timeLimitUs"], MICROSECOND)
     effect = row["effect"]
-    expect(isinstance(effect, str), f"{key}.effect", f"a word is wanted, not {effect!r:.40}")
-    repeat_group = choice(f"{key}.group", row.get("group", "all"), RepeatGroup)
+    expect(isinstance(effect, str), f"{key}.effect", f"must be a string, not {effect!r:.40}")
+    repeat_group = parse_choice(f"{key}.group", row.get("group", "all"), RepeatGroup)
     default_objective = limit / MICROSECOND
     objective = row.get("goalTimeUs", default_objective)
     return ServiceClass(
-        number=at,
+        number=number,
         time_limit_ns=limit,
-        objective_ns=number(f"{key}.goalTimeUs", objective, MICROSECOND),
+        objective_ns=parse_number(f"{key}.goalTimeUs", objective, MICROSECOND),
         effect=EFFECTS.get(effect, Effect.UNSAFE),
         repeat_group=repeat_group,
-        key_window_ns=number(f"{key}.keyTtlUs", row.get("keyTtlUs", 0), MICROSECOND),
-        priority_weight=number(f"{key}.earnings", row.get("earnings", 1.0)),
-        late_priority_weight=number(f"{key}.lateEarnings", row.get("lateEarnings", 0.0)),
-        streaming=flag(f"{key}.stream", row.get("stream", False)),
+        key_window_ns=parse_number(f"{key}.keyTtlUs", row.get("keyTtlUs", 0), MICROSECOND),
+        priority_weight=parse_number(f"{key}.earnings", row.get("earnings", 1.0)),
+        late_priority_weight=parse_number(f"{key}.lateEarnings", row.get("lateEarnings", 0.0)),
+        streaming=parse_flag(f"{key}.stream", row.get("stream", False)),
     )
 
 
 def read_reporting(document: dict[str, Any]) -> dict[str, Any]:
-    """Read where load reports come from, and which figures they hold."""
+    """Read the source of load reports and the figures in them."""
     reporting = document.get("reporting") or {}
-    expect(isinstance(reporting, dict), "reporting", "an object is wanted")
-    source = choice("reporting.how", reporting.get("how", "none"), ReportSource)
+    expect(isinstance(reporting, dict), "reporting", "must be an object")
+    source = parse_choice("reporting.how", reporting.get("how", "none"), ReportSource)
     names = reporting.get("fields") or []
     is_list_of_names = isinstance(names, list) and all(isinstance(name, str) for name in names)
     expect(
         is_list_of_names and len(set(names)) == len(names),
         "reporting.fields",
-        "a list of names is wanted, each once",
+        "must be a list of distinct names",
     )
     return {
         "report_source": source,
@@ -257,7 +262,7 @@
 
 
 def read_names(document: dict[str, Any]) -> Names:
-    """Read the names behind the numbers of service classes, tenants, zones and kinds."""
+    """Read the names of service classes, tenants, zones and kinds, with their numbers."""
     return Names(
         service_classes=numbers_by_name(document, "serviceGrades"),
         tenants=numbers_by_name(document, "orgs"),
@@ -267,64 +272,65 @@
 
 
 def numbers_by_name(document: dict[str, Any], key: str) -> dict[str, int]:
-    """Number the rows of a table by their names."""
+    """Return the row numbers of a table by the rows' names."""
     return {
-        name(f"{key}[{at}].name", row.get("name")): at for at, row in enumerate(rows(document, key))
+        parse_name(f"{key}[{index}].name", row.get("name")): index
+        for index, row in enumerate(parse_rows(document, key))
     }
 
 
 def numbers_of_list(document: dict[str, Any], key: str) -> dict[str, int]:
-    """Number the names of a list."""
+    """Return the positions of the names of a list by name."""
     listed = document.get(key) or []
-    expect(isinstance(listed, list), key, "a list is wanted")
-    return {name(f"{key}[{at}]", value): at for at, value in enumerate(listed)}
+    expect(isinstance(listed, list), key, "must be a list")
+    return {parse_name(f"{key}[{index}]", value): index for index, value in enumerate(listed)}
 
 
-def name(key: str, value: Any) -> str:
-    """Check a name."""
-    expect(isinstance(value, str) and bool(value), key, f"a name is wanted, not {value!r:.40}")
+def parse_name(key: str, value: Any) -> str:
+    """Validate a name."""
+    expect(isinstance(value, str) and bool(value), key, f"must be a name, not {value!r:.40}")
     return str(value)
 
 
-def rows(document: dict[str, Any], key: str) -> list[dict[str, Any]]:
-    """Check a list of objects; an absent one is empty."""
-    found = document.get(key) or []
-    expect(isinstance(found, list), key, "a list is wanted")
-    for at, row in enumerate(found):
-        expect(isinstance(row, dict), f"{key}[{at}]", "an object is wanted")
-    return list(found)
+def parse_rows(document: dict[str, Any], key: str) -> list[dict[str, Any]]:
+    """Validate a list of objects; an absent one is empty."""
+    table = document.get(key) or []
+    expect(isinstance(table, list), key, "must be a list")
+    for index, row in enumerate(table):
+        expect(isinstance(row, dict), f"{key}[{index}]", "must be an object")
+    return list(table)
 
 
-def number(key: str, value: Any, factor: int = 1) -> Any:
-    """Check a number from zero up, and convert it to our unit."""
+def parse_number(key: str, value: Any, factor: int = 1) -> Any:
+    """Validate a number of at least zero, and convert it by ``factor``."""
     is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
     expect(
         is_number and 0 <= value * factor < MAX_NUMBER,
         key,
-        f"a number from zero up to {MAX_NUMBER / factor:.3g} is wanted, not {value!r:.40}",
+        f"must be a number of at least 0 and below {MAX_NUMBER / factor:.3g}, not {value!r:.40}",
     )
     return round(value * factor) if factor != 1 else value
 
 
-def flag(key: str, value: Any) -> bool:
-    """Check a truth value."""
-    expect(isinstance(value, bool), key, f"true or false is wanted, not {value!r:.40}")
+def parse_flag(key: str, value: Any) -> bool:
+    """Validate a boolean."""
+    expect(isinstance(value, bool), key, f"must be true or false, not {value!r:.40}")
     return bool(value)
 
 
 Choice = TypeVar("Choice", bound=StrEnum)
 
 
-def choice(key: str, value: Any, kind: Callable[[Any], Choice]) -> Choice:
-    """Check one of a closed set of words."""
+def parse_choice(key: str, value: Any, kind: Callable[[Any], Choice]) -> Choice:
+    """Convert a word to a member of the enum ``kind``."""
     try:
         return kind(value)
     except ValueError:
         words = ", ".join(member.value for member in kind)  # type: ignore[attr-defined]
-        raise SettingsError(f"settings: {key}: one of {words} is wanted") from None
+        raise SettingsError(f"settings: {key}: must be one of {words}") from None
 
 
-def expect(holds: bool, key: str, text: str) -> None:
-    """Raise SettingsError unless ``holds``."""
-    if not holds:
-        raise SettingsError(f"settings: {key}: {text}")
+def expect(is_valid: bool, key: str, message: str) -> None:
+    """Raise SettingsError with ``message`` unless ``is_valid``."""
+    if not is_valid:
+        raise SettingsError(f"settings: {key}: {message}")
