--- a/pepperhook/poll_backoff.py
+++ b/pepperhook/poll_backoff.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass
 
 
-def next_turn(earliest: int, period: int, phase: float) -> int:
+def next_slot(earliest: int, period: int, phase: float) -> int:
     """Return the first time from ``earliest`` on that is at ``phase`` (0 to 1) of a round.
 
     Rounds begin at multiples of ``period``; times are in nanoseconds.
     """
-    turn = earliest - earliest % period + int(phase * period)
-    return turn if turn >= earliest else turn + period
+    slot = earliest - earliest % period + int(phase * period)
+    return slot if slot >= earliest else slot + period
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
         period = min(self._round(), max_round_ns or self._round())
         earliest = now + (period // 4 if self.failed_polls else 0)
         self.failed_polls += 1
-        return next_turn(earliest, period, (index + jitter) / fleet_size)
+        return next_slot(earliest, period, (index + jitter) / fleet_size)
 
     def _round(self) -> int:
         if not self.failed_polls:
--- a/pepperhook/settings.py
+++ b/pepperhook/settings.py
@@ -85,9 +85,7 @@
     slow_start_capacity: float = 1.0  # share of its capacity that an upstream has at its start
     slow_start_ns: int = 0
     polls_endpoints: bool = False  # the host polls the endpoint list
-    endpoints_are_pushed: bool = (
-        False  # changes count as notified once the machine's agent has them
-    )
+    endpoints_are_pushed: bool = False  # changes that the machine's agent has count as notified
     report_source: ReportSource = ReportSource.NONE
     report_names: list[str] = field(default_factory=list)  # names on the wire
     report_figures: list[str] = field(default_factory=list)  # names in the policy
--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the decisions."""
+"""Tests of the load balancing policy."""
--- a/tests/policy/fleet.py
+++ b/tests/policy/fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of balancers that share nothing, before upstreams that all of them use."""
+"""Simulated fleets of independent balancers that use the same upstreams."""
 
 import heapq
 import itertools
@@ -17,7 +17,7 @@
 
 
 class FleetAttempt(NamedTuple):
-    """When an attempt was started, by which balancer and at which upstream."""
+    """When an attempt was started, by which balancer and at which upstream (indices)."""
 
     at: int
     balancer: int
@@ -25,7 +25,7 @@
 
 
 class Fleet:
-    """Balancers whose attempts all have the same latency and are served."""
+    """A fleet whose attempts are all served, with the same latency."""
 
     def __init__(self, balancers, upstreams, seed, latency_ns):
         self.random = random.Random(seed)
@@ -49,7 +49,7 @@
         return Balancer(settings, seed * 100 + index, self.now)
 
     def report_all_ready(self, started_at):
-        """Report a list of upstreams, all of which started at this time."""
+        """Report an endpoint list in which all upstreams are ready, started at this time."""
         for index, balancer in enumerate(self.balancers):
             rows = ready(self.upstreams[index], started_at)
             self._perform(index, balancer.endpoints_changed(self.now, True, rows))
@@ -67,7 +67,7 @@
                     self.responses[FinalResponse.FAILED] += 1
 
     def run(self, seconds, rate):
-        """Play for a while, in which each balancer gets ``rate`` requests a second."""
+        """Simulate ``seconds``, in which each balancer gets ``rate`` requests per second."""
         ends_at = self.now + int(seconds * SECOND)
         while self.now < ends_at:
             self.now += STEP_NS
@@ -80,7 +80,7 @@
                     self._perform(index, balancer.accept(self.now, request))
 
     def _end_attempts(self):
-        for due in [one for one in self.in_flight if one[0] <= self.now]:
+        for due in [entry for entry in self.in_flight if entry[0] <= self.now]:
             self.in_flight.remove(due)
             _, index, attempt = due
             self.responses[FinalResponse.SERVED] += 1
@@ -90,12 +90,12 @@
             self._perform(index, actions)
 
     def attempts_since(self, at):
-        """Return how many attempts were started at this time or later."""
+        """Return the number of attempts that were started at ``at`` or later."""
         return sum(attempt.at >= at for attempt in self.attempts)
 
 
 class Excess(NamedTuple):
-    """By how many attempts a window is over its bound, its budget, and its count."""
+    """Attempts of a window above its bound, its budget, and its number of attempts."""
 
     over: float
     budget: float
@@ -103,11 +103,12 @@
 
 
 class SlowStartFleet:
-    """Balancers that send to one upstream in slow start, among eight.
+    """A fleet with eight upstreams, one of which enters slow start.
 
-    Each is a policy of its own that is notified at the same moment. ``rate``: attempts per second
-    that an upstream bears. Connections come up late by up to ``late_ns``. ``restarts``: half of
-    the balancers begin anew, with the list as it was, a second after the slow start has begun.
+    Each balancer is an independent policy, and all are notified at the same time. ``rate``:
+    attempts per second that an upstream can serve. Attempts reach the upstream with a random delay
+    of up to ``late_ns``, as connections are established. ``restarts``: half of the balancers
+    restart with the same endpoint list one second after slow start has begun.
     """
 
     BEGINS_AT, STARTED_AT, ENDS_AT = 5 * SECOND, 25 * SECOND, 37 * SECOND
@@ -190,15 +191,15 @@
         self._perform(now, balancer, actions)
 
     def run(self):
-        """Play all events until the end."""
+        """Process all events until the end of the simulation."""
         while self.events and self.events[0][0] < self.ENDS_AT:
             at, _, handler, arguments = heapq.heappop(self.events)
             handler(at, *arguments)
 
     def largest_excess(self):
-        """Return by how much the upstream got too much in the worst window after its start.
+        """Return the excess of the worst window after the start of the upstream.
 
-        The bound is the window's budget and 2 * sqrt(budget) + 2, which are put down to chance.
+        The bound is the budget of the window plus 2 * sqrt(budget) + 2 for chance.
         """
         starts = [at for at in self.arrivals if at >= self.STARTED_AT]
         return max((self._excess(at) for at in starts), default=Excess(-99.0, 0.0, 0))
--- a/tests/policy/simulation.py
+++ b/tests/policy/simulation.py
@@ -1,9 +1,9 @@
-"""A simulated host around one policy, which checks the rules after every action.
+"""A simulated host of one policy that checks the rules after every action.
 
 Time is virtual, outcomes and latencies are drawn from a seed, and wake-ups come early, late or
-twice. The rules that are checked: a request has exactly one final response, within its deadline
-(1); nothing is executed twice that must not be (2); only ready upstreams are sent to (3); what
-the settings forbid is not done (4).
+twice. Checked rules: each request has exactly one final response, within its deadline (1); no
+request is executed twice unless that is harmless (2); attempts go to ready upstreams only (3); no
+action is forbidden by the settings (4).
 """
 
 import random
@@ -53,7 +53,7 @@
 
 
 class FinalResponse(StrEnum):
-    """How a request ended for its client; the values are the words that stored traces use."""
+    """How a request ended for its client; the values are those of stored traces."""
 
     SERVED = "fulfilled"
     REJECTED = "shed"
@@ -62,14 +62,14 @@
 
 
 class SentAttempt(NamedTuple):
-    """An attempt, and when it was started."""
+    """An attempt and the time when it was started."""
 
     at: int
     attempt: Attempt
 
 
 class ScheduledResult(NamedTuple):
-    """The end of an attempt, or of an upstream's health check, that is still to come."""
+    """The scheduled end of an attempt or of a health check of an upstream."""
 
     at: int
     target: Attempt | Upstream
@@ -82,7 +82,7 @@
 
 
 def make_service_class(number, effect=Effect.SAFE, **replaced):
-    """Return a service class with an objective of one second and a limit of two."""
+    """Return a service class with an objective of 1 s and a time limit of 2 s."""
     values = {
         "time_limit_ns": 2 * SECOND,
         "objective_ns": SECOND,
@@ -120,15 +120,15 @@
 
 
 def ready(upstreams, started_at=0):
-    """Return the rows of an endpoint list that has all ``upstreams`` as ready."""
+    """Return the rows of an endpoint list in which all ``upstreams`` are ready."""
     return [EndpointUpdate(upstream, UpstreamState.READY, started_at) for upstream in upstreams]
 
 
 class PolicySimulation:
-    """Carries out what the policy asks for, and checks it.
+    """Carries out the actions of the policy, and checks them.
 
-    A test replaces ``outcome_of`` and ``latency_of``, functions of the attempt, and
-    ``load_report_of``, a function of the upstream whose result goes with a health check.
+    Tests may replace ``outcome_of`` and ``latency_of``, functions of the attempt, and
+    ``load_report_of``, a function of the upstream that returns the load report of a health check.
     """
 
     def __init__(self, seed, make_policy=Balancer, **settings):
@@ -149,32 +149,32 @@
             self.load_report_of = lambda upstream: {
                 "in flight": float(len(upstream.in_flight) + self.random.randrange(3))
             }
-        # Keeps the retry budget full, so that enough retries happen to check what guards them.
+        # A full retry budget makes enough retries happen to check the rules for retries.
         self.keeps_retry_budget_full = False
         self.restart()
 
     def restart(self):
-        """Begin with a new policy, which gets the whole endpoint list."""
+        """Create a new policy, and report the whole endpoint list to it."""
         self.balancer = self.make_policy(self.settings, self.random.getrandbits(64), self.now)
         self.perform(self.balancer.wake(self.now))
         self.replace_endpoints(self.upstreams)
 
     def replace_endpoints(self, upstreams):
-        """Report a whole endpoint list, in which all ``upstreams`` are ready."""
+        """Report a whole endpoint list in which all ``upstreams`` are ready."""
         self.perform(self.balancer.endpoints_changed(self.now, True, ready(upstreams)))
 
     def update_endpoint(self, upstream, state=UpstreamState.READY, started_at=0):
-        """Report a change of one upstream."""
+        """Report the changed state of one upstream."""
         update = EndpointUpdate(upstream, state, started_at)
         self.perform(self.balancer.endpoints_changed(self.now, False, [update]))
 
     def perform(self, actions):
         """Carry out actions of the policy, and check the retry budget and the subset."""
         for action in actions:
-            self._perform_one(action)
+            self._perform_action(action)
         budget = getattr(self.balancer, "retry_budget", None)
         if budget is None:
-            return  # One of the lab's baselines, which have no stages to check.
+            return  # A baseline policy of the lab, which has no stages to check.
         if self.keeps_retry_budget_full:
             budget.B, budget.f = B0, 0.0
             for upstream in self.upstreams:
@@ -183,7 +183,7 @@
         subset = self.balancer.subset
         assert len(set(subset.members)) >= min(3, len(subset.ring.ready))
 
-    def _perform_one(self, action):
+    def _perform_action(self, action):
         match action:
             case StartAttempt(attempt, timeout_ns):
                 self.start_attempt(attempt, timeout_ns)
@@ -217,19 +217,19 @@
         assert attempt.upstream.state == UpstreamState.READY
         assert len(request.attempts) <= self.settings.max_attempts
         earlier = request.attempts[:-1]
-        assert self.settings.may_overlap_attempts or all(one.outcome for one in earlier)
+        assert self.settings.may_overlap_attempts or all(other.outcome for other in earlier)
 
     def _check_no_second_execution(self, attempt):
         request = attempt.request
         service_class = request.service_class
-        maybe_executed = [one for one in request.attempts[:-1] if one.outcome not in NEVER_EXECUTED]
+        maybe_executed = [a for a in request.attempts[:-1] if a.outcome not in NEVER_EXECUTED]
         assert not (maybe_executed and service_class.effect == Effect.UNSAFE)
         if maybe_executed and service_class.effect == Effect.KEYED:
             assert self.now <= maybe_executed[0].sent_at + service_class.key_window_ns
-            assert all(one.upstream.cell == attempt.upstream.cell for one in maybe_executed)
+            assert all(a.upstream.cell == attempt.upstream.cell for a in maybe_executed)
 
     def cancel_attempt(self, attempt):
-        """End an attempt that is in flight, at once."""
+        """End an attempt that is in flight, immediately."""
         assert self.settings.may_cancel and attempt.outcome is None
         self.cancelled_attempts.append(attempt)
         others = [result for result in self.scheduled_results if result.target is not attempt]
@@ -237,8 +237,8 @@
         self.scheduled_results = [*others, cancelled]
 
     def reject_request(self, request, retry_after_ns):
-        """Reject a request, which promises that it was not executed, or is safe to repeat."""
-        maybe_executed = any(one.outcome not in NEVER_EXECUTED for one in request.attempts)
+        """Reject a request, which asserts that it was not executed or is safe to execute again."""
+        maybe_executed = any(a.outcome not in NEVER_EXECUTED for a in request.attempts)
         assert request.service_class.effect == Effect.SAFE or not maybe_executed
         assert self.settings.may_advise_retry_after or retry_after_ns == 0
         self.respond(request, FinalResponse.REJECTED)
@@ -274,12 +274,12 @@
         return self.accept(self.make_request(class_number, time_limit_ns, is_retry))
 
     def client_leaves(self, request):
-        """End a request by its client's leaving."""
+        """Simulate that the client of a request disconnects."""
         self.responses[request] = FinalResponse.CLIENT_LEFT
         self.perform(self.balancer.client_left(self.now, request))
 
     def step(self, duration_ns=2 * MILLISECOND):
-        """Let time pass, end what is due, and wake the policy early, late or twice."""
+        """Advance the time, report due results, and wake the policy early, late or twice."""
         self.now += duration_ns
         due = [result for result in self.scheduled_results if result.at <= self.now]
         self.scheduled_results = [
@@ -319,7 +319,7 @@
             self.perform(self.balancer.wake(self.now))
 
     def run(self, steps, arrival_probability=0.15):
-        """Play steps, in each of which a request arrives with this probability."""
+        """Simulate steps, in each of which a request arrives with this probability."""
         for _ in range(steps):
             if self.random.random() < arrival_probability:
                 self.accept_new()
@@ -330,10 +330,10 @@
         return [self.responses.get(request) for request in requests]
 
     def attempts_since(self, at):
-        """Return the attempts that were started after this time."""
+        """Return the attempts that were started after ``at``."""
         return [sent.attempt for sent in self.sent_attempts if sent.at > at]
 
 
 def for_upstream(upstream, value, otherwise):
-    """Return a function of the attempt: ``value`` at this upstream, and else ``otherwise``."""
+    """Return a function of the attempt: ``value`` at this upstream, otherwise ``otherwise``."""
     return lambda attempt: value if attempt.upstream is upstream else otherwise
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""The admission queue: who waits, and who is rejected."""
+"""The admission queue: which requests are queued, and which are rejected."""
 
 from collections import Counter
 
@@ -7,7 +7,7 @@
 from tests.policy.simulation import FinalResponse, PolicySimulation, constant, make_service_class
 
 
-def test_queued_request_whose_deadline_is_near_is_rejected_before_the_longest_wait():
+def test_queued_request_whose_deadline_is_near_is_rejected_before_the_maximum_queue_time():
     simulation = PolicySimulation(18)
     simulation.latency_of = constant(SECOND)
     while not simulation.balancer.admission.queue:
@@ -20,8 +20,9 @@
     assert request not in simulation.balancer.admission.queue
 
 
-def test_requests_of_high_weight_are_served_rather_than_those_of_low_weight_while_it_is_slow():
-    # All classes were rejected alike, as hardly two requests meet in the queue of one balancer.
+def test_requests_of_high_priority_weight_are_preferred_while_upstreams_are_slow():
+    # In a large fleet two requests are rarely queued at the same balancer, so the order of a queue
+    # alone prefers no class: all classes were rejected alike.
     simulation = PolicySimulation(
         12,
         fleet_size=60,
--- a/tests/policy/test_capacity.py
+++ b/tests/policy/test_capacity.py
@@ -1,4 +1,4 @@
-"""How many attempts an upstream may have in flight."""
+"""Limits on the attempts in flight at an upstream."""
 
 from pepperhook.domain import Outcome
 from pepperhook.policy import capacity, outlier
@@ -35,7 +35,7 @@
         simulation.step(10 * MILLISECOND)
         in_flight.append(sum(len(upstream.in_flight) for upstream in subset.ring.ready))
 
-    # Rounded up it would be one at each member all the time. It is bounded once responses have
-    # been seen to be slow.
+    # Rounded up, the share would allow one attempt at each member all the time. The limit applies
+    # only after slow responses have raised the latency pressure.
     assert simulation.balancer.capacity.latency_pressure > capacity.HIGH_PRESSURE
     assert sum(in_flight[1000:]) / 2000 < 0.75 * len(subset.members)
--- a/tests/policy/test_completion.py
+++ b/tests/policy/test_completion.py
@@ -1,4 +1,4 @@
-"""When a request is answered although nothing was served: objective, deadline and client waits."""
+"""When requests that are not served end: objective, deadline and clients' retries."""
 
 import pytest
 
@@ -28,7 +28,7 @@
     "class_number, settings, at_objective, at_deadline",
     [
         (0, {}, FinalResponse.REJECTED, FinalResponse.REJECTED),
-        # Unsafe: it may have been executed, so it cannot be rejected.
+        # Unsafe and possibly executed, so it cannot be rejected.
         (1, {}, None, FinalResponse.FAILED),
         (0, {"may_cancel": False}, None, FinalResponse.REJECTED),
         (
@@ -39,7 +39,7 @@
         ),
     ],
 )
-def test_request_without_value_after_its_objective_is_rejected_then_if_that_is_harmless(
+def test_request_without_value_after_its_objective_is_rejected_at_it_if_a_retry_is_harmless(
     class_number, settings, at_objective, at_deadline
 ):
     # Otherwise it occupies its upstream and its client until the deadline, for nothing.
@@ -85,8 +85,9 @@
 
 
 @pytest.mark.parametrize("tenant, is_retry", [(0, True), (1, False), (None, False)])
-def test_request_is_taken_for_a_retry_only_of_the_same_tenants(tenant, is_retry):
-    # One tenant's request, with a shorter limit by chance, got the objective of another's.
+def test_request_counts_as_a_retry_only_of_a_request_of_the_same_tenant(tenant, is_retry):
+    # A request with a shorter time limit was mistaken for a retry of another tenant's request, and
+    # got the objective of that one.
     simulation = silent_simulation(4, tenants=[TenantQuota(quota_per_s=0, share=0.5)] * 2)
     first = simulation.accept_new(0)
     simulation.step(1199 * MILLISECOND)
@@ -99,70 +100,72 @@
     assert (second.accepted_at == first.accepted_at) == is_retry
 
 
-def step_until_answered(simulation, request):
+def step_until_final_response(simulation, request):
     while request not in simulation.responses:
         simulation.step(5 * MILLISECOND)
 
 
-def play_clients(seed, wait_ms, **settings):
-    """Play 60 clients, one after another, of which each retries once after ``wait_ms``.
+def simulate_clients(seed, wait_ms, **settings):
+    """Simulate 60 consecutive clients, each of which retries once after ``wait_ms``.
 
-    With None they do not retry. Returns for how many milliseconds each first request was kept,
-    and how many retries were answered after the objective.
+    With None they do not retry. Returns the milliseconds until each first request was rejected,
+    and how many retries got their final response after the objective.
     """
     simulation = silent_simulation(seed, **settings)
-    kept_ms, late_retries = [], 0
+    durations_ms, late_retries = [], 0
     for _ in range(60):
         began_at = simulation.now
-        step_until_answered(simulation, simulation.accept_new(0))
-        kept_ms.append((simulation.now - began_at) // MILLISECOND)
+        step_until_final_response(simulation, simulation.accept_new(0))
+        durations_ms.append((simulation.now - began_at) // MILLISECOND)
         if wait_ms is not None:
             simulation.step(wait_ms * MILLISECOND)
             remaining = began_at + TIME_LIMIT_NS - simulation.now
-            step_until_answered(simulation, simulation.accept_new(0, remaining))
+            step_until_final_response(simulation, simulation.accept_new(0, remaining))
             late_retries += simulation.now > began_at + SECOND
         simulation.step(900 * MILLISECOND)
-    return kept_ms, late_retries
+    return durations_ms, late_retries
 
 
 def test_requests_of_clients_that_retry_are_rejected_early_enough_for_the_retry():
-    # Otherwise the retry's response came after the objective, which the objective's tail counts.
+    # Otherwise the retry ended after the objective, where it counts against the objective's tail.
     rejected_after_ms = OBJECTIVE_MS - 300
 
-    kept_ms, late_retries = play_clients(21, 300, objective_tail=0.3, objective_tail_slack=0.01)
+    durations_ms, late_retries = simulate_clients(
+        21, 300, objective_tail=0.3, objective_tail_slack=0.01
+    )
 
-    assert max(kept_ms) < OBJECTIVE_MS
-    assert all(rejected_after_ms - 40 <= kept <= rejected_after_ms for kept in kept_ms[5:])
+    assert max(durations_ms) < OBJECTIVE_MS
+    assert all(
+        rejected_after_ms - 40 <= duration <= rejected_after_ms for duration in durations_ms[5:]
+    )
     assert late_retries <= 3
 
 
-def test_requests_of_clients_that_never_retry_are_kept_to_the_objective_after_the_first():
-    kept_ms, _ = play_clients(22, None, objective_tail=0.3, objective_tail_slack=0.01)
+def test_requests_of_clients_that_never_retry_end_at_the_objective_except_the_first():
+    durations_ms, _ = simulate_clients(22, None, objective_tail=0.3, objective_tail_slack=0.01)
 
-    # While nothing is known of the clients a wait is assumed.
+    # Before any observation of clients a default wait is assumed.
     assumed_ms = int(OBJECTIVE_MS - 1000 * completion.ASSUMED_CLIENT_WAIT)
-    assert assumed_ms - 20 <= kept_ms[0] <= assumed_ms
-    assert all(OBJECTIVE_MS - 20 <= kept <= OBJECTIVE_MS for kept in kept_ms[1:])
+    assert assumed_ms - 20 <= durations_ms[0] <= assumed_ms
+    assert all(OBJECTIVE_MS - 20 <= duration <= OBJECTIVE_MS for duration in durations_ms[1:])
 
 
 @pytest.mark.parametrize(
     "wait_ms, settings",
     [
         pytest.param(300, {}, id="objective without a tail"),
-        pytest.param(700, {"objective_tail": 0.3}, id="clients that wait for long"),
+        pytest.param(700, {"objective_tail": 0.3}, id="long wait before the retry"),
     ],
 )
-def test_requests_are_kept_to_the_objective_where_an_early_rejection_gains_nothing(
-    wait_ms, settings
-):
-    kept_ms, _ = play_clients(23, wait_ms, **settings)
+def test_requests_end_at_the_objective_where_an_early_rejection_gains_nothing(wait_ms, settings):
+    durations_ms, _ = simulate_clients(23, wait_ms, **settings)
 
-    assert all(kept >= 980 for kept in kept_ms[2:])
+    assert all(duration >= 980 for duration in durations_ms[2:])
 
 
-def test_request_with_a_limit_below_the_objective_is_kept_to_its_own_limit():
-    # The limit was reduced by the wait of other clients: nothing was left, and each request of
-    # this client was rejected at once.
+def test_request_with_a_time_limit_below_the_objective_ends_at_its_time_limit():
+    # The wait of other clients was subtracted from the time limit, which left nothing: each request
+    # of such a client was rejected immediately.
     simulation = silent_simulation(25, objective_tail=0.3)
     request = simulation.accept_new(0, time_limit_ns=140 * MILLISECOND)
     assert request.attempts and request not in simulation.responses
@@ -174,8 +177,8 @@
     assert simulation.responses[request] == FinalResponse.REJECTED
 
 
-def test_request_just_after_one_that_was_rejected_at_once_is_not_taken_for_its_retry():
-    # In a burst each was taken for a retry of the one before.
+def test_request_right_after_an_immediate_rejection_does_not_count_as_a_retry():
+    # In a burst each request was mistaken for a retry of the previous one.
     simulation = silent_simulation(26, objective_tail=0.3)
     first = simulation.accept_new(0, time_limit_ns=MILLISECOND)
     assert simulation.responses[first] == FinalResponse.REJECTED
@@ -187,7 +190,7 @@
     assert not simulation.balancer.completion.client_waits.weight
 
 
-def test_retry_that_has_too_little_time_left_is_rejected_as_it_arrives():
+def test_retry_that_has_too_little_time_left_is_rejected_on_arrival():
     # Otherwise an attempt is started for it and cancelled, and may still be executed.
     simulation = silent_simulation(24, objective_tail=0.3)
     simulation.outcome_of = constant(Outcome.SERVED)
@@ -197,7 +200,7 @@
         simulation.step(200 * MILLISECOND)
     simulation.outcome_of = constant(None)
     began_at = simulation.now
-    step_until_answered(simulation, simulation.accept_new(0))
+    step_until_final_response(simulation, simulation.accept_new(0))
     simulation.step(began_at + 930 * MILLISECOND - simulation.now)
 
     retry = simulation.accept_new(0, time_limit_ns=began_at + TIME_LIMIT_NS - simulation.now)
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is polled, and until when it is good: rule 3 while the service fails."""
+"""When the endpoint list is polled and how long it is good: rule 3 while the service fails."""
 
 import pytest
 
@@ -15,11 +15,11 @@
 
 
 class Host:
-    """A balancer with three upstreams, whose clock the test moves."""
+    """A host of a balancer with three upstreams, with a virtual clock."""
 
-    def __init__(self, seed=3, **more):
+    def __init__(self, seed=3, **settings):
         self.now = START
-        values = {"polls_endpoints": True, "endpoint_poll_within_ns": 10 * SECOND, **more}
+        values = {"polls_endpoints": True, "endpoint_poll_within_ns": 10 * SECOND, **settings}
         self.balancer = Balancer(make_settings(**values), seed, START)
         self.upstreams = [Upstream(b"%d" % number) for number in range(3)]
         self.actions = []
@@ -29,13 +29,13 @@
         self.call(self.balancer.endpoints_changed, True, ready)
 
     def call(self, entry_point, *arguments):
-        """Make one call; return its actions."""
+        """Call an entry point and return its actions."""
         actions = entry_point(self.now, *arguments)
         self.actions += actions
         return actions
 
     def advance(self, until):
-        """Wake the balancer each 10 ms, as its timers want; return the actions."""
+        """Advance the clock to ``until``, waking the balancer every 10 ms; return the actions."""
         actions = []
         while self.now < until:
             self.now = min(until, self.now + 10 * MILLISECOND)
@@ -43,165 +43,169 @@
         return actions
 
     def open_watch(self):
-        """Advance until the next watch is wanted; return the time that this took."""
-        began = self.now
+        """Advance until the balancer opens a watch; return the elapsed time."""
+        began_at = self.now
         while not self.balancer.endpoints.is_watching:
             self.advance(self.now + 10 * MILLISECOND)
-        return self.now - began
+        return self.now - began_at
 
-    def hold_watch(self):
-        """Open a watch and have the service answer its first poll."""
+    def open_confirmed_watch(self):
+        """Open a watch, and confirm the list by an answer to its first poll."""
         self.open_watch()
         self.call(self.balancer.endpoints_confirmed)
 
-    def fail(self, failure=PollFailure.REFUSED, retry_after_ns=0):
+    def fail_poll(self, failure=PollFailure.REFUSED, retry_after_ns=0):
         self.call(self.balancer.endpoint_poll_failed, failure, retry_after_ns)
 
-    def sends_to(self, upstream):
-        """Whether the last check lets a new request go to the upstream."""
+    def may_send_to(self, upstream):
+        """Return whether the last check allows a new request to be written to the upstream."""
         service_class = self.balancer.settings.service_classes[0]
         request = Request(self.requests, service_class, 0, None, self.now + SECOND)
         self.requests += 1
         return self.balancer.guard.may_write(self.now, request, upstream, None)
 
-    def sends(self):
-        return any(self.sends_to(upstream) for upstream in self.upstreams)
+    def may_send_to_any(self):
+        return any(self.may_send_to(upstream) for upstream in self.upstreams)
 
 
-# Until when the list is good.
+# How long the list is good.
 
 
 @pytest.mark.parametrize("failure", [PollFailure.REFUSED, PollFailure.UNREACHABLE])
-def test_list_is_good_for_the_notification_time_after_the_end_of_a_watch_that_held(failure):
+def test_list_is_good_for_the_notification_time_after_the_end_of_a_held_watch(failure):
     host = Host(may_health_check=False)
-    host.hold_watch()
+    host.open_confirmed_watch()
     host.advance(host.now + 20 * SECOND)
-    host.fail(failure)
-    ended = host.now
+    host.fail_poll(failure)
+    ended_at = host.now
 
-    host.now = ended + NOTIFIED_AFTER
-    assert host.sends()
+    host.now = ended_at + NOTIFIED_AFTER
+    assert host.may_send_to_any()
     host.now += 1
-    assert not host.sends()
+    assert not host.may_send_to_any()
 
 
-def test_renewal_that_is_queued_and_refused_confirms_nothing():
+def test_poll_that_is_queued_and_then_refused_does_not_confirm_the_list():
     host = Host(may_health_check=False)
-    host.hold_watch()
-    answered = host.now
+    host.open_confirmed_watch()
+    answered_at = host.now
     host.now += 2 * SECOND
-    host.fail()
+    host.fail_poll()
 
-    host.now = answered + NOTIFIED_AFTER + 1
-    assert not host.sends(), "an upstream may drain just after the answer, unseen by a queued poll"
+    host.now = answered_at + NOTIFIED_AFTER + 1
+    assert not host.may_send_to_any(), (
+        "an upstream may drain right after the answer, and a queued poll does not report it"
+    )
 
 
-def test_failed_polls_do_not_make_the_list_good_for_longer():
+def test_failed_polls_do_not_extend_the_time_for_which_the_list_is_good():
     host = Host(may_health_check=False)
-    host.hold_watch()
-    host.fail()
-    ended = host.now
-    while host.now < ended + NOTIFIED_AFTER:
+    host.open_confirmed_watch()
+    host.fail_poll()
+    ended_at = host.now
+    while host.now < ended_at + NOTIFIED_AFTER:
         host.open_watch()
         host.now += MILLISECOND
-        host.fail()
+        host.fail_poll()
 
-    assert not host.sends()
+    assert not host.may_send_to_any()
 
 
-def test_poll_that_fails_before_the_first_answer_confirms_nothing():
+def test_poll_that_fails_before_the_first_answer_does_not_confirm_the_list():
     host = Host(may_health_check=False)
     host.open_watch()
     host.now += POLL_TIMEOUT
-    host.fail()
+    host.fail_poll()
 
     host.now = START + NOTIFIED_AFTER + 1
-    assert not host.sends()
+    assert not host.may_send_to_any()
 
 
-def test_list_is_good_only_as_long_as_the_settings_say_where_that_is_less():
+def test_list_is_good_for_the_poll_interval_of_the_settings_if_that_is_shorter():
     host = Host(may_health_check=False, endpoint_poll_within_ns=3 * SECOND)
-    host.hold_watch()
-    host.fail()
+    host.open_confirmed_watch()
+    host.fail_poll()
 
     host.now += 3 * SECOND + 1
-    assert not host.sends()
+    assert not host.may_send_to_any()
 
 
-def test_silent_watch_counts_from_its_last_answer_and_not_from_its_end():
+def test_list_is_good_from_the_last_answer_of_a_silent_watch_and_not_from_its_end():
     host = Host(may_health_check=False)
-    host.hold_watch()
-    answered = host.now
+    host.open_confirmed_watch()
+    answered_at = host.now
     host.now += 4 * SECOND
-    host.fail(PollFailure.SILENT)
+    host.fail_poll(PollFailure.SILENT)
 
-    assert host.sends()
-    host.now = answered + NOTIFIED_AFTER + 1
-    assert not host.sends()
+    assert host.may_send_to_any()
+    host.now = answered_at + NOTIFIED_AFTER + 1
+    assert not host.may_send_to_any()
 
 
-def test_retried_watch_vouches_for_the_list_only_once_it_is_held():
+def test_retried_watch_confirms_the_list_only_once_it_is_held():
     host = Host(may_health_check=False)
-    host.hold_watch()
-    host.fail()
-    ended = host.now
+    host.open_confirmed_watch()
+    host.fail_poll()
+    ended_at = host.now
     host.open_watch()
-    host.now = ended + NOTIFIED_AFTER + 1
-    assert not host.sends()
+    host.now = ended_at + NOTIFIED_AFTER + 1
+    assert not host.may_send_to_any()
 
     host.call(host.balancer.endpoints_confirmed, 2 * SECOND)
-    assert host.sends()
-    host.fail(PollFailure.SILENT)
+    assert host.may_send_to_any()
+    host.fail_poll(PollFailure.SILENT)
     host.now += NOTIFIED_AFTER - 2 * SECOND + 1
-    assert not host.sends(), "held since two seconds, so good as of then"
+    assert not host.may_send_to_any(), (
+        "held for two seconds, so the list was confirmed two seconds before"
+    )
 
 
-def test_states_that_operators_set_do_not_confirm_the_list():
+def test_states_set_by_operators_do_not_confirm_the_list():
     host = Host(may_health_check=False)
-    host.hold_watch()
-    host.fail()
+    host.open_confirmed_watch()
+    host.fail_poll()
     host.now += NOTIFIED_AFTER + 1
     drained = [EndpointUpdate(host.upstreams[0], UpstreamState.DRAINING, 0)]
 
     host.call(host.balancer.endpoints_corrected, drained)
 
-    assert not host.sends()
+    assert not host.may_send_to_any()
     assert not host.upstreams[0].is_ready
 
 
-def test_move_to_another_service_polls_it_at_once_and_leaves_the_old_list_its_time():
+def test_move_to_another_service_polls_it_immediately_and_keeps_the_old_list_good():
     host = Host(may_health_check=False)
-    host.hold_watch()
+    host.open_confirmed_watch()
     host.advance(host.now + 20 * SECOND)
 
     actions = host.call(host.balancer.endpoint_service_moved)
 
     assert any(isinstance(action, WatchEndpoints) for action in actions)
-    moved = host.now
-    host.fail()
-    host.now = moved + NOTIFIED_AFTER
-    assert host.sends()
+    moved_at = host.now
+    host.fail_poll()
+    host.now = moved_at + NOTIFIED_AFTER
+    assert host.may_send_to_any()
     host.now += 1
-    assert not host.sends()
+    assert not host.may_send_to_any()
 
 
-def test_retry_planned_before_a_move_is_no_poll_of_the_new_service():
+def test_retry_scheduled_before_a_move_does_not_poll_the_new_service():
     host = Host(index=1, fleet_size=40)
-    host.hold_watch()
-    host.fail()
+    host.open_confirmed_watch()
+    host.fail_poll()
     planned = host.balancer.endpoints.planned_at
     host.call(host.balancer.endpoint_service_moved)
-    host.fail(retry_after_ns=30 * SECOND)
+    host.fail_poll(retry_after_ns=30 * SECOND)
 
     actions = host.advance(max(host.now, planned) + SECOND)
 
     assert not any(isinstance(action, WatchEndpoints) for action in actions)
 
 
-def test_stale_list_has_requests_rejected_at_once():
+def test_requests_are_rejected_immediately_while_the_list_is_stale():
     host = Host(may_health_check=False)
-    host.hold_watch()
-    host.fail()
+    host.open_confirmed_watch()
+    host.fail_poll()
     host.now += NOTIFIED_AFTER + 1
     request = Request("late", host.balancer.settings.service_classes[0], 0, None, host.now + SECOND)
 
@@ -212,52 +216,55 @@
     assert any(isinstance(action, RejectRequest) for action in actions)
 
 
-# Health checks in place of the list.
+# Health checks while the list is stale.
 
 
 def run_stale(host, outcome_of, until):
-    """Answer health checks by ``outcome_of`` while the list is not confirmed; return the sends."""
-    sends = []
+    """Answer health checks by ``outcome_of`` while polls fail.
+
+    Returns for each step whether each upstream may be sent to.
+    """
+    allowed = []
     while host.now < until:
         for action in host.advance(host.now + 10 * MILLISECOND):
             if isinstance(action, HealthCheck):
                 outcome = outcome_of(action.upstream)
                 host.call(host.balancer.health_check_ended, action.upstream, outcome, MILLISECOND)
         if host.balancer.endpoints.is_watching:
-            host.fail()
-        sends.append([host.sends_to(upstream) for upstream in host.upstreams])
-    return sends
+            host.fail_poll()
+        allowed.append([host.may_send_to(upstream) for upstream in host.upstreams])
+    return allowed
 
 
-def test_upstreams_that_pass_health_checks_are_sent_to_without_a_gap_while_the_list_is_stale():
+def test_upstreams_that_pass_health_checks_get_requests_without_a_gap_while_the_list_is_stale():
     host = Host()
-    host.hold_watch()
-    host.fail()
+    host.open_confirmed_watch()
+    host.fail_poll()
 
-    sends = run_stale(host, lambda _: Outcome.SERVED, host.now + 20 * SECOND)
+    allowed = run_stale(host, lambda _: Outcome.SERVED, host.now + 20 * SECOND)
 
-    assert all(all(row) for row in sends)
+    assert all(all(row) for row in allowed)
 
 
-def test_upstream_that_fails_health_checks_gets_nothing_once_the_list_is_stale():
+def test_upstream_that_fails_health_checks_gets_no_requests_once_the_list_is_stale():
     host = Host()
-    host.hold_watch()
-    host.fail()
-    ended, draining = host.now, host.upstreams[1]
+    host.open_confirmed_watch()
+    host.fail_poll()
+    ended_at, draining = host.now, host.upstreams[1]
 
     run_stale(
         host,
         lambda upstream: Outcome.ERROR if upstream is draining else Outcome.SERVED,
-        ended + NOTIFIED_AFTER + 10 * MILLISECOND,
+        ended_at + NOTIFIED_AFTER + 10 * MILLISECOND,
     )
 
-    assert [host.sends_to(upstream) for upstream in host.upstreams] == [True, False, True]
+    assert [host.may_send_to(upstream) for upstream in host.upstreams] == [True, False, True]
 
 
-def test_upstream_that_begins_to_drain_gets_nothing_later_than_the_notification_time():
+def test_upstream_that_begins_to_drain_gets_no_requests_after_the_notification_time():
     host = Host()
-    host.hold_watch()
-    host.fail()
+    host.open_confirmed_watch()
+    host.fail_poll()
     drained_at, draining = host.now + 10 * SECOND, host.upstreams[1]
 
     def outcome_of(upstream):
@@ -266,19 +273,19 @@
 
     run_stale(host, outcome_of, drained_at + NOTIFIED_AFTER + 20 * MILLISECOND)
 
-    assert not host.sends_to(draining)
-    assert host.sends_to(host.upstreams[0])
+    assert not host.may_send_to(draining)
+    assert host.may_send_to(host.upstreams[0])
 
 
-def test_upstreams_are_checked_only_when_the_list_is_about_to_be_stale():
+def test_health_checks_begin_only_shortly_before_the_list_becomes_stale():
     host = Host()
-    host.hold_watch()
+    host.open_confirmed_watch()
     assert not any(isinstance(action, HealthCheck) for action in host.advance(START + 30 * SECOND))
-    host.fail()
+    host.fail_poll()
 
-    soon = host.advance(host.now + NOTIFIED_AFTER - 3 * SECOND)
+    actions = host.advance(host.now + NOTIFIED_AFTER - 3 * SECOND)
 
-    assert not any(isinstance(action, HealthCheck) for action in soon)
+    assert not any(isinstance(action, HealthCheck) for action in actions)
 
 
 # When the list is polled.
@@ -293,7 +300,7 @@
     assert given_up_after + endpoints.MIN_ROUND < NOTIFIED_AFTER - SECOND
 
 
-def test_watch_waits_for_half_the_time_within_which_the_list_is_to_be_polled():
+def test_watch_waits_for_half_the_poll_interval_of_the_settings_if_that_is_shorter():
     host = Host(endpoint_poll_within_ns=SECOND)
     [watch] = [a for a in host.advance(START + 2 * SECOND) if isinstance(a, WatchEndpoints)]
 
@@ -301,60 +308,60 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_answer_of_the_first_poll_after_a_watch_is_there_while_the_list_is_good(seed):
+def test_first_poll_after_a_watch_can_be_answered_while_the_list_is_good(seed):
     host = Host(seed=seed)
-    host.hold_watch()
-    host.fail()
+    host.open_confirmed_watch()
+    host.fail_poll()
 
     assert host.open_watch() <= NOTIFIED_AFTER - POLL_TIMEOUT + 10 * MILLISECOND
 
 
 def test_silent_watch_is_replaced_within_a_second():
     host = Host()
-    host.hold_watch()
-    host.fail(PollFailure.SILENT)
+    host.open_confirmed_watch()
+    host.fail_poll(PollFailure.SILENT)
 
     assert host.open_watch() <= SECOND + 10 * MILLISECOND
 
 
-def test_service_that_cannot_be_reached_is_polled_every_three_seconds_and_not_less_often():
+def test_unreachable_service_is_polled_every_three_seconds_without_backoff():
     host = Host()
-    host.hold_watch()
+    host.open_confirmed_watch()
     waits = []
     for _ in range(8):
-        host.fail(PollFailure.UNREACHABLE)
+        host.fail_poll(PollFailure.UNREACHABLE)
         waits.append(host.open_watch())
 
     assert max(waits) <= 3.75 * SECOND + 10 * MILLISECOND
 
 
-def test_refused_polls_come_ever_less_often():
+def test_interval_between_refused_polls_grows_up_to_a_bound():
     host = Host()
-    host.hold_watch()
+    host.open_confirmed_watch()
     waits = []
     for _ in range(9):
-        host.fail()
+        host.fail_poll()
         waits.append(host.open_watch())
 
     assert min(waits[4:]) >= 6 * SECOND
     assert max(waits) <= 30 * SECOND + 10 * MILLISECOND
 
 
-def test_retry_after_is_waited_for():
+def test_next_poll_waits_for_the_retry_after_of_a_refusal():
     host = Host()
-    host.hold_watch()
-    host.fail(retry_after_ns=15 * SECOND)
+    host.open_confirmed_watch()
+    host.fail_poll(retry_after_ns=15 * SECOND)
 
     assert host.open_watch() >= 15 * SECOND
 
 
-def test_fleet_that_loses_its_watches_together_polls_evenly():
+def test_polls_of_a_fleet_that_loses_its_watches_together_are_spread_evenly():
     fleet_size, polls = 40, []
     for index in range(fleet_size):
         host = Host(seed=index, index=index, fleet_size=fleet_size)
-        host.hold_watch()
+        host.open_confirmed_watch()
         host.now = START + 30 * SECOND
-        host.fail()
+        host.fail_poll()
         host.open_watch()
         polls.append(host.now)
 
@@ -374,14 +381,14 @@
     assert sum(wait < SECOND for wait in waits) < fleet_size * 2 / 3
 
 
-def test_nothing_is_polled_where_the_host_is_sent_the_list():
+def test_nothing_is_polled_where_the_host_receives_the_list():
     host = Host(polls_endpoints=False)
     actions = host.advance(START + 5 * SECOND)
-    host.fail()
+    host.fail_poll()
     actions += host.advance(host.now + 30 * SECOND)
 
     assert not any(isinstance(action, WatchEndpoints) for action in actions)
-    assert host.sends()
+    assert host.may_send_to_any()
 
 
 def polling_simulation(seed):
--- a/tests/policy/test_guard.py
+++ b/tests/policy/test_guard.py
@@ -1,4 +1,4 @@
-"""The last check before an attempt's first byte, and the check of draining upstreams."""
+"""The last check before the first byte of an attempt, and the checks for draining upstreams."""
 
 import pytest
 
@@ -20,8 +20,8 @@
 NOW = 9 * SECOND
 
 
-class RetryBeforeItsFirstByte:
-    """A policy, and an attempt just selected that retries another one, which may be executed."""
+class UnsentRetry:
+    """A policy and an unsent attempt that retries one that may have been executed."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         return self.balancer.may_send(NOW + after_ns, self.attempt)
 
     def state(self):
-        """Return what the check must not change."""
+        """Return the state that the check must not change."""
         return (
             self.balancer.counter,
             self.balancer.actions,
@@ -68,8 +68,8 @@
         )
 
 
-def test_attempt_may_be_sent_while_nothing_has_changed_and_the_check_changes_nothing():
-    retry = RetryBeforeItsFirstByte()
+def test_attempt_may_be_sent_while_nothing_has_changed_and_the_check_has_no_side_effects():
+    retry = UnsentRetry()
     before = retry.state()
 
     assert retry.may_send(MILLISECOND)
@@ -87,20 +87,20 @@
 
 
 def restart_upstream(retry):
-    """Put the upstream into slow start; it was selected as a warm one."""
+    """Restart the upstream, which was warm when it was selected."""
     retry.attempt.upstream.started_at = NOW + MILLISECOND
 
 
-def let_endpoint_list_expire(retry):
+def expire_endpoint_list(retry):
     retry.balancer.endpoints.is_watching = False
     retry.balancer.endpoints.good_until = NOW
 
 
 @pytest.mark.parametrize(
-    "change", [finish_request, drain_upstream, restart_upstream, let_endpoint_list_expire]
+    "change", [finish_request, drain_upstream, restart_upstream, expire_endpoint_list]
 )
 def test_attempt_may_not_be_sent_after_a_change(change):
-    retry = RetryBeforeItsFirstByte()
+    retry = UnsentRetry()
 
     change(retry)
 
@@ -115,14 +115,14 @@
     ],
 )
 def test_attempt_may_be_sent_up_to_the_last_nanosecond_and_not_after_it(key_window_ns, last_ns):
-    retry = RetryBeforeItsFirstByte(key_window_ns=key_window_ns)
+    retry = UnsentRetry(key_window_ns=key_window_ns)
 
     assert retry.may_send(last_ns)
     assert not retry.may_send(last_ns + 1)
 
 
-def test_keyed_retry_may_not_be_sent_outside_the_group_that_knows_its_key():
-    assert not RetryBeforeItsFirstByte(repeat_group=RepeatGroup.CELL).may_send()
+def test_keyed_retry_may_not_be_sent_outside_the_repeat_group_of_its_key():
+    assert not UnsentRetry(repeat_group=RepeatGroup.CELL).may_send()
 
 
 @pytest.mark.parametrize(
@@ -131,13 +131,13 @@
 def test_unsafe_retry_may_be_sent_only_if_the_first_attempt_was_never_executed(
     first_outcome, may_send
 ):
-    retry = RetryBeforeItsFirstByte(effect=Effect.UNSAFE, first_outcome=first_outcome)
+    retry = UnsentRetry(effect=Effect.UNSAFE, first_outcome=first_outcome)
 
     assert retry.may_send() == may_send
 
 
 class DrainedUpstream:
-    """A policy with four upstreams, the first of which drains."""
+    """A policy with four upstreams, the first of which is draining."""
 
     def __init__(self):
         self.balancer = Balancer(make_settings(fleet_size=1), 3, NOW)
@@ -154,16 +154,17 @@
         return Request(0, service_class, 0, None, NOW + SECOND)
 
     def started_attempts(self, request):
-        """Return the attempts that the policy starts as it accepts a request."""
+        """Return the attempts that the policy starts when it accepts a request."""
         actions = self.balancer.accept(NOW, request)
         return [action.attempt for action in actions if isinstance(action, StartAttempt)]
 
 
-# Either check alone hides a defect of the other, so each is tested with the other one disabled.
+# Each check hides defects of the other, so each is tested with the other one disabled.
 
 
-def test_guard_keeps_attempts_from_a_draining_upstream_that_the_subset_still_has():
-    # The subset is as old as the last endpoint list or review; the guard reads the state itself.
+def test_guard_blocks_attempts_to_a_draining_upstream_that_is_still_in_the_subset():
+    # The subset may be outdated since the last endpoint list or review; the guard reads the
+    # upstream's current state.
     case = DrainedUpstream()
     subset, request = case.balancer.subset, case.make_request()
 
@@ -173,7 +174,7 @@
     assert not case.started_attempts(request)
 
 
-def test_subset_keeps_attempts_from_a_draining_upstream_that_the_guard_lets_pass():
+def test_subset_excludes_a_draining_upstream_even_if_the_guard_allows_it():
     case = DrainedUpstream()
     case.balancer.guard.may_start = constant(True)
 
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -1,4 +1,4 @@
-"""Seeded random runs, in which the simulation checks the rules after every action."""
+"""Seeded random runs in which the simulation checks the rules after every action."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 def change_endpoints_at_random(simulation):
-    """Report a random list, which is whole one time in five."""
+    """Report a random endpoint list, which is a whole one in one of five cases."""
     draw = simulation.random
     whole = draw.random() < 0.2
     updates = [
@@ -48,10 +48,10 @@
                 simulation.client_leaves(last)
 
     retries = [sent for sent in simulation.sent_attempts if sent.attempt.number]
-    assert retries, "a run without retries would not check them"
+    assert retries, "a run without retries does not check the rules for retries"
 
 
-def test_requests_are_served_after_a_restart_without_state():
+def test_requests_are_served_after_a_restart_that_loses_all_state():
     simulation = PolicySimulation(5)
     simulation.run(300, arrival_probability=0.5)
 
--- a/tests/policy/test_load_query.py
+++ b/tests/policy/test_load_query.py
@@ -1,4 +1,4 @@
-"""Load queries: upstreams are asked how busy they are before an attempt is started."""
+"""Load queries: upstreams report their load before an attempt is started."""
 
 from pepperhook.domain import Outcome
 from pepperhook.policy import load_query
@@ -15,7 +15,7 @@
 
 
 def reporting_simulation(seed, in_flight_of):
-    """Return a simulation in which each load query is answered with this many in flight."""
+    """Return a simulation in which load queries report ``in_flight_of(upstream)`` requests."""
     simulation = PolicySimulation(seed, fleet_size=300, **LOAD_QUERY_SETTINGS)
     simulation.outcome_of = constant(Outcome.SERVED)
     simulation.load_report_of = lambda upstream: {"in flight": in_flight_of(upstream)}
@@ -29,7 +29,7 @@
 
 
 def test_attempt_goes_to_the_idle_one_of_the_queried_upstreams():
-    # With one request per second the balancer's own attempts say nothing of how busy they are.
+    # With a request every 0.5 s the balancer's own attempts do not show how busy upstreams are.
     simulation = reporting_simulation(7, lambda upstream: 0.0 if upstream.address[0] % 2 else 4.0)
 
     for _ in range(100):
@@ -43,8 +43,9 @@
     assert len(simulation.health_checks) < 100 * QUERIES_PER_ROUND * load_query.MAX_ROUNDS
 
 
-def test_request_that_finds_all_queried_upstreams_busy_is_rejected_after_the_last_round():
-    # It took 22 queries while it waited; its client's own retry costs none.
+def test_request_is_rejected_after_the_last_round_if_all_queried_upstreams_are_busy():
+    # Without a limit of rounds the waiting request caused 22 queries; a retry by its client needs
+    # none in the meantime.
     simulation = reporting_simulation(8, constant(60.0))
     request = simulation.accept_new(0)
 
--- a/tests/policy/test_outlier.py
+++ b/tests/policy/test_outlier.py
@@ -1,32 +1,32 @@
-"""How traffic follows the health and the latency of upstreams."""
+"""Distribution of traffic by the health and latency of upstreams."""
 
 from pepperhook.domain import Outcome
 from pepperhook.units import MILLISECOND, SECOND
 from tests.policy.simulation import PolicySimulation, constant, for_upstream
 
 
-def test_quicker_upstream_gets_more_attempts():
+def test_faster_upstream_gets_more_attempts():
     simulation = PolicySimulation(17)
     members = simulation.balancer.subset.members
-    quick = members[0]
+    fast = members[0]
     simulation.outcome_of = constant(Outcome.SERVED)
-    simulation.latency_of = for_upstream(quick, 30 * MILLISECOND, otherwise=60 * MILLISECOND)
+    simulation.latency_of = for_upstream(fast, 30 * MILLISECOND, otherwise=60 * MILLISECOND)
 
     simulation.run(5000, arrival_probability=0.1)
 
     attempts = simulation.attempts_since(simulation.now - 5 * SECOND)
-    to_quick = sum(attempt.upstream is quick for attempt in attempts)
-    assert to_quick > 1.5 * len(attempts) / len(members)
+    to_fast = sum(attempt.upstream is fast for attempt in attempts)
+    assert to_fast > 1.5 * len(attempts) / len(members)
 
 
-def test_upstream_that_never_responds_gets_little_and_a_slow_fleet_ejects_nobody():
+def test_unresponsive_upstream_gets_few_attempts_and_no_upstream_of_a_slow_fleet_is_ejected():
     simulation = PolicySimulation(9)
-    hung = simulation.balancer.subset.members[0]
-    simulation.outcome_of = for_upstream(hung, None, otherwise=Outcome.SERVED)
+    unresponsive = simulation.balancer.subset.members[0]
+    simulation.outcome_of = for_upstream(unresponsive, None, otherwise=Outcome.SERVED)
     simulation.run(4000, arrival_probability=0.2)
 
     attempts = simulation.attempts_since(simulation.now - 4 * SECOND)
-    assert sum(attempt.upstream is hung for attempt in attempts) < 0.08 * len(attempts)
+    assert sum(attempt.upstream is unresponsive for attempt in attempts) < 0.08 * len(attempts)
 
     simulation.outcome_of = constant(Outcome.SERVED)
     simulation.latency_of = constant(600 * MILLISECOND)
@@ -35,8 +35,9 @@
     assert all(upstream.weight > 0.3 for upstream in simulation.balancer.subset.members)
 
 
-def test_upstream_that_refused_connections_is_tried_again_without_health_checks():
-    # One behind a broken link got nothing any more, as its start in the endpoint list is the same.
+def test_upstream_that_refused_connections_is_retried_without_health_checks():
+    # After a network failure an upstream got no attempts any more, as it had not restarted and so
+    # the endpoint list reported no new start.
     simulation = PolicySimulation(11, may_health_check=False)
     unreachable = simulation.balancer.subset.members[0]
     simulation.outcome_of = for_upstream(
--- a/tests/policy/test_priority.py
+++ b/tests/policy/test_priority.py
@@ -5,12 +5,12 @@
 from tests.policy.simulation import PolicySimulation
 
 
-def test_tenant_within_this_balancers_part_of_its_quota_mostly_keeps_full_value():
+def test_requests_within_this_balancers_share_of_a_quota_mostly_keep_their_full_value():
     simulation = PolicySimulation(
         16, tenants=[TenantQuota(quota_per_s=0.2, share=1.0)], excess_weight_factor=0.1
     )
 
-    # One request in 20 seconds: half of this balancer's part of the quota.
+    # One request in 20 seconds is half of this balancer's share of the quota.
     values = []
     for _ in range(60):
         for _ in range(100):
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Adaptive Retry Budgeting, and which failures are retried."""
+"""Adaptive Retry Budgeting, and the retries of failed attempts."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 )
 
 
-def test_budget_is_halved_on_a_high_failure_ratio_and_recovers_by_steps():
+def test_budget_is_halved_at_a_high_failure_ratio_and_recovers_in_steps():
     simulation = PolicySimulation(6)
     budget = simulation.balancer.retry_budget
     simulation.now += SECOND
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.MALFORMED_RESPONSE, Outcome.RESET])
 def test_attempts_lost_in_transit_at_all_upstreams_are_retried_within_the_budget(outcome):
-    # Each upstream's losses halted the retries of the others: one request in ten failed for good.
+    # The losses at each upstream stopped the retries of all: one request in ten finally failed.
     responses = []
     for seed in range(17, 21):
         simulation = PolicySimulation(seed, fleet_size=1)
@@ -90,11 +90,11 @@
         assert 0 < len(retries) < retry_budget.B0 * len(requests)
         assert not any(attempt.request.service_class.effect == Effect.UNSAFE for attempt in retries)
 
-    # Nine in ten are served by the first attempt; with one retry in five it was 0.90 in all.
+    # First attempts serve nine in ten; with one retry for five failures it was 0.90 in total.
     assert responses.count(FinalResponse.SERVED) > 0.95 * len(responses)
 
 
-def was_refused_half_a_second_ago(simulation, request):
+def was_refused_over_half_a_second_ago(simulation, request):
     return (
         bool(request.attempts)
         and request.attempts[0].outcome == Outcome.CONNECT_FAILED
@@ -103,7 +103,8 @@
 
 
 def test_requests_refused_by_an_unreachable_upstream_are_served_by_others():
-    # Before it was known to be unreachable, four requests in five failed for good.
+    # Four in five of the requests refused before the upstream was known to be unreachable finally
+    # failed.
     responses = []
     for seed in range(40, 80):
         simulation = PolicySimulation(seed, fleet_size=1)
@@ -117,14 +118,14 @@
         responses += simulation.responses_to(
             request
             for request in simulation.requests
-            if was_refused_half_a_second_ago(simulation, request)
+            if was_refused_over_half_a_second_ago(simulation, request)
         )
 
     assert len(responses) > 20
     assert responses.count(FinalResponse.SERVED) > 0.8 * len(responses)
 
 
-def test_quick_errors_of_one_upstream_neither_attract_traffic_nor_halt_retries():
+def test_quick_errors_of_one_upstream_neither_attract_traffic_nor_stop_retries():
     simulation = PolicySimulation(8)
     failing = simulation.balancer.subset.members[0]
     simulation.outcome_of = for_upstream(failing, Outcome.ERROR, otherwise=Outcome.SERVED)
@@ -138,9 +139,9 @@
     assert budget.f < retry_budget.HIGH_F and budget.B > 0.1
 
 
-def test_one_upstream_that_rejects_all_is_no_overload_and_soon_gets_little():
-    # As one that drains before the endpoint list has it: its rejections halted the retries that
-    # others could have served.
+def test_one_upstream_that_rejects_all_is_not_overload_and_soon_gets_few_attempts():
+    # An upstream that drains before the endpoint list reports it rejects everything: its rejections
+    # stopped retries that other upstreams could have served.
     responses = []
     for seed in range(20, 26):
         simulation = PolicySimulation(seed, fleet_size=1)
@@ -165,7 +166,7 @@
 
 
 class SelectedAttempt:
-    """A policy whose settings allow one attempt, and the attempt that it has just started."""
+    """A policy whose settings allow one attempt per request, and an attempt that it has started."""
 
     def __init__(self):
         self.now = 9 * SECOND
@@ -179,7 +180,7 @@
         [self.attempt] = [action.attempt for action in actions if isinstance(action, StartAttempt)]
 
     def end_unsent(self, attempt):
-        """End an attempt before its first byte; return the only action besides timers."""
+        """End an attempt as not sent; return the only action except wake-ups."""
         actions = self.balancer.attempt_ended(
             self.now + MILLISECOND, attempt, Outcome.NOT_SENT, MILLISECOND, False
         )
@@ -187,7 +188,7 @@
         return action
 
 
-def test_attempt_not_sent_to_a_draining_upstream_uses_no_budget_attempt_or_warm_up_credit():
+def test_attempt_not_sent_to_a_draining_upstream_consumes_no_budget_attempt_or_warm_up_credit():
     case = SelectedAttempt()
     chosen, budget = case.attempt.upstream, case.balancer.retry_budget
     chosen.slow_start_since, chosen.warm_up_credit = case.now, 0.0
@@ -200,6 +201,6 @@
     assert action.attempt.upstream is not chosen
     assert chosen.warm_up_credit == 1.0
     assert (budget.B, budget.f) == (retry_budget.B0, 0.0)
-    # One that is not sent to a ready upstream shows that this process has no socket left, which
-    # another upstream would want, too.
+    # An attempt that was not sent although its upstream is ready shows that this process has run
+    # out of sockets, which an attempt at another upstream would also need.
     assert isinstance(case.end_unsent(action.attempt), RejectRequest)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What an upstream in slow start is sent by one balancer."""
+"""Attempts of a single balancer to an upstream in slow start."""
 
 from pepperhook.domain import Outcome, Request
 from pepperhook.units import MILLISECOND, SECOND
@@ -14,13 +14,13 @@
 
 
 def begin_slow_start(simulation):
-    """Restart an upstream of the subset, and return it."""
+    """Report a restart of a member of the subset, and return it."""
     cold = simulation.balancer.subset.members[0]
     simulation.update_endpoint(cold, started_at=simulation.now)
     return cold
 
 
-def test_upstream_in_slow_start_gets_no_more_than_its_part_of_a_warm_ones_attempts():
+def test_upstream_in_slow_start_gets_no_more_than_its_share_of_a_warm_ones_attempts():
     simulation = warm_simulation(4, 3000)
     restarted_at = simulation.now
     cold = begin_slow_start(simulation)
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -1,4 +1,4 @@
-"""Which upstreams a balancer of a fleet sends to."""
+"""The subsets of upstreams that the balancers of a fleet send to."""
 
 import pytest
 
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("index", range(0, 96, 7))
 def test_subset_keeps_its_members_when_other_upstreams_are_gone(index):
-    # When a zone was lost each subset moved, with all its connections.
+    # The loss of a zone shifted all subsets, and all their connections had to be replaced.
     upstreams = [Upstream(bytes([n] * 6)) for n in range(24)]
     lost = set(upstreams[::3])
     simulation = PolicySimulation(10, index=index, fleet_size=96)
--- a/tests/test_poll_backoff.py
+++ b/tests/test_poll_backoff.py
@@ -1,8 +1,8 @@
-"""Turns of a fleet that polls one service, and the rounds that they come in."""
+"""Poll times of a fleet that polls one service, and the lengths of its rounds."""
 
 import pytest
 
-from pepperhook.poll_backoff import PollBackoff, next_turn
+from pepperhook.poll_backoff import PollBackoff, next_slot
 
 SECOND = 10**9
 NO_JITTER = 0.0
@@ -11,36 +11,37 @@
 @pytest.mark.parametrize("fleet_size", [1, 7, 246])
 def test_polls_of_a_fleet_that_failed_together_are_spread_evenly_over_the_round(fleet_size):
     failed_at = 1_796_181_560 * SECOND + 123_456_789
-    turns = sorted(
+    slots = sorted(
         PollBackoff(4 * SECOND, 6 * SECOND).next_poll(failed_at, fleet_size, index, NO_JITTER)
         for index in range(fleet_size)
     )
 
-    gaps = [later - earlier for earlier, later in zip(turns, turns[1:], strict=False)]
+    gaps = [later - earlier for earlier, later in zip(slots, slots[1:], strict=False)]
 
-    assert failed_at <= turns[0] and turns[-1] < failed_at + 4 * SECOND
+    assert failed_at <= slots[0] and slots[-1] < failed_at + 4 * SECOND
     assert all(abs(gap - 4 * SECOND / fleet_size) <= 2 for gap in gaps)
 
 
-def test_jitter_stays_within_the_turn_of_a_balancer():
-    turns = [next_turn(0, 8 * SECOND, (3 + jitter) / 8) for jitter in (0.0, 0.5, 0.999)]
+def test_jitter_stays_within_the_slot_of_a_balancer():
+    slots = [next_slot(0, 8 * SECOND, (3 + jitter) / 8) for jitter in (0.0, 0.5, 0.999)]
 
-    assert all(3 * SECOND <= turn < 4 * SECOND for turn in turns)
+    assert all(3 * SECOND <= slot < 4 * SECOND for slot in slots)
 
 
 @pytest.mark.parametrize("earliest", [0, 1, 3 * SECOND - 1, 3 * SECOND, 3 * SECOND + 1])
-def test_next_turn_is_the_first_one_that_is_not_past(earliest):
-    turn = next_turn(earliest, 4 * SECOND, 0.75)
+def test_next_poll_time_is_the_first_one_not_before_the_earliest(earliest):
+    slot = next_slot(earliest, 4 * SECOND, 0.75)
 
-    assert turn in (3 * SECOND, 7 * SECOND)
-    assert earliest <= turn < earliest + 4 * SECOND
+    assert slot in (3 * SECOND, 7 * SECOND)
+    assert earliest <= slot < earliest + 4 * SECOND
 
 
 def test_rounds_double_after_steady_failures_up_to_a_bound():
     backoff = PollBackoff(4 * SECOND, 6 * SECOND, steady_failures=2, max_doublings=2)
     lengths = []
     for _ in range(7):
-        # Of a large fleet the longest wait shows the round: a quarter of it, then a whole one.
+        # Read directly: in a fleet the waits also depend on the slot, and show up to a quarter of a
+        # round plus a whole one.
         lengths.append(backoff._round() // SECOND)
         backoff.next_poll(0, 1, 0, NO_JITTER)
 
@@ -50,7 +51,7 @@
     assert backoff._round() == 4 * SECOND
 
 
-def test_balancer_polls_at_most_once_in_a_round_while_polls_are_refused_at_once():
+def test_balancer_polls_at_most_once_per_round_while_polls_are_refused_immediately():
     backoff = PollBackoff(4 * SECOND, 6 * SECOND, steady_failures=100)
     polls, now = [], 0
     for attempt in range(50):
@@ -61,7 +62,7 @@
     assert len(set(rounds)) == len(rounds)
 
 
-def test_round_is_no_longer_than_the_bound_for_this_failure():
+def test_round_is_no_longer_than_the_bound_of_the_call():
     backoff = PollBackoff(4 * SECOND, 6 * SECOND)
 
-    assert backoff.next_poll(0, 1, 0, 0.5, longest_ns=SECOND) == SECOND // 2
+    assert backoff.next_poll(0, 1, 0, 0.5, max_round_ns=SECOND) == SECOND // 2
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""A deployment's settings with odd values: settings that a policy can start with, or one line."""
+"""Settings with odd values: either valid for a policy, or refused with a one-line message."""
 
 import copy
 import math
@@ -42,12 +42,12 @@
 ]
 CLASS_KEYS = ["name", "timeLimitUs", "goalTimeUs", "effect", "group", "keyTtlUs", "earnings"]
 TENANT_KEYS = ["name", "quotaPerS", "share"]
-SOUND = ENVIRONMENT | {"reporting": {"how": "probe", "fields": ["outstanding"]}}
+VALID = ENVIRONMENT | {"reporting": {"how": "probe", "fields": ["outstanding"]}}
 
 
 def with_value(key, value):
-    """Return the settings with a value at a dotted key."""
-    document = copy.deepcopy(SOUND)
+    """Return a valid document with ``value`` at a dotted key."""
+    document = copy.deepcopy(VALID)
     *tables, last = key.split(".")
     table = document
     for name in tables:
@@ -57,8 +57,8 @@
 
 
 def with_row_value(table, key, value):
-    """Return the settings with a value in the first row of a table."""
-    document = copy.deepcopy(SOUND)
+    """Return a valid document with ``value`` in the first row of a table."""
+    document = copy.deepcopy(VALID)
     document[table][0][key] = value
     return document
 
@@ -80,7 +80,7 @@
 
 
 def numbers_in(record):
-    """Yield all whole numbers of settings, those of service classes too."""
+    """Yield all integers of settings or of a service class."""
     for row in fields(record):
         value = getattr(record, row.name)
         if isinstance(value, int):
@@ -88,8 +88,8 @@
 
 
 @pytest.mark.parametrize(("key", "make"), CASES, ids=[key for key, _ in CASES])
-def test_odd_value_is_refused_by_its_key_or_gives_settings_to_start_with(key, make):
-    # Against a traceback, and against numbers that captures and journals cannot store.
+def test_odd_value_is_refused_with_its_key_or_gives_settings_that_a_policy_accepts(key, make):
+    # Prevents tracebacks, and numbers that captures and journals cannot store.
     for value in ODD_VALUES:
         document = make(value)
         try:
@@ -104,7 +104,7 @@
         Balancer(read, 1, 0)
 
 
-def test_effect_of_no_known_kind_is_unsafe():
+def test_unknown_effect_is_unsafe():
     read = settings.read(with_row_value("serviceGrades", "effect", "new_kind"))
 
     assert read.service_classes[0].effect == settings.Effect.UNSAFE
