--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -100,8 +100,8 @@
     except ArithmeticError:
         # What the policy had decided before it failed is kept.
         actions, world.recorder.actions = world.recorder.actions, []
-        world.answered[world.taken[-1]] = "fault"
-        world.play(actions)
+        world.responses[world.requests[-1]] = "fault"
+        world.perform(actions)
         return True
     return False
 
@@ -147,7 +147,7 @@
     settings = dataclasses.replace(world.recorder.module.settings, fleet_size=3, index=1)
     if not keeps_classes:
         settings.service_classes = [dataclasses.replace(one) for one in settings.service_classes]
-    assert any(not request.finished for request in world.taken)
+    assert any(not request.finished for request in world.requests)
 
     world.recorder.reconfigure(world.now, settings, [])
     world.recorder.begin_again(world.now)
--- a/tests/control_plane/test_balancer_settings.py
+++ b/tests/control_plane/test_balancer_settings.py
@@ -75,14 +75,14 @@
 
     for _ in range(40):
         world.run(40, chance=0.4)
-        under_way = [request for request in world.taken if request not in world.answered]
+        under_way = [request for request in world.requests if request not in world.responses]
         admitted_under += [
             (request, request.service_class, replace(request.service_class))
             for request in under_way
         ]
         changed = random_settings(generator, start)
         weights = [(upstream, generator.choice([0.5, 1.0, 2.0])) for upstream in world.upstreams]
-        world.play(world.balancer.reconfigure(world.now, changed, weights))
+        world.perform(world.balancer.reconfigure(world.now, changed, weights))
     for _ in range(1500):
         world.step()
     world.writer.close()
@@ -91,7 +91,7 @@
     for request, service_class, content in admitted_under:
         assert request.service_class is service_class
         assert service_class == content
-    assert all(request in world.answered for request in world.taken)
+    assert all(request in world.responses for request in world.requests)
     replayed = replay.play(tmp_path / "a", Balancer)
     assert replayed.difference is None
     assert replayed.states_checked
@@ -100,18 +100,18 @@
 
 def test_weight_of_an_upstream_scales_its_share_of_attempts():
     world = World(3, fleet_size=1)
-    world.fate = lambda _: Outcome.SERVED
-    world.span = lambda _: 30 * MS
+    world.outcome_of = lambda _: Outcome.SERVED
+    world.latency_of = lambda _: 30 * MS
     weighted = world.upstreams[0]
     for weight, least, most in ((1.0, 0.7, 1.4), (0.25, 0.15, 0.75), (3.0, 1.5, 3.5)):
-        world.play(
+        world.perform(
             world.balancer.reconfigure(world.now, replace(world.settings), [(weighted, weight)])
         )
-        first = len(world.sends)
+        first = len(world.sent_attempts)
 
         world.run(3000, chance=0.5)
 
-        sent = [attempt.upstream for _, attempt in world.sends[first:]]
+        sent = [attempt.upstream for _, attempt in world.sent_attempts[first:]]
         others = [u for u in world.upstreams if u.zone == weighted.zone and u is not weighted]
         mean = sum(sent.count(other) for other in others) / len(others)
         assert least < sent.count(weighted) / mean < most
--- a/tests/shadow/test_extension.py
+++ b/tests/shadow/test_extension.py
@@ -44,7 +44,7 @@
         return policy if shadow is None else ShadowedPolicy(policy, shadow)
 
     world = World(seed, make=make)
-    world.generous = True
+    world.keeps_retry_budget_full = True
     if shadow is not None:
         shadow.other_settings = replace(world.settings, **replaced)
         # Those of the first list, which the settings of the file were compared on.
@@ -52,9 +52,9 @@
     world.run(STEPS, chance=0.1)
     sent = [
         (at, attempt.request.id, attempt.upstream.address, attempt.number)
-        for at, attempt in world.sends
+        for at, attempt in world.sent_attempts
     ]
-    answered = {request.id: what for request, what in world.answered.items()}
+    answered = {request.id: what for request, what in world.responses.items()}
     return sent, answered, world.balancer.retry_budget.f
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -523,11 +523,11 @@
 def test_baselines_keep_their_rules_over_random_runs(name):
     world = World(6, make=baselines.MODULES[name], max_attempts=9)
     world.run(1500)
-    counts = [list(world.answered.values()).count(kind) for kind in ("fulfilled", "broken off")]
+    counts = [list(world.responses.values()).count(kind) for kind in ("fulfilled", "broken off")]
     assert min(counts) > 0 and all(
         upstream.state == UpstreamState.READY for upstream in world.balancer.listed
     )
-    repeats = sum(len(request.attempts) > 1 for request in world.taken)
+    repeats = sum(len(request.attempts) > 1 for request in world.requests)
     assert (repeats > 0) == (name not in ("random", "round-robin", "least-out", "two-choices"))
 
 
--- a/tests/tracing/test_tracer.py
+++ b/tests/tracing/test_tracer.py
@@ -25,8 +25,8 @@
 def world_of_failures(seed):
     world = TracedWorld(seed, slow_start_capacity=1.0, slow_start_ns=0)
     fates = [Outcome.SERVED] * 3 + [Outcome.ERROR] * 2 + [Outcome.TIMED_OUT]
-    world.fate = lambda _: world.random.choice(fates)
-    world.span = lambda _: world.random.randrange(100 * MS, 900 * MS)
+    world.outcome_of = lambda _: world.random.choice(fates)
+    world.latency_of = lambda _: world.random.randrange(100 * MS, 900 * MS)
     world.run(2500, chance=0.6)
     world.balancer.retry_budget.B = 0.0
     world.run(100, chance=0.6)
@@ -41,13 +41,13 @@
     untraced.run(1500, chance=0.5)
     world.tracer.stop()
 
-    assert list(world.answered.values()) == list(untraced.answered.values())
-    assert [at for at, _ in world.sends] == [at for at, _ in untraced.sends]
+    assert list(world.responses.values()) == list(untraced.responses.values())
+    assert [at for at, _ in world.sent_attempts] == [at for at, _ in untraced.sent_attempts]
     by_id = {trace.id: trace for trace in world.traces}
-    assert len(by_id) == len(world.traces) == len(world.taken)
-    for request in world.taken:
+    assert len(by_id) == len(world.traces) == len(world.requests)
+    for request in world.requests:
         trace = by_id[str(request.id)]
-        assert trace.final == world.answered.get(request, "open")
+        assert trace.final == world.responses.get(request, "open")
         assert trace.grade == SERVICE_CLASSES[request.service_class.number]
         assert_attempts_are_those_of(trace, request)
         assert_each_attempt_has_its_reasons(trace)
@@ -114,8 +114,8 @@
     world = TracedWorld(3, sampled_fraction=0.2)
     world.run(3000, chance=0.4)
 
-    served = list(world.answered.values()).count("fulfilled")
-    unserved = len(world.answered) - served
+    served = list(world.responses.values()).count("fulfilled")
+    unserved = len(world.responses) - served
     in_time = [trace for trace in world.traces if trace.final == "fulfilled" and not trace.late]
     others = [trace for trace in world.traces if trace not in in_time]
     assert 0.1 * served < len(in_time) < 0.3 * served
--- a/tests/world.py
+++ b/tests/world.py
@@ -44,15 +44,7 @@
 
 
 class World(PolicySimulation):
-    """The simulation under its older attribute names."""
-
-    taken = alias("requests")
-    answered = alias("responses")
-    sends = alias("sent_attempts")
-    fate = alias("outcome_of")
-    span = alias("latency_of")
-    generous = alias("keeps_retry_budget_full")
-    play = PolicySimulation.perform
+    """The simulation with an optional factory of the policy, ``make``."""
 
     def __init__(self, seed, make=None, **values):
         super().__init__(seed, **({"make_policy": make} if make else {}), **values)
