--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""The helpers of ``tests.policy`` and ``tests.server`` under the names that older tests use."""
+"""Short names for helpers of ``tests.policy`` and ``tests.server``, used by other tests."""
 
 import asyncio
 from functools import wraps
@@ -37,7 +37,7 @@
 
 
 def alias(name):
-    """Return a property that reads and writes another attribute."""
+    """Return a property that reads and writes the attribute ``name``."""
     return property(
         lambda self: getattr(self, name), lambda self, value: setattr(self, name, value)
     )
@@ -50,12 +50,12 @@
         super().__init__(seed, **({"make_policy": make} if make else {}), **values)
 
     def run(self, steps, chance=0.15):
-        """Play steps, in each of which a request arrives with this chance."""
+        """Simulate steps, in each of which a request arrives with probability ``chance``."""
         super().run(steps, chance)
 
 
 class Peer(ScriptedPeer):
-    """The scripted peer under its older attribute names."""
+    """ScriptedPeer with short attribute names."""
 
     dial = alias("address")
     seen = alias("requests")
@@ -63,7 +63,7 @@
 
 
 class Running(RunningBalancer):
-    """The running balancer under its older attribute names."""
+    """RunningBalancer with short attribute names."""
 
     node = alias("app")
     head = alias("response_head")
@@ -77,12 +77,12 @@
 
 
 def answer(status=200, body=b"done", more=b""):
-    """Return the bytes of a response."""
+    """Return the bytes of a response; ``more`` are header lines."""
     return make_response(status, body, more)
 
 
 def loopback(test):
-    """Run a test that is a coroutine; a hang fails it."""
+    """Run a coroutine test in an event loop, with a timeout."""
 
     @wraps(test)
     def run(*args, **named):
