--- a/pepperhook/balancer.py
+++ b/pepperhook/balancer.py
@@ -99,7 +99,7 @@
         self.guard.attempt_ended(now, attempt)
 
     def on_client_left(self, now: int, request: Request) -> None:  # noqa: ARG002 signature of all calls
-        """Release what is held for the request."""
+        """Remove the request from the queue, and cancel useless attempts."""
         self.completion.client_left(request)
 
     def on_health_check_ended(self, now: int, upstream: Upstream, outcome: Outcome) -> None:
--- a/pepperhook/domain.py
+++ b/pepperhook/domain.py
@@ -87,7 +87,7 @@
 
     latency: DecayingMoments  # ln(response time / expected time)
     failures: DecayingMoments  # 0 or 1 for each attempt
-    completed: DecayingMoments  # target response times of what it served, in nanoseconds
+    completed: DecayingMoments  # target durations of the attempts that it served, in nanoseconds
     abandoned: DecayingMoments  # attempts abandoned by this balancer that may still run there
 
     def __init__(
--- a/pepperhook/policy/completion.py
+++ b/pepperhook/policy/completion.py
@@ -84,7 +84,7 @@
             self.balancer.call_at(request.deadline - self.margin, self._give_up, request)
 
     def client_left(self, request: Request) -> None:
-        """Release what is held for a request whose client has disconnected."""
+        """Remove a request whose client has disconnected from the queue, and cancel useless attempts."""
         self.balancer.admission.queue.discard(request)
         if self._ends_at_objective(request):
             self._cancel_attempts(request)
--- a/pepperhook/policy/endpoints.py
+++ b/pepperhook/policy/endpoints.py
@@ -7,7 +7,7 @@
 from pepperhook.units import MILLISECOND, SECOND
 
 NOTIFIED_AFTER = 6 * SECOND  # a change counts as notified after this time, even if all polls failed
-POLL_TIMEOUT = 2100 * MILLISECOND  # a poll still open after it (2 s and the transit) is held by the service
+POLL_TIMEOUT = 2100 * MILLISECOND  # a poll open for longer (2 s and the transit time) is held by the service
 MAX_WATCH_WAIT = 3 * SECOND  # a silent watch is replaced before a change that it missed counts as notified
 # Mean interval between the first polls of a fleet that starts together; shortest round of polls.
 START_INTERVAL, MIN_ROUND = 100 * MILLISECOND, SECOND
@@ -61,7 +61,7 @@
         self.backoff.reset()
 
     def poll_failed(self, now: int, failure: PollFailure, retry_after: int) -> None:
-        """Schedule the next watch after one that ended, or after a failed poll, which confirms nothing."""
+        """Schedule the next watch after the end of one or a failed poll, which does not confirm the list."""
         if not self.polls:
             return
         is_held = self.is_confirmed and now > self.good_until - self.notified_after + POLL_TIMEOUT
--- a/pepperhook/policy/outlier.py
+++ b/pepperhook/policy/outlier.py
@@ -17,7 +17,7 @@
 CHECK_LEAD = 2 * SECOND  # health checks begin this long before the endpoint list becomes stale
 # Delay of the first health check of an unreachable upstream; mean interval of the next; period of reviews.
 CHECK_AFTER, CHECK_INTERVAL, REVIEW_PERIOD = 100 * MILLISECOND, SECOND, 200 * MILLISECOND
-UNCHECKED_RETRY = 5 * SECOND  # mean time for which an unreachable upstream gets nothing without health checks
+UNCHECKED_RETRY = 5 * SECOND  # mean time without attempts to an unreachable upstream if health checks are off
 RESTARTED_AFTER = 1500 * MILLISECOND  # an upstream that was unreachable for longer is taken to be cold
 
 
@@ -61,7 +61,7 @@
         if is_wanted and self.settings.may_health_check:
             self.check(upstream)
         elif is_due:
-            upstream.unreachable_since = None  # otherwise one that no list names is never retried
+            upstream.unreachable_since = None  # otherwise an upstream that no list names is never retried
 
     def check(self, upstream: Upstream) -> None:
         """Start a health check, unless one is running."""
--- a/pepperhook/policy/selection.py
+++ b/pepperhook/policy/selection.py
@@ -32,7 +32,7 @@
             }
         else:
             # Recent failures count as in flight: an upstream that fails quickly would look idle and
-            # attract all.
+            # attract all requests.
             loads = {u: (len(u.in_flight) + u.failures.decay(now).total) / u.operator_weight for u in drawn}
         self.balancer.note(request, SelectionNote.of, from_subset, len(usable), len(with_capacity), loads)
         if not loads:
--- a/tests/policy/simulation.py
+++ b/tests/policy/simulation.py
@@ -1,9 +1,9 @@
 """A simulated host of one policy that checks the rules after every action.
 
 Time is virtual, outcomes and latencies are drawn from a seed, and wake-ups come early, late or
-twice. Checked rules: each request has exactly one final response, within its deadline (1); no
-request is executed twice unless that is harmless (2); attempts go to ready upstreams only (3); no
-action is forbidden by the settings (4).
+twice. Checked rules: each request has exactly one final response, within its deadline (rule 1); no
+request is executed twice unless that is harmless (rule 2); attempts go to ready upstreams only
+(rule 3); no action is forbidden by the settings.
 """
 
 import random
