--- a/pepperhook/balancer.py
+++ b/pepperhook/balancer.py
@@ -5,7 +5,7 @@
 from pepperhook.domain import Attempt, EndpointUpdate, Outcome, PollFailure, Request, Upstream
 from pepperhook.pipeline import link
 from pepperhook.policy.admission import AdmissionQueue
-from pepperhook.policy.capacity import SERVICE_TIMES, Capacity
+from pepperhook.policy.capacity import SERVICE_TIME_MODEL, Capacity
 from pepperhook.policy.completion import Completion
 from pepperhook.policy.endpoints import Endpoints
 from pepperhook.policy.guard import Guard
@@ -27,7 +27,7 @@
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         """Create a balancer without endpoints."""
         super().__init__(settings, seed, now)
-        self.service_times = ServiceTimes(SERVICE_TIMES, settings.service_classes, now)
+        self.service_times = ServiceTimes(SERVICE_TIME_MODEL, settings.service_classes, now)
         self.subset = Subset(self)
         self.slow_start = SlowStart(self)
         self.outliers = OutlierDetector(self)
--- a/pepperhook/capture/legacy_state.py
+++ b/pepperhook/capture/legacy_state.py
@@ -24,7 +24,7 @@
 )
 from pepperhook.endpoint_ring import EndpointRing
 from pepperhook.pipeline import link
-from pepperhook.policy.capacity import SERVICE_TIMES
+from pepperhook.policy.capacity import SERVICE_TIME_MODEL
 from pepperhook.policy.endpoints import NOTIFIED_AFTER
 from pepperhook.service_times import ServiceTimes
 from pepperhook.statistics import DecayingMean, DecayingMoments
@@ -330,7 +330,7 @@
     def fill_selection(self, old: Any, new: Any) -> None:
         """Fill in what one stage of 0.2 held: subset, times, capacity and load queries."""
         subset, capacity = new.subset, new.capacity
-        times = new.service_times = ServiceTimes(SERVICE_TIMES, (), 0)
+        times = new.service_times = ServiceTimes(SERVICE_TIME_MODEL, (), 0)
         times.best = list(old.best)
         times.durations = [self.moments(one) for one in old.grades]
         times.costs = [self.moments(one) for one in old.costs]
--- a/pepperhook/policy/capacity.py
+++ b/pepperhook/policy/capacity.py
@@ -18,7 +18,9 @@
 MIN_MEAN_VALUE = MILLISECOND / SECOND  # avoids division by zero
 
 
-SERVICE_TIMES = ServiceTimeModel(10 * SECOND, assumed_part=0.2, fixed_part=0.3, cost_part=0.7, growth=1.001)
+SERVICE_TIME_MODEL = ServiceTimeModel(
+    10 * SECOND, assumed_part=0.2, fixed_part=0.3, cost_part=0.7, growth=1.001
+)
 
 
 class Capacity(Component):
