--- a/pepperhook/balancer.py
+++ b/pepperhook/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer: builds the pipeline and dispatches each call of the host to the stage in charge."""
+"""The balancer: builds the pipeline, and passes each call of the host to its handler."""
 
 from collections.abc import Sequence
 
@@ -52,7 +52,7 @@
         self.call_every(REVIEW_PERIOD, self._review)
 
     def configure(self, settings: Settings) -> None:
-        """Apply settings; values that each request needs are derived from them once."""
+        """Apply settings, and recompute the values that are derived from them."""
         self.settings.replace_with(settings)
         self.fleet_size, self.index = settings.position
         self.completion.configure()
@@ -79,7 +79,7 @@
         self._update_members(now)
 
     def on_endpoints_confirmed(self, at: int) -> None:
-        """Extend the time for which the endpoint list is good."""
+        """Extend the time for which the endpoint list is valid."""
         self.endpoints.confirm(at)
 
     def on_endpoint_poll_failed(self, now: int, failure: PollFailure, retry_after_ns: int) -> None:
--- a/pepperhook/decision_notes.py
+++ b/pepperhook/decision_notes.py
@@ -1,4 +1,4 @@
-"""Reasons of decisions for traces; recorded only while tracing is on."""
+"""Reasons for decisions, recorded for traces while tracing is on."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -21,16 +21,16 @@
 class RejectionReason(StrEnum):
     """Why a request ended without a response of an upstream."""
 
-    TIME_UP = "time up"
-    QUEUE_TIMEOUT = "waited in vain"
-    LEAST_VALUABLE = "least worth"
+    TIME_UP = "time up"  # the objective or deadline was reached
+    QUEUE_TIMEOUT = "waited in vain"  # no capacity within the maximum queue time
+    LEAST_VALUABLE = "least worth"  # the queue was full of requests of higher value
 
 
 class Candidate(NamedTuple):
     """One of the upstreams that were compared for a request."""
 
     address: bytes
-    weight: float
+    weight: float  # draw weight
     load: float
     latency_score: float
 
@@ -40,8 +40,8 @@
     """Which upstreams were compared for a request."""
 
     from_subset: bool  # otherwise from all ready upstreams
-    usable: int
-    with_capacity: int
+    usable: int  # number of usable upstreams
+    with_capacity: int  # number of those that have capacity
     candidates: list[Candidate]
 
     @classmethod
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class RetryNote:
-    """A retry was considered: the verdict, the random draw and the allowed probability."""
+    """A retry was considered: verdict, random draw, allowed probability, and B and f then."""
 
     verdict: RetryVerdict
     drawn: float | None
--- a/pepperhook/domain.py
+++ b/pepperhook/domain.py
@@ -58,10 +58,10 @@
 
     number: int
     time_limit_ns: int
-    objective_ns: int  # latency objective: a later response earns only late_priority_weight
+    objective_ns: int  # latency objective: a later response is worth only late_priority_weight
     effect: Effect = Effect.UNSAFE
-    repeat_group: RepeatGroup = RepeatGroup.ALL
-    key_window_ns: int = 0
+    repeat_group: RepeatGroup = RepeatGroup.ALL  # for KEYED: where a key is recognised
+    key_window_ns: int = 0  # for KEYED: how long after the first attempt a key is recognised
     priority_weight: float = 1.0
     late_priority_weight: float = 0.0
     streaming: bool = False
@@ -80,7 +80,7 @@
 
 
 class Upstream:
-    """An instance that requests can be sent to, with what this balancer knows of it.
+    """An instance that requests can be sent to, with the state that this balancer keeps of it.
 
     The statistics are unset until the endpoint list names the upstream for the first time.
     """
@@ -97,14 +97,14 @@
         self.address = address
         self.zone = zone
         self.cell = cell
-        self.units = units
+        self.units = units  # from the endpoint list, as is kind; the policy uses neither
         self.kind = kind
         self.state = UpstreamState.GONE
         self.started_at = 0
         self.in_flight: dict[Attempt, bool] = {}  # attempts, oldest first
         self.is_known = False  # whether the statistics have been set
         self.is_outlier = False  # fails while its peers do not
-        self.latency_score = 1.0
+        self.latency_score = 1.0  # relative response time, raised by failures; lower is better
         self.proximity = 1.0  # factor of its draw weight: by zone and operator's weight
         self.operator_weight = 1.0
         self.unreachable_since: int | None = None
@@ -114,13 +114,15 @@
         self.shown_ready_at = 0
         self.health_check_due_at = 0
         self.slow_start_since: int | None = None
-        # Attempts that may be sent during slow start. The credit starts at a random value from 0 to
-        # 1. When it has grown by a, this balancer has sent floor(start + a) attempts: a on average,
-        # with an error below one. If M balancers may send N attempts in total, they send N on
+        # Attempts that may be sent during slow start: grows up to 1, and each attempt subtracts 1.
+        # It begins at a random value from 0 to 1, or all balancers would send together.
+        #
+        # With an initial credit c, an accrual of a allows floor(c + a) attempts: a on average, with
+        # an error below one. If the accruals of M balancers sum up to N, they send N attempts on
         # average, with a variance of at most min(M / 4, N): a standard deviation of at most 0.5,
         # 1.0, 1.7, 2.2 and 2.7 attempts for M of 1, 4, 12, 20 and 30. An excess of up to
-        # 2 * sqrt(N) + 2 attempts counts as chance. SlowStartFleet in tests/policy/fleet.py
-        # simulates this.
+        # 2 * sqrt(N) + 2 attempts is accepted as random variation. SlowStartFleet in
+        # tests/policy/fleet.py simulates this.
         self.warm_up_credit = 0.0
         self.credit_updated_at = 0
         self.weight = 1.0  # by health: factor of its draw weight
@@ -152,8 +154,11 @@
         """Return its weight in the random draw of candidates."""
         return self.weight * self.proximity
 
-    def has_restarted(self, started_at: int) -> bool:
-        """Record a start time; return whether it is later than the known one."""
+    def record_start(self, started_at: int) -> bool:
+        """Record a start time; return whether it is later than the last one.
+
+        An upstream that has restarted is no longer unreachable.
+        """
         if started_at <= self.started_at:
             return False
         self.started_at = started_at
@@ -166,18 +171,22 @@
         self.credit_updated_at = now
         self.warm_up_credit = credit
 
-    def warm_fraction(self, now: int, start: float, span_ns: int) -> float:
-        """Return the share of its full capacity that it has at least.
+    def warm_fraction(self, now: int, initial_fraction: float, slow_start_ns: int) -> float:
+        """Return the lower bound of its capacity, as a fraction of its full capacity.
 
-        It grows linearly from ``start`` to 1 within ``span_ns`` after the start of slow start.
+        It grows linearly from ``initial_fraction`` to 1 over ``slow_start_ns`` from
+        ``slow_start_since`` on; after that, slow start is ended.
         """
-        if self.slow_start_since is None or now - self.slow_start_since >= span_ns:
+        if self.slow_start_since is None or now - self.slow_start_since >= slow_start_ns:
             self.slow_start_since = None
             return 1.0
-        return start + (1 - start) * max(0, now - self.slow_start_since) / span_ns
+        return (
+            initial_fraction
+            + (1 - initial_fraction) * max(0, now - self.slow_start_since) / slow_start_ns
+        )
 
     def accrue_credit(self, now: int, attempts_per_s: float, fraction: float) -> float:
-        """Return the credit after adding what ``fraction`` of a rate yields since the last call."""
+        """Return the credit, grown since the last call at ``fraction`` of the rate, at most 1."""
         earned = (now - self.credit_updated_at) / SECOND * attempts_per_s * fraction
         self.warm_up_credit = min(1.0, self.warm_up_credit + earned)
         self.credit_updated_at = now
@@ -186,13 +195,14 @@
     def record_load_report(self, now: int, report: Mapping[str, float] | None) -> None:
         """Store a copy of a load report.
 
-        It is a copy because later attempts are counted into it, which captures must not record.
+        Later attempts are added to the copy; the original is part of the recorded call and must not
+        change.
         """
         if report:
             self.load_report = dict(report)
             self.load_report_at = now
 
-    def count_into_load_report(self) -> None:
+    def add_to_load_report(self) -> None:
         """Add an attempt that is sent after the last load report to its requests in flight."""
         if self.load_report:
             self.load_report[IN_FLIGHT] += 1
@@ -207,7 +217,7 @@
         """Return this balancer's attempts in flight, with abandoned ones that may still run."""
         return len(self.in_flight) + self.abandoned.decay(now).weight
 
-    def completion_rate(self, now: int) -> float:
+    def served_concurrency(self, now: int) -> float:
         """Return the concurrency that it has served lately, by Little's law."""
         completed = self.completed.decay(now)
         return completed.total / completed.span_ns
@@ -222,7 +232,11 @@
 
 
 class Request:
-    """A client's request, which ends with exactly one final response."""
+    """A client's request, which ends with exactly one final response.
+
+    ``is_retry``: marked as a retry by the client; ``cost_ns``: declared cost; ``value``: set by the
+    priority stage; ``key``: not used by the policy. Times are in nanoseconds.
+    """
 
     __slots__ = (
         "accepted_at",
@@ -294,7 +308,7 @@
         self.request = request
         self.upstream = upstream
         self.sent_at = now
-        self.number = len(request.attempts)
+        self.number = len(request.attempts)  # 0 for the first attempt
         self.outcome: Outcome | None = None
         self.duration_ns = 0
 
--- a/pepperhook/endpoint_ring.py
+++ b/pepperhook/endpoint_ring.py
@@ -15,8 +15,8 @@
         Otherwise the loss of a zone would shift all subsets, and connections would be replaced.
         """
         self.keep_gone_ns = keep_gone_ns
-        self.listed: dict[Upstream, int] = {}  # not gone -> time when last listed
-        self.seen: dict[Upstream, int] = {}  # also those recently gone -> time when last listed
+        self.listed: dict[Upstream, int] = {}  # time when last listed, of upstreams not gone
+        self.seen: dict[Upstream, int] = {}  # the same, with those recently gone
         self.positions: list[Upstream] = []
         self.ready: list[Upstream] = []
 
@@ -34,13 +34,13 @@
         self.ready = [u for u in self.positions if u.is_ready]
 
     def in_zone(self, zone: int | None) -> list[Upstream]:
-        """Return the positions of upstreams in one zone, or all if ``zone`` is None."""
+        """Return the upstreams of a zone in ring order, or all if ``zone`` is None."""
         return [u for u in self.positions if zone is None or u.zone == zone]
 
 
-def walk(ring: list[Upstream], index: int, count: int) -> Iterator[Upstream]:
-    """Yield all upstreams of a ring, from the position of balancer ``index`` of ``count`` on."""
-    start = index * len(ring) // count
+def walk(ring: list[Upstream], index: int, fleet_size: int) -> Iterator[Upstream]:
+    """Yield all upstreams of a ring, from the position of balancer ``index`` on."""
+    start = index * len(ring) // fleet_size
     for step in range(len(ring)):
         yield ring[(start + step) % len(ring)]
 
@@ -48,20 +48,21 @@
 def choose_members(
     rings: Iterable[tuple[list[Upstream], int]],
     index: int,
-    count: int,
-    width: int,
+    fleet_size: int,
+    size: int,
     min_reachable: int,
 ) -> list[Upstream]:
-    """Return the ordered members of the subset of balancer ``index`` of ``count``.
+    """Return the ordered members of the subset of balancer ``index``.
 
-    Each ring is walked from the balancer's position on, until there are as many members as the
-    limit given with the ring, or ``width`` members of which ``min_reachable`` are reachable.
+    ``rings`` are pairs of a ring and a limit, in order of preference. Each ring is walked from the
+    balancer's position on, until the members reach the limit in total, or ``size`` members are
+    found of which ``min_reachable`` are reachable.
     """
     members: dict[Upstream, bool] = {}
     reachable = 0
     for ring, limit in rings:
-        for upstream in walk(ring, index, count):
-            if len(members) >= limit or (len(members) >= width and reachable >= min_reachable):
+        for upstream in walk(ring, index, fleet_size):
+            if len(members) >= limit or (len(members) >= size and reachable >= min_reachable):
                 break
             if upstream.is_ready:
                 reachable += upstream not in members and upstream.unreachable_since is None
--- a/pepperhook/pipeline.py
+++ b/pepperhook/pipeline.py
@@ -31,7 +31,7 @@
     outer: Stage
 
     def handle(self, now: int, request: Request) -> bool:
-        """Return whether the request was sent, queued or finished; else the caller handles it."""
+        """Try to send, queue or finish the request; if it returns False the caller handles it."""
         return self.inner.handle(now, request)
 
     def attempt_ended(self, now: int, attempt: Attempt) -> None:
--- a/pepperhook/policy/__init__.py
+++ b/pepperhook/policy/__init__.py
@@ -8,6 +8,6 @@
 
 1. Each request gets exactly one final response, by its deadline.
 2. No request is executed a second time unless that is harmless.
-3. Attempts go only to upstreams that are ready by all that this balancer has been notified of.
+3. Attempts go only to upstreams that are ready in the latest state that this balancer was notified of.
 4. All balancers together do not overload an upstream in slow start.
 """
--- a/pepperhook/policy/endpoints.py
+++ b/pepperhook/policy/endpoints.py
@@ -6,12 +6,16 @@
 from pepperhook.poll_backoff import PollBackoff
 from pepperhook.units import MILLISECOND, SECOND
 
-NOTIFIED_AFTER = 6 * SECOND  # a change counts as notified after this time, even if all polls failed
-POLL_TIMEOUT = 2100 * MILLISECOND  # a poll open for longer (2 s and the transit time) is held by the service
-MAX_WATCH_WAIT = 3 * SECOND  # a silent watch is replaced before a change that it missed counts as notified
-# Mean interval between the first polls of a fleet that starts together; shortest round of polls.
+# The balancer counts as notified of a change this long after it, even if all polls failed (rule 3).
+NOTIFIED_AFTER = 6 * SECOND
+# The service drops a queued poll after 2 s; one that is open for longer, with 0.1 s for the transit, is held
+# as a watch: the service answers it when there is a change.
+POLL_TIMEOUT = 2100 * MILLISECOND
+MAX_WATCH_WAIT = 3 * SECOND  # a silent watch is replaced before the balancer counts as notified of changes
+# Mean interval between the first polls of a fleet that starts together; minimum length of a poll round (see
+# poll_backoff).
 START_INTERVAL, MIN_ROUND = 100 * MILLISECOND, SECOND
-# Upper bounds of rounds after failures that put no load on the service.
+# Maximum length of rounds after failures that put no load on the service.
 LONGEST_ROUNDS = {PollFailure.UNREACHABLE: 3 * SECOND, PollFailure.SILENT: SECOND}
 # An outage of some seconds causes two failed polls; more are taken for overload, and rounds double.
 STEADY_FAILURES, MAX_DOUBLINGS = 2, 2
@@ -21,21 +25,24 @@
     """Keeps one watch on the endpoint list open, without overloading the service that a whole fleet polls."""
 
     def _set_up(self, now: int) -> None:
-        self.polls, self.planned_at = self.settings.polls_endpoints, now  # planned_at: of the next watch
-        self.is_watching = self.is_confirmed = False  # is_confirmed: the open watch was answered
+        # planned_at: time of the next watch; is_confirmed: whether the open watch was answered or is held.
+        self.polls, self.planned_at = self.settings.polls_endpoints, now
+        self.is_watching = self.is_confirmed = False
         self.notified_after = min(NOTIFIED_AFTER, self.settings.endpoint_poll_within_ns)
-        self.good_until = now + self.notified_after  # of the current list, while no open watch confirms it
+        # Time until which the current list is valid while no open watch confirms it.
+        self.good_until = now + self.notified_after
         self.backoff = self.make_backoff()
         if self.polls:
             # Not delayed where lists are pushed: a change counts as notified as soon as the
             # machine's agent has it.
+            # The delay grows with the size of the fleet (position[0]).
             spread = min(self.backoff.first_ns, max(MIN_ROUND, START_INTERVAL * self.settings.position[0]))
             delay = self.balancer.random() * spread * (not self.settings.endpoints_are_pushed)
             self.planned_at = now + int(delay)
             self.balancer.call_at(self.planned_at, self._watch, self.planned_at)
 
     def make_backoff(self) -> PollBackoff:
-        """Return a backoff whose first round leaves time for an answer while the current list is good."""
+        """Return a backoff whose first round leaves time for an answer while the current list is valid."""
         if self.settings.endpoints_are_pushed:
             return PollBackoff(MIN_ROUND, MIN_ROUND)  # only this balancer polls the machine's agent
         first, retry = max(MIN_ROUND, self.notified_after - POLL_TIMEOUT), max(MIN_ROUND, self.notified_after)
@@ -61,9 +68,13 @@
         self.backoff.reset()
 
     def poll_failed(self, now: int, failure: PollFailure, retry_after: int) -> None:
-        """Schedule the next watch after the end of one or a failed poll, which does not confirm the list."""
+        """Process a failed poll or the end of a watch, and schedule the next watch.
+
+        Only a held watch that does not end silently confirms the list, up to its end.
+        """
         if not self.polls:
             return
+        # good_until - notified_after is the time of the last confirmation.
         is_held = self.is_confirmed and now > self.good_until - self.notified_after + POLL_TIMEOUT
         if is_held and failure is not PollFailure.SILENT:
             self.good_until = now + self.notified_after  # a held watch reported all changes up to its end
@@ -77,6 +88,8 @@
 
         A draining upstream passes no health check, so a passed one shows that the upstream was ready.
         """
+        # An open watch reports every change, but after failed polls only once it is confirmed: confirm()
+        # resets failed_polls.
         if not self.polls or (self.is_watching and not self.backoff.failed_polls):
             return False
         return now > max(self.good_until, upstream.shown_ready_at + self.notified_after)
--- a/pepperhook/policy/guard.py
+++ b/pepperhook/policy/guard.py
@@ -8,21 +8,26 @@
 class Guard(Stage):
     """Starts an attempt only if that breaks none of the rules."""
 
-    def may_retry(self, now: int, request: Request, upstream: Upstream | None, own: Attempt | None) -> bool:
-        """Rule 2: return whether one more attempt cannot take effect a second time.
+    def may_retry(
+        self, now: int, request: Request, upstream: Upstream | None, attempt: Attempt | None
+    ) -> bool:
+        """Rule 2: return whether another attempt cannot cause a second effect.
 
-        ``upstream`` is its destination, or None if that is not selected yet; ``own`` is the attempt
-        itself if it exists already.
+        ``upstream`` is its destination, or None if that is not selected yet. ``attempt`` is that
+        attempt, which is ignored among the earlier ones, or None if it does not exist yet.
         """
         effect, group = request.service_class.effect, request.service_class.repeat_group
-        executed = request.possibly_executed(own)
-        if not executed or effect is Effect.SAFE:
+        maybe_executed = request.possibly_executed(attempt)
+        if not maybe_executed or effect is Effect.SAFE:
             return True
-        if effect is not Effect.KEYED or now > executed[0].sent_at + request.service_class.key_window_ns:
+        if (
+            effect is not Effect.KEYED
+            or now > maybe_executed[0].sent_at + request.service_class.key_window_ns
+        ):
             return False
         if upstream is None or group is RepeatGroup.ALL:
             return True
-        return all(getattr(earlier.upstream, group) == getattr(upstream, group) for earlier in executed)
+        return all(getattr(earlier.upstream, group) == getattr(upstream, group) for earlier in maybe_executed)
 
     def may_write(self, now: int, request: Request, upstream: Upstream, attempt: Attempt | None) -> bool:
         """Return whether rules 1 to 3 allow writing bytes now.
@@ -33,13 +38,17 @@
             return False
         if not upstream.is_ready or self.balancer.endpoints.is_stale(now, upstream):
             return False
-        # The upstream has restarted since it was selected as a warm one (rule 4).
+        # An upstream that has restarted since the attempt was started is cold: the earlier check of its slow
+        # start no longer applies (rule 4).
         if attempt is not None and attempt.sent_at < upstream.started_at:
             return False
         return self.may_retry(now, request, upstream, attempt)
 
     def may_start(self, now: int, request: Request, upstream: Upstream) -> bool:
-        """Return whether a new attempt may be started: rules 1 to 4 and the limit on attempts per request."""
+        """Return whether a new attempt may be started: rules 1 to 4 and the limit on attempts per request.
+
+        Accrues the warm-up credit of the upstream up to ``now``.
+        """
         sent = sum(attempt.outcome is not Outcome.NOT_SENT for attempt in request.attempts)
         if request.open_attempts or sent >= self.settings.max_attempts:
             return False
@@ -54,7 +63,7 @@
         self.balancer.capacity.update_level(now)
         attempt = request.start_attempt(upstream, now)
         if self.balancer.load_queries.reported_in_flight(now, upstream) is not None:
-            upstream.count_into_load_report()
+            upstream.add_to_load_report()
         for rate in self.balancer.retry_budget.rate, self.balancer.retry_budget.steady_rate:
             rate.add(now)
         self.balancer.actions.append(StartAttempt(attempt, request.deadline - now))
@@ -62,8 +71,9 @@
 
     def attempt_ended(self, now: int, attempt: Attempt) -> None:
         """Close the attempt, and return its warm-up credit if it was never sent."""
-        is_due = now >= attempt.request.objective_at - self.balancer.completion.margin
-        if attempt.outcome is Outcome.CANCELLED and is_due:
+        # Cancelled because its time was up, and not because the client left: statistics count a timeout.
+        is_time_up = now >= attempt.request.objective_at - self.balancer.completion.margin
+        if attempt.outcome is Outcome.CANCELLED and is_time_up:
             attempt.outcome = Outcome.TIMED_OUT
         self.balancer.capacity.update_level(now)
         attempt.close()
--- a/pepperhook/policy/load_query.py
+++ b/pepperhook/policy/load_query.py
@@ -5,7 +5,8 @@
 from pepperhook.statistics import weighted_order
 from pepperhook.units import MILLISECOND
 
-MAX_WAIT, REPORT_VALID = 4 * MILLISECOND, 8 * MILLISECOND  # of a request for a round; age limit of a report
+# How long a request waits for the reports of a round; maximum age of a report.
+MAX_WAIT, REPORT_VALID = 4 * MILLISECOND, 8 * MILLISECOND
 MAX_ROUNDS, QUERIED_TOGETHER = 3, 2  # rounds per request; upstreams per round
 IDLE = 0.5  # reported requests in flight below which no other upstream is queried
 
@@ -30,17 +31,17 @@
     def start(self, now: int, request: Request, usable: list[Upstream]) -> bool:
         """Query two more upstreams; return whether the request waits for their reports.
 
-        The attempts of this balancer alone say too little of an upstream's load.
+        This balancer's own attempts do not show the load that other balancers put on an upstream.
         """
         reports = {u: self.reported_in_flight(now, u) for u in usable}
-        unknown = [u for u in usable if reports[u] is None]
+        unreported = [u for u in usable if reports[u] is None]
         has_idle = any(in_flight is not None and in_flight < IDLE for in_flight in reports.values())
-        is_last = request in self.running or request.load_query_rounds >= MAX_ROUNDS
-        if is_last or has_idle or not unknown:
+        may_not_query = request in self.running or request.load_query_rounds >= MAX_ROUNDS
+        if may_not_query or has_idle or not unreported:
             request.load_query_rounds = 0
             return False
         request.load_query_rounds += 1
-        drawn = weighted_order(unknown, Upstream.draw_weight, self.balancer.random)
+        drawn = weighted_order(unreported, Upstream.draw_weight, self.balancer.random)
         self.running[request] = queried = drawn[:QUERIED_TOGETHER]
         for upstream in queried:
             self.balancer.outliers.check(upstream)
--- a/pepperhook/policy/outlier.py
+++ b/pepperhook/policy/outlier.py
@@ -7,18 +7,23 @@
 from pepperhook.pipeline import Component
 from pepperhook.units import MILLISECOND, SECOND
 
-OUTLIER_FAILURES, PEER_FAILURES = 0.3, 0.1  # an outlier's failure fraction, while its peers' median is below
+# An upstream is an outlier while its failure fraction is above the first and the median below the second.
+OUTLIER_FAILURES, PEER_FAILURES = 0.3, 0.1
 MIN_WEIGHT = 0.02  # of a reachable upstream: it gets enough attempts to show that it has recovered
-# Largest speed relative to the median that counts; growth of the latency score with the failure fraction.
+# Upper bound of the speed relative to the median; growth of the latency score with the failure fraction.
 MAX_SPEED, FAILURE_PENALTY = 2.0, 4
 # Observations at the median that are added, so that an upstream with few of its own is not rated slow.
 PRIOR_OBSERVATIONS = 2
-SLOW_LOG_AGE = 0.7  # an open attempt counts as slow from e**0.7 (about 2) expected service times on
+# An attempt that is open, timed out or cancelled counts as slow from an age of e**0.7 (about 2) expected
+# service times on.
+SLOW_LOG_AGE = 0.7
 CHECK_LEAD = 2 * SECOND  # health checks begin this long before the endpoint list becomes stale
 # Delay of the first health check of an unreachable upstream; mean interval of the next; period of reviews.
 CHECK_AFTER, CHECK_INTERVAL, REVIEW_PERIOD = 100 * MILLISECOND, SECOND, 200 * MILLISECOND
-UNCHECKED_RETRY = 5 * SECOND  # mean time without attempts to an unreachable upstream if health checks are off
-RESTARTED_AFTER = 1500 * MILLISECOND  # an upstream that was unreachable for longer is taken to be cold
+UNREACHABLE_PAUSE = (
+    5 * SECOND
+)  # mean time without attempts to an unreachable upstream if health checks are off
+ASSUMED_RESTARTED_AFTER = 1500 * MILLISECOND  # an upstream unreachable for longer is assumed to be cold
 
 
 class OutlierDetector(Component):
@@ -61,7 +66,9 @@
         if is_wanted and self.settings.may_health_check:
             self.check(upstream)
         elif is_due:
-            upstream.unreachable_since = None  # otherwise an upstream that no list names is never retried
+            # Without health checks only a newer start in the endpoint list would end this otherwise, and an
+            # upstream that has not restarted would never get attempts again.
+            upstream.unreachable_since = None
 
     def check(self, upstream: Upstream) -> None:
         """Start a health check, unless one is running."""
@@ -89,6 +96,7 @@
                 upstream.latency.add(now, age)
         if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
+        # A timeout counts as slowness (above) and not as a failure.
         upstream.failures.add(now, outcome not in (Outcome.SERVED, Outcome.TIMED_OUT))
         if outcome is Outcome.CONNECT_FAILED and upstream.unreachable_since is None:
             self._mark_unreachable(now, upstream)
@@ -96,13 +104,16 @@
             self._mark_reachable(now, upstream)
 
     def _mark_unreachable(self, now: int, upstream: Upstream) -> None:
-        retry_delay = (
-            0 if self.settings.may_health_check else (0.5 + self.balancer.random()) * UNCHECKED_RETRY
-        )
-        upstream.mark_unreachable(now, now + int(retry_delay or CHECK_AFTER))
+        # 0 if health checks are allowed, the first of which is then due after CHECK_AFTER.
+        pause = 0 if self.settings.may_health_check else (0.5 + self.balancer.random()) * UNREACHABLE_PAUSE
+        upstream.mark_unreachable(now, now + int(pause or CHECK_AFTER))
 
     def _mark_reachable(self, now: int, upstream: Upstream) -> None:
-        # It may have restarted before the endpoint list reports that: slow start prevents overloading it.
-        if upstream.unreachable_since is not None and now - upstream.unreachable_since > RESTARTED_AFTER:
+        # The upstream may have restarted before the endpoint list reports that; slow start prevents
+        # overloading it.
+        if (
+            upstream.unreachable_since is not None
+            and now - upstream.unreachable_since > ASSUMED_RESTARTED_AFTER
+        ):
             self.balancer.slow_start.begin(now, upstream, now)
         upstream.unreachable_since = None
--- a/pepperhook/policy/priority.py
+++ b/pepperhook/policy/priority.py
@@ -1,4 +1,4 @@
-"""The value of a request: its priority weight, reduced beyond the quota of its tenant."""
+"""The value of a request: its priority weight per unit of work, reduced beyond its tenant's quota."""
 
 from pepperhook.decision_notes import OverQuotaNote
 from pepperhook.domain import Request
@@ -16,7 +16,8 @@
         self.tenant_rates = [DecayingMoments(QUOTA_SPAN, now) for _ in self.settings.tenants]
 
     def handle(self, now: int, request: Request) -> bool:
-        """Set the value of the request, and add value and cost to the means."""
+        """Set the value of the request, and record value and cost in the statistics."""
+        # Weights per request are divided by the mean service time. Quotas apply only in the first tier.
         value = request.service_class.priority_weight
         if not self.settings.weight_is_per_work:
             value *= SECOND / self.balancer.service_times.mean_service_time(now, request.service_class)
@@ -28,11 +29,11 @@
         return self.inner.handle(now, request)
 
     def _quota_factor(self, now: int, request: Request, tenant: int) -> float:
-        # Read before this request is counted, which would raise a low rate so much that it seems
-        # over the quota.
+        # Read before this request is added, which would make a low rate appear to exceed the quota.
         rate = self.tenant_rates[tenant].rate(now)
         self.tenant_rates[tenant].add(now)
         quota = self.settings.tenants[tenant].quota_per_s / self.balancer.fleet_size
+        # Of the requests above the quota, a random fraction of 1 - quota / rate has its value reduced.
         if not quota or self.balancer.random() * rate <= quota:
             return 1.0
         self.balancer.note(request, OverQuotaNote, rate, quota)
--- a/pepperhook/policy/retry_budget.py
+++ b/pepperhook/policy/retry_budget.py
@@ -53,15 +53,16 @@
 
     def _grants(self, now: int, attempt: Attempt) -> bool:
         request = attempt.request
-        is_settled = attempt.outcome is Outcome.SERVED or request.finished or request.open_attempts
-        if is_settled or request in self.balancer.load_queries.running:
+        needs_no_retry = attempt.outcome is Outcome.SERVED or request.finished or request.open_attempts
+        if needs_no_retry or request in self.balancer.load_queries.running:
             return False
-        allowed = 1 - self.f if self._is_local_failure(attempt) else min(self.B, 1 - self.f)
+        # A local failure is no sign of overload: the budget limits its retry only when B is 0.
+        probability = 1 - self.f if self._is_local_failure(attempt) else min(self.B, 1 - self.f)
         verdict, drawn = self._refusal_reason(now, request), None
         if verdict is None:
             drawn = self.balancer.random()
-            verdict = RetryVerdict.GRANTED if drawn < allowed else RetryVerdict.CHANCE
-        self.balancer.note(request, RetryNote, verdict, drawn, allowed, self.B, self.f)
+            verdict = RetryVerdict.GRANTED if drawn < probability else RetryVerdict.CHANCE
+        self.balancer.note(request, RetryNote, verdict, drawn, probability, self.B, self.f)
         return verdict is RetryVerdict.GRANTED
 
     def _refusal_reason(self, now: int, request: Request) -> RetryVerdict | None:
@@ -93,8 +94,7 @@
             self.f += F_STEP * (failed - self.f)
 
     def _replace_unsent(self, now: int, attempt: Attempt) -> bool:
-        # The upstream has begun to leave since it was selected: another attempt is started, outside
-        # the budget.
+        # If the upstream is not ready any more, another attempt replaces the unsent one, outside the budget.
         if attempt.outcome is not Outcome.NOT_SENT or attempt.request.finished or attempt.upstream.is_ready:
             return False
         return self.balancer.admission.handle(now, attempt.request)
--- a/pepperhook/policy/selection.py
+++ b/pepperhook/policy/selection.py
@@ -37,8 +37,8 @@
         self.balancer.note(request, SelectionNote.of, from_subset, len(usable), len(with_capacity), loads)
         if not loads:
             return False
-        # A heavy request, valuable by its work, must not go to an upstream that is too slow to
-        # serve it in time.
+        # A request of high cost is valuable, as it stands for much work: it must not go to an upstream that
+        # is too slow to serve it in time.
         ranks = {u: (loads[u] + cost) * u.latency_score if cost > HEAVY_COST else loads[u] for u in loads}
         return self.balancer.guard.send(now, request, min(loads, key=lambda u: (ranks[u], u.latency_score)))
 
@@ -51,7 +51,7 @@
             usable = [u for u in upstreams if u not in tried and u.weight and may_start(now, request, u)]
             if usable:
                 break
-        return usable, upstreams is subset.members
+        return usable, upstreams is subset.members  # the loop ended at the list that is used
 
     def attempt_ended(self, now: int, attempt: Attempt) -> None:
         """Record the outcome in the statistics, then pass it on."""
--- a/pepperhook/policy/slow_start.py
+++ b/pepperhook/policy/slow_start.py
@@ -10,11 +10,11 @@
 class SlowStart(Component):
     """Limits the attempts to upstreams that are warming up."""
 
-    def notice_start(self, now: int, upstream: Upstream, started_at: int) -> None:
-        """Process the start time of an upstream in the endpoint list; begin slow start if it is recent."""
+    def record_start(self, now: int, upstream: Upstream, started_at: int) -> None:
+        """Record the start time of an upstream from the endpoint list; begin slow start if it is recent."""
         if not upstream.is_known:
             upstream.reset_statistics(now, *STATISTICS_SPANS)
-        if upstream.has_restarted(started_at) and now - started_at < self.settings.slow_start_ns:
+        if upstream.record_start(started_at) and now - started_at < self.settings.slow_start_ns:
             self.begin(now, upstream, started_at)
 
     def begin(self, now: int, upstream: Upstream, since: int) -> None:
@@ -24,11 +24,14 @@
         upstream.begin_slow_start(now, since, self.balancer.random())
 
     def capacity_fraction(self, now: int, upstream: Upstream) -> float:
-        """Return the share of its full capacity that an upstream has at least; 1.0 if it is warm."""
+        """Return the lower bound of an upstream's capacity as a fraction of the full one; 1.0 if warm."""
         return upstream.warm_fraction(now, self.settings.slow_start_capacity, self.settings.slow_start_ns)
 
     def has_credit(self, now: int, upstream: Upstream) -> bool:
-        """Return whether an attempt may be sent; a cold upstream gets its share of a warm one's load."""
+        """Return whether an attempt may be sent, after accruing the warm-up credit.
+
+        A cold upstream gets the rate of a warm one times its capacity fraction.
+        """
         fraction = self.capacity_fraction(now, upstream)
         if fraction == 1.0:
             return True
--- a/pepperhook/policy_interface.py
+++ b/pepperhook/policy_interface.py
@@ -27,7 +27,7 @@
     """Base class of all policies, whose ``on_...`` methods do nothing unless overridden."""
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
-        """Create a policy without endpoints; the host has to call ``wake`` once after it."""
+        """Create a policy without endpoints; the host then calls ``wake`` for the first actions."""
         super().__init__(seed, now)
         self.settings = settings
 
@@ -57,7 +57,7 @@
     def endpoints_confirmed(self, now: int, age_ns: int = 0) -> None:
         """Record that the endpoint list was up to date ``age_ns`` ago.
 
-        The service has answered so, or it has held a poll open for that long.
+        ``age_ns`` is 0 if the service has just answered, or the age of a poll that it holds open.
         """
         self.on_endpoints_confirmed(now - age_ns)
 
@@ -124,7 +124,7 @@
 
     @entry_point
     def peer_message(self, now: int, peer: int, body: bytes) -> None:
-        """Ignore a message of a peer, as no decision depends on one."""
+        """Ignore a message of another balancer, as no decision depends on one."""
 
     @entry_point
     def reconfigure(
--- a/pepperhook/policy_proxy.py
+++ b/pepperhook/policy_proxy.py
@@ -8,9 +8,9 @@
 class PolicyProxy:
     """Delegates attributes that it does not define to the policy, both reads and writes."""
 
-    def __init__(self, module: Any, **own: Any) -> None:
-        """Wrap the policy ``module``; ``own`` are attributes of the proxy itself."""
-        self.__dict__.update(module=module, **own)
+    def __init__(self, module: Any, **proxy_attributes: Any) -> None:
+        """Wrap the policy ``module``; ``proxy_attributes`` are set on the proxy itself."""
+        self.__dict__.update(module=module, **proxy_attributes)
 
     def __getattr__(self, name: str) -> Any:
         """Return an attribute of the policy."""
@@ -22,14 +22,17 @@
 
 
 def route_calls(proxy_class: type) -> None:
-    """Define all entry points on a proxy class; each calls ``call(name, now, *arguments)``."""
+    """Define all entry points on a proxy class.
+
+    Each forwards to the method ``call(name, now, *arguments)`` of the proxy.
+    """
 
     def make_entry_point(name: str) -> Any:
-        def call(self: Any, now: int, *arguments: Any) -> Any:
+        def entry_point(self: Any, now: int, *arguments: Any) -> Any:
             return self.call(name, now, *arguments)
 
-        call.__name__ = name
-        return call
+        entry_point.__name__ = name
+        return entry_point
 
     for name in CALLS:
         setattr(proxy_class, name, make_entry_point(name))
--- a/pepperhook/poll_backoff.py
+++ b/pepperhook/poll_backoff.py
@@ -2,8 +2,8 @@
 
 Rounds of the same length begin at the same times of the common clock on all balancers, and the
 index of a balancer determines its slot in a round. So the polls of a fleet stay evenly spread
-whenever each balancer begins to wait. A balancer polls at most once in a round, which also limits
-its retries.
+regardless of when each balancer begins to wait. A balancer polls at most once in a round, which
+also limits its retries.
 """
 
 from dataclasses import dataclass
@@ -38,14 +38,14 @@
         """Count a failed poll; return when the next is due, in rounds of at most ``max_round_ns``.
 
         ``jitter`` (0 to 1) is the position within this balancer's slot. After a failed retry, a
-        slot within the next quarter of a round is skipped.
+        slot within the next quarter of a round is skipped, which keeps two polls that far apart.
         """
-        period = min(self._round(), max_round_ns or self._round())
+        period = min(self._round_ns(), max_round_ns or self._round_ns())
         earliest = now + (period // 4 if self.failed_polls else 0)
         self.failed_polls += 1
         return next_slot(earliest, period, (index + jitter) / fleet_size)
 
-    def _round(self) -> int:
+    def _round_ns(self) -> int:
         if not self.failed_polls:
             return self.first_ns
         doublings = max(0, self.failed_polls - self.steady_failures)
--- a/pepperhook/scheduler.py
+++ b/pepperhook/scheduler.py
@@ -65,10 +65,10 @@
         self.counter += 1
         return random_fraction(b"%d %d" % (self.seed, self.counter))
 
-    def note(self, request: Request, kind: Callable[..., DecisionNote], *values: Any) -> None:
-        """Record the reason of a decision about ``request`` if tracing is on."""
+    def note(self, request: Request, note_class: Callable[..., DecisionNote], *values: Any) -> None:
+        """Record the reason for a decision about ``request`` if tracing is on."""
         if self.notes is not None:
-            self.notes.append((request, kind(*values)))
+            self.notes.append((request, note_class(*values)))
 
     def call_at(self, at: int, callback: Callback, argument: Any) -> None:
         """Call ``callback(now, argument)`` at ``at`` or later."""
--- a/pepperhook/service_times.py
+++ b/pepperhook/service_times.py
@@ -8,7 +8,7 @@
 from pepperhook.statistics import DecayingMoments
 from pepperhook.units import MILLISECOND
 
-PRIOR_OBSERVATIONS = 2
+PRIOR_OBSERVATIONS = 2  # virtual observations that the prior counts as
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,6 +28,7 @@
     def __init__(self, model: ServiceTimeModel, classes: Sequence[ServiceClass], now: int) -> None:
         """Create statistics without observations; best times start at the latency objectives."""
         self.model = model
+        # Lowest mean time by class; a served request raises it by at most the model's growth.
         self.best: list[float] = [service_class.objective_ns for service_class in classes]
         self.durations = [DecayingMoments(model.span_ns, now) for _ in classes]
         self.costs = [DecayingMoments(model.span_ns, now) for _ in classes]
--- a/pepperhook/settings.py
+++ b/pepperhook/settings.py
@@ -43,7 +43,7 @@
     """Quota of a tenant in requests per second; 0: no limit."""
 
     quota_per_s: float = 0.0
-    share: float = 0.0
+    share: float = 0.0  # not used by the policy
 
 
 @dataclass(slots=True)
@@ -63,29 +63,31 @@
     weight_is_per_work: bool = False  # priority weights apply per unit of work, not per request
     tick_ns: int = MILLISECOND
     clients_mark_retries: bool = False
-    objective_tail: float = 0.0
-    objective_tail_slack: float = 0.0
+    objective_tail: float = 0.0  # if not 0, requests end early enough for their clients' retries
+    objective_tail_slack: float = 0.0  # not used by the policy
     connection_price: float | None = None
     handshake_price: float | None = None
     cross_zone_price: float = 0.0
-    forwards_deadline: bool = False
+    forwards_deadline: bool = False  # not used by the policy
     may_cancel: bool = False
     may_health_check: bool = False
-    may_overlap_attempts: bool = False
+    may_overlap_attempts: bool = False  # not used by the policy
     may_advise_retry_after: bool = False
     max_attempts: int = 1
     max_retry_after_ns: int = SECOND
     connect_timeout_ns: int = SECOND
     keepalive_ns: int = 15 * SECOND
-    response_slack_ns: int = 0
+    response_slack_ns: int = 0  # not used by the policy
     endpoint_poll_within_ns: int = 10 * SECOND
-    drain_grace_ns: int = 0
-    overload_multiple: float = 0.0
-    overload_window_ns: int = 0
+    drain_grace_ns: int = 0  # not used by the policy
+    overload_multiple: float = 0.0  # not used by the policy
+    overload_window_ns: int = 0  # not used by the policy
     slow_start_capacity: float = 1.0  # share of its capacity that an upstream has at its start
     slow_start_ns: int = 0
     polls_endpoints: bool = False  # the host polls the endpoint list
-    endpoints_are_pushed: bool = False  # changes that the machine's agent has count as notified
+    # Lists are pushed to an agent on this machine; the balancer counts as notified of a change as
+    # soon as the agent has it.
+    endpoints_are_pushed: bool = False
     report_source: ReportSource = ReportSource.NONE
     report_names: list[str] = field(default_factory=list)  # names on the wire
     report_figures: list[str] = field(default_factory=list)  # names in the policy
@@ -110,7 +112,7 @@
 
 @dataclass(slots=True)
 class SettingSpec:
-    """The field of a platform key, and the factor to the unit of the field (None: a flag)."""
+    """The Settings field of a configuration key, and the factor of its unit (None: a boolean)."""
 
     name: str
     factor: int | None = 1
@@ -150,7 +152,7 @@
 
 @dataclass(slots=True)
 class Names:
-    """Numbers by name, for hosts that use names."""
+    """Numbers of service classes, tenants, zones and kinds of upstreams, by their names."""
 
     service_classes: dict[str, int]
     tenants: dict[str, int]
@@ -159,14 +161,14 @@
 
 
 def read(document: Any) -> Settings:
-    """Read settings from the configuration of a platform. Raises SettingsError."""
+    """Read settings from a configuration document. Raises SettingsError."""
     expect(isinstance(document, dict), "settings", "must be an object")
-    values = {spec.name: value for spec, value in read_plain(document)}
+    values = {spec.name: value for spec, value in read_scalars(document)}
     return Settings(
         **values,
         polls_endpoints=document.get("discovery") == "ask",
-        # Where lists are pushed, a change counts as notified once the machine's agent has it, even
-        # if the host polls. An absent key does not imply an agent.
+        # Where lists are pushed, the balancer counts as notified of a change as soon as the agent
+        # has it, even if the host polls. An absent key does not imply an agent.
         endpoints_are_pushed=document.get("discovery") == "push",
         weight_is_per_work=document.get("earningsPer") == "work",
         tenants=read_tenants(document),
@@ -175,7 +177,7 @@
     )
 
 
-def read_plain(document: dict[str, Any]) -> Iterator[tuple[SettingSpec, Any]]:
+def read_scalars(document: dict[str, Any]) -> Iterator[tuple[SettingSpec, Any]]:
     """Yield the validated values of the keys in SETTINGS that are present."""
     for key, spec in SETTINGS.items():
         value = lookup(document, key)
@@ -191,7 +193,9 @@
     """Return the value at a dotted key, or None where it is absent."""
     value: Any = document
     for part in key.split("."):
-        expect(value is None or isinstance(value, dict), key, "must be in an object")
+        expect(
+            value is None or isinstance(value, dict), key, "its enclosing value must be an object"
+        )
         value = None if value is None else value.get(part)
     return value
 
--- a/tests/policy/fleet.py
+++ b/tests/policy/fleet.py
@@ -97,7 +97,7 @@
 class Excess(NamedTuple):
     """Attempts of a window above its bound, its budget, and its number of attempts."""
 
-    over: float
+    above_bound: float
     budget: float
     count: int
 
@@ -106,22 +106,23 @@
     """A fleet with eight upstreams, one of which enters slow start.
 
     Each balancer is an independent policy, and all are notified at the same time. ``rate``:
-    attempts per second that an upstream can serve. Attempts reach the upstream with a random delay
-    of up to ``late_ns``, as connections are established. ``restarts``: half of the balancers
-    restart with the same endpoint list one second after slow start has begun.
+    requests offered per upstream and second, which is also its capacity. Attempts reach the
+    upstream with a random delay of up to ``max_delay_ns``, as connections are established.
+    ``restarts``: half of the balancers restart with the same endpoint list one second after slow
+    start has begun.
     """
 
-    BEGINS_AT, STARTED_AT, ENDS_AT = 5 * SECOND, 25 * SECOND, 37 * SECOND
+    RUN_BEGINS_AT, UPSTREAM_STARTS_AT, RUN_ENDS_AT = 5 * SECOND, 25 * SECOND, 37 * SECOND
     WINDOW_NS, SLOW_START_NS, LATENCY_NS = 1500 * MILLISECOND, 10 * SECOND, 40 * MILLISECOND
     INITIAL_CAPACITY = 0.2
     UPSTREAMS, IN_SLOW_START = 8, 3
 
-    def __init__(self, balancers, seed, late_ns=0, restarts=False, rate=12.0):
+    def __init__(self, balancers, seed, max_delay_ns=0, restarts=False, rate=12.0):
         self.random = random.Random(seed)
         self.seed = seed
-        self.late_ns = late_ns
+        self.max_delay_ns = max_delay_ns
         self.rate = rate
-        self.rate_of_each = rate * self.UPSTREAMS / balancers
+        self.rate_per_balancer = rate * self.UPSTREAMS / balancers
         self.settings = make_settings(
             fleet_size=balancers,
             connection_price=0.0,
@@ -135,20 +136,25 @@
         self.events, self.event_numbers = [], itertools.count()
         self.arrivals = []
         for number in range(balancers):
-            self._begin(self.BEGINS_AT, number, 0)
-            self._schedule_request(self.BEGINS_AT, number)
-            self._schedule(self.STARTED_AT, self._report_start, number)
+            self._start_balancer(self.RUN_BEGINS_AT, number, 0)
+            self._schedule_request(self.RUN_BEGINS_AT, number)
+            self._schedule(self.UPSTREAM_STARTS_AT, self._report_start, number)
             if restarts and number % 2:
-                self._schedule(self.STARTED_AT + SECOND, self._begin, number, self.STARTED_AT)
+                self._schedule(
+                    self.UPSTREAM_STARTS_AT + SECOND,
+                    self._start_balancer,
+                    number,
+                    self.UPSTREAM_STARTS_AT,
+                )
 
     def _schedule(self, at, handler, *arguments):
         heapq.heappush(self.events, (at, next(self.event_numbers), handler, arguments))
 
     def _schedule_request(self, now, number):
-        wait_ns = int(self.random.expovariate(self.rate_of_each) * SECOND)
+        wait_ns = int(self.random.expovariate(self.rate_per_balancer) * SECOND)
         self._schedule(now + wait_ns, self._accept, number)
 
-    def _begin(self, now, number, started_at):
+    def _start_balancer(self, now, number, started_at):
         settings = replace(self.settings, index=number)
         balancer = Balancer(settings, self.seed * 100 + number + now, now)
         upstreams = [Upstream(bytes([n] * 6)) for n in range(self.UPSTREAMS)]
@@ -161,7 +167,7 @@
     def _report_start(self, now, number):
         balancer, upstreams = self.balancers[number]
         upstream = upstreams[self.IN_SLOW_START]
-        update = EndpointUpdate(upstream, UpstreamState.READY, self.STARTED_AT)
+        update = EndpointUpdate(upstream, UpstreamState.READY, self.UPSTREAM_STARTS_AT)
         self._perform(now, balancer, balancer.endpoints_changed(now, False, [update]))
 
     def _accept(self, now, number):
@@ -176,7 +182,7 @@
             if isinstance(action, WakeAt):
                 self._schedule(action.at_ns, self._wake, balancer)
             elif isinstance(action, StartAttempt):
-                arrives_at = now + int(self.random.random() * self.late_ns)
+                arrives_at = now + int(self.random.random() * self.max_delay_ns)
                 if action.attempt.upstream.address[0] == self.IN_SLOW_START:
                     self.arrivals.append(arrives_at)
                 ends_at = arrives_at + self.LATENCY_NS
@@ -192,7 +198,7 @@
 
     def run(self):
         """Process all events until the end of the simulation."""
-        while self.events and self.events[0][0] < self.ENDS_AT:
+        while self.events and self.events[0][0] < self.RUN_ENDS_AT:
             at, _, handler, arguments = heapq.heappop(self.events)
             handler(at, *arguments)
 
@@ -201,12 +207,14 @@
 
         The bound is the budget of the window plus 2 * sqrt(budget) + 2 for chance.
         """
-        starts = [at for at in self.arrivals if at >= self.STARTED_AT]
-        return max((self._excess(at) for at in starts), default=Excess(-99.0, 0.0, 0))
+        starts = [at for at in self.arrivals if at >= self.UPSTREAM_STARTS_AT]
+        return max(
+            (self._excess(at) for at in starts), default=Excess(-99.0, 0.0, 0)
+        )  # no attempt: far below the bound
 
     def _excess(self, begins_at):
         count = sum(begins_at <= at < begins_at + self.WINDOW_NS for at in self.arrivals)
-        age_ns = begins_at + self.WINDOW_NS / 2 - self.STARTED_AT
+        age_ns = begins_at + self.WINDOW_NS / 2 - self.UPSTREAM_STARTS_AT
         progress = min(1.0, age_ns / self.SLOW_START_NS)
         capacity = self.INITIAL_CAPACITY + (1 - self.INITIAL_CAPACITY) * progress
         budget = self.rate * capacity * self.WINDOW_NS / SECOND
--- a/tests/policy/simulation.py
+++ b/tests/policy/simulation.py
@@ -149,7 +149,8 @@
             self.load_report_of = lambda upstream: {
                 "in flight": float(len(upstream.in_flight) + self.random.randrange(3))
             }
-        # A full retry budget makes enough retries happen to check the rules for retries.
+        # A full retry budget and upstreams marked as outliers, whose failures count as local, make
+        # enough retries happen to check the rules for retries.
         self.keeps_retry_budget_full = False
         self.restart()
 
@@ -237,7 +238,7 @@
         self.scheduled_results = [*others, cancelled]
 
     def reject_request(self, request, retry_after_ns):
-        """Reject a request, which asserts that it was not executed or is safe to execute again."""
+        """Record a rejection; check that the request was not executed or is safe to repeat."""
         maybe_executed = any(a.outcome not in NEVER_EXECUTED for a in request.attempts)
         assert request.service_class.effect == Effect.SAFE or not maybe_executed
         assert self.settings.may_advise_retry_after or retry_after_ns == 0
@@ -315,6 +316,7 @@
     def _wake(self):
         due = [at for at in self.wake_times if at <= self.now]
         self.wake_times = [at for at in self.wake_times if at > self.now]
+        # Without a due wake-up there may be a stray one.
         for _ in due or [0] * (self.random.random() < STRAY_WAKE_UP_PROBABILITY):
             self.perform(self.balancer.wake(self.now))
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -21,8 +21,8 @@
 
 
 def test_requests_of_high_priority_weight_are_preferred_while_upstreams_are_slow():
-    # In a large fleet two requests are rarely queued at the same balancer, so the order of a queue
-    # alone prefers no class: all classes were rejected alike.
+    # Guards against rejecting all classes alike: in a large fleet two requests are rarely queued at
+    # the same balancer, so the order of a queue alone prefers no class.
     simulation = PolicySimulation(
         12,
         fleet_size=60,
--- a/tests/policy/test_completion.py
+++ b/tests/policy/test_completion.py
@@ -17,7 +17,7 @@
 TIME_LIMIT_NS = 2 * SECOND
 
 
-def silent_simulation(seed, **settings):
+def unresponsive_simulation(seed, **settings):
     """Return a simulation in which no attempt gets a response."""
     simulation = PolicySimulation(seed, **settings)
     simulation.outcome_of = constant(None)
@@ -43,7 +43,7 @@
     class_number, settings, at_objective, at_deadline
 ):
     # Otherwise it occupies its upstream and its client until the deadline, for nothing.
-    simulation = silent_simulation(1, **settings)
+    simulation = unresponsive_simulation(1, **settings)
     request = simulation.accept_new(class_number)
 
     simulation.step(SECOND - 10 * MILLISECOND)
@@ -58,37 +58,37 @@
 
 
 @pytest.mark.parametrize(
-    "time_limit_ms, is_marked, clients_mark_retries, is_retry",
+    "time_limit_ms, is_marked, clients_mark_retries, counts_as_retry",
     [
-        (801, False, False, True),
+        (801, False, False, True),  # with the 1199 ms before it the time limit of the first request
         (700, False, False, False),  # another client's request, with a short limit
         (1500, True, True, True),
         (1500, True, False, False),
     ],
 )
 def test_retry_of_a_client_keeps_the_objective_of_its_first_request(
-    time_limit_ms, is_marked, clients_mark_retries, is_retry
+    time_limit_ms, is_marked, clients_mark_retries, counts_as_retry
 ):
     # Otherwise work is done for a client whose objective has passed.
-    simulation = silent_simulation(4, clients_mark_retries=clients_mark_retries)
+    simulation = unresponsive_simulation(4, clients_mark_retries=clients_mark_retries)
     first = simulation.accept_new(0)
     simulation.step(1199 * MILLISECOND)
 
     second = simulation.accept_new(0, time_limit_ms * MILLISECOND, is_marked)
 
     assert simulation.responses[first] == FinalResponse.REJECTED
-    assert (simulation.responses.get(second) == FinalResponse.REJECTED) == is_retry
-    assert (not second.attempts) == is_retry
-    if not is_retry:
+    assert (simulation.responses.get(second) == FinalResponse.REJECTED) == counts_as_retry
+    assert (not second.attempts) == counts_as_retry
+    if not counts_as_retry:
         simulation.client_leaves(second)
         assert simulation.cancelled_attempts[-1] is second.attempts[0]
 
 
-@pytest.mark.parametrize("tenant, is_retry", [(0, True), (1, False), (None, False)])
-def test_request_counts_as_a_retry_only_of_a_request_of_the_same_tenant(tenant, is_retry):
-    # A request with a shorter time limit was mistaken for a retry of another tenant's request, and
-    # got the objective of that one.
-    simulation = silent_simulation(4, tenants=[TenantQuota(quota_per_s=0, share=0.5)] * 2)
+@pytest.mark.parametrize("tenant, counts_as_retry", [(0, True), (1, False), (None, False)])
+def test_request_counts_as_a_retry_only_of_a_request_of_the_same_tenant(tenant, counts_as_retry):
+    # Guards against taking a request with a shorter time limit for a retry of another tenant's
+    # request, whose objective it would get.
+    simulation = unresponsive_simulation(4, tenants=[TenantQuota(quota_per_s=0, share=0.5)] * 2)
     first = simulation.accept_new(0)
     simulation.step(1199 * MILLISECOND)
     second = simulation.make_request(0, time_limit_ns=801 * MILLISECOND)
@@ -97,7 +97,7 @@
     simulation.accept(second)
 
     assert simulation.responses[first] == FinalResponse.REJECTED
-    assert (second.accepted_at == first.accepted_at) == is_retry
+    assert (second.accepted_at == first.accepted_at) == counts_as_retry
 
 
 def step_until_final_response(simulation, request):
@@ -111,7 +111,7 @@
     With None they do not retry. Returns the milliseconds until each first request was rejected,
     and how many retries got their final response after the objective.
     """
-    simulation = silent_simulation(seed, **settings)
+    simulation = unresponsive_simulation(seed, **settings)
     durations_ms, late_retries = [], 0
     for _ in range(60):
         began_at = simulation.now
@@ -127,7 +127,7 @@
 
 
 def test_requests_of_clients_that_retry_are_rejected_early_enough_for_the_retry():
-    # Otherwise the retry ended after the objective, where it counts against the objective's tail.
+    # Otherwise the retry ends after the objective and counts towards the objective's tail.
     rejected_after_ms = OBJECTIVE_MS - 300
 
     durations_ms, late_retries = simulate_clients(
@@ -135,6 +135,7 @@
     )
 
     assert max(durations_ms) < OBJECTIVE_MS
+    # The first requests end by the assumed wait, or by few observed ones.
     assert all(
         rejected_after_ms - 40 <= duration <= rejected_after_ms for duration in durations_ms[5:]
     )
@@ -164,9 +165,9 @@
 
 
 def test_request_with_a_time_limit_below_the_objective_ends_at_its_time_limit():
-    # The wait of other clients was subtracted from the time limit, which left nothing: each request
-    # of such a client was rejected immediately.
-    simulation = silent_simulation(25, objective_tail=0.3)
+    # Guards against subtracting the wait of other clients from a short time limit: that leaves
+    # nothing, and each such request is rejected immediately.
+    simulation = unresponsive_simulation(25, objective_tail=0.3)
     request = simulation.accept_new(0, time_limit_ns=140 * MILLISECOND)
     assert request.attempts and request not in simulation.responses
 
@@ -178,8 +179,8 @@
 
 
 def test_request_right_after_an_immediate_rejection_does_not_count_as_a_retry():
-    # In a burst each request was mistaken for a retry of the previous one.
-    simulation = silent_simulation(26, objective_tail=0.3)
+    # Guards against taking each request of a burst for a retry of the previous one.
+    simulation = unresponsive_simulation(26, objective_tail=0.3)
     first = simulation.accept_new(0, time_limit_ns=MILLISECOND)
     assert simulation.responses[first] == FinalResponse.REJECTED
     simulation.step(MILLISECOND)
@@ -192,7 +193,7 @@
 
 def test_retry_that_has_too_little_time_left_is_rejected_on_arrival():
     # Otherwise an attempt is started for it and cancelled, and may still be executed.
-    simulation = silent_simulation(24, objective_tail=0.3)
+    simulation = unresponsive_simulation(24, objective_tail=0.3)
     simulation.outcome_of = constant(Outcome.SERVED)
     simulation.latency_of = constant(150 * MILLISECOND)
     for _ in range(20):
@@ -201,6 +202,7 @@
     simulation.outcome_of = constant(None)
     began_at = simulation.now
     step_until_final_response(simulation, simulation.accept_new(0))
+    # 70 ms before the objective, which is less than the mean service time of 150 ms.
     simulation.step(began_at + 930 * MILLISECOND - simulation.now)
 
     retry = simulation.accept_new(0, time_limit_ns=began_at + TIME_LIMIT_NS - simulation.now)
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is polled and how long it is good: rule 3 while the service fails."""
+"""When the endpoint list is polled and how long it is valid: rule 3 while the service fails."""
 
 import pytest
 
@@ -68,11 +68,11 @@
         return any(self.may_send_to(upstream) for upstream in self.upstreams)
 
 
-# How long the list is good.
+# How long the list is valid.
 
 
 @pytest.mark.parametrize("failure", [PollFailure.REFUSED, PollFailure.UNREACHABLE])
-def test_list_is_good_for_the_notification_time_after_the_end_of_a_held_watch(failure):
+def test_list_is_valid_for_the_notification_time_after_the_end_of_a_held_watch(failure):
     host = Host(may_health_check=False)
     host.open_confirmed_watch()
     host.advance(host.now + 20 * SECOND)
@@ -98,7 +98,7 @@
     )
 
 
-def test_failed_polls_do_not_extend_the_time_for_which_the_list_is_good():
+def test_failed_polls_do_not_extend_the_time_for_which_the_list_is_valid():
     host = Host(may_health_check=False)
     host.open_confirmed_watch()
     host.fail_poll()
@@ -121,7 +121,7 @@
     assert not host.may_send_to_any()
 
 
-def test_list_is_good_for_the_poll_interval_of_the_settings_if_that_is_shorter():
+def test_list_is_valid_for_the_poll_interval_of_the_settings_if_that_is_shorter():
     host = Host(may_health_check=False, endpoint_poll_within_ns=3 * SECOND)
     host.open_confirmed_watch()
     host.fail_poll()
@@ -130,7 +130,7 @@
     assert not host.may_send_to_any()
 
 
-def test_list_is_good_from_the_last_answer_of_a_silent_watch_and_not_from_its_end():
+def test_list_is_valid_for_the_notification_time_after_the_last_answer_of_a_silent_watch():
     host = Host(may_health_check=False)
     host.open_confirmed_watch()
     answered_at = host.now
@@ -165,15 +165,15 @@
     host.open_confirmed_watch()
     host.fail_poll()
     host.now += NOTIFIED_AFTER + 1
-    drained = [EndpointUpdate(host.upstreams[0], UpstreamState.DRAINING, 0)]
+    draining = [EndpointUpdate(host.upstreams[0], UpstreamState.DRAINING, 0)]
 
-    host.call(host.balancer.endpoints_corrected, drained)
+    host.call(host.balancer.endpoints_corrected, draining)
 
     assert not host.may_send_to_any()
     assert not host.upstreams[0].is_ready
 
 
-def test_move_to_another_service_polls_it_immediately_and_keeps_the_old_list_good():
+def test_move_to_another_service_polls_it_immediately_and_keeps_the_old_list_valid():
     host = Host(may_health_check=False)
     host.open_confirmed_watch()
     host.advance(host.now + 20 * SECOND)
@@ -219,8 +219,8 @@
 # Health checks while the list is stale.
 
 
-def run_stale(host, outcome_of, until):
-    """Answer health checks by ``outcome_of`` while polls fail.
+def run_while_polls_fail(host, outcome_of, until):
+    """End health checks with ``outcome_of(upstream)`` while polls fail.
 
     Returns for each step whether each upstream may be sent to.
     """
@@ -241,7 +241,7 @@
     host.open_confirmed_watch()
     host.fail_poll()
 
-    allowed = run_stale(host, lambda _: Outcome.SERVED, host.now + 20 * SECOND)
+    allowed = run_while_polls_fail(host, lambda _: Outcome.SERVED, host.now + 20 * SECOND)
 
     assert all(all(row) for row in allowed)
 
@@ -252,7 +252,7 @@
     host.fail_poll()
     ended_at, draining = host.now, host.upstreams[1]
 
-    run_stale(
+    run_while_polls_fail(
         host,
         lambda upstream: Outcome.ERROR if upstream is draining else Outcome.SERVED,
         ended_at + NOTIFIED_AFTER + 10 * MILLISECOND,
@@ -271,7 +271,7 @@
         drains = upstream is draining and host.now >= drained_at
         return Outcome.ERROR if drains else Outcome.SERVED
 
-    run_stale(host, outcome_of, drained_at + NOTIFIED_AFTER + 20 * MILLISECOND)
+    run_while_polls_fail(host, outcome_of, drained_at + NOTIFIED_AFTER + 20 * MILLISECOND)
 
     assert not host.may_send_to(draining)
     assert host.may_send_to(host.upstreams[0])
@@ -308,7 +308,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_first_poll_after_a_watch_can_be_answered_while_the_list_is_good(seed):
+def test_first_poll_after_a_watch_can_be_answered_while_the_list_is_valid(seed):
     host = Host(seed=seed)
     host.open_confirmed_watch()
     host.fail_poll()
@@ -332,6 +332,7 @@
         host.fail_poll(PollFailure.UNREACHABLE)
         waits.append(host.open_watch())
 
+    # A round of 3 s, and the quarter of a round that is skipped after a failed retry.
     assert max(waits) <= 3.75 * SECOND + 10 * MILLISECOND
 
 
@@ -365,6 +366,7 @@
         host.open_watch()
         polls.append(host.now)
 
+    # From the failure at START + 30 s on.
     in_each_second = [sum(at // SECOND == second for at in polls) for second in range(39, 44)]
     assert sum(in_each_second) == fleet_size
     assert max(in_each_second) <= fleet_size / 4 + 1
@@ -381,7 +383,7 @@
     assert sum(wait < SECOND for wait in waits) < fleet_size * 2 / 3
 
 
-def test_nothing_is_polled_where_the_host_receives_the_list():
+def test_nothing_is_polled_if_the_settings_do_not_let_the_host_poll():
     host = Host(polls_endpoints=False)
     actions = host.advance(START + 5 * SECOND)
     host.fail_poll()
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -40,8 +40,10 @@
         ]
         for begins_at in times:
             in_window = sum(begins_at <= at < begins_at + 1.5 * SECOND for at in times)
+            # Slow start: from 0.2 of the capacity to all of it within 10 s.
             capacity = 0.2 + 0.8 * (begins_at - started_at) / (10 * SECOND)
-            # A warm upstream was busy a quarter of the time, so it can serve four times as much.
+            # A warm upstream was busy a quarter of the time, so it can serve at least four times
+            # as much.
             warm_capacity = 4 * warm_attempts_per_s * 1.5
             assert in_window <= max(3, 2.5 * warm_capacity * capacity)
 
@@ -74,15 +76,17 @@
 
 
 @pytest.mark.parametrize("balancers", [1, 4, 12, 20, 30])
-@pytest.mark.parametrize("more", [{}, {"late_ns": SECOND}, {"restarts": True}, {"rate": 3.0}])
+@pytest.mark.parametrize(
+    "options", [{}, {"max_delay_ns": SECOND}, {"restarts": True}, {"rate": 3.0}]
+)
 def test_fleet_sends_an_upstream_in_slow_start_no_more_than_its_budget_and_random_excess(
-    balancers, more
+    balancers, options
 ):
-    # Each balancer sent a first attempt immediately: harmless for a single balancer, but the sum
-    # overloaded the upstream.
+    # Guards against first attempts that all balancers send immediately: a single one is harmless,
+    # but their sum overloads the upstream.
     for seed in range(3):
-        fleet = SlowStartFleet(balancers, seed, **more)
+        fleet = SlowStartFleet(balancers, seed, **options)
 
         fleet.run()
 
-        assert fleet.largest_excess().over <= 0, fleet.largest_excess()
+        assert fleet.largest_excess().above_bound <= 0, fleet.largest_excess()
--- a/tests/policy/test_guard.py
+++ b/tests/policy/test_guard.py
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize(
     "change", [finish_request, drain_upstream, restart_upstream, expire_endpoint_list]
 )
-def test_attempt_may_not_be_sent_after_a_change(change):
+def test_attempt_may_not_be_sent_after_the_request_upstream_or_list_has_changed(change):
     retry = UnsentRetry()
 
     change(retry)
@@ -136,7 +136,7 @@
     assert retry.may_send() == may_send
 
 
-class DrainedUpstream:
+class BalancerWithDrainingUpstream:
     """A policy with four upstreams, the first of which is draining."""
 
     def __init__(self):
@@ -165,20 +165,20 @@
 def test_guard_blocks_attempts_to_a_draining_upstream_that_is_still_in_the_subset():
     # The subset may be outdated since the last endpoint list or review; the guard reads the
     # upstream's current state.
-    case = DrainedUpstream()
-    subset, request = case.balancer.subset, case.make_request()
+    setup = BalancerWithDrainingUpstream()
+    subset, request = setup.balancer.subset, setup.make_request()
 
-    subset.ring.ready = subset.members = [case.draining]
+    subset.ring.ready = subset.members = [setup.draining]
 
-    assert not case.balancer.guard.may_start(NOW, request, case.draining)
-    assert not case.started_attempts(request)
+    assert not setup.balancer.guard.may_start(NOW, request, setup.draining)
+    assert not setup.started_attempts(request)
 
 
 def test_subset_excludes_a_draining_upstream_even_if_the_guard_allows_it():
-    case = DrainedUpstream()
-    case.balancer.guard.may_start = constant(True)
+    setup = BalancerWithDrainingUpstream()
+    setup.balancer.guard.may_start = constant(True)
 
     for _ in range(40):
-        attempt = case.started_attempts(case.make_request())[0]
-        assert attempt.upstream is not case.draining
-        case.balancer.attempt_ended(NOW + MILLISECOND, attempt, Outcome.SERVED, MILLISECOND, True)
+        attempt = setup.started_attempts(setup.make_request())[0]
+        assert attempt.upstream is not setup.draining
+        setup.balancer.attempt_ended(NOW + MILLISECOND, attempt, Outcome.SERVED, MILLISECOND, True)
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -29,13 +29,13 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_rules_hold_while_endpoints_change_and_attempts_fail(seed):
-    more = LOAD_QUERY_SETTINGS | {"fleet_size": 300, "clients_mark_retries": True}
+    load_query_settings = LOAD_QUERY_SETTINGS | {"fleet_size": 300, "clients_mark_retries": True}
     simulation = PolicySimulation(
         seed,
         may_overlap_attempts=seed % 3 == 0,
         may_advise_retry_after=seed % 4 == 0,
         slow_start_ns=2 * SECOND,
-        **(more if seed % 2 else {}),
+        **(load_query_settings if seed % 2 else {}),
     )
     simulation.keeps_retry_budget_full = True
 
@@ -71,5 +71,6 @@
     simulation.outcome_of = constant(Outcome.SERVED)
     simulation.run(8000, arrival_probability=0.3)
 
-    late = simulation.responses_to(simulation.requests[-250:-150])
-    assert late.count(FinalResponse.SERVED) > 95
+    # After the recovery, without the last 150, which may still be open.
+    responses = simulation.responses_to(simulation.requests[-250:-150])
+    assert responses.count(FinalResponse.SERVED) > 95
--- a/tests/policy/test_load_query.py
+++ b/tests/policy/test_load_query.py
@@ -19,7 +19,7 @@
     simulation = PolicySimulation(seed, fleet_size=300, **LOAD_QUERY_SETTINGS)
     simulation.outcome_of = constant(Outcome.SERVED)
     simulation.load_report_of = lambda upstream: {"in flight": in_flight_of(upstream)}
-    simulation.random.choice = lambda options: options[0]
+    simulation.random.choice = lambda options: options[0]  # all health checks succeed
     return simulation
 
 
@@ -44,8 +44,8 @@
 
 
 def test_request_is_rejected_after_the_last_round_if_all_queried_upstreams_are_busy():
-    # Without a limit of rounds the waiting request caused 22 queries; a retry by its client needs
-    # none in the meantime.
+    # Guards against querying while a request waits, without a limit of rounds: that took 22
+    # queries, and a retry by the client needs none.
     simulation = reporting_simulation(8, constant(60.0))
     request = simulation.accept_new(0)
 
--- a/tests/policy/test_outlier.py
+++ b/tests/policy/test_outlier.py
@@ -19,7 +19,7 @@
     assert to_fast > 1.5 * len(attempts) / len(members)
 
 
-def test_unresponsive_upstream_gets_few_attempts_and_no_upstream_of_a_slow_fleet_is_ejected():
+def test_unresponsive_upstream_gets_few_attempts_and_none_is_ejected_if_all_are_slow():
     simulation = PolicySimulation(9)
     unresponsive = simulation.balancer.subset.members[0]
     simulation.outcome_of = for_upstream(unresponsive, None, otherwise=Outcome.SERVED)
@@ -35,9 +35,9 @@
     assert all(upstream.weight > 0.3 for upstream in simulation.balancer.subset.members)
 
 
-def test_upstream_that_refused_connections_is_retried_without_health_checks():
-    # After a network failure an upstream got no attempts any more, as it had not restarted and so
-    # the endpoint list reported no new start.
+def test_upstream_that_refused_connections_gets_attempts_again_without_health_checks():
+    # Guards against an upstream that gets no attempts any more after a network failure: it has not
+    # restarted, so the endpoint list reports no new start.
     simulation = PolicySimulation(11, may_health_check=False)
     unreachable = simulation.balancer.subset.members[0]
     simulation.outcome_of = for_upstream(
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -52,6 +52,7 @@
 
     retried = 0
     for _ in range(1500):
+        # A constant state, in which only the random draw decides.
         budget.B, budget.f = 0.2, 0.1
         budget.f_by_class[0], budget.rate.weight = 0.1, 100.0
         for upstream in simulation.upstreams:
@@ -61,6 +62,7 @@
         simulation.step(400 * MILLISECOND)
         if len(request.attempts) > 1:
             retried += 1
+            # Reduced by 1 / rate, with a rate of more than 15 attempts per second.
             assert 0.2 - 1 / 15 < budget.B < 0.2
 
     assert 0.15 < retried / 1500 < 0.25
@@ -75,7 +77,8 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.MALFORMED_RESPONSE, Outcome.RESET])
 def test_attempts_lost_in_transit_at_all_upstreams_are_retried_within_the_budget(outcome):
-    # The losses at each upstream stopped the retries of all: one request in ten finally failed.
+    # Guards against losses at each upstream that stop the retries of all: one request in ten
+    # finally failed.
     responses = []
     for seed in range(17, 21):
         simulation = PolicySimulation(seed, fleet_size=1)
@@ -90,11 +93,12 @@
         assert 0 < len(retries) < retry_budget.B0 * len(requests)
         assert not any(attempt.request.service_class.effect == Effect.UNSAFE for attempt in retries)
 
-    # First attempts serve nine in ten; with one retry for five failures it was 0.90 in total.
+    # First attempts serve nine in ten; with a retry of only one failure in five, 0.90 of all
+    # requests were served.
     assert responses.count(FinalResponse.SERVED) > 0.95 * len(responses)
 
 
-def was_refused_over_half_a_second_ago(simulation, request):
+def first_attempt_failed_to_connect_over_500_ms_ago(simulation, request):
     return (
         bool(request.attempts)
         and request.attempts[0].outcome == Outcome.CONNECT_FAILED
@@ -102,9 +106,9 @@
     )
 
 
-def test_requests_refused_by_an_unreachable_upstream_are_served_by_others():
-    # Four in five of the requests refused before the upstream was known to be unreachable finally
-    # failed.
+def test_requests_whose_first_attempt_cannot_connect_are_served_by_other_upstreams():
+    # Guards against failing such requests while the upstream is not yet known to be unreachable:
+    # four in five finally failed.
     responses = []
     for seed in range(40, 80):
         simulation = PolicySimulation(seed, fleet_size=1)
@@ -118,7 +122,7 @@
         responses += simulation.responses_to(
             request
             for request in simulation.requests
-            if was_refused_over_half_a_second_ago(simulation, request)
+            if first_attempt_failed_to_connect_over_500_ms_ago(simulation, request)
         )
 
     assert len(responses) > 20
@@ -139,9 +143,9 @@
     assert budget.f < retry_budget.HIGH_F and budget.B > 0.1
 
 
-def test_one_upstream_that_rejects_all_is_not_overload_and_soon_gets_few_attempts():
-    # An upstream that drains before the endpoint list reports it rejects everything: its rejections
-    # stopped retries that other upstreams could have served.
+def test_rejections_of_a_single_upstream_are_no_overload_and_it_soon_gets_few_attempts():
+    # An upstream that drains before the endpoint list reports it rejects everything. Guards against
+    # rejections of one upstream that stop retries which others could serve.
     responses = []
     for seed in range(20, 26):
         simulation = PolicySimulation(seed, fleet_size=1)
@@ -188,14 +192,14 @@
         return action
 
 
-def test_attempt_not_sent_to_a_draining_upstream_consumes_no_budget_attempt_or_warm_up_credit():
-    case = SelectedAttempt()
-    chosen, budget = case.attempt.upstream, case.balancer.retry_budget
-    chosen.slow_start_since, chosen.warm_up_credit = case.now, 0.0
+def test_unsent_attempt_to_a_draining_upstream_uses_no_retry_budget_no_limit_and_no_credit():
+    setup = SelectedAttempt()
+    chosen, budget = setup.attempt.upstream, setup.balancer.retry_budget
+    chosen.slow_start_since, chosen.warm_up_credit = setup.now, 0.0
     draining = EndpointUpdate(chosen, UpstreamState.DRAINING, 0)
-    case.balancer.endpoints_changed(case.now, False, [draining])
+    setup.balancer.endpoints_changed(setup.now, False, [draining])
 
-    action = case.end_unsent(case.attempt)
+    action = setup.end_unsent(setup.attempt)
 
     assert isinstance(action, StartAttempt)
     assert action.attempt.upstream is not chosen
@@ -203,4 +207,4 @@
     assert (budget.B, budget.f) == (retry_budget.B0, 0.0)
     # An attempt that was not sent although its upstream is ready shows that this process has run
     # out of sockets, which an attempt at another upstream would also need.
-    assert isinstance(case.end_unsent(action.attempt), RejectRequest)
+    assert isinstance(setup.end_unsent(action.attempt), RejectRequest)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -31,6 +31,7 @@
     to_cold = sum(attempt.upstream is cold for attempt in attempts)
     to_a_warm_one = sum(attempt.upstream is not cold for attempt in attempts) / 7
     capacity = simulation.settings.slow_start_capacity
+    # At the end of the 3 s run the capacity is 0.2 + 0.8 * 3 s / 10 s; seven upstreams are warm.
     assert 0 < to_cold <= 1 + (capacity + 0.8 * 0.3) * to_a_warm_one
 
 
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -30,12 +30,14 @@
             same_zone += sum(upstream.zone == 0 for upstream in members)
 
         assert covered == {bytes([n] * 6) for n in range(12)}
+        # On average three of the four members of each of the 12 balancers are in zone 0.
         assert same_zone >= 36
 
 
 @pytest.mark.parametrize("index", range(0, 96, 7))
 def test_subset_keeps_its_members_when_other_upstreams_are_gone(index):
-    # The loss of a zone shifted all subsets, and all their connections had to be replaced.
+    # Guards against the loss of a zone that shifts all subsets, so that all connections have to be
+    # replaced.
     upstreams = [Upstream(bytes([n] * 6)) for n in range(24)]
     lost = set(upstreams[::3])
     simulation = PolicySimulation(10, index=index, fleet_size=96)
--- a/tests/test_poll_backoff.py
+++ b/tests/test_poll_backoff.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("earliest", [0, 1, 3 * SECOND - 1, 3 * SECOND, 3 * SECOND + 1])
-def test_next_poll_time_is_the_first_one_not_before_the_earliest(earliest):
+def test_next_slot_is_the_first_one_at_or_after_the_earliest_time(earliest):
     slot = next_slot(earliest, 4 * SECOND, 0.75)
 
     assert slot in (3 * SECOND, 7 * SECOND)
@@ -40,15 +40,15 @@
     backoff = PollBackoff(4 * SECOND, 6 * SECOND, steady_failures=2, max_doublings=2)
     lengths = []
     for _ in range(7):
-        # Read directly: in a fleet the waits also depend on the slot, and show up to a quarter of a
-        # round plus a whole one.
-        lengths.append(backoff._round() // SECOND)
+        # The private length is read because the time until the next poll also depends on the slot;
+        # it is at most 1.25 rounds.
+        lengths.append(backoff._round_ns() // SECOND)
         backoff.next_poll(0, 1, 0, NO_JITTER)
 
     assert lengths == [4, 6, 6, 12, 24, 24, 24]
 
     backoff.reset()
-    assert backoff._round() == 4 * SECOND
+    assert backoff._round_ns() == 4 * SECOND
 
 
 def test_balancer_polls_at_most_once_per_round_while_polls_are_refused_immediately():
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings with odd values: either valid for a policy, or refused with a one-line message."""
+"""Settings with edge values: either valid for a policy, or refused with a one-line message."""
 
 import copy
 import math
@@ -10,7 +10,7 @@
 from pepperhook.balancer import Balancer
 from tests.server.balancers import ENVIRONMENT
 
-ODD_VALUES = [
+EDGE_VALUES = [
     None,
     True,
     "x",
@@ -81,17 +81,19 @@
 
 def numbers_in(record):
     """Yield all integers of settings or of a service class."""
-    for row in fields(record):
-        value = getattr(record, row.name)
+    for field in fields(record):
+        value = getattr(record, field.name)
         if isinstance(value, int):
             yield value
 
 
-@pytest.mark.parametrize(("key", "make"), CASES, ids=[key for key, _ in CASES])
-def test_odd_value_is_refused_with_its_key_or_gives_settings_that_a_policy_accepts(key, make):
+@pytest.mark.parametrize(("key", "make_document"), CASES, ids=[key for key, _ in CASES])
+def test_edge_value_is_refused_with_its_key_or_gives_settings_that_a_policy_accepts(
+    key, make_document
+):
     # Prevents tracebacks, and numbers that captures and journals cannot store.
-    for value in ODD_VALUES:
-        document = make(value)
+    for value in EDGE_VALUES:
+        document = make_document(value)
         try:
             read = settings.read(document)
             settings.read_names(document)
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,10 @@
-"""Short names for helpers of ``tests.policy`` and ``tests.server``, used by other tests."""
+"""Second names for helpers of ``tests.policy`` and ``tests.server``, for tests that still use them.
+
+New tests import the helpers themselves: ``make_settings`` and ``make_service_class`` (here
+``settings`` and ``grade``), ``PolicySimulation`` (``World``), ``RunningBalancer`` (``Running``),
+``ScriptedPeer`` (``Peer``), ``make_config`` (``told``), ``endpoint_rows`` (``hosts``),
+``make_response`` (``answer``) and ``header_value`` (``header``).
+"""
 
 import asyncio
 from functools import wraps
