--- a/pepperhook/domain.py
+++ b/pepperhook/domain.py
@@ -187,8 +187,8 @@
 
     def accrue_credit(self, now: int, attempts_per_s: float, fraction: float) -> float:
         """Return the credit, grown since the last call at ``fraction`` of the rate, at most 1."""
-        earned = (now - self.credit_updated_at) / SECOND * attempts_per_s * fraction
-        self.warm_up_credit = min(1.0, self.warm_up_credit + earned)
+        accrued = (now - self.credit_updated_at) / SECOND * attempts_per_s * fraction
+        self.warm_up_credit = min(1.0, self.warm_up_credit + accrued)
         self.credit_updated_at = now
         return self.warm_up_credit
 
--- a/pepperhook/policy/outlier.py
+++ b/pepperhook/policy/outlier.py
@@ -20,9 +20,7 @@
 CHECK_LEAD = 2 * SECOND  # health checks begin this long before the endpoint list becomes stale
 # Delay of the first health check of an unreachable upstream; mean interval of the next; period of reviews.
 CHECK_AFTER, CHECK_INTERVAL, REVIEW_PERIOD = 100 * MILLISECOND, SECOND, 200 * MILLISECOND
-UNREACHABLE_PAUSE = (
-    5 * SECOND
-)  # mean time without attempts to an unreachable upstream if health checks are off
+UNREACHABLE_PAUSE = 5 * SECOND  # mean time without attempts to an unreachable upstream without health checks
 ASSUMED_RESTARTED_AFTER = 1500 * MILLISECOND  # an upstream unreachable for longer is assumed to be cold
 
 
--- a/pepperhook/policy/priority.py
+++ b/pepperhook/policy/priority.py
@@ -33,7 +33,7 @@
         rate = self.tenant_rates[tenant].rate(now)
         self.tenant_rates[tenant].add(now)
         quota = self.settings.tenants[tenant].quota_per_s / self.balancer.fleet_size
-        # Of the requests above the quota, a random fraction of 1 - quota / rate has its value reduced.
+        # While the rate exceeds the quota, a random fraction 1 - quota / rate of requests loses value.
         if not quota or self.balancer.random() * rate <= quota:
             return 1.0
         self.balancer.note(request, OverQuotaNote, rate, quota)
