--- a/pepperhook/endpoint_ring.py
+++ b/pepperhook/endpoint_ring.py
@@ -1,4 +1,4 @@
-"""The endpoint list as a hash ring, on which gone upstreams keep their positions for a while."""
+"""The endpoint list as a hash ring on which gone upstreams temporarily keep their positions."""
 
 from collections.abc import Iterable, Iterator
 from zlib import crc32
@@ -7,21 +7,21 @@
 
 
 class EndpointRing:
-    """All upstreams that are or were listed, in the order of their addresses' hashes."""
+    """Upstreams that are or were listed lately, ordered by the hashes of their addresses."""
 
     def __init__(self, keep_gone_ns: int) -> None:
-        """Start empty; what is gone keeps its position for ``keep_gone_ns``.
+        """Create an empty ring; gone upstreams keep their position for ``keep_gone_ns``.
 
-        Without that all subsets would move, with their connections, when a zone is lost.
+        Otherwise the loss of a zone would shift all subsets, and connections would be replaced.
         """
         self.keep_gone_ns = keep_gone_ns
-        self.listed: dict[Upstream, int] = {}  # not gone, with when it was last listed
-        self.seen: dict[Upstream, int] = {}  # also those gone of late
+        self.listed: dict[Upstream, int] = {}  # time when last listed, of upstreams not gone
+        self.seen: dict[Upstream, int] = {}  # the same, with those recently gone
         self.positions: list[Upstream] = []
         self.ready: list[Upstream] = []
 
     def apply(self, now: int, whole: bool, updates: Iterable[EndpointUpdate]) -> None:
-        """Take in an endpoint list; ``whole``: what it does not name is gone."""
+        """Apply an endpoint list; ``whole``: upstreams that it does not name are gone."""
         for upstream in self.listed if whole else ():
             upstream.state = UpstreamState.GONE
         for upstream, state, _ in updates:
@@ -34,13 +34,13 @@
         self.ready = [u for u in self.positions if u.is_ready]
 
     def in_zone(self, zone: int | None) -> list[Upstream]:
-        """Return the positions of one zone; all where ``zone`` is None."""
+        """Return the upstreams of a zone in ring order, or all if ``zone`` is None."""
         return [u for u in self.positions if zone is None or u.zone == zone]
 
 
-def walk(ring: list[Upstream], index: int, count: int) -> Iterator[Upstream]:
-    """Yield all of a ring, from the position of the caller ``index`` of ``count`` on."""
-    start = index * len(ring) // count
+def walk(ring: list[Upstream], index: int, fleet_size: int) -> Iterator[Upstream]:
+    """Yield all upstreams of a ring, from the position of balancer ``index`` on."""
+    start = index * len(ring) // fleet_size
     for step in range(len(ring)):
         yield ring[(start + step) % len(ring)]
 
@@ -48,20 +48,21 @@
 def choose_members(
     rings: Iterable[tuple[list[Upstream], int]],
     index: int,
-    count: int,
-    width: int,
+    fleet_size: int,
+    size: int,
     min_reachable: int,
 ) -> list[Upstream]:
-    """Return the members of the subset of the caller ``index`` of ``count``, in their order.
+    """Return the ordered members of the subset of balancer ``index``.
 
-    Each ring is walked from the caller's position on, up to as many members as stand beside it.
-    ``width`` members are enough, once ``min_reachable`` of them can be reached.
+    ``rings`` are pairs of a ring and a limit, in order of preference. Each ring is walked from the
+    balancer's position on, until the members reach the limit in total, or ``size`` members are
+    found of which ``min_reachable`` are reachable.
     """
     members: dict[Upstream, bool] = {}
     reachable = 0
     for ring, limit in rings:
-        for upstream in walk(ring, index, count):
-            if len(members) >= limit or (len(members) >= width and reachable >= min_reachable):
+        for upstream in walk(ring, index, fleet_size):
+            if len(members) >= limit or (len(members) >= size and reachable >= min_reachable):
                 break
             if upstream.is_ready:
                 reachable += upstream not in members and upstream.unreachable_since is None
--- a/pepperhook/policy_proxy.py
+++ b/pepperhook/policy_proxy.py
@@ -1,4 +1,4 @@
-"""Stands in a policy's place: for whoever records, traces or compares its calls."""
+"""Proxies of a policy that record, trace or compare its calls."""
 
 from typing import Any
 
@@ -6,30 +6,33 @@
 
 
 class PolicyProxy:
-    """Passes on what it does not define; what is set on it is set on the policy."""
+    """Delegates attributes that it does not define to the policy, both reads and writes."""
 
-    def __init__(self, module: Any, **own: Any) -> None:
-        """Stand in the place of ``module``; ``own`` are the proxy's own attributes."""
-        self.__dict__.update(module=module, **own)
+    def __init__(self, module: Any, **proxy_attributes: Any) -> None:
+        """Wrap the policy ``module``; ``proxy_attributes`` are set on the proxy itself."""
+        self.__dict__.update(module=module, **proxy_attributes)
 
     def __getattr__(self, name: str) -> Any:
         """Return an attribute of the policy."""
         return getattr(self.module, name)
 
     def __setattr__(self, name: str, value: Any) -> None:
-        """Set it on the policy: the host takes what a failed call left, and clears it."""
+        """Set an attribute of the policy, as hosts do to clear the actions of a failed call."""
         setattr(self.module, name, value)
 
 
-def route_calls(kind: type) -> None:
-    """Give a proxy class all calls of a policy, each by way of ``call(name, now, *arguments)``."""
+def route_calls(proxy_class: type) -> None:
+    """Define all entry points on a proxy class.
 
-    def through(name: str) -> Any:
-        def call(self: Any, now: int, *arguments: Any) -> Any:
+    Each forwards to the method ``call(name, now, *arguments)`` of the proxy.
+    """
+
+    def make_entry_point(name: str) -> Any:
+        def entry_point(self: Any, now: int, *arguments: Any) -> Any:
             return self.call(name, now, *arguments)
 
-        call.__name__ = name
-        return call
+        entry_point.__name__ = name
+        return entry_point
 
     for name in CALLS:
-        setattr(kind, name, through(name))
+        setattr(proxy_class, name, make_entry_point(name))
--- a/tests/policy/fleet.py
+++ b/tests/policy/fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of balancers that share nothing, before upstreams that all of them use."""
+"""Simulated fleets of independent balancers that use the same upstreams."""
 
 import heapq
 import itertools
@@ -17,7 +17,7 @@
 
 
 class FleetAttempt(NamedTuple):
-    """When an attempt was started, by which balancer and at which upstream."""
+    """When an attempt was started, by which balancer and at which upstream (indices)."""
 
     at: int
     balancer: int
@@ -25,7 +25,7 @@
 
 
 class Fleet:
-    """Balancers whose attempts all have the same latency and are served."""
+    """A fleet whose attempts are all served, with the same latency."""
 
     def __init__(self, balancers, upstreams, seed, latency_ns):
         self.random = random.Random(seed)
@@ -49,7 +49,7 @@
         return Balancer(settings, seed * 100 + index, self.now)
 
     def report_all_ready(self, started_at):
-        """Report a list of upstreams, all of which started at this time."""
+        """Report an endpoint list in which all upstreams are ready, started at this time."""
         for index, balancer in enumerate(self.balancers):
             rows = ready(self.upstreams[index], started_at)
             self._perform(index, balancer.endpoints_changed(self.now, True, rows))
@@ -67,7 +67,7 @@
                     self.responses[FinalResponse.FAILED] += 1
 
     def run(self, seconds, rate):
-        """Play for a while, in which each balancer gets ``rate`` requests a second."""
+        """Simulate ``seconds``, in which each balancer gets ``rate`` requests per second."""
         ends_at = self.now + int(seconds * SECOND)
         while self.now < ends_at:
             self.now += STEP_NS
@@ -80,7 +80,7 @@
                     self._perform(index, balancer.accept(self.now, request))
 
     def _end_attempts(self):
-        for due in [one for one in self.in_flight if one[0] <= self.now]:
+        for due in [entry for entry in self.in_flight if entry[0] <= self.now]:
             self.in_flight.remove(due)
             _, index, attempt = due
             self.responses[FinalResponse.SERVED] += 1
@@ -90,37 +90,39 @@
             self._perform(index, actions)
 
     def attempts_since(self, at):
-        """Return how many attempts were started at this time or later."""
+        """Return the number of attempts that were started at ``at`` or later."""
         return sum(attempt.at >= at for attempt in self.attempts)
 
 
 class Excess(NamedTuple):
-    """By how many attempts a window is over its bound, its budget, and its count."""
+    """Attempts of a window above its bound, its budget, and its number of attempts."""
 
-    over: float
+    above_bound: float
     budget: float
     count: int
 
 
 class SlowStartFleet:
-    """Balancers that send to one upstream in slow start, among eight.
+    """A fleet with eight upstreams, one of which enters slow start.
 
-    Each is a policy of its own that is notified at the same moment. ``rate``: attempts per second
-    that an upstream bears. Connections come up late by up to ``late_ns``. ``restarts``: half of
-    the balancers begin anew, with the list as it was, a second after the slow start has begun.
+    Each balancer is an independent policy, and all are notified at the same time. ``rate``:
+    requests offered per upstream and second, which is also its capacity. Attempts reach the
+    upstream with a random delay of up to ``max_delay_ns``, as connections are established.
+    ``restarts``: half of the balancers restart with the same endpoint list one second after slow
+    start has begun.
     """
 
-    BEGINS_AT, STARTED_AT, ENDS_AT = 5 * SECOND, 25 * SECOND, 37 * SECOND
+    RUN_BEGINS_AT, UPSTREAM_STARTS_AT, RUN_ENDS_AT = 5 * SECOND, 25 * SECOND, 37 * SECOND
     WINDOW_NS, SLOW_START_NS, LATENCY_NS = 1500 * MILLISECOND, 10 * SECOND, 40 * MILLISECOND
     INITIAL_CAPACITY = 0.2
     UPSTREAMS, IN_SLOW_START = 8, 3
 
-    def __init__(self, balancers, seed, late_ns=0, restarts=False, rate=12.0):
+    def __init__(self, balancers, seed, max_delay_ns=0, restarts=False, rate=12.0):
         self.random = random.Random(seed)
         self.seed = seed
-        self.late_ns = late_ns
+        self.max_delay_ns = max_delay_ns
         self.rate = rate
-        self.rate_of_each = rate * self.UPSTREAMS / balancers
+        self.rate_per_balancer = rate * self.UPSTREAMS / balancers
         self.settings = make_settings(
             fleet_size=balancers,
             connection_price=0.0,
@@ -134,20 +136,25 @@
         self.events, self.event_numbers = [], itertools.count()
         self.arrivals = []
         for number in range(balancers):
-            self._begin(self.BEGINS_AT, number, 0)
-            self._schedule_request(self.BEGINS_AT, number)
-            self._schedule(self.STARTED_AT, self._report_start, number)
+            self._start_balancer(self.RUN_BEGINS_AT, number, 0)
+            self._schedule_request(self.RUN_BEGINS_AT, number)
+            self._schedule(self.UPSTREAM_STARTS_AT, self._report_start, number)
             if restarts and number % 2:
-                self._schedule(self.STARTED_AT + SECOND, self._begin, number, self.STARTED_AT)
+                self._schedule(
+                    self.UPSTREAM_STARTS_AT + SECOND,
+                    self._start_balancer,
+                    number,
+                    self.UPSTREAM_STARTS_AT,
+                )
 
     def _schedule(self, at, handler, *arguments):
         heapq.heappush(self.events, (at, next(self.event_numbers), handler, arguments))
 
     def _schedule_request(self, now, number):
-        wait_ns = int(self.random.expovariate(self.rate_of_each) * SECOND)
+        wait_ns = int(self.random.expovariate(self.rate_per_balancer) * SECOND)
         self._schedule(now + wait_ns, self._accept, number)
 
-    def _begin(self, now, number, started_at):
+    def _start_balancer(self, now, number, started_at):
         settings = replace(self.settings, index=number)
         balancer = Balancer(settings, self.seed * 100 + number + now, now)
         upstreams = [Upstream(bytes([n] * 6)) for n in range(self.UPSTREAMS)]
@@ -160,7 +167,7 @@
     def _report_start(self, now, number):
         balancer, upstreams = self.balancers[number]
         upstream = upstreams[self.IN_SLOW_START]
-        update = EndpointUpdate(upstream, UpstreamState.READY, self.STARTED_AT)
+        update = EndpointUpdate(upstream, UpstreamState.READY, self.UPSTREAM_STARTS_AT)
         self._perform(now, balancer, balancer.endpoints_changed(now, False, [update]))
 
     def _accept(self, now, number):
@@ -175,7 +182,7 @@
             if isinstance(action, WakeAt):
                 self._schedule(action.at_ns, self._wake, balancer)
             elif isinstance(action, StartAttempt):
-                arrives_at = now + int(self.random.random() * self.late_ns)
+                arrives_at = now + int(self.random.random() * self.max_delay_ns)
                 if action.attempt.upstream.address[0] == self.IN_SLOW_START:
                     self.arrivals.append(arrives_at)
                 ends_at = arrives_at + self.LATENCY_NS
@@ -190,22 +197,24 @@
         self._perform(now, balancer, actions)
 
     def run(self):
-        """Play all events until the end."""
-        while self.events and self.events[0][0] < self.ENDS_AT:
+        """Process all events until the end of the simulation."""
+        while self.events and self.events[0][0] < self.RUN_ENDS_AT:
             at, _, handler, arguments = heapq.heappop(self.events)
             handler(at, *arguments)
 
     def largest_excess(self):
-        """Return by how much the upstream got too much in the worst window after its start.
+        """Return the excess of the worst window after the start of the upstream.
 
-        The bound is the window's budget and 2 * sqrt(budget) + 2, which are put down to chance.
+        The bound is the budget of the window plus 2 * sqrt(budget) + 2 for chance.
         """
-        starts = [at for at in self.arrivals if at >= self.STARTED_AT]
-        return max((self._excess(at) for at in starts), default=Excess(-99.0, 0.0, 0))
+        starts = [at for at in self.arrivals if at >= self.UPSTREAM_STARTS_AT]
+        return max(
+            (self._excess(at) for at in starts), default=Excess(-99.0, 0.0, 0)
+        )  # no attempt: far below the bound
 
     def _excess(self, begins_at):
         count = sum(begins_at <= at < begins_at + self.WINDOW_NS for at in self.arrivals)
-        age_ns = begins_at + self.WINDOW_NS / 2 - self.STARTED_AT
+        age_ns = begins_at + self.WINDOW_NS / 2 - self.UPSTREAM_STARTS_AT
         progress = min(1.0, age_ns / self.SLOW_START_NS)
         capacity = self.INITIAL_CAPACITY + (1 - self.INITIAL_CAPACITY) * progress
         budget = self.rate * capacity * self.WINDOW_NS / SECOND
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -1,4 +1,4 @@
-"""Seeded random runs, in which the simulation checks the rules after every action."""
+"""Seeded random runs in which the simulation checks the rules after every action."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 def change_endpoints_at_random(simulation):
-    """Report a random list, which is whole one time in five."""
+    """Report a random endpoint list, which is a whole one in one of five cases."""
     draw = simulation.random
     whole = draw.random() < 0.2
     updates = [
@@ -29,13 +29,13 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_rules_hold_while_endpoints_change_and_attempts_fail(seed):
-    more = LOAD_QUERY_SETTINGS | {"fleet_size": 300, "clients_mark_retries": True}
+    load_query_settings = LOAD_QUERY_SETTINGS | {"fleet_size": 300, "clients_mark_retries": True}
     simulation = PolicySimulation(
         seed,
         may_overlap_attempts=seed % 3 == 0,
         may_advise_retry_after=seed % 4 == 0,
         slow_start_ns=2 * SECOND,
-        **(more if seed % 2 else {}),
+        **(load_query_settings if seed % 2 else {}),
     )
     simulation.keeps_retry_budget_full = True
 
@@ -48,10 +48,10 @@
                 simulation.client_leaves(last)
 
     retries = [sent for sent in simulation.sent_attempts if sent.attempt.number]
-    assert retries, "a run without retries would not check them"
+    assert retries, "a run without retries does not check the rules for retries"
 
 
-def test_requests_are_served_after_a_restart_without_state():
+def test_requests_are_served_after_a_restart_that_loses_all_state():
     simulation = PolicySimulation(5)
     simulation.run(300, arrival_probability=0.5)
 
@@ -71,5 +71,6 @@
     simulation.outcome_of = constant(Outcome.SERVED)
     simulation.run(8000, arrival_probability=0.3)
 
-    late = simulation.responses_to(simulation.requests[-250:-150])
-    assert late.count(FinalResponse.SERVED) > 95
+    # After the recovery, without the last 150, which may still be open.
+    responses = simulation.responses_to(simulation.requests[-250:-150])
+    assert responses.count(FinalResponse.SERVED) > 95
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,10 @@
-"""The helpers of ``tests.policy`` and ``tests.server`` under the names that older tests use."""
+"""Second names for helpers of ``tests.policy`` and ``tests.server``, for tests that still use them.
+
+New tests import the helpers themselves: ``make_settings`` and ``make_service_class`` (here
+``settings`` and ``grade``), ``PolicySimulation`` (``World``), ``RunningBalancer`` (``Running``),
+``ScriptedPeer`` (``Peer``), ``make_config`` (``told``), ``endpoint_rows`` (``hosts``),
+``make_response`` (``answer``) and ``header_value`` (``header``).
+"""
 
 import asyncio
 from functools import wraps
@@ -37,33 +43,25 @@
 
 
 def alias(name):
-    """Return a property that reads and writes another attribute."""
+    """Return a property that reads and writes the attribute ``name``."""
     return property(
         lambda self: getattr(self, name), lambda self, value: setattr(self, name, value)
     )
 
 
 class World(PolicySimulation):
-    """The simulation under its older attribute names."""
-
-    taken = alias("requests")
-    answered = alias("responses")
-    sends = alias("sent_attempts")
-    fate = alias("outcome_of")
-    span = alias("latency_of")
-    generous = alias("keeps_retry_budget_full")
-    play = PolicySimulation.perform
+    """The simulation with an optional factory of the policy, ``make``."""
 
     def __init__(self, seed, make=None, **values):
         super().__init__(seed, **({"make_policy": make} if make else {}), **values)
 
     def run(self, steps, chance=0.15):
-        """Play steps, in each of which a request arrives with this chance."""
+        """Simulate steps, in each of which a request arrives with probability ``chance``."""
         super().run(steps, chance)
 
 
 class Peer(ScriptedPeer):
-    """The scripted peer under its older attribute names."""
+    """ScriptedPeer with short attribute names."""
 
     dial = alias("address")
     seen = alias("requests")
@@ -71,7 +69,7 @@
 
 
 class Running(RunningBalancer):
-    """The running balancer under its older attribute names."""
+    """RunningBalancer with short attribute names."""
 
     node = alias("app")
     head = alias("response_head")
@@ -85,12 +83,12 @@
 
 
 def answer(status=200, body=b"done", more=b""):
-    """Return the bytes of a response."""
+    """Return the bytes of a response; ``more`` are header lines."""
     return make_response(status, body, more)
 
 
 def loopback(test):
-    """Run a test that is a coroutine; a hang fails it."""
+    """Run a coroutine test in an event loop, with a timeout."""
 
     @wraps(test)
     def run(*args, **named):
