--- a/pepperhook/http2/__init__.py
+++ b/pepperhook/http2/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/2 (RFC 9113) to clients and to upstreams, on the h2 library's framing and state."""
+"""HTTP/2 (RFC 9113) for clients and upstreams, built on the h2 library's protocol state."""
--- a/pepperhook/http2/abuse_limits.py
+++ b/pepperhook/http2/abuse_limits.py
@@ -1,20 +1,20 @@
-"""Limits on what a peer may do that costs work and brings no request forward; without I/O.
+"""Limits on frames that cost work without making progress on a request; no I/O.
 
-Each such frame draws on one token bucket for the connection, which is refilled by time and by
-answered requests. So a busy, well-behaved peer never runs out, and one that sends nothing else is
-disconnected with ENHANCE_YOUR_CALM (RFC 9113, 10.5), whatever mixture it sends.
+All these frames draw on one token bucket per connection, which is refilled over time and by
+answered requests. A busy, well-behaved peer therefore never runs out of credit. A peer that sends
+little else is disconnected with ENHANCE_YOUR_CALM (RFC 9113, 10.5), whatever mix of frames it uses.
 """
 
 from enum import Enum
 
 NS_PER_S = 10**9
-MAX_CREDIT = 200.0  # what a connection may spend at once
-CREDIT_PER_S = 20.0  # refilled by time
-CREDIT_PER_ANSWER = 8.0  # refilled by each answered request
+MAX_CREDIT = 200.0  # capacity of the bucket, and so the largest burst
+CREDIT_PER_S = 20.0
+CREDIT_PER_RESPONSE = 8.0
 
 
 class FrameKind(Enum):
-    """The kinds of frames that bring no request forward, each with its cost."""
+    """The kinds of frames that make no progress on a request, each with its cost in credit."""
 
     RESET = ("RST_STREAM", 4.0)
     PING = ("PING", 2.0)
@@ -28,39 +28,39 @@
     GOAWAY = ("GOAWAY", 20.0)
 
     def __init__(self, description: str, cost: float) -> None:
-        """Keep the description and the cost apart."""
+        """Store the two parts of the value as attributes."""
         self.description = description
         self.cost = cost
 
 
 class AbuseBudget:
-    """The token bucket of one connection."""
+    """The token bucket that limits frames without progress on one connection."""
 
     __slots__ = ("credit", "refilled_at_ns")
 
     def __init__(self, now_ns: int) -> None:
-        """Begin with a full bucket."""
+        """Start with a full bucket."""
         self.credit = MAX_CREDIT
         self.refilled_at_ns = now_ns
 
     def charge(self, now_ns: int, kind: FrameKind) -> bool:
-        """Charge for one frame; False where the connection is to be ended."""
+        """Charge for one frame; return False if the peer must be disconnected."""
         refill = (now_ns - self.refilled_at_ns) * CREDIT_PER_S / NS_PER_S
         self.credit = min(MAX_CREDIT, self.credit + refill) - kind.cost
         self.refilled_at_ns = now_ns
         return self.credit >= 0
 
     def request_answered(self) -> None:
-        """Refill for an answered request."""
-        self.credit = min(MAX_CREDIT, self.credit + CREDIT_PER_ANSWER)
+        """Refill the bucket after an answered request."""
+        self.credit = min(MAX_CREDIT, self.credit + CREDIT_PER_RESPONSE)
 
 
 class StreamLimit:
-    """How many streams a connection to an upstream may have open at once.
+    """Limits how many streams a connection to an upstream may have open at once.
 
-    Few while it is new, one more with each answer, up to what both sides permit. Against a new
-    connection, or an instance behind it that has just started, taking at once all the streams of
-    one that died.
+    The limit starts low and grows by one with each response, up to the maximum that both sides
+    permit. This keeps a new connection, or an instance that has just started behind it, from
+    receiving all the streams of a failed connection at once.
     """
 
     __slots__ = ("allowed", "max_streams")
@@ -68,7 +68,7 @@
     INITIAL = 8
 
     def __init__(self, max_streams: int) -> None:
-        """Begin with few of the ``max_streams`` that this side permits."""
+        """Start at INITIAL, or at the ``max_streams`` that this side permits if that is lower."""
         self.max_streams = max_streams
         self.allowed = min(self.INITIAL, max_streams)
 
@@ -77,7 +77,7 @@
         self.allowed = min(self.max_streams, self.allowed + 1)
 
     def set_max_streams(self, max_streams: int) -> None:
-        """Follow the peer's SETTINGS, which may raise or lower the limit at any time."""
+        """Apply the maximum from the peer's SETTINGS, which may rise or fall at any time."""
         has_grown = self.allowed > self.INITIAL
         self.max_streams = max(0, max_streams)
         self.allowed = min(self.max_streams, self.allowed if has_grown else self.INITIAL)
--- a/pepperhook/http2/client.py
+++ b/pepperhook/http2/client.py
@@ -1,8 +1,8 @@
-"""Sends requests to one upstream over HTTP/2: few connections, many streams.
+"""Sends requests to one upstream over HTTP/2, as many streams on a few connections.
 
-Each request gets one response or one typed error. Nothing here sends a request again: what was
-provably never executed ends as StaleConnectionError, for the one place that may use another
-connection for it.
+Each request gets one response or one typed error. Nothing here sends a request again: a request
+that was provably never executed ends with StaleConnectionError, and only the caller may send it on
+another connection.
 """
 
 from __future__ import annotations
@@ -32,14 +32,15 @@
     from pepperhook.server.structured_logging import Log
 
 MAX_CONNECTIONS = 4
-FULL_FRACTION = 0.8  # of a connection's streams in use, from which another one is opened
-SETUP_FACTOR = 4  # times the connect timeout, for connecting and the upstream's first SETTINGS
+NEARLY_FULL_FRACTION = 0.8  # share of streams in use from which another connection is opened
+# Connecting and the upstream's first SETTINGS may take this multiple of the connect timeout.
+SETUP_TIMEOUT_FACTOR = 4
 
 SocketFactory = Callable[[tuple[Any, ...]], socket.socket]
 
 
 class Http2Client:
-    """The connections to one upstream; with the same calls as http1_client.Http1Client."""
+    """The connections to one upstream; has the same interface as http1_client.Http1Client."""
 
     def __init__(
         self,
@@ -53,10 +54,10 @@
         log: Log,
         counters: Counters,
     ) -> None:
-        """Begin without connections to ``address``.
+        """Start without connections to ``address``.
 
-        ``idle_timeout_s``: how long a connection may stand idle; ``read_timeout_s``: how long a
-        response may take from its first byte to its last; ``max_streams``: on one connection.
+        ``idle_timeout_s``: how long a connection may be idle; ``read_timeout_s``: the maximum time
+        from the headers of a response to its end; ``max_streams``: the maximum for one connection.
         """
         self.address = address
         self.connect_timeout_s = connect_timeout_s
@@ -69,7 +70,8 @@
         self.loop = asyncio.get_running_loop()
         self.connections: list[ClientConnection] = []
         self.connecting: asyncio.Task[None] | None = None
-        self.waiters: list[asyncio.Future[None]] = []  # for a stream, the longest waiting first
+        # Requests that wait for a free stream, in order of arrival.
+        self.waiters: list[asyncio.Future[None]] = []
 
     async def request(
         self,
@@ -80,20 +82,21 @@
         timeout_s: float,
         may_write: Callable[[], bool] | None = None,
     ) -> tuple[int, Any, bytes]:
-        """Send one request; returns status, headers and body of the response. Raises AttemptError.
+        """Send one request; return status, headers and body of the response. Raises AttemptError.
 
-        SendForbiddenError where ``may_write``, called just before the first byte, returns False.
+        ``may_write`` is called just before the first byte is written; if it returns False, the
+        request ends with SendForbiddenError.
         """
         exchange = Exchange(self.loop)
-        ends_at = self.loop.time() + timeout_s
+        deadline = self.loop.time() + timeout_s
         try:
-            async with asyncio.timeout_at(ends_at):
+            async with asyncio.timeout_at(deadline):
                 connection = await self.acquire_connection(
-                    min(ends_at, self.loop.time() + self.connect_timeout_s)
+                    min(deadline, self.loop.time() + self.connect_timeout_s)
                 )
                 if may_write is not None and not may_write():
                     raise SendForbiddenError
-                head = self._header_block(method, target, headers, body)
+                head = self._request_head(method, target, headers, body)
                 await _run_exchange(connection, exchange, head, body)
         except AttemptError:
             raise
@@ -105,13 +108,13 @@
             raise StaleConnectionError(str(error)) from error
         except OSError as error:
             raise ConnectionLostError(str(error)) from error
-        assert exchange.status is not None  # else it would have ended with an error
+        assert exchange.status is not None  # a response without a status ends with an error
         return exchange.status, exchange.headers, bytes(exchange.body)
 
-    def _header_block(
+    def _request_head(
         self, method: str, target: str, headers: list[tuple[str, str]], body: bytes
     ) -> list[tuple[str, str]]:
-        block = [
+        head = [
             (":method", method),
             (":scheme", "http"),
             (":authority", self.address),
@@ -119,37 +122,40 @@
             *((name.lower(), value) for name, value in headers),
         ]
         if body:
-            block.append(("content-length", str(len(body))))
-        return block
+            head.append(("content-length", str(len(body))))
+        return head
 
     # Connections.
 
-    async def acquire_connection(self, connect_ends_at: float) -> ClientConnection:
-        """Return the connection with the most free streams; waits where there is none.
+    async def acquire_connection(self, connect_deadline: float) -> ClientConnection:
+        """Return the connection with the most free streams; wait if no stream is free.
 
-        Another one is opened where even that is well used. Raises ConnectFailedError.
+        Also opens another connection if the one returned is nearly full. ``connect_deadline``, in
+        the event loop's time, limits the wait for a connection. Raises ConnectFailedError.
         """
         while True:
             self._close_idle_connections()
             best = max(self.connections, key=_available_streams, default=None)
             if best is not None and best.available_streams > 0:
-                is_nearly_full = len(best.exchanges) >= FULL_FRACTION * best.stream_limit.allowed
+                is_nearly_full = (
+                    len(best.exchanges) >= NEARLY_FULL_FRACTION * best.stream_limit.allowed
+                )
                 if is_nearly_full and len(self.connections) < MAX_CONNECTIONS:
-                    self._connect()
+                    self._start_connecting()
                 return best
             if len(self.connections) < MAX_CONNECTIONS:
-                await self._wait_for_connect(connect_ends_at)
+                await self._wait_for_connect(connect_deadline)
             else:
                 await self._wait_for_stream()
 
-    async def _wait_for_connect(self, ends_at: float) -> None:
-        """Wait for a new connection, with all others that have none; its failure is everybody's."""
-        connecting = self._connect()
+    async def _wait_for_connect(self, deadline: float) -> None:
+        """Wait for the connection that is being opened; if it fails, all its waiters fail."""
+        connecting = self._start_connecting()
         try:
-            async with asyncio.timeout_at(ends_at):
+            async with asyncio.timeout_at(deadline):
                 await asyncio.shield(connecting)
         except TimeoutError:
-            raise ConnectTimeoutError(f"no connection to {self.address} in time") from None
+            raise ConnectTimeoutError(f"timed out connecting to {self.address}") from None
         except SocketLimitError:
             raise
         except OSError as error:
@@ -164,44 +170,46 @@
             if waiter in self.waiters:
                 self.waiters.remove(waiter)
 
-    def _connect(self) -> asyncio.Task[None]:
-        """Open one more connection, if none is coming up already."""
+    def _start_connecting(self) -> asyncio.Task[None]:
+        """Start opening a connection unless one is being opened already; return that task."""
         if self.connecting is None:
             self.connecting = self.loop.create_task(self._open_connection())
-            self.connecting.add_done_callback(self._connect_ended)
+            self.connecting.add_done_callback(self._on_connect_done)
         return self.connecting
 
-    def _connect_ended(self, task: asyncio.Task[None]) -> None:
+    def _on_connect_done(self, task: asyncio.Task[None]) -> None:
         self.connecting = None
         if not task.cancelled():
-            task.exception()  # raised to those who wait; else it would be logged where nobody does
+            # Waiters get the exception themselves. If there are none, asyncio would log it as never
+            # retrieved.
+            task.exception()
 
     async def _open_connection(self) -> None:
         host, _, port = self.address.rpartition(":")
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         connection: ClientConnection | None = None
-        made = self.make_socket((family, socket.SOCK_STREAM, 0, "", None))
+        sock = self.make_socket((family, socket.SOCK_STREAM, 0, "", None))
         try:
-            made.setblocking(False)
-            async with asyncio.timeout(SETUP_FACTOR * self.connect_timeout_s):
-                await self.loop.sock_connect(made, (host.strip("[]"), int(port)))
+            sock.setblocking(False)
+            async with asyncio.timeout(SETUP_TIMEOUT_FACTOR * self.connect_timeout_s):
+                await self.loop.sock_connect(sock, (host.strip("[]"), int(port)))
                 _, connection = await self.loop.create_connection(
-                    lambda: ClientConnection(self), sock=made
+                    lambda: ClientConnection(self), sock=sock
                 )
-                # Nothing is written before its SETTINGS: until then nobody knows whether it speaks
-                # HTTP/2, and how many streams it takes.
+                # Send no request before the upstream's SETTINGS: until they arrive it is unknown
+                # whether it speaks HTTP/2 and how many streams it permits.
                 await connection.ready
         except BaseException:
             if connection is not None and connection.transport is not None:
                 connection.transport.abort()
-            made.close()
+            sock.close()
             raise
         self.connections.append(connection)
-        self.streams_available()
+        self.wake_waiters()
 
-    def streams_available(self) -> None:
-        """Wake as many waiting requests as there are streams for."""
-        available = sum(max(0, known.available_streams) for known in self.connections)
+    def wake_waiters(self) -> None:
+        """Wake as many waiting requests as there are free streams."""
+        available = sum(max(0, connection.available_streams) for connection in self.connections)
         while available > 0 and self.waiters:
             waiter = self.waiters.pop(0)
             if not waiter.done():
@@ -209,7 +217,7 @@
                 available -= 1
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Forget a connection; those who wait for a stream must look again, if only to connect."""
+        """Remove a connection, and wake all waiters: they may have to open a new one."""
         if connection in self.connections:
             self.connections.remove(connection)
         for waiter in self.waiters:
@@ -218,7 +226,7 @@
         self.waiters.clear()
 
     def _close_idle_connections(self) -> None:
-        """Close idle connections before the upstream does."""
+        """Close connections past the idle timeout, before the upstream closes them."""
         idle_since = self.loop.time() - self.idle_timeout_s
         for connection in list(self.connections):
             if not connection.exchanges and connection.idle_since < idle_since:
@@ -231,7 +239,9 @@
             await asyncio.gather(self.connecting, return_exceptions=True)
         for connection in list(self.connections):
             if connection.exchanges:
-                connection.abort(ConnectionLostError("the way is closed"))
+                connection.abort(
+                    ConnectionLostError("the connections to this upstream were closed")
+                )
             else:
                 connection.close()
         await asyncio.sleep(0)
@@ -244,7 +254,7 @@
 async def _run_exchange(
     connection: ClientConnection, exchange: Exchange, head: list[tuple[str, str]], body: bytes
 ) -> None:
-    """Send the request and wait for the exchange's end. Raises AttemptError or ProtocolError."""
+    """Send the request and wait for the exchange to end. Raises AttemptError, ProtocolError."""
     try:
         connection.send_head(exchange, head, bool(body))
         if body:
@@ -259,8 +269,8 @@
     try:
         await connection.send_body(exchange, body)
     except asyncio.CancelledError:
-        # The stream may have ended while it waited for a window, which the exchange reports; else
-        # this request itself is cancelled.
+        # When a stream ends while its body waits for flow-control window, the wait is cancelled and
+        # the exchange reports the result. Otherwise this request itself was cancelled.
         task = asyncio.current_task()
         if not exchange.is_over or (task is not None and task.cancelling()):
             raise
--- a/pepperhook/http2/client_connection.py
+++ b/pepperhook/http2/client_connection.py
@@ -1,11 +1,11 @@
-"""One connection to an upstream: its streams, and how each of them ends.
+"""One connection to an upstream: its streams, and the result of each.
 
-What was never executed, and what may have been (RFC 9113, 5.1.2, 6.8, 8.7):
+Which requests may have been executed (RFC 9113, 5.1.2, 6.8, 8.7):
 
-    a stream that was not written whole when its connection ended       never executed
-    RST_STREAM with REFUSED_STREAM                                      never executed: overloaded
-    a stream above the last id of a GOAWAY                              never executed
-    everything else once the last byte is written                       may have been executed
+    not completely written when its stream or connection ended       never executed
+    RST_STREAM with REFUSED_STREAM                                   never executed: overloaded
+    stream id above the last id of a GOAWAY                          never executed
+    anything else, once the last byte is written                     may have been executed
 """
 
 from __future__ import annotations
@@ -39,80 +39,81 @@
     from pepperhook.http2.exchange import Exchange
 
 NS_PER_S = 1e9
-SILENCE_S = 1.0  # with streams open and nothing received, after which a PING is sent
+PING_AFTER_SILENCE_S = 1.0  # with streams open and nothing received
 PING_TIMEOUT_S = 1.0
-# What an upstream answers, if not well; it may do so before it has the whole request.
-ERRORS_BY_RESPONSE = (OverloadedError, MalformedResponseError)
+# Errors that are a response of the upstream, which may send one before it has the whole request.
+RESPONSE_ERRORS = (OverloadedError, MalformedResponseError)
 PING_DATA = b"pepprhok"
 MAX_HEADER_BYTES = 32 * 1024
 SETTINGS = {
     SettingCodes.ENABLE_PUSH: 0,
     SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEADER_BYTES,
-    SettingCodes.INITIAL_WINDOW_SIZE: MAX_BODY_BYTES + 1,  # so that one byte too many is seen
+    SettingCodes.INITIAL_WINDOW_SIZE: MAX_BODY_BYTES + 1,  # so that an oversized body is detected
 }
 
 
 class ClientConnection(Http2Protocol):
-    """One connection, and its open exchanges; its owner learns when streams or it itself end."""
+    """One connection and its open exchanges; notifies its owner of free streams and of its end."""
 
     def __init__(self, owner: Http2Client) -> None:
-        """Make a connection that ``owner`` is about to open."""
+        """Create the protocol of a connection that ``owner`` is about to open."""
         loop = owner.loop
         config = h2.config.H2Configuration(client_side=True, header_encoding="latin-1")
         super().__init__(loop, config, AbuseBudget(int(loop.time() * NS_PER_S)))
         self.owner = owner
-        self.exchanges: dict[int, Exchange] = {}  # by stream
+        self.exchanges: dict[int, Exchange] = {}  # by stream id
         self.stream_limit = StreamLimit(owner.max_streams)
-        self.is_closing = False  # after a GOAWAY: no new streams
+        self.is_going_away = False  # after a GOAWAY: no new streams
         self.is_closed = False
-        # The upstream's SETTINGS have come (RFC 9113, 3.4), so it does speak HTTP/2.
+        # Done once the upstream's SETTINGS arrive (RFC 9113, 3.4), which proves that it speaks
+        # HTTP/2.
         self.ready: asyncio.Future[None] = loop.create_future()
-        self.received_at = loop.time()
+        self.last_received_at = loop.time()
         self.idle_since = loop.time()
-        self.ping_sent_at: float | None = None  # while its answer is waited for
+        self.ping_sent_at: float | None = None  # set until anything is received
         self._liveness_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Announce the settings of this side."""
+        """Send the connection preface with this side's SETTINGS."""
         self.transport = cast(asyncio.Transport, transport)
         self.begin(self.transport, SETTINGS)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End all exchanges that are still open."""
+        """End all open exchanges with an error."""
         if self._liveness_timer is not None:
             self._liveness_timer.cancel()
             self._liveness_timer = None
-        self.abort(ConnectionLostError(f"the connection ended: {exc or 'closed'}"))
+        self.abort(ConnectionLostError(f"connection lost: {exc or 'closed by the upstream'}"))
 
     @property
     def available_streams(self) -> int:
-        """How many streams may be opened now."""
-        if self.is_closing or self.is_closed:
+        """The number of streams that may be opened now."""
+        if self.is_going_away or self.is_closed:
             return 0
         return self.stream_limit.allowed - len(self.exchanges)
 
     # Sending.
 
     def send_head(self, exchange: Exchange, headers: list[tuple[str, str]], has_body: bool) -> None:
-        """Open a stream for ``exchange`` with its request's header block."""
+        """Open a stream for ``exchange`` by sending the request's headers."""
         exchange.stream_id = self.h2.get_next_available_stream_id()
         exchange.started_at = self.loop.time()
         if not self.exchanges and self.ping_sent_at is None:
-            self.received_at = exchange.started_at
+            self.last_received_at = exchange.started_at
         self.exchanges[exchange.stream_id] = exchange
-        self._watch_liveness()
+        self._schedule_liveness_check()
         self.h2.send_headers(exchange.stream_id, headers, end_stream=not has_body)
         exchange.is_written = not has_body
         self.flush()
 
     async def send_body(self, exchange: Exchange, body: bytes) -> None:
-        """Send the request's body, as the upstream opens its windows."""
-        rest = memoryview(body)
-        while rest and not exchange.is_over:
-            sent = self.h2.send_body_part(exchange.stream_id, rest)
+        """Send the request's body as the upstream's flow-control windows permit."""
+        remaining = memoryview(body)
+        while remaining and not exchange.is_over:
+            sent = self.h2.send_body_part(exchange.stream_id, remaining)
             if sent:
-                rest = rest[sent:]
-                exchange.is_written = not rest
+                remaining = remaining[sent:]
+                exchange.is_written = not remaining
                 self.flush()
             else:
                 exchange.window_opened = self.loop.create_future()
@@ -120,13 +121,14 @@
                 await exchange.window_opened
 
     def cancel(self, exchange: Exchange) -> None:
-        """Reset the exchange's stream; the others go on."""
+        """Reset the exchange's stream; other streams are not affected."""
         if exchange.stream_id not in self.exchanges:
             return
         self.reset_stream(exchange.stream_id, ErrorCodes.CANCEL)
-        if self.received_at <= exchange.started_at and self.ping_sent_at is None:
-            # Against a dead connection outliving all that is sent on it, where each attempt takes
-            # less time than it takes to find out.
+        if self.last_received_at <= exchange.started_at and self.ping_sent_at is None:
+            # Nothing has arrived since this request was sent. Without a PING here, a dead
+            # connection would never be detected if each attempt times out before the liveness check
+            # finds it.
             self._send_ping()
         self.flush()
         self.finish(exchange, None)
@@ -134,21 +136,21 @@
     # Receiving.
 
     def data_received(self, data: bytes) -> None:
-        """Handle what the upstream sends."""
+        """Process data from the upstream."""
         if self.is_closed:
             return
-        self.received_at = self.loop.time()
+        self.last_received_at = self.loop.time()
         self.ping_sent_at = None
         try:
             events = self.h2.receive_data(data)
         except (h2.exceptions.ProtocolError, UnicodeDecodeError) as error:
             self.flush()
-            self.abort(MalformedResponseError(f"no HTTP/2: {error}"))
+            self.abort(MalformedResponseError(f"invalid HTTP/2: {error}"))
             return
         except Exception as error:
-            # Against a defect of the library costing more than this one connection.
+            # A defect in the library must affect only this connection.
             self.owner.log.exception("h2_fault", upstream=self.owner.address)
-            self.abort(MalformedResponseError(f"no HTTP/2: {error}"))
+            self.abort(MalformedResponseError(f"invalid HTTP/2: {error}"))
             return
         for event in events:
             handle = EVENT_HANDLERS.get(type(event))
@@ -170,28 +172,28 @@
                 headers.add(name, value)
         exchange.headers = headers
         if exchange.status is None:
-            self._reject_response(exchange, "no status")
+            self._reject_response(exchange, "response without a valid status")
             return
         length = headers.get("Content-Length")
         if length is not None and length.isdecimal():
             exchange.content_length = int(length)
             if exchange.content_length > MAX_BODY_BYTES:
-                self._reject_response(exchange, f"over {MAX_BODY_BYTES} bytes")
+                self._reject_response(exchange, f"response body over {MAX_BODY_BYTES} bytes")
                 return
-        # Against half a response holding its attempt to the end of its time.
+        # Without this, an incomplete response would block its attempt until the attempt times out.
         exchange.read_timer = self.loop.call_later(
             self.owner.read_timeout_s,
             self._reject_response,
             exchange,
-            "the rest of the answer did not come",
+            "response not completed within the read timeout",
         )
 
     def _on_informational_response(self, event: h2.events.InformationalResponseReceived) -> None:
         if event.stream_id in self.exchanges:
-            self._charge(FrameKind.INFORMATIONAL_RESPONSE)  # it has no use here
+            self._charge(FrameKind.INFORMATIONAL_RESPONSE)  # ignored otherwise
 
     def _on_data(self, event: h2.events.DataReceived) -> None:
-        self.return_window(event.flow_controlled_length)
+        self.replenish_connection_window(event.flow_controlled_length)
         if not event.data and event.stream_ended is None:
             self._charge(FrameKind.EMPTY_DATA)
         exchange = self.exchanges.get(event.stream_id)
@@ -199,7 +201,7 @@
             return
         exchange.body += event.data
         if len(exchange.body) > MAX_BODY_BYTES:
-            self._reject_response(exchange, f"over {MAX_BODY_BYTES} bytes")
+            self._reject_response(exchange, f"response body over {MAX_BODY_BYTES} bytes")
 
     def _on_stream_ended(self, event: h2.events.StreamEnded) -> None:
         exchange = self.exchanges.get(event.stream_id)
@@ -207,13 +209,15 @@
             return
         length, received = exchange.content_length, len(exchange.body)
         if exchange.status is None:
-            self._reject_response(exchange, "an end without an answer")
+            self._reject_response(exchange, "stream ended without a response")
             return
         if length is not None and length != received:
-            self._reject_response(exchange, f"{received} bytes where {length} were told")
+            self._reject_response(
+                exchange, f"received {received} bytes, content-length is {length}"
+            )
             return
         if not exchange.is_written:
-            # The upstream has answered before it had the whole request: the rest is not wanted.
+            # The upstream responded before it had the whole request, so do not send the rest.
             self.reset_stream(exchange.stream_id, ErrorCodes.NO_ERROR)
         self.stream_limit.request_answered()
         self.abuse_budget.request_answered()
@@ -222,29 +226,31 @@
     def _on_stream_reset(self, event: h2.events.StreamReset) -> None:
         exchange = self.exchanges.get(event.stream_id)
         if exchange is None:
-            self._charge(FrameKind.RESET)  # of a stream that was closed already
+            self._charge(FrameKind.RESET)  # the stream was already closed
             return
         error: AttemptError
         if not event.remote_reset:
-            # The library found it malformed: more data than was announced, or after the end.
-            error = MalformedResponseError(f"reset by us: {event.error_code}")
+            # The library reset the stream because the response was malformed.
+            error = MalformedResponseError(f"stream reset by this side: {event.error_code}")
         elif event.error_code == ErrorCodes.REFUSED_STREAM:
-            error = OverloadedError("refused")
+            error = OverloadedError("stream refused by the upstream")
         else:
-            error = ConnectionLostError(f"reset: {event.error_code}")
+            error = ConnectionLostError(f"stream reset by the upstream: {event.error_code}")
         self.finish(exchange, error)
 
     def _on_goaway(self, event: h2.events.ConnectionTerminated) -> None:
-        self.is_closing = True
-        assert event.last_stream_id is not None  # every GOAWAY has one
+        self.is_going_away = True
+        assert event.last_stream_id is not None  # every GOAWAY frame carries one
         self.end_streams_above(event.last_stream_id)
-        self._close_if_done()
+        self._close_if_idle()
 
     def end_streams_above(self, last_stream_id: int) -> None:
-        """End what a GOAWAY says was never executed; the streams below go on."""
+        """End the streams that a GOAWAY declares as never executed; lower ones continue."""
         for stream_id, exchange in list(self.exchanges.items()):
             if stream_id > last_stream_id:
-                self.finish(exchange, StaleConnectionError("above the last id of a GOAWAY"))
+                self.finish(
+                    exchange, StaleConnectionError("stream id above the last id of a GOAWAY")
+                )
 
     def _on_settings(self, _event: h2.events.RemoteSettingsChanged) -> None:
         self._charge(FrameKind.SETTINGS)
@@ -253,7 +259,7 @@
         peer_limit = self.h2.remote_settings.max_concurrent_streams
         self.stream_limit.set_max_streams(min(self.owner.max_streams, peer_limit))
         self._notify_all_windows()
-        self.owner.streams_available()
+        self.owner.wake_waiters()
 
     def _on_window_update(self, event: h2.events.WindowUpdated) -> None:
         self._charge(FrameKind.WINDOW_UPDATE)
@@ -273,60 +279,57 @@
         self._charge(FrameKind.UNKNOWN)
 
     def _charge(self, kind: FrameKind) -> None:
-        """Charge for a frame without progress, and end the connection over too many."""
+        """Charge for a frame without progress; abort the connection if the credit is spent."""
         if self.abuse_budget.charge(int(self.loop.time() * NS_PER_S), kind):
             return
         self.owner.counters.add("h2 floods of upstreams")
         with suppress(h2.exceptions.ProtocolError):
             self.h2.close_connection(ErrorCodes.ENHANCE_YOUR_CALM)
         self.flush()
-        self.abort(ConnectionLostError("a flood of frames"))
+        self.abort(ConnectionLostError("too many frames without progress"))
 
     # Ending.
 
     def _reject_response(self, exchange: Exchange, reason: str) -> None:
-        """End an exchange whose response cannot be used."""
+        """Reset the stream of an unusable response, and end its exchange with an error."""
         if exchange.stream_id in self.exchanges:
             self.reset_stream(exchange.stream_id, ErrorCodes.CANCEL)
             self.flush()
             self.finish(exchange, MalformedResponseError(reason))
 
     def finish(self, exchange: Exchange, error: AttemptError | None) -> None:
-        """End an exchange and give its stream back; no other place does."""
+        """End an exchange and free its stream; every exchange that got a stream ends here."""
         if self.exchanges.pop(exchange.stream_id, None) is None:
             return
-        if (
-            error is not None
-            and not exchange.is_written
-            and not isinstance(error, ERRORS_BY_RESPONSE)
-        ):
-            error = StaleConnectionError(str(error))  # its last byte was never sent
+        if error is not None and not exchange.is_written and not isinstance(error, RESPONSE_ERRORS):
+            error = StaleConnectionError(str(error))  # the request was never completely sent
         exchange.end(error)
         self.idle_since = self.loop.time()
-        self.owner.streams_available()
-        if self.is_closing:
-            self._close_if_done()
+        self.owner.wake_waiters()
+        if self.is_going_away:
+            self._close_if_idle()
 
     def abort(self, error: AttemptError) -> None:
-        """End the connection at once, and each exchange on it with ``error``."""
+        """Close the connection immediately, and end each exchange on it with ``error``."""
         if self.is_closed:
             return
         self.is_closed = True
         if not self.ready.done():
             self.ready.set_exception(ConnectionError(str(error)))
-            self.ready.exception()  # else it would be logged where nobody waits
+            # Marked as retrieved: without a waiter, asyncio would log it.
+            self.ready.exception()
         self.owner.connection_closed(self)
         for exchange in list(self.exchanges.values()):
             self.finish(exchange, error)
         if self.transport is not None:
             self.transport.abort()
 
-    def _close_if_done(self) -> None:
+    def _close_if_idle(self) -> None:
         if not self.exchanges:
             self.close()
 
     def close(self) -> None:
-        """Close a connection without open exchanges gracefully."""
+        """Close the connection gracefully with a GOAWAY; no exchange may be open."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -339,9 +342,11 @@
 
     # Liveness, checked only while exchanges are open.
 
-    def _watch_liveness(self) -> None:
+    def _schedule_liveness_check(self) -> None:
         if self._liveness_timer is None:
-            self._liveness_timer = self.loop.call_later(SILENCE_S / 2, self._check_liveness)
+            self._liveness_timer = self.loop.call_later(
+                PING_AFTER_SILENCE_S / 2, self._check_liveness
+            )
 
     def _check_liveness(self) -> None:
         self._liveness_timer = None
@@ -349,24 +354,24 @@
             return
         now = self.loop.time()
         if self.ping_sent_at is None:
-            if now - self.received_at >= SILENCE_S:
+            if now - self.last_received_at >= PING_AFTER_SILENCE_S:
                 self._send_ping()
                 self.flush()
         elif now - self.ping_sent_at >= PING_TIMEOUT_S:
             self.owner.counters.add("h2 connections dead")
-            self.abort(ConnectionLostError("no answer to a PING"))
+            self.abort(ConnectionLostError("no response to a PING"))
             return
-        self._watch_liveness()
+        self._schedule_liveness_check()
 
     def _send_ping(self) -> None:
         with suppress(h2.exceptions.ProtocolError):
             self.h2.ping(PING_DATA)
             self.ping_sent_at = self.loop.time()
-        self._watch_liveness()
+        self._schedule_liveness_check()
 
 
 def _parse_status(value: str) -> int | None:
-    """Return a status of three digits (RFC 9110, 15); None where it is none."""
+    """Return a three-digit status code (RFC 9110, 15), or None if the value is not one."""
     return int(value) if re.fullmatch("[0-9]{3}", value) else None
 
 
--- a/pepperhook/http2/connection.py
+++ b/pepperhook/http2/connection.py
@@ -1,10 +1,10 @@
-"""The h2 library's connection, changed in five ways, each by its section of RFC 9113.
+"""The h2 library's connection, with five corrections to follow RFC 9113.
 
-* A GOAWAY ends no streams that its sender still answers (6.8).
-* A frame that is too large is refused by its header (4.2).
-* A header block that cannot be decoded has an error code of its own (4.3).
-* A wrong content length is an error of its stream alone (8.1.1).
-* So is a malformed head, of a request or a response, or malformed trailers (8.1.1).
+* A GOAWAY does not end the streams that its sender still answers (6.8).
+* An oversized frame is rejected as soon as its length field is received (4.2).
+* A header block that cannot be decoded is a COMPRESSION_ERROR (4.3).
+* A wrong content-length is a stream error; it does not affect other streams (8.1.1).
+* Malformed request or response headers, or malformed trailers, are a stream error as well (8.1.1).
 """
 
 from collections.abc import Iterable
@@ -21,17 +21,17 @@
 
 from pepperhook.errors import PepperhookError
 
-LENGTH_FIELD_BYTES = 3  # at the beginning of each frame's header
+LENGTH_FIELD_BYTES = 3  # at the start of each frame header
 
 
 class HeaderBlockError(PepperhookError, h2.exceptions.ProtocolError):
-    """A header block that cannot be decoded (RFC 9113, 4.3)."""
+    """A header block that HPACK cannot decode (RFC 9113, 4.3)."""
 
     error_code = h2.errors.ErrorCodes.COMPRESSION_ERROR
 
 
 class HeaderDecoder(hpack.Decoder):
-    """Reports what it cannot decode as HeaderBlockError; the library has PROTOCOL_ERROR for it."""
+    """Raises HeaderBlockError for an invalid block, which the library makes a PROTOCOL_ERROR."""
 
     def decode(self, data: bytes, raw: bool = False) -> Iterable[HeaderTuple]:
         """Decode a header block. Raises HeaderBlockError."""
@@ -44,21 +44,21 @@
 
 
 class MalformedHeadError(PepperhookError):
-    """A header block that was decoded, but is no head and no trailers of a message."""
+    """A header block that HPACK decodes, but whose headers or trailers are malformed."""
 
 
 class Http2Stream(H2Stream):
-    """The state of one stream; overrides private methods by the names of the pinned version."""
+    """The state of one stream; overrides private methods of the pinned h2 version."""
 
     def _initialize_content_length(self, headers: Iterable[Header]) -> None:
-        # Against one response of a wrong length ending all others on its connection, as the library
-        # has it. Server and client check lengths themselves.
+        # The library treats a wrong content-length as a connection error, so one such response
+        # would end all others on its connection. Server and client check lengths themselves.
         pass
 
     def receive_headers(
         self, headers: Iterable[Header], end_stream: bool, header_encoding: bool | str | None
     ) -> tuple[list[Frame], list[h2.events.Event]]:
-        """Take a head or trailers. Raises MalformedHeadError, or what the library raises."""
+        """Process headers or trailers. Raises MalformedHeadError or an error of the library."""
         try:
             return super().receive_headers(headers, end_stream, header_encoding)
         except (h2.exceptions.StreamClosedError, h2.exceptions.StreamIDTooLowError):
@@ -68,57 +68,58 @@
 
 
 class Http2Connection(h2.connection.H2Connection):
-    """The state of one connection, on either side.
+    """The protocol state of one connection, on the client or the server side.
 
-    Some of its methods override private ones of the library, by the names of the pinned version.
+    Overrides private methods of the pinned h2 version.
     """
 
     def __init__(self, *args: Any, **options: Any) -> None:
-        """Take what the library's connection takes."""
+        """Accept the arguments of the library's connection."""
         super().__init__(*args, **options)
         max_header_list_size = self.decoder.max_header_list_size
         self.decoder = HeaderDecoder()
         self.decoder.max_header_list_size = max_header_list_size
 
     def receive_data(self, data: bytes) -> list[h2.events.Event]:  # type: ignore[override]
-        """Take what came from the peer; returns its events. Raises the library's ProtocolError."""
+        """Process data from the peer and return its events. Raises h2's ProtocolError."""
         events = super().receive_data(data)
-        # Against 16 MB on each connection: the library looks at a frame's length only when all of
-        # the frame is there.
-        length = self.incoming_buffer._data[:LENGTH_FIELD_BYTES]
+        # The library checks the length of a frame only when the whole frame has arrived, so a peer
+        # could make it buffer 16 MB per connection.
+        length_field = self.incoming_buffer._data[:LENGTH_FIELD_BYTES]
         if (
-            len(length) == LENGTH_FIELD_BYTES
-            and int.from_bytes(length, "big") > self.max_inbound_frame_size
+            len(length_field) == LENGTH_FIELD_BYTES
+            and int.from_bytes(length_field, "big") > self.max_inbound_frame_size
         ):
             self._terminate_connection(h2.errors.ErrorCodes.FRAME_SIZE_ERROR)
-            raise h2.exceptions.FrameTooLargeError("a frame over the size that was told")
+            raise h2.exceptions.FrameTooLargeError("frame exceeds the announced maximum frame size")
         return events
 
-    def send_body_part(self, stream_id: int, rest: memoryview) -> int:
-        """Send as much of the rest of a body as one frame and the windows take.
+    def send_body_part(self, stream_id: int, remaining: memoryview) -> int:
+        """Send as much of a body's remaining bytes as one frame and the windows permit.
 
-        Returns the number of bytes sent, 0 where there is no window. The last part ends the stream.
+        Returns the number of bytes sent, 0 if a window is exhausted. The last part ends the stream.
         """
         window = self.local_flow_control_window(stream_id)
-        size = min(len(rest), window, self.max_outbound_frame_size)
+        size = min(len(remaining), window, self.max_outbound_frame_size)
         if size <= 0:
             return 0
-        self.send_data(stream_id, bytes(rest[:size]), end_stream=size == len(rest))
+        self.send_data(stream_id, bytes(remaining[:size]), end_stream=size == len(remaining))
         return size
 
     def _begin_new_stream(
         self, stream_id: int, allowed_ids: h2.connection.AllowedStreamIDs
     ) -> "H2Stream":
         stream = super()._begin_new_stream(stream_id, allowed_ids)
-        # The library makes the stream itself, of its own class.
+        # The library has no option for the class of its streams.
         stream.__class__ = Http2Stream
         return stream
 
     def _receive_headers_frame(
         self, frame: HeadersFrame
     ) -> tuple[list[Frame], list[h2.events.Event]]:
-        # Against one malformed message ending all others on its connection, as the library has it:
-        # the header block was decoded, so the state that all streams share is sound.
+        # The library treats a malformed message as a connection error, which would end all others
+        # on its connection. The header block was decoded, so the HPACK state that all streams share
+        # is intact and a stream error is enough.
         try:
             return super()._receive_headers_frame(frame)
         except MalformedHeadError:
@@ -136,8 +137,8 @@
     def _receive_rst_stream_frame(
         self, frame: RstStreamFrame
     ) -> tuple[list[Frame], list[h2.events.Event]]:
-        # The library says nothing of one for a stream that was closed already, so a flood of them
-        # would be free.
+        # The library reports no event for RST_STREAM on a closed stream, so a flood of them would
+        # not be charged to the peer.
         frames, events = super()._receive_rst_stream_frame(frame)
         return frames, events or [
             h2.events.StreamReset(stream_id=frame.stream_id, error_code=frame.error_code)
@@ -146,8 +147,8 @@
     def _receive_goaway_frame(
         self, frame: GoAwayFrame
     ) -> tuple[list[Frame], list[h2.events.Event]]:
-        # The library takes a GOAWAY for the end of the connection: it throws away what is still to
-        # be sent, and takes any frame that follows for an error.
+        # The library treats a GOAWAY as the end of the connection: it discards unsent data and
+        # rejects every frame that follows.
         event = h2.events.ConnectionTerminated()
         event.error_code = frame.error_code
         event.last_stream_id = frame.last_stream_id
--- a/pepperhook/http2/exchange.py
+++ b/pepperhook/http2/exchange.py
@@ -1,4 +1,4 @@
-"""One request to an upstream and its response, on one stream."""
+"""One request to an upstream and its response, on one HTTP/2 stream."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from pepperhook.http2.protocol import OutgoingStream
 from pepperhook.server.attempt_errors import AttemptError
 
-NO_STREAM = 0  # the connection's own number, of no request
+NO_STREAM = 0  # the id of the connection itself, never of a request
 
 
 class Exchange(OutgoingStream):
-    """A stream from its first byte to its one end."""
+    """The state of one request and its response; ends exactly once."""
 
     __slots__ = (
         "ended",
@@ -28,20 +28,20 @@
     )
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Begin without a stream; the connection that sends the request gives it one."""
+        """Start without a stream; the connection that sends the request assigns one."""
         super().__init__(NO_STREAM)
         self.ended: asyncio.Future[None] = loop.create_future()
-        self.status: int | None = None  # until a final response begins
+        self.status: int | None = None  # None until a final response begins
         self.headers: CIMultiDict[str] = CIMultiDict()
         self.body = bytearray()
-        self.content_length: int | None = None  # of the response, where it tells one
-        self.is_written = False  # the whole request, to its last byte
-        self.started_at = 0.0
+        self.content_length: int | None = None  # of the response, if it has the header
+        self.is_written = False  # whether the whole request was written, to its last byte
+        self.started_at = 0.0  # when the headers were sent, in the event loop's time
         self.is_over = False
         self.read_timer: asyncio.TimerHandle | None = None
 
     def end(self, error: AttemptError | None = None) -> None:
-        """End once: with the response, or with what went wrong."""
+        """End with the received response, or with ``error``; later calls have no effect."""
         if self.is_over:
             return
         self.is_over = True
@@ -55,5 +55,5 @@
             self.ended.set_result(None)
         else:
             self.ended.set_exception(error)
-            # Else one that nobody waits for any more would be logged as never retrieved.
+            # Marked as retrieved: if nothing awaits it any more, asyncio would log it.
             self.ended.exception()
--- a/pepperhook/http2/managed_connection.py
+++ b/pepperhook/http2/managed_connection.py
@@ -1,4 +1,4 @@
-"""What a connection must have for client_connections.Connections to manage it."""
+"""The interface that client_connections.Connections requires of a connection."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class ManagedConnection(asyncio.Protocol):
-    """The state that Connections and the HTTP library expect on any client's connection."""
+    """The attributes that Connections and aiohttp read on every client connection."""
 
-    # The library's own, of its HTTP/1.1 connections.
+    # Private attributes of aiohttp's HTTP/1.1 connections.
     _task_handler = None
     _request_count = 0
 
-    # As in client_connections.Connection.
+    # The same meaning as in client_connections.Connection.
     answered = False
     touched = False
     before = 0
     ending = False
     received_bytes = 0
-    ends = 0.0  # when its time is up
+    ends = 0.0  # when it is closed if still idle, in the event loop's time
     transport: asyncio.Transport | None = None
 
     def unread(self) -> bool:
-        """Whether something has come that was not read yet."""
+        """Whether the socket holds unread data or an unread end of the peer's data."""
         return self.transport is not None and has_unread_data(self.transport)
--- a/pepperhook/http2/protocol.py
+++ b/pepperhook/http2/protocol.py
@@ -1,4 +1,4 @@
-"""What both sides of a connection share: transport, protocol state, writing within windows."""
+"""Code shared by client and server connections: transport, protocol state, flow control."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
     from h2.errors import ErrorCodes
     from h2.settings import SettingCodes
 
-CONNECTION_WINDOW = 1024 * 1024  # bytes of bodies that may be in transit on one connection
-DEFAULT_WINDOW = 65535  # RFC 9113, 6.9.2
+CONNECTION_WINDOW = 1024 * 1024  # bytes of DATA that may be in transit on one connection
+DEFAULT_WINDOW = 65535  # bytes (RFC 9113, 6.9.2)
 
 
 class OutgoingStream:
-    """A stream whose sender may have to wait for its peer to open a window."""
+    """A stream whose sender may have to wait for flow-control window from the peer."""
 
     __slots__ = ("stream_id", "window_opened")
 
     def __init__(self, stream_id: int) -> None:
-        """Begin with nothing to send."""
+        """Create a stream whose sender does not wait."""
         self.stream_id = stream_id
-        self.window_opened: asyncio.Future[None] | None = None  # set while its sender waits
+        self.window_opened: asyncio.Future[None] | None = None  # set while the sender waits
 
     def notify_window_opened(self) -> None:
-        """Let a waiting sender go on."""
+        """Wake the sender if it waits for window."""
         if self.window_opened is not None and not self.window_opened.done():
             self.window_opened.set_result(None)
 
 
 class Http2Protocol(asyncio.Protocol):
-    """One connection, on either side."""
+    """Base of client and server connections."""
 
     def __init__(
         self,
@@ -47,16 +47,16 @@
         config: h2.config.H2Configuration,
         abuse_budget: AbuseBudget,
     ) -> None:
-        """Make the state of a connection that is not open yet."""
+        """Create the state of a connection that is not open yet."""
         self.loop = loop
         self.transport: asyncio.Transport | None = None
         self.h2 = Http2Connection(config)
         self.abuse_budget = abuse_budget
 
     def begin(self, transport: asyncio.Transport, settings: dict[SettingCodes, int]) -> None:
-        """Announce ``settings`` and the connection's window to the peer."""
-        # Against 40 ms of delayed acknowledgement before each answer: the event loop sets it only
-        # where a socket names its protocol, which accepted ones do not.
+        """Send the connection preface with ``settings``, and enlarge the connection's window."""
+        # Without TCP_NODELAY each response may wait 40 ms for a delayed acknowledgement. asyncio
+        # sets it only on sockets whose protocol number is TCP, which accepted sockets do not have.
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.h2.local_settings = h2.settings.Settings(
             client=bool(self.h2.config.client_side), initial_values=settings
@@ -66,26 +66,26 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what the library has ready."""
+        """Write the data that the library has queued to the transport."""
         if self.transport is not None and not self.transport.is_closing():
             data = self.h2.data_to_send()
             if data:
                 self.transport.write(data)
 
     def reset_stream(self, stream_id: int, code: ErrorCodes) -> None:
-        """Reset a stream, if it is still open; ``flush`` sends it."""
+        """Queue RST_STREAM if the stream is still open; ``flush`` sends it."""
         with suppress(h2.exceptions.ProtocolError):
             self.h2.reset_stream(stream_id, code)
 
-    def return_window(self, size: int) -> None:
-        """Give the peer back what a frame took of the connection's window, which all streams share.
+    def replenish_connection_window(self, size: int) -> None:
+        """Replenish the connection's window, which all streams share, by ``size`` bytes.
 
-        A stream's own window holds a whole body and is never given back.
+        A stream's own window is large enough for a whole body and is never replenished.
         """
         if size:
             with suppress(h2.exceptions.ProtocolError):
                 self.h2.increment_flow_control_window(size)
 
     def eof_received(self) -> bool:
-        """Close the transport when the peer ends its sending."""
+        """Close the transport when the peer closes its sending side."""
         return False
--- a/pepperhook/http2/protocol_detection.py
+++ b/pepperhook/http2/protocol_detection.py
@@ -1,7 +1,7 @@
-"""Finds out which protocol a client speaks, on the listener that HTTP/1.1 and HTTP/2 share.
+"""Detects the protocol of a client on the listener that HTTP/1.1 and HTTP/2 share.
 
-The first bytes tell (RFC 9113, 3.4: prior knowledge). A listener for TLS would choose by ALPN and
-make a ServerConnection at once.
+An HTTP/2 client with prior knowledge starts with a fixed preface (RFC 9113, 3.4); anything else is
+HTTP/1.1. A TLS listener would choose by ALPN and create a ServerConnection immediately.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class ProtocolDetector(ManagedConnection):
-    """A connection whose protocol is not known yet; replaced with the bytes that tell it."""
+    """A connection of unknown protocol; replaced once its first bytes identify the protocol."""
 
     def __init__(
         self,
@@ -28,45 +28,45 @@
         make_http1: Callable[[], Any],
         make_http2: Callable[[], Any],
     ) -> None:
-        """``make_http1``, ``make_http2``: make the connection that takes over."""
+        """``make_http1``, ``make_http2``: create the connection that replaces this one."""
         self.connections = connections
         self.make_http1 = make_http1
         self.make_http2 = make_http2
-        self.received = b""
+        self.buffer = b""
         self.ends = connections.loop.time() + MESSAGE_S
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Have the connection counted."""
+        """Register the connection."""
         self.transport = cast(asyncio.Transport, transport)
         self.connections.connection_made(self, self.transport)
 
     def data_received(self, data: bytes) -> None:
-        """Collect bytes until they tell the protocol."""
+        """Buffer data until it identifies the protocol, then switch to it."""
         if self.ending:
             return
-        self.received += data
-        is_http2 = self.received.startswith(PREFACE)
-        if PREFACE.startswith(self.received) and not is_http2:
-            return  # it may be either still
-        self._hand_over(self.make_http2 if is_http2 else self.make_http1)
+        self.buffer += data
+        is_http2 = self.buffer.startswith(PREFACE)
+        if PREFACE.startswith(self.buffer) and not is_http2:
+            return  # an incomplete preface
+        self._switch_protocol(self.make_http2 if is_http2 else self.make_http1)
 
-    def _hand_over(self, make_connection: Callable[[], Any]) -> None:
+    def _switch_protocol(self, make_connection: Callable[[], Any]) -> None:
         transport = self.transport
-        assert transport is not None  # nothing is received without one
+        assert transport is not None  # no data is received before connection_made
         self.transport = None
         self.connections.connection_lost(self)
         connection = make_connection()
         connection.ends = self.ends
         transport.set_protocol(connection)
         connection.connection_made(transport)
-        connection.data_received(self.received)
+        connection.data_received(self.buffer)
 
     def eof_received(self) -> bool:
-        """Close the transport when the client ends its sending."""
+        """Close the transport when the client closes its sending side."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Have the connection forgotten."""
+        """Unregister the connection."""
         if self.transport is not None:
             self.transport = None
             self.connections.connection_lost(self, exc)
@@ -76,6 +76,6 @@
         self.connections.retire(self)
 
     async def shutdown(self, _timeout: float | None = None) -> None:
-        """Close the connection."""
+        """Close the transport."""
         if self.transport is not None:
             self.transport.close()
--- a/pepperhook/http2/server.py
+++ b/pepperhook/http2/server.py
@@ -1,6 +1,6 @@
-"""Serves HTTP/2: many streams on a connection, one final response each.
+"""Serves clients over HTTP/2: many streams on a connection, one final response on each.
 
-Requests pass through the same ingress as those of HTTP/1.1.
+Requests pass through the same ingress as HTTP/1.1 requests.
 """
 
 from __future__ import annotations
@@ -29,16 +29,17 @@
     from pepperhook.server.ingress import Ingress
     from pepperhook.server.metrics import Counters
 
-SWEEP_INTERVAL_S = 0.2  # between looks for messages whose time is up
-MAX_STREAM_ID = 2**31 - 1  # in a GOAWAY that leaves open which streams are accepted (RFC 9113, 6.8)
-GOAWAY_NOTICE_S = 0.1  # between that GOAWAY and the final one: requests may be on their way
+SWEEP_INTERVAL_S = 0.2  # between checks for requests that were not received in time
+# The last id in a GOAWAY that announces a shutdown but still accepts all streams (RFC 9113, 6.8).
+MAX_STREAM_ID = 2**31 - 1
+GOAWAY_NOTICE_S = 0.1  # between that GOAWAY and the final one, for requests in transit
 
 
 class ServerConnection(ManagedConnection, Http2Protocol):
     """One client's connection.
 
-    Managed by Connections like any other: their number is limited, idle ones make room, and all are
-    closed at shutdown.
+    Managed by Connections like HTTP/1.1 connections: their number is limited, idle ones are closed
+    to make room for new ones, and all are closed at shutdown.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         max_streams: int,
         is_shutting_down: Callable[[], bool],
     ) -> None:
-        """``max_streams``: how many a client may have open at once on this connection."""
+        """``max_streams``: how many streams the client may have open at once."""
         Http2Protocol.__init__(
             self,
             connections.loop,
@@ -62,16 +63,16 @@
         self.max_streams = max_streams
         self.is_shutting_down = is_shutting_down
         self.client_address: str | None = None
-        self.streams: dict[int, ServerStream] = {}
-        self.last_stream_id = 0  # the highest one that was accepted
+        self.streams: dict[int, ServerStream] = {}  # by stream id
+        self.last_stream_id = 0  # the highest id accepted
         self.is_going_away = False  # after a GOAWAY of either side: no new streams
-        self.is_over = False  # the connection is closing or closed
+        self.is_closed = False  # closing or closed
         self.ends = self.loop.time() + MESSAGE_S
         self._sweep_timer: asyncio.TimerHandle | None = None
         self._goaway_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Have the connection counted, and announce the settings of this side."""
+        """Register the connection, and send the preface with this side's SETTINGS."""
         self.transport = cast(asyncio.Transport, transport)
         self.client_address = (transport.get_extra_info("peername") or (None,))[0]
         self.connections.connection_made(self, self.transport)
@@ -79,7 +80,7 @@
             self.transport,
             {
                 SettingCodes.MAX_CONCURRENT_STREAMS: self.max_streams,
-                # So that one byte too many is seen.
+                # One byte more than a body may have, so that an oversized body is detected.
                 SettingCodes.INITIAL_WINDOW_SIZE: MAX_BODY_BYTES + 1,
                 SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEAD_BYTES,
                 SettingCodes.ENABLE_CONNECT_PROTOCOL: 0,
@@ -89,8 +90,8 @@
             self._announce_shutdown()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give up all streams, and have the connection forgotten."""
-        self.is_over = True
+        """Cancel all streams and unregister the connection."""
+        self.is_closed = True
         self.transport = None
         if self._goaway_timer is not None:
             self._goaway_timer.cancel()
@@ -100,33 +101,34 @@
     # Receiving.
 
     def data_received(self, data: bytes) -> None:
-        """Handle what the client sends."""
-        if self.is_over:
+        """Process data from the client."""
+        if self.is_closed:
             return
         try:
             events = self.h2.receive_data(data)
         except (h2.exceptions.ProtocolError, UnicodeDecodeError) as error:
             self.counters.add("h2 protocol errors")
-            self.flush()  # the library has written its GOAWAY with the right code already
-            self._close_soon(str(error))
+            self.flush()  # the library has queued a GOAWAY with the error code
+            self._close_after_goaway(str(error))
             return
         except Exception:
-            # Against a defect of the library, or of ours, costing more than this one connection.
+            # A defect in the library or in this code must affect only this connection.
             self.ingress.log.exception("h2_fault", peer=self.client_address)
-            self._end(ErrorCodes.INTERNAL_ERROR)
+            self._close_with_error(ErrorCodes.INTERNAL_ERROR)
             return
         for event in events:
             handle = EVENT_HANDLERS.get(type(event))
             if handle is not None:
                 handle(self, event)
-                if self.is_over:
+                if self.is_closed:
                     return
         self.flush()
 
     def _on_request(self, event: h2.events.RequestReceived) -> None:
         is_full = len(self.connections.streams) >= self.connections.most_streams
         if self.is_going_away or is_full:
-            # Beyond what GOAWAY named, or beyond all room: provably never executed.
+            # Above the last id of a GOAWAY or over the limit on streams. REFUSED_STREAM tells the
+            # client that the request was never executed.
             self._charge(FrameKind.REFUSED_REQUEST)
             self.reset_stream(event.stream_id, ErrorCodes.REFUSED_STREAM)
             self.counters.add("h2 streams refused")
@@ -143,7 +145,7 @@
     def _on_data(self, event: h2.events.DataReceived) -> None:
         if not event.data and event.stream_ended is None:
             self._charge(FrameKind.EMPTY_DATA)
-        self.return_window(event.flow_controlled_length)
+        self.replenish_connection_window(event.flow_controlled_length)
         stream = self.streams.get(event.stream_id)
         if stream is not None:
             stream.add_data(event)
@@ -154,7 +156,7 @@
             stream.complete()
 
     def _on_stream_reset(self, event: h2.events.StreamReset) -> None:
-        """Cancel a request whose client wants no response any more: it has left."""
+        """Cancel the request; its client no longer wants a response."""
         stream = self.streams.get(event.stream_id)
         self._charge(FrameKind.RESET)
         if stream is not None:
@@ -186,51 +188,51 @@
         self._charge(FrameKind.UNKNOWN)
 
     def _on_goaway(self, _event: h2.events.ConnectionTerminated) -> None:
-        # The client takes no new streams of ours, of which there are none; what it has asked for is
-        # still answered.
+        # A client's GOAWAY refuses streams that the server opens, and this server opens none.
+        # Requests that were received are still answered.
         self._charge(FrameKind.GOAWAY)
         self.is_going_away = True
-        self._check_idle()
+        self._close_or_mark_idle()
 
     def _charge(self, kind: FrameKind) -> None:
-        """Charge for a frame without progress, and end the connection over too many."""
-        if not self.is_over and not self.abuse_budget.charge(self.ingress.runtime.now(), kind):
+        """Charge for a frame without progress; close the connection if the credit is spent."""
+        if not self.is_closed and not self.abuse_budget.charge(self.ingress.runtime.now(), kind):
             self.counters.add("h2 floods")
-            self._end(ErrorCodes.ENHANCE_YOUR_CALM)
+            self._close_with_error(ErrorCodes.ENHANCE_YOUR_CALM)
 
     # Streams.
 
     def is_client_waiting(self) -> bool:
-        """Whether the client has not ended its sending; an end may lie here unread."""
+        """Whether the client's sending side is open; detects a close behind unread data too."""
         return self.transport is not None and not is_closed_by_peer(self.transport)
 
     def log_fault(self, error: BaseException) -> None:
-        """Log a defect that ended one request."""
+        """Log an unexpected exception that ended one request."""
         self.ingress.log.error("h2_fault", peer=self.client_address, error=repr(error))
 
     def remove_stream(self, stream: ServerStream) -> None:
-        """Give a stream back; no other place does."""
+        """Remove a stream that has ended; every accepted stream is removed here."""
         if self.streams.pop(stream.stream_id, None) is None:
             return
         self.connections.streams.discard(stream)
         self.flush()
-        self._check_idle()
+        self._close_or_mark_idle()
 
     def _cancel_streams(self) -> None:
         for stream in list(self.streams.values()):
             stream.cancel()
 
-    def _check_idle(self) -> None:
-        """Count a connection without streams as idle, or close it where no more may come."""
+    def _close_or_mark_idle(self) -> None:
+        """If no stream is open, mark the connection as idle, or close it if it must not be kept."""
         if self.streams:
             return
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
             self._sweep_timer = None
-        if self.transport is None or self.is_over:
+        if self.transport is None or self.is_closed:
             return
-        is_last = self.is_going_away or self.is_shutting_down()
-        if is_last or self.connections.is_full_of_active:
+        must_close = self.is_going_away or self.is_shutting_down()
+        if must_close or self.connections.is_full_of_active:
             self.retire()
         else:
             self.connections.done(self)
@@ -240,7 +242,7 @@
             self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
-        """Refuse messages that did not come whole in time."""
+        """Refuse requests that were not completely received in time."""
         self._sweep_timer = None
         now = self.loop.time()
         for stream in list(self.streams.values()):
@@ -250,61 +252,62 @@
     # Closing.
 
     def _announce_shutdown(self) -> None:
-        """Tell a client that comes while the server shuts down to begin nothing new here.
+        """Ask a client that connects during a shutdown to open no new streams.
 
-        What it sends before it reads that is accepted, for as long as it may be on its way.
+        Streams that it opened before it received the GOAWAY are accepted for GOAWAY_NOTICE_S.
         """
         self._write_goaway(MAX_STREAM_ID)
         self._goaway_timer = self.loop.call_later(GOAWAY_NOTICE_S, self.go_away)
 
     def go_away(self) -> None:
-        """Begin to shut down: what was accepted is answered, later streams are refused."""
-        if self.is_going_away or self.is_over or self.transport is None:
+        """Start the shutdown: answer the accepted streams and refuse later ones."""
+        if self.is_going_away or self.is_closed or self.transport is None:
             return
         self.is_going_away = True
         self._write_goaway(self.last_stream_id)
-        self._check_idle()
+        self._close_or_mark_idle()
 
     def _write_goaway(self, last_stream_id: int) -> None:
-        # Written beside the library's state, which would take it for the end of the connection.
+        # Written directly to the transport: the library would treat the connection as closed after
+        # its own GOAWAY.
         frame = GoAwayFrame(0, last_stream_id=last_stream_id, error_code=ErrorCodes.NO_ERROR)
-        assert self.transport is not None  # callers have checked it
+        assert self.transport is not None  # checked by the callers
         self.transport.write(frame.serialize())
 
     def retire(self) -> None:
         """Close the connection gracefully."""
-        if self.transport is None or self.is_over:
+        if self.transport is None or self.is_closed:
             return
         self._send_goaway(ErrorCodes.NO_ERROR)
-        self.is_over = True
+        self.is_closed = True
         self.connections.retire(self)
 
     async def shutdown(self, _timeout: float | None = None) -> None:
-        """Close the connection at once, with what is still open on it."""
+        """Close the connection immediately and cancel all open streams."""
         self._cancel_streams()
         self.retire()
         if self.transport is not None:
             self.transport.abort()
 
-    def _end(self, code: ErrorCodes) -> None:
-        """End the connection over an error."""
-        if not self.is_over:
+    def _close_with_error(self, code: ErrorCodes) -> None:
+        """Send a GOAWAY with an error code, and close the connection."""
+        if not self.is_closed:
             self._send_goaway(code)
-            self._close_soon(code.name)
+            self._close_after_goaway(code.name)
 
     def _send_goaway(self, code: ErrorCodes) -> None:
         with suppress(h2.exceptions.ProtocolError):
             self.h2.close_connection(code, last_stream_id=self.last_stream_id)
         self.flush()
 
-    def _close_soon(self, reason: str) -> None:
-        """Give up all streams, and close the connection once the client may have read its GOAWAY.
+    def _close_after_goaway(self, reason: str) -> None:
+        """Cancel all streams, and close the connection after a delay to let the client read GOAWAY.
 
-        Against one that does not read it keeping the connection.
+        The delay is limited, so a client that does not read cannot keep the connection open.
         """
-        if self.is_over:
+        if self.is_closed:
             return
-        self.is_over = True
+        self.is_closed = True
         self.ingress.log.info("h2_ended", peer=self.client_address, why=reason)
         self._cancel_streams()
         self.connections.retire(self)
--- a/pepperhook/http2/server_stream.py
+++ b/pepperhook/http2/server_stream.py
@@ -1,4 +1,4 @@
-"""One client's request and its response, on one stream."""
+"""One client request and its response, on one HTTP/2 stream."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
     from pepperhook.http2.server import ServerConnection
     from pepperhook.server.messages import Header
 
-WINDOW_TIMEOUT_S = 5  # in which a client opens a window for its response, or goes without
+WINDOW_TIMEOUT_S = 5  # maximum wait for the client to open a window for its response
 HEALTH_PATH = "/_health"
 
 
 class ServerStream(OutgoingStream):
-    """Collects a message, has it handled by the ingress, and writes the one final response."""
+    """Receives a request, passes it to the ingress, and writes the one final response."""
 
     __slots__ = (
         "connection",
@@ -46,7 +46,7 @@
     )
 
     def __init__(self, connection: ServerConnection, event: RequestReceived) -> None:
-        """Read the head of a message."""
+        """Read the headers of the request."""
         super().__init__(event.stream_id)
         self.connection = connection
         headers: CIMultiDict[str] = CIMultiDict()
@@ -54,14 +54,15 @@
         self.method = ""
         self.target = ""
         self.body = bytearray()
-        self.service_class: ServiceClass | None = None  # once the head was accepted
-        self.is_complete = False  # the whole message has come
-        self.is_refused = False  # answered by an error, whatever still comes of the message
-        self.is_reset = False  # the client wants no response any more
-        self.is_answered = False  # the response was written to its end
-        self.deadline = connection.loop.time() + MESSAGE_S  # for the rest of the message
-        self.task: asyncio.Task[None] | None = None  # that makes or writes the response
-        # The connection has a header encoding, so the library gives text.
+        self.service_class: ServiceClass | None = None  # set once the headers are accepted
+        self.is_complete = False  # the whole request was received
+        self.is_refused = False  # answered with an error; the rest of the request is discarded
+        self.is_reset = False  # the client reset the stream
+        self.is_answered = False  # the whole response was written
+        # By when the whole request must be received, in the event loop's time.
+        self.deadline = connection.loop.time() + MESSAGE_S
+        self.task: asyncio.Task[None] | None = None  # produces or writes the response
+        # The library returns str, not bytes, as the connection sets a header encoding.
         for name, value in cast("list[tuple[str, str]]", event.headers):
             if not name.startswith(":"):
                 headers.add(name, value)
@@ -70,10 +71,10 @@
             elif name == ":path":
                 self.target = value
 
-    # The message.
+    # The request.
 
     def begin(self, event: RequestReceived) -> None:
-        """Check the head, and respond at once where nothing more is needed."""
+        """Check the headers; respond immediately to a health check or an invalid request."""
         path = self.target.partition("?")[0]
         if path == HEALTH_PATH and self.method == "GET":
             status, text = self.connection.ingress.health()
@@ -85,7 +86,7 @@
             self.refuse(error)
 
     def _check_head(self, path: str, is_end_of_stream: bool) -> None:
-        """Find the service class that the head asks for. Raises RequestRefusedError."""
+        """Check the headers and set the service class. Raises RequestRefusedError."""
         if self.connection.connections.is_crowded:
             raise RequestRefusedError(HTTPStatus.SERVICE_UNAVAILABLE, "too many connections")
         length = self.headers.get("Content-Length")
@@ -94,34 +95,34 @@
             self.method, path, self.headers, has_body
         )
         if length is not None and length.isdecimal() and int(length) > MAX_BODY_BYTES:
-            raise _body_too_large()
+            raise _body_too_large_error()
 
     def add_data(self, event: DataReceived) -> None:
-        """Collect a part of the body; one that is too large is refused."""
+        """Append a part of the body, and refuse the request if the body is too large."""
         if self.is_refused:
             return
         if len(self.body) + len(event.data) > MAX_BODY_BYTES:
             self.body.clear()
-            self.refuse(_body_too_large())
+            self.refuse(_body_too_large_error())
             return
         self.body += event.data
 
     def complete(self) -> None:
-        """Begin to serve the request: the whole message has come."""
+        """Start to serve the request, which was received completely."""
         self.is_complete = True
         if self.is_refused:
             return
         length = self.headers.get("Content-Length")
         if length is not None and length != str(len(self.body)):
-            # RFC 9113, 8.1.1; the library would check only where there is data.
+            # RFC 9113, 8.1.1. The library would check this only for a request with DATA frames.
             self.connection.reset_stream(self.stream_id, ErrorCodes.PROTOCOL_ERROR)
             self.connection.remove_stream(self)
         elif self.task is None and self.service_class is not None:
             self.task = self.connection.loop.create_task(self._serve(self.service_class))
-            self.task.add_done_callback(self._served)
+            self.task.add_done_callback(self._on_serve_done)
 
     def refuse_if_late(self, now: float) -> None:
-        """Refuse the message if it has not come whole in time."""
+        """Refuse the request if it was not completely received by its deadline."""
         is_incomplete = not (self.is_complete or self.is_refused or self.task)
         if is_incomplete and self.deadline < now:
             self.refuse(
@@ -131,15 +132,15 @@
             )
 
     def refuse(self, error: RequestRefusedError) -> None:
-        """Respond before the message is complete; what still comes of it is discarded."""
+        """Respond with an error, and discard what is still received of the request."""
         self.is_refused = True
         self.connection.ingress.count_refusal(error)
-        self._begin_response(error.status, _headers_of(error), _body_of(error))
+        self._begin_response(error.status, _error_headers(error), _error_body(error))
 
     def cancel(self) -> None:
-        """Give the request up: its client has left, or the connection is over."""
+        """Cancel the request: its client left, or the connection is closing."""
         if self.task is not None:
-            self.task.cancel()  # its callback removes the stream
+            self.task.cancel()  # the task's callback removes the stream
         else:
             self.connection.remove_stream(self)
 
@@ -160,59 +161,59 @@
             final_response = await ingress.handle(request, message)
         except RequestRefusedError as error:
             ingress.count_refusal(error)
-            await self.write_response(error.status, _headers_of(error), _body_of(error))
+            await self.write_response(error.status, _error_headers(error), _error_body(error))
             return
         status, headers, body = ingress.encode(final_response)
         await self.write_response(status, headers, body)
 
-    def _served(self, task: asyncio.Task[None]) -> None:
+    def _on_serve_done(self, task: asyncio.Task[None]) -> None:
         error = None if task.cancelled() else task.exception()
         if error is not None:
             self.connection.log_fault(error)
             self.connection.reset_stream(self.stream_id, ErrorCodes.INTERNAL_ERROR)
         elif self.is_answered:
-            # Not for a cancelled request: it would give back twice what its reset had cost.
+            # A cancelled request earns no refill, which would be twice the cost of its reset.
             self.connection.abuse_budget.request_answered()
         self.connection.remove_stream(self)
 
     def _begin_response(self, status: int, headers: list[Header], body: bytes) -> None:
-        """Write a response that needs no upstream."""
+        """Start a task that writes a response made without an upstream."""
         self.task = self.connection.loop.create_task(self.write_response(status, headers, body))
-        self.task.add_done_callback(partial(_remove, self))
+        self.task.add_done_callback(partial(_remove_stream, self))
 
     async def write_response(self, status: int, headers: list[Header], body: bytes) -> None:
-        """Write the one final response, as the client opens its windows."""
+        """Write the one final response as the client's flow-control windows permit."""
         connection = self.connection
-        if connection.is_over or self.is_reset:
+        if connection.is_closed or self.is_reset:
             return
-        block = [
+        head = [
             (":status", str(status)),
             ("content-length", str(len(body))),
             *((name.lower(), value) for name, value in headers),
         ]
         try:
-            connection.h2.send_headers(self.stream_id, block, end_stream=not body)
+            connection.h2.send_headers(self.stream_id, head, end_stream=not body)
             await self._write_body(body)
         except TimeoutError:
             connection.counters.add("h2 answers without window")
             connection.reset_stream(self.stream_id, ErrorCodes.CANCEL)
         except h2.exceptions.ProtocolError:
-            return  # reset or ended meanwhile
+            return  # the stream was reset or ended in the meantime
         else:
             self.is_answered = True
-        if not self.is_complete and not connection.is_over:
-            # The client need not send the rest (RFC 9113, 8.1).
+        if not self.is_complete and not connection.is_closed:
+            # Tells the client not to send the rest of its request (RFC 9113, 8.1).
             connection.reset_stream(self.stream_id, ErrorCodes.NO_ERROR)
         connection.flush()
 
     async def _write_body(self, body: bytes) -> None:
-        """Write a response's body. Raises TimeoutError where the client opens no window."""
+        """Write the body. Raises TimeoutError if the client opens no window in WINDOW_TIMEOUT_S."""
         connection = self.connection
-        rest = memoryview(body)
-        while rest:
-            sent = connection.h2.send_body_part(self.stream_id, rest)
+        remaining = memoryview(body)
+        while remaining:
+            sent = connection.h2.send_body_part(self.stream_id, remaining)
             if sent:
-                rest = rest[sent:]
+                remaining = remaining[sent:]
                 connection.flush()
             else:
                 self.window_opened = connection.loop.create_future()
@@ -221,19 +222,19 @@
                     await self.window_opened
 
 
-def _remove(stream: ServerStream, _task: asyncio.Task[None]) -> None:
+def _remove_stream(stream: ServerStream, _task: asyncio.Task[None]) -> None:
     stream.connection.remove_stream(stream)
 
 
-def _headers_of(error: RequestRefusedError) -> list[Header]:
+def _error_headers(error: RequestRefusedError) -> list[Header]:
     return [("Content-Type", PLAIN_TEXT), *error.headers.items()]
 
 
-def _body_of(error: RequestRefusedError) -> bytes:
+def _error_body(error: RequestRefusedError) -> bytes:
     return f"{error}\n".encode()
 
 
-def _body_too_large() -> RequestRefusedError:
+def _body_too_large_error() -> RequestRefusedError:
     return RequestRefusedError(
         HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"a body of at most {MAX_BODY_BYTES} bytes is wanted"
     )
