--- a/pepperhook/http2/client_connection.py
+++ b/pepperhook/http2/client_connection.py
@@ -99,6 +99,7 @@
         exchange.stream_id = self.h2.get_next_available_stream_id()
         exchange.started_at = self.loop.time()
         if not self.exchanges and self.ping_sent_at is None:
+            # The silence of an idle connection does not count.
             self.last_received_at = exchange.started_at
         self.exchanges[exchange.stream_id] = exchange
         self._schedule_liveness_check()
@@ -230,7 +231,8 @@
             return
         error: AttemptError
         if not event.remote_reset:
-            # The library reset the stream because the response was malformed.
+            # The library found the response malformed: more data than announced, or data after its
+            # end.
             error = MalformedResponseError(f"stream reset by this side: {event.error_code}")
         elif event.error_code == ErrorCodes.REFUSED_STREAM:
             error = OverloadedError("stream refused by the upstream")
@@ -258,19 +260,19 @@
             self.ready.set_result(None)
         peer_limit = self.h2.remote_settings.max_concurrent_streams
         self.stream_limit.set_max_streams(min(self.owner.max_streams, peer_limit))
-        self._notify_all_windows()
+        self._wake_all_senders()
         self.owner.wake_waiters()
 
     def _on_window_update(self, event: h2.events.WindowUpdated) -> None:
         self._charge(FrameKind.WINDOW_UPDATE)
         if not event.stream_id:
-            self._notify_all_windows()
+            self._wake_all_senders()
         elif event.stream_id in self.exchanges:
-            self.exchanges[event.stream_id].notify_window_opened()
+            self.exchanges[event.stream_id].wake_sender()
 
-    def _notify_all_windows(self) -> None:
+    def _wake_all_senders(self) -> None:
         for exchange in list(self.exchanges.values()):
-            exchange.notify_window_opened()
+            exchange.wake_sender()
 
     def _on_ping(self, _event: h2.events.PingReceived) -> None:
         self._charge(FrameKind.PING)
--- a/pepperhook/http2/connection.py
+++ b/pepperhook/http2/connection.py
@@ -31,7 +31,7 @@
 
 
 class HeaderDecoder(hpack.Decoder):
-    """Raises HeaderBlockError for an invalid block, which the library makes a PROTOCOL_ERROR."""
+    """Raises HeaderBlockError for an invalid block; the library would send PROTOCOL_ERROR."""
 
     def decode(self, data: bytes, raw: bool = False) -> Iterable[HeaderTuple]:
         """Decode a header block. Raises HeaderBlockError."""
--- a/pepperhook/http2/protocol.py
+++ b/pepperhook/http2/protocol.py
@@ -32,7 +32,7 @@
         self.stream_id = stream_id
         self.window_opened: asyncio.Future[None] | None = None  # set while the sender waits
 
-    def notify_window_opened(self) -> None:
+    def wake_sender(self) -> None:
         """Wake the sender if it waits for window."""
         if self.window_opened is not None and not self.window_opened.done():
             self.window_opened.set_result(None)
--- a/pepperhook/http2/server.py
+++ b/pepperhook/http2/server.py
@@ -166,17 +166,17 @@
     def _on_window_update(self, event: h2.events.WindowUpdated) -> None:
         self._charge(FrameKind.WINDOW_UPDATE)
         if not event.stream_id:
-            self._notify_all_windows()
+            self._wake_all_senders()
         elif event.stream_id in self.streams:
-            self.streams[event.stream_id].notify_window_opened()
+            self.streams[event.stream_id].wake_sender()
 
     def _on_settings(self, _event: h2.events.RemoteSettingsChanged) -> None:
         self._charge(FrameKind.SETTINGS)
-        self._notify_all_windows()
+        self._wake_all_senders()
 
-    def _notify_all_windows(self) -> None:
+    def _wake_all_senders(self) -> None:
         for stream in list(self.streams.values()):
-            stream.notify_window_opened()
+            stream.wake_sender()
 
     def _on_ping(self, _event: h2.events.PingReceived) -> None:
         self._charge(FrameKind.PING)
