--- a/tests/http2/__init__.py
+++ b/tests/http2/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of HTTP/2 on both sides, on loopback."""
+"""Tests of the HTTP/2 server and client, over loopback."""
--- a/tests/http2/balancers.py
+++ b/tests/http2/balancers.py
@@ -1,16 +1,16 @@
-"""Balancers with HTTP/2 switched on, and waiting for what they do."""
+"""Extensions that enable HTTP/2, and a helper to wait for a condition."""
 
 import asyncio
 
 from pepperhook.operator_config.schema import Http2Table
 from pepperhook.server.extensions import Extensions
 
-HTTP2_CLIENTS = Extensions(h2=Http2Table())  # upstreams speak HTTP/1.1
-HTTP2 = Extensions(h2=Http2Table(upstreams="h2"))  # on both sides
-POLL_S = 0.01
+HTTP2_CLIENTS = Extensions(h2=Http2Table())  # to clients only; HTTP/1.1 to upstreams
+HTTP2_BOTH_SIDES = Extensions(h2=Http2Table(upstreams="h2"))
+POLL_INTERVAL_S = 0.01
 
 
-async def until(condition):
-    """Wait until the condition holds."""
+async def wait_until(condition):
+    """Poll until ``condition()`` is true."""
     while not condition():
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/tests/http2/frames.py
+++ b/tests/http2/frames.py
@@ -1,4 +1,4 @@
-"""Messages and frames that the tests of HTTP/2 send, well-formed unless a test changes them."""
+"""Headers and frames for the HTTP/2 tests; well-formed unless a test changes them."""
 
 import hpack
 from hyperframe.frame import DataFrame, HeadersFrame, SettingsFrame
@@ -7,7 +7,7 @@
 SETTINGS = SettingsFrame(0)
 END_HEADERS = "END_HEADERS"
 END_STREAM = "END_STREAM"
-GET = [
+GET_HEADERS = [
     (":method", "GET"),
     (":scheme", "http"),
     (":authority", "s"),
@@ -15,7 +15,7 @@
     ("x-request-id", "r1"),
     ("x-timeout-ms", "2000"),
 ]
-POST = [
+POST_HEADERS = [
     (":method", "POST"),
     (":scheme", "http"),
     (":authority", "s"),
@@ -24,18 +24,18 @@
 ]
 
 
-def encode(*headers):
-    """A header block."""
+def encode_headers(*headers):
+    """Return a header block of these pairs."""
     return hpack.Encoder().encode(headers)
 
 
-def get_with_id(request_id):
-    """The headers of GET with another request id."""
-    return [(name, request_id if name == "x-request-id" else value) for name, value in GET]
+def get_headers_with_id(request_id):
+    """Return GET_HEADERS with another request id."""
+    return [(name, request_id if name == "x-request-id" else value) for name, value in GET_HEADERS]
 
 
-def headers_frame(stream_id=1, headers=GET, flags=(END_HEADERS, END_STREAM)):
-    return HeadersFrame(stream_id, encode(*headers), flags=list(flags))
+def headers_frame(stream_id=1, headers=GET_HEADERS, flags=(END_HEADERS, END_STREAM)):
+    return HeadersFrame(stream_id, encode_headers(*headers), flags=list(flags))
 
 
 def data_frame(stream_id, body, flags=()):
--- a/tests/http2/scripted_client.py
+++ b/tests/http2/scripted_client.py
@@ -1,4 +1,4 @@
-"""An HTTP/2 client that is scripted, down to single frames."""
+"""An HTTP/2 client that tests control down to single frames."""
 
 import asyncio
 from typing import NamedTuple
@@ -14,28 +14,28 @@
 
 
 class Response(NamedTuple):
-    """What a stream ended with; no status where it was reset, or its connection ended."""
+    """The result of a stream; the status is None if it ended without a response."""
 
     status: int | None
     body: bytes
 
 
 def serialize(frames):
-    """Frames as bytes; bytes are left as they are."""
+    """Return frames as bytes; items that are bytes already are not changed."""
     return b"".join(frame.serialize() if isinstance(frame, Frame) else frame for frame in frames)
 
 
 class ScriptedClient:
-    """A client on one connection.
+    """A client with one connection.
 
-    ``is_raw``: nothing is sent but what the test sends; ``returns_windows``: whether it lets the
-    balancer send on.
+    ``is_raw``: whether to send only what the test sends, without a preface;
+    ``replenishes_windows``: whether to send WINDOW_UPDATE for received data.
     """
 
-    def __init__(self, port, is_raw=False, returns_windows=True):
+    def __init__(self, port, is_raw=False, replenishes_windows=True):
         self.port = port
         self.is_raw = is_raw
-        self.returns_windows = returns_windows
+        self.replenishes_windows = replenishes_windows
         self.h2 = h2.connection.H2Connection(
             h2.config.H2Configuration(
                 client_side=True,
@@ -45,11 +45,12 @@
             )
         )
         self.request_count = 0
-        self.statuses = {}  # all of these by stream
+        # Results by stream id.
+        self.statuses = {}
         self.bodies = {}
         self.reset_codes = {}
         self.ended = set()
-        self.goaway = None  # the event, once one came
+        self.goaway = None  # the event of the last GOAWAY
         self.is_closed = False
 
     async def __aenter__(self):
@@ -68,11 +69,11 @@
         self.writer.write(self.h2.data_to_send())
 
     def send(self, *frames):
-        """Send frames, or bytes, as they are."""
+        """Send frames, or bytes, without checks."""
         self.writer.write(serialize(frames))
 
-    def headers(self, path="/look", method="GET", **changed):
-        """The headers of a new request; those that are None are left out."""
+    def headers(self, path="/look", method="GET", **overrides):
+        """Return the headers of a new request; an override of None removes the header."""
         self.request_count += 1
         headers = {
             ":method": method,
@@ -81,12 +82,12 @@
             ":path": path,
             "x-request-id": f"h2-{id(self):x}-{self.request_count}",
             "x-timeout-ms": "2000",
-            **{name.replace("_", "-"): value for name, value in changed.items()},
+            **{name.replace("_", "-"): value for name, value in overrides.items()},
         }
         return [(name, value) for name, value in headers.items() if value is not None]
 
     def request(self, path="/look", method="GET", body=b"", **headers):
-        """Send a request; returns its stream."""
+        """Send a request; return its stream id."""
         stream_id = self.h2.get_next_available_stream_id()
         self.h2.send_headers(stream_id, self.headers(path, method, **headers), end_stream=not body)
         if body:
@@ -95,7 +96,7 @@
         return stream_id
 
     async def request_with_large_body(self, path, method, body, **headers):
-        """Send a request as windows allow, until it is answered; returns its stream."""
+        """Send a request as the windows permit, until a response starts; return its stream id."""
         stream_id = self.h2.get_next_available_stream_id()
         self.h2.send_headers(stream_id, self.headers(path, method, **headers), end_stream=not body)
         self.flush()
@@ -121,7 +122,7 @@
         self.flush()
 
     def expect_response(self, stream_id):
-        """Let the library take a response to a request that the test sends as raw frames."""
+        """Make the library accept a response to a request that the test sends as raw frames."""
         self.h2.initiate_connection()
         self.h2.data_to_send()
         stream = self.h2._begin_new_stream(stream_id, h2.connection.AllowedStreamIDs.ODD)
@@ -132,10 +133,10 @@
 
     # Receiving.
 
-    async def read(self, is_enough, timeout_s=10):
-        """Read until the condition holds, or the connection ends."""
+    async def read(self, condition, timeout_s=10):
+        """Read until ``condition()`` is true or the connection ends."""
         async with asyncio.timeout(timeout_s):
-            while not is_enough() and not self.is_closed:
+            while not condition() and not self.is_closed:
                 data = await self.reader.read(READ_SIZE)
                 try:
                     events = self.h2.receive_data(data) if data else None
@@ -155,7 +156,7 @@
             case h2.events.DataReceived():
                 body = self.bodies.get(event.stream_id, b"")
                 self.bodies[event.stream_id] = body + event.data
-                if self.returns_windows and event.flow_controlled_length:
+                if self.replenishes_windows and event.flow_controlled_length:
                     self.h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
             case h2.events.StreamEnded():
                 self.ended.add(event.stream_id)
@@ -165,7 +166,7 @@
                 self.goaway = event
 
     async def response(self, stream_id):
-        """Wait for a stream's end; returns its Response."""
+        """Wait for the end of a stream; return its Response."""
         await self.read(
             lambda: (
                 stream_id in self.ended
@@ -176,12 +177,12 @@
         return Response(self.statuses.get(stream_id), self.bodies.get(stream_id, b""))
 
     async def connection_error(self):
-        """Wait for the connection's end; returns the code of its GOAWAY, or None."""
+        """Wait for the end of the connection; return the error code of its GOAWAY, or None."""
         await self.read(lambda: False)
         return self.goaway.error_code if self.goaway else None
 
     async def remaining_bytes(self):
-        """Read to the end what the library would take for an error, as after a GOAWAY."""
+        """Return all bytes up to the end; for frames that the library rejects after a GOAWAY."""
         received = b""
         while data := await self.reader.read(READ_SIZE):
             received += data
--- a/tests/http2/scripted_upstream.py
+++ b/tests/http2/scripted_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream that speaks HTTP/2 and is scripted, down to single frames."""
+"""An HTTP/2 upstream that tests control down to single frames."""
 
 import asyncio
 from contextlib import suppress
@@ -15,7 +15,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request, complete once the script gets it."""
+    """A request; complete when the script is called with it."""
 
     stream_id: int
     headers: dict
@@ -29,12 +29,12 @@
 class ScriptedUpstream:
     """An upstream on loopback.
 
-    ``script(connection, request)``, a function or coroutine function, is called for each request;
-    by default each is answered by 200.
+    ``script(connection, request)``, a function or coroutine function, is called for each request.
+    The default script responds with status 200.
     """
 
     def __init__(self, script=None, settings=None):
-        self.script = script or answer_ok
+        self.script = script or respond_ok
         self.settings = settings
         self.requests = []
         self.connections = []
@@ -82,13 +82,13 @@
         self.writer = writer
         self.ignores_input = False
         self.reads_bodies = True
-        self.open_requests = 0  # for scripts that count them
+        self.open_requests = 0  # maintained only by scripts that need it
         self.h2 = h2.connection.H2Connection(
             h2.config.H2Configuration(
                 client_side=False, header_encoding="utf-8", validate_outbound_headers=False
             )
         )
-        self.requests = {}  # by stream
+        self.requests = {}  # by stream id
 
     async def run(self):
         if self.upstream.settings:
@@ -120,13 +120,13 @@
             case h2.events.PingReceived():
                 self.upstream.pings += 1
 
-    def answer(self, request, status=200, body=b"done", end_stream=True, **headers):
-        """Send a response, whole unless ``end_stream`` is False."""
-        block = [
+    def respond(self, request, status=200, body=b"done", end_stream=True, **headers):
+        """Send a response; the stream stays open if ``end_stream`` is False."""
+        head = [
             (":status", str(status)),
             *((name.replace("_", "-"), value) for name, value in headers.items()),
         ]
-        self.h2.send_headers(request.stream_id, block, end_stream=end_stream and not body)
+        self.h2.send_headers(request.stream_id, head, end_stream=end_stream and not body)
         if body:
             self.h2.send_data(request.stream_id, body, end_stream=end_stream)
         self.flush()
@@ -136,7 +136,7 @@
             self.writer.write(self.h2.data_to_send())
 
     def send(self, *frames):
-        """Send frames, or bytes, as they are."""
+        """Send frames, or bytes, without checks."""
         self.writer.write(serialize(frames))
 
     def close(self):
@@ -146,10 +146,10 @@
         self.writer.transport.abort()
 
 
-def answer_ok(connection, request):
-    """The script that answers each request by 200."""
-    connection.answer(request)
+def respond_ok(connection, request):
+    """Script that responds to each request with status 200."""
+    connection.respond(request)
 
 
-def ignore(_connection, _request):
-    """The script that never answers."""
+def never_respond(_connection, _request):
+    """Script that sends no response."""
--- a/tests/http2/test_abuse_limits.py
+++ b/tests/http2/test_abuse_limits.py
@@ -1,4 +1,4 @@
-"""The token bucket against frames without progress, and the growing limit on streams."""
+"""The token bucket for frames without progress, and the growing limit on streams."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 def spend_all(budget):
-    """Charge until nothing is left."""
+    """Charge for PING frames until no credit is left; return the results."""
     return [budget.charge(0, FrameKind.PING) for _ in range(int(MAX_CREDIT / FrameKind.PING.cost))]
 
 
@@ -38,7 +38,7 @@
     assert budget.credit == MAX_CREDIT - FrameKind.PING.cost
 
 
-def test_a_stream_limit_grows_with_answers_up_to_its_maximum():
+def test_a_stream_limit_grows_with_responses_up_to_its_maximum():
     limit = StreamLimit(100)
     assert limit.allowed == StreamLimit.INITIAL
 
@@ -48,13 +48,13 @@
     assert limit.allowed == 100
 
 
-def test_a_stream_limit_follows_a_lower_maximum_of_the_peer():
+def test_a_stream_limit_is_reduced_to_a_lower_maximum_of_the_peer():
     limit = StreamLimit(100)
     limit.set_max_streams(3)
     assert limit.allowed == 3
 
 
-def test_a_stream_limit_that_has_not_grown_begins_anew_under_a_higher_maximum():
+def test_a_stream_limit_that_has_not_grown_returns_to_its_initial_value_when_the_peer_permits():
     limit = StreamLimit(100)
     limit.set_max_streams(3)
     limit.set_max_streams(50)
--- a/tests/http2/test_conformance.py
+++ b/tests/http2/test_conformance.py
@@ -1,4 +1,4 @@
-"""What the server makes of what a client sends, by the sections of RFC 9113."""
+"""The server's reactions to frames of a client, by section of RFC 9113."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -19,30 +19,32 @@
 from tests.http2.frames import (
     END_HEADERS,
     END_STREAM,
-    GET,
-    POST,
+    GET_HEADERS,
+    POST_HEADERS,
     PREFACE,
     SETTINGS,
     data_frame,
-    encode,
+    encode_headers,
     headers_frame,
 )
 from tests.http2.scripted_client import ScriptedClient
-from tests.world import Peer, Running, answer, loopback
+from tests.server.balancers import RunningBalancer
+from tests.server.peers import ScriptedPeer, make_response
+from tests.world import loopback
 
-STREAM_ID = 1  # of the request whose response is looked at
+STREAM_ID = 1  # of the request whose response is checked
 READ_TIMEOUT_S = 5
 
 
 async def read_error(client):
-    """Wait for a stream's or the connection's end; returns the code of GOAWAY, or None."""
+    """Wait for RST_STREAM, GOAWAY or the connection's end; return the GOAWAY's code or None."""
     await client.read(lambda: client.reset_codes or client.goaway, READ_TIMEOUT_S)
     return client.goaway.error_code if client.goaway else None
 
 
 @dataclass
 class Answered:
-    """The request is served."""
+    """Expects a response with status 200."""
 
     async def check(self, client):
         assert (await client.response(STREAM_ID)).status == 200
@@ -50,7 +52,7 @@
 
 @dataclass
 class GoAway:
-    """A connection error."""
+    """Expects a connection error with this code."""
 
     code: ErrorCodes
 
@@ -60,9 +62,9 @@
 
 @dataclass
 class RequestError:
-    """A stream error, or a connection error in its place (5.4.1)."""
+    """Expects a stream error, or a connection error instead (5.4.1)."""
 
-    code: ErrorCodes | None = None  # None: any
+    code: ErrorCodes | None = None  # None: any code
 
     async def check(self, client):
         connection_code = await read_error(client)
@@ -72,7 +74,7 @@
 
 @dataclass
 class ConnectionEnd:
-    """The connection ends, with GOAWAY or without."""
+    """Expects the connection to end, with or without GOAWAY."""
 
     async def check(self, client):
         await read_error(client)
@@ -80,7 +82,7 @@
 
 
 class Case(NamedTuple):
-    """What a client sends after its preface and SETTINGS, and what becomes of it."""
+    """The frames that a client sends after its preface and SETTINGS, and the expected reaction."""
 
     section: str
     condition: str
@@ -96,19 +98,21 @@
 
 
 def without(name):
-    """The headers of GET but for one."""
-    return [pair for pair in GET if pair[0] != name]
+    """Return GET_HEADERS without the header of this name."""
+    return [pair for pair in GET_HEADERS if pair[0] != name]
 
 
 CASES = [
     Case("3.4", "the preface is followed by SETTINGS", [headers_frame()], ANSWERED),
     Case(
         "4.1",
-        "an unknown type is ignored",
+        "a frame of unknown type is ignored",
         [b"\0\0\4\x2a\0\0\0\0\0abcd", headers_frame()],
         ANSWERED,
     ),
-    Case("4.1", "reserved bit is ignored", [b"\0\0\0\4\0\x80\0\0\0", headers_frame()], ANSWERED),
+    Case(
+        "4.1", "the reserved bit is ignored", [b"\0\0\0\4\0\x80\0\0\0", headers_frame()], ANSWERED
+    ),
     Case(
         "4.2",
         "a frame over the announced size",
@@ -146,14 +150,14 @@
         RequestError(),
     ),
     Case("5.1", "HEADERS after END_STREAM", [headers_frame(), headers_frame()], RequestError()),
-    Case("5.1.1", "an even stream of a client", [headers_frame(2)], PROTOCOL_ERROR),
+    Case("5.1.1", "an even stream id of a client", [headers_frame(2)], PROTOCOL_ERROR),
     Case(
         "5.1.1",
-        "a stream id that is lower than the one before",
+        "a stream id lower than the previous one",
         [headers_frame(5), headers_frame(3)],
         PROTOCOL_ERROR,
     ),
-    Case("5.1.1", "stream zero", [b"\0\0\1\1\5\0\0\0\0\x82"], PROTOCOL_ERROR),
+    Case("5.1.1", "HEADERS on stream zero", [b"\0\0\1\1\5\0\0\0\0\x82"], PROTOCOL_ERROR),
     Case(
         "5.3.1", "a stream that depends on itself", [PriorityFrame(1, depends_on=1)], PROTOCOL_ERROR
     ),
@@ -167,22 +171,25 @@
     Case(
         "6.1",
         "padding as long as the frame",
-        [headers_frame(headers=POST, flags=[END_HEADERS]), b"\0\0\2\0\x08\0\0\0\1\x05x"],
+        [headers_frame(headers=POST_HEADERS, flags=[END_HEADERS]), b"\0\0\2\0\x08\0\0\0\1\x05x"],
         PROTOCOL_ERROR,
     ),
     Case(
         "6.1",
-        "padded DATA counts whole and is read",
-        [headers_frame(headers=POST, flags=[END_HEADERS]), b"\0\0\5\0\x09\0\0\0\1\x02hi\0\0"],
+        "padded DATA is accepted",
+        [
+            headers_frame(headers=POST_HEADERS, flags=[END_HEADERS]),
+            b"\0\0\5\0\x09\0\0\0\1\x02hi\0\0",
+        ],
         ANSWERED,
     ),
     Case("6.2", "HEADERS with padding too long", [b"\0\0\2\1\x0c\0\0\0\1\x09\x82"], PROTOCOL_ERROR),
     Case(
         "6.2",
-        "HEADERS in pieces",
+        "HEADERS with CONTINUATION",
         [
-            HeadersFrame(1, encode(*GET)[:9], flags=[END_STREAM]),
-            ContinuationFrame(1, encode(*GET)[9:], flags=[END_HEADERS]),
+            HeadersFrame(1, encode_headers(*GET_HEADERS)[:9], flags=[END_STREAM]),
+            ContinuationFrame(1, encode_headers(*GET_HEADERS)[9:], flags=[END_HEADERS]),
         ],
         ANSWERED,
     ),
@@ -203,13 +210,13 @@
     Case("6.5", "SETTINGS on a stream", [b"\0\0\0\4\0\0\0\0\1"], PROTOCOL_ERROR),
     Case(
         "6.5",
-        "SETTINGS acknowledged with a payload",
+        "SETTINGS ACK with a payload",
         [b"\0\0\6\4\1\0\0\0\0\0\1\0\0\0\0"],
         PROTOCOL_ERROR,
     ),
     Case(
         "6.5.2",
-        "ENABLE_PUSH other than 0 and 1",
+        "ENABLE_PUSH other than 0 or 1",
         [b"\0\0\6\4\0\0\0\0\0\0\2\0\0\0\2"],
         PROTOCOL_ERROR,
     ),
@@ -229,7 +236,7 @@
     Case(
         "6.6",
         "PUSH_PROMISE by a client",
-        [PushPromiseFrame(1, 2, encode(*GET), flags=[END_HEADERS])],
+        [PushPromiseFrame(1, 2, encode_headers(*GET_HEADERS), flags=[END_HEADERS])],
         PROTOCOL_ERROR,
     ),
     Case("6.7", "PING on a stream", [b"\0\0\x08\6\0\0\0\0\x01abcdefgh"], PROTOCOL_ERROR),
@@ -237,7 +244,7 @@
     Case(
         "6.9",
         "WINDOW_UPDATE of zero on a stream",
-        [headers_frame(headers=POST, flags=[END_HEADERS]), b"\0\0\4\x08\0\0\0\0\1\0\0\0\0"],
+        [headers_frame(headers=POST_HEADERS, flags=[END_HEADERS]), b"\0\0\4\x08\0\0\0\0\1\0\0\0\0"],
         REQUEST_PROTOCOL_ERROR,
     ),
     Case(
@@ -255,7 +262,7 @@
     Case(
         "6.9.1",
         "a stream's window over 2^31-1",
-        [headers_frame(headers=POST, flags=[END_HEADERS]), WindowUpdateFrame(1, 2**31 - 1)],
+        [headers_frame(headers=POST_HEADERS, flags=[END_HEADERS]), WindowUpdateFrame(1, 2**31 - 1)],
         RequestError(ErrorCodes.FLOW_CONTROL_ERROR),
     ),
     Case(
@@ -274,7 +281,7 @@
         "8.1",
         "trailers without END_STREAM",
         [
-            headers_frame(headers=POST, flags=[END_HEADERS]),
+            headers_frame(headers=POST_HEADERS, flags=[END_HEADERS]),
             headers_frame(headers=[("x", "y")], flags=[END_HEADERS]),
         ],
         REQUEST_PROTOCOL_ERROR,
@@ -283,7 +290,7 @@
         "8.1",
         "trailers end a message",
         [
-            headers_frame(headers=POST, flags=[END_HEADERS]),
+            headers_frame(headers=POST_HEADERS, flags=[END_HEADERS]),
             data_frame(1, b"{}"),
             headers_frame(headers=[("x", "y")]),
         ],
@@ -291,18 +298,18 @@
     ),
     Case(
         "8.1.1",
-        "content-length over the data",
+        "content-length larger than the data",
         [
-            headers_frame(headers=[*POST, ("content-length", "9")], flags=[END_HEADERS]),
+            headers_frame(headers=[*POST_HEADERS, ("content-length", "9")], flags=[END_HEADERS]),
             data_frame(1, b"{}", [END_STREAM]),
         ],
         REQUEST_PROTOCOL_ERROR,
     ),
     Case(
         "8.1.1",
-        "content-length under the data",
+        "content-length smaller than the data",
         [
-            headers_frame(headers=[*POST, ("content-length", "1")], flags=[END_HEADERS]),
+            headers_frame(headers=[*POST_HEADERS, ("content-length", "1")], flags=[END_HEADERS]),
             data_frame(1, b"{}", [END_STREAM]),
         ],
         REQUEST_PROTOCOL_ERROR,
@@ -310,80 +317,88 @@
     Case(
         "8.1.1",
         "content-length without data",
-        [headers_frame(headers=[*POST, ("content-length", "9")])],
+        [headers_frame(headers=[*POST_HEADERS, ("content-length", "9")])],
         REQUEST_PROTOCOL_ERROR,
     ),
     Case(
         "8.2.1",
-        "upper case in a name",
-        [headers_frame(headers=[*GET, ("X-Upper", "y")])],
+        "an upper-case header name",
+        [headers_frame(headers=[*GET_HEADERS, ("X-Upper", "y")])],
         REQUEST_PROTOCOL_ERROR,
     ),
     Case(
         "8.2.1",
-        "a blank at a value's end",
-        [headers_frame(headers=[*GET, ("x-y", "a ")])],
+        "trailing space in a header value",
+        [headers_frame(headers=[*GET_HEADERS, ("x-y", "a ")])],
         REQUEST_PROTOCOL_ERROR,
     ),
     Case(
         "8.2.1",
-        "a line end in a value",
-        [headers_frame(headers=[*GET, ("x-y", "a\r\nb")])],
+        "CRLF in a header value",
+        [headers_frame(headers=[*GET_HEADERS, ("x-y", "a\r\nb")])],
         REQUEST_PROTOCOL_ERROR,
     ),
     Case(
         "8.2.2",
-        "connection",
-        [headers_frame(headers=[*GET, ("connection", "close")])],
+        "the connection header",
+        [headers_frame(headers=[*GET_HEADERS, ("connection", "close")])],
         REQUEST_PROTOCOL_ERROR,
     ),
     Case(
         "8.2.2",
-        "transfer-encoding",
-        [headers_frame(headers=[*GET, ("transfer-encoding", "chunked")])],
+        "the transfer-encoding header",
+        [headers_frame(headers=[*GET_HEADERS, ("transfer-encoding", "chunked")])],
         REQUEST_PROTOCOL_ERROR,
     ),
     Case(
         "8.2.2",
-        "keep-alive",
-        [headers_frame(headers=[*GET, ("keep-alive", "1")])],
+        "the keep-alive header",
+        [headers_frame(headers=[*GET_HEADERS, ("keep-alive", "1")])],
         REQUEST_PROTOCOL_ERROR,
     ),
     Case(
         "8.2.2",
         "te other than trailers",
-        [headers_frame(headers=[*GET, ("te", "gzip")])],
+        [headers_frame(headers=[*GET_HEADERS, ("te", "gzip")])],
         REQUEST_PROTOCOL_ERROR,
     ),
-    Case("8.2.2", "te: trailers", [headers_frame(headers=[*GET, ("te", "trailers")])], ANSWERED),
+    Case(
+        "8.2.2",
+        "te: trailers",
+        [headers_frame(headers=[*GET_HEADERS, ("te", "trailers")])],
+        ANSWERED,
+    ),
     Case(
         "8.3",
         "an unknown pseudo-header",
-        [headers_frame(headers=[*GET[:4], (":news", "1"), *GET[4:]])],
+        [headers_frame(headers=[*GET_HEADERS[:4], (":news", "1"), *GET_HEADERS[4:]])],
         REQUEST_PROTOCOL_ERROR,
     ),
     Case(
         "8.3",
-        "a pseudo-header after others",
-        [headers_frame(headers=[*GET[1:], GET[0]])],
+        "a pseudo-header after regular headers",
+        [headers_frame(headers=[*GET_HEADERS[1:], GET_HEADERS[0]])],
         REQUEST_PROTOCOL_ERROR,
     ),
     Case(
         "8.3",
         "a pseudo-header in trailers",
-        [headers_frame(headers=POST, flags=[END_HEADERS]), headers_frame(headers=[(":path", "/")])],
+        [
+            headers_frame(headers=POST_HEADERS, flags=[END_HEADERS]),
+            headers_frame(headers=[(":path", "/")]),
+        ],
         REQUEST_PROTOCOL_ERROR,
     ),
     Case(
         "8.3",
-        "a pseudo-header twice",
-        [headers_frame(headers=[GET[0], *GET])],
+        "a repeated pseudo-header",
+        [headers_frame(headers=[GET_HEADERS[0], *GET_HEADERS])],
         REQUEST_PROTOCOL_ERROR,
     ),
     Case(
         "8.3",
         ":status in a request",
-        [headers_frame(headers=[(":status", "200"), *GET])],
+        [headers_frame(headers=[(":status", "200"), *GET_HEADERS])],
         REQUEST_PROTOCOL_ERROR,
     ),
     Case(
@@ -396,23 +411,35 @@
     Case(
         "8.3.1",
         "an empty :path",
-        [headers_frame(headers=[(":path", "") if n == ":path" else (n, v) for n, v in GET])],
+        [
+            headers_frame(
+                headers=[
+                    (":path", "") if name == ":path" else (name, value)
+                    for name, value in GET_HEADERS
+                ]
+            )
+        ],
         REQUEST_PROTOCOL_ERROR,
     ),
-    Case("9.2", "HTTP/1.1 inside", [b"GET /look HTTP/1.1\r\nHost: x\r\n\r\n" * 3], ConnectionEnd()),
+    Case(
+        "9.2",
+        "HTTP/1.1 after the preface",
+        [b"GET /look HTTP/1.1\r\nHost: x\r\n\r\n" * 3],
+        ConnectionEnd(),
+    ),
 ]
 
 
 @pytest.mark.parametrize("case", CASES, ids=[f"{case.section} {case.condition}" for case in CASES])
 @loopback
-async def test_frames_have_the_result_that_the_rfc_names_and_other_clients_are_served(case):
+async def test_frames_get_the_reaction_that_the_rfc_requires_and_other_clients_are_served(case):
     async with (
-        Peer(lambda *_: answer()) as peer,
-        Running([peer.dial], parts=HTTP2_CLIENTS) as balancer,
+        ScriptedPeer(lambda *_: make_response()) as peer,
+        RunningBalancer([peer.address], extensions=HTTP2_CLIENTS) as balancer,
     ):
         async with ScriptedClient(balancer.port, is_raw=True) as client:
             client.expect_response(STREAM_ID)
             client.send(PREFACE, SETTINGS, *case.frames)
             await case.expected.check(client)
 
-        assert (await balancer.ask())[0] == 200
+        assert (await balancer.request())[0] == 200
--- a/tests/http2/test_floods.py
+++ b/tests/http2/test_floods.py
@@ -1,4 +1,4 @@
-"""Clients that send many frames without progress are disconnected, and others are served."""
+"""Peers that send many frames without progress are disconnected; others are served."""
 
 import asyncio
 
@@ -15,53 +15,55 @@
 )
 
 from pepperhook.http2.abuse_limits import MAX_CREDIT, FrameKind
-from tests.http2.balancers import HTTP2, HTTP2_CLIENTS, until
+from tests.http2.balancers import HTTP2_BOTH_SIDES, HTTP2_CLIENTS, wait_until
 from tests.http2.frames import (
     END_HEADERS,
-    GET,
-    POST,
+    GET_HEADERS,
+    POST_HEADERS,
     PREFACE,
     SETTINGS,
     data_frame,
-    get_with_id,
+    get_headers_with_id,
     headers_frame,
 )
 from tests.http2.scripted_client import ScriptedClient
 from tests.http2.scripted_upstream import ScriptedUpstream
-from tests.world import Peer, Running, answer, loopback
+from tests.server.balancers import RunningBalancer
+from tests.server.peers import ScriptedPeer, make_response
+from tests.world import loopback
 
 MAX_ROUNDS = 4000
-ROUNDS_AT_ONCE = 50
+ROUNDS_PER_BATCH = 50
 UNKNOWN_FRAME = b"\0\0\0\x2a\0\0\0\0\0"
 HPACK_BOMB = b"\x40\x01a\x7f\x80\x1f" + b"v" * 4095 + b"\xbe" * 8000
 
 
-# The frames of one round, by its number.
+# Each function returns the frames of one round of a flood, given its round number.
 
 
-def rapid_reset(number):
-    stream_id = 2 * number + 1
+def rapid_reset(round_number):
+    stream_id = 2 * round_number + 1
     return [
-        headers_frame(stream_id, get_with_id(f"f{number}")),
+        headers_frame(stream_id, get_headers_with_id(f"f{round_number}")),
         RstStreamFrame(stream_id, ErrorCodes.CANCEL),
     ]
 
 
-def ping(number):
-    return [PingFrame(0, b"%08d" % number)]
+def ping(round_number):
+    return [PingFrame(0, b"%08d" % round_number)]
 
 
-def settings(number):
-    return [SettingsFrame(0, settings={SettingsFrame.MAX_CONCURRENT_STREAMS: number + 1})]
+def settings(round_number):
+    return [SettingsFrame(0, settings={SettingsFrame.MAX_CONCURRENT_STREAMS: round_number + 1})]
 
 
-def empty_data(number):
-    head = [] if number else [headers_frame(headers=POST, flags=[END_HEADERS])]
+def empty_data(round_number):
+    head = [] if round_number else [headers_frame(headers=POST_HEADERS, flags=[END_HEADERS])]
     return [*head, data_frame(1, b"")]
 
 
-def priority(number):
-    return [PriorityFrame(2 * number + 1)]
+def priority(round_number):
+    return [PriorityFrame(2 * round_number + 1)]
 
 
 def window_update(_number):
@@ -72,13 +74,13 @@
     return [UNKNOWN_FRAME]
 
 
-def continuation(number):
-    return [ContinuationFrame(1, b"") if number else headers_frame(flags=())]
+def continuation(round_number):
+    return [ContinuationFrame(1, b"") if round_number else headers_frame(flags=())]
 
 
-def large_headers(number):
+def large_headers(round_number):
     large = ((f"x-{position}", "y" * 900) for position in range(40))
-    return [headers_frame(2 * number + 1, [*GET, *large])]
+    return [headers_frame(2 * round_number + 1, [*GET_HEADERS, *large])]
 
 
 def hpack_bomb(_number):
@@ -99,98 +101,98 @@
 ]
 
 
-def disconnects(counters):
+def count_disconnects(counters):
     return counters["h2 floods"] + counters["h2 protocol errors"]
 
 
 async def send_until_disconnected(client, flood, counters):
-    """Whether the balancer disconnected the client within MAX_ROUNDS."""
-    for number in range(MAX_ROUNDS):
+    """Return whether the balancer disconnected the client within MAX_ROUNDS."""
+    for round_number in range(MAX_ROUNDS):
         try:
-            client.send(*flood(number))
+            client.send(*flood(round_number))
         except ConnectionError:
             return True
-        if number % ROUNDS_AT_ONCE == 0:
+        if round_number % ROUNDS_PER_BATCH == 0:
             await asyncio.sleep(0.001)
-            if client.reader.at_eof() or disconnects(counters):
+            if client.reader.at_eof() or count_disconnects(counters):
                 return True
     return False
 
 
 @pytest.mark.parametrize("flood", FLOODS)
 @loopback
-async def test_a_client_that_floods_is_disconnected_and_others_are_served(flood):
+async def test_a_flooding_client_is_disconnected_and_others_are_served(flood):
     async with (
-        Peer(lambda *_: answer()) as peer,
-        Running([peer.dial], parts=HTTP2_CLIENTS) as balancer,
+        ScriptedPeer(lambda *_: make_response()) as peer,
+        RunningBalancer([peer.address], extensions=HTTP2_CLIENTS) as balancer,
     ):
-        counters = balancer.node.counters
+        counters = balancer.app.counters
         async with ScriptedClient(balancer.port, is_raw=True) as client:
             client.send(PREFACE, SETTINGS)
             assert await send_until_disconnected(client, flood, counters)
-            assert disconnects(counters) == 1
+            assert count_disconnects(counters) == 1
 
-        assert (await balancer.ask())[0] == 200
+        assert (await balancer.request())[0] == 200
         async with ScriptedClient(balancer.port) as client:
             assert (await client.response(client.request())).status == 200
-        # No more of the flood reached an upstream than the budget permits.
-        assert len(peer.seen) <= MAX_CREDIT / FrameKind.RESET.cost + 4
+        # No more requests of the flood reached the upstream than the credit permits.
+        assert len(peer.requests) <= MAX_CREDIT / FrameKind.RESET.cost + 4
 
 
-# A rapid reset that takes its time (CVE-2023-44487): each request is reset only once the balancer
-# works on it. Such a client was never disconnected, 1,500 times in 5.7 s with both flood counters
-# at 0: each cancelled request counted as answered, which refilled twice what its reset had cost.
-# Only a response that was written refills now.
+# A slow variant of the rapid reset attack (CVE-2023-44487): the client resets each request only
+# after the balancer has begun to process it. A cancelled request must not refill the credit: when
+# it counted as answered, it refilled twice the cost of its reset, and a client was not disconnected
+# after 1,500 resets in 5.7 s, with both flood counters at 0.
 
-MAX_PACED_RESETS = 400
+MAX_RESETS = 400
 
 
-async def reset_each_request_once_it_runs(client, counters, streams):
-    """Whether the balancer disconnected the client within MAX_PACED_RESETS."""
+async def reset_each_request_in_flight(client, counters, streams):
+    """Return whether the balancer disconnected the client within MAX_RESETS."""
     client.send(PREFACE, SETTINGS)
-    for number in range(MAX_PACED_RESETS):
-        headers, reset = rapid_reset(number)
+    for round_number in range(MAX_RESETS):
+        headers, reset = rapid_reset(round_number)
         client.send(headers)
-        await until(lambda: streams)
+        await wait_until(lambda: streams)
         client.send(reset)
-        await until(lambda: not streams)
+        await wait_until(lambda: not streams)
         if counters["h2 floods"]:
             return True
     return False
 
 
 @loopback
-async def test_a_client_that_resets_each_request_once_it_runs_is_disconnected():
+async def test_a_client_that_resets_each_request_in_flight_is_disconnected():
     release = asyncio.Event()
 
-    async def answer_when_released(*_):
+    async def respond_when_released(*_):
         await release.wait()
-        return answer()
+        return make_response()
 
     async with (
-        Peer(answer_when_released) as peer,
-        Running([peer.dial], parts=HTTP2_CLIENTS) as balancer,
+        ScriptedPeer(respond_when_released) as peer,
+        RunningBalancer([peer.address], extensions=HTTP2_CLIENTS) as balancer,
         ScriptedClient(balancer.port, is_raw=True) as client,
     ):
-        counters = balancer.node.counters
-        streams = balancer.node.http_server.server.streams
+        counters = balancer.app.counters
+        streams = balancer.app.http_server.server.streams
 
-        assert await reset_each_request_once_it_runs(client, counters, streams)
+        assert await reset_each_request_in_flight(client, counters, streams)
         release.set()
-        await until(lambda: not balancer.node.requests.tasks)
+        await wait_until(lambda: not balancer.app.requests.tasks)
         assert counters["h2 floods"] == 1
 
 
 @loopback
-async def test_an_upstream_that_resets_closed_streams_over_and_over_is_disconnected():
-    def answer_and_reset(connection, request):
-        connection.answer(request)
-        connection.send(*[RstStreamFrame(request.stream_id, ErrorCodes.CANCEL)] * MAX_PACED_RESETS)
+async def test_an_upstream_that_repeatedly_resets_closed_streams_is_disconnected():
+    def respond_and_reset(connection, request):
+        connection.respond(request)
+        connection.send(*[RstStreamFrame(request.stream_id, ErrorCodes.CANCEL)] * MAX_RESETS)
 
     async with (
-        ScriptedUpstream(answer_and_reset) as upstream,
-        Running([upstream.address], parts=HTTP2) as balancer,
+        ScriptedUpstream(respond_and_reset) as upstream,
+        RunningBalancer([upstream.address], extensions=HTTP2_BOTH_SIDES) as balancer,
     ):
-        await balancer.ask()
+        await balancer.request()
         async with asyncio.timeout(5):
-            await until(lambda: balancer.node.counters["h2 floods of upstreams"])
+            await wait_until(lambda: balancer.app.counters["h2 floods of upstreams"])
--- a/tests/http2/test_malformed_heads.py
+++ b/tests/http2/test_malformed_heads.py
@@ -1,9 +1,9 @@
-"""A malformed response head ends its own stream, and no other on the connection.
+"""Malformed headers or trailers of a message end its own stream, but not the connection.
 
-What happened: an upstream that answered one request with a malformed head (two statuses, a pseudo
-header behind others, a name in capitals, Connection) ended the whole connection, as the h2 library
-takes any such head for an error of the connection: requests that other clients waited for were
-answered 500. RFC 9113, 8.1.1, has it as an error of the stream.
+The h2 library treats malformed headers (two statuses, a pseudo-header after regular headers, an
+upper-case name, Connection) as a connection error. One such response then ended the whole
+connection, and requests of other clients on it failed with 500. RFC 9113, 8.1.1, defines it as a
+stream error.
 """
 
 import asyncio
@@ -12,102 +12,111 @@
 from h2.errors import ErrorCodes
 from hyperframe.frame import HeadersFrame
 
-from tests.http2.balancers import HTTP2, HTTP2_CLIENTS, until
-from tests.http2.frames import END_HEADERS, END_STREAM, GET, PREFACE, SETTINGS, encode
+from tests.http2.balancers import HTTP2_BOTH_SIDES, HTTP2_CLIENTS, wait_until
+from tests.http2.frames import (
+    END_HEADERS,
+    END_STREAM,
+    GET_HEADERS,
+    PREFACE,
+    SETTINGS,
+    encode_headers,
+)
 from tests.http2.frames import headers_frame as request_frame
 from tests.http2.scripted_client import ScriptedClient
 from tests.http2.scripted_upstream import ScriptedUpstream
-from tests.world import Peer, Running, answer, loopback
+from tests.server.balancers import RunningBalancer
+from tests.server.peers import ScriptedPeer, make_response
+from tests.world import loopback
 
-MALFORMED_HEADS = {
+MALFORMED_RESPONSES = {
     "no status": [("x", "y")],
     "two statuses": [(":status", "200"), (":status", "200")],
-    "status behind a header": [("x", "y"), (":status", "200")],
-    "capitals": [(":status", "200"), ("Content-Type", "text/plain")],
+    "status after a header": [("x", "y"), (":status", "200")],
+    "upper-case name": [(":status", "200"), ("Content-Type", "text/plain")],
     "connection header": [(":status", "200"), ("connection", "close")],
-    "unknown pseudo header": [(":status", "200"), (":path", "/")],
+    "request pseudo-header": [(":status", "200"), (":path", "/")],
     "empty name": [(":status", "200"), ("", "y")],
-    "white space in a value": [(":status", "200"), ("x", " y")],
-    "status of letters": [(":status", "abc")],
-    "status of four digits": [(":status", "2000")],
+    "leading space in a value": [(":status", "200"), ("x", " y")],
+    "non-numeric status": [(":status", "abc")],
+    "four-digit status": [(":status", "2000")],
 }
 MALFORMED_REQUESTS = {
-    "two paths": [*GET, (":path", "/look")],
-    "no path": [pair for pair in GET if pair[0] != ":path"],
-    "capitals": [*GET, ("X-Y", "z")],
-    "connection header": [*GET, ("connection", "close")],
-    "status": [*GET, (":status", "200")],
+    "repeated path": [*GET_HEADERS, (":path", "/look")],
+    "no path": [pair for pair in GET_HEADERS if pair[0] != ":path"],
+    "upper-case name": [*GET_HEADERS, ("X-Y", "z")],
+    "connection header": [*GET_HEADERS, ("connection", "close")],
+    "status": [*GET_HEADERS, (":status", "200")],
 }
 
 
-@pytest.mark.parametrize("name", MALFORMED_HEADS)
+@pytest.mark.parametrize("name", MALFORMED_RESPONSES)
 @loopback
-async def test_malformed_response_head_ends_its_stream_alone(name):
-    waiting = []
+async def test_malformed_response_headers_end_only_their_own_stream(name):
+    pending_requests = []
 
     def script(connection, request):
-        if not waiting:
-            waiting.append(request)
+        if not pending_requests:
+            pending_requests.append(request)
             return
-        head = encode(*MALFORMED_HEADS[name])
+        head = encode_headers(*MALFORMED_RESPONSES[name])
         connection.send(HeadersFrame(request.stream_id, head, flags=[END_HEADERS, END_STREAM]))
 
     async with (
         ScriptedUpstream(script) as upstream,
-        Running([upstream.address], parts=HTTP2) as balancer,
+        RunningBalancer([upstream.address], extensions=HTTP2_BOTH_SIDES) as balancer,
     ):
-        first = asyncio.create_task(balancer.ask())
-        await until(lambda: waiting)
-        assert (await balancer.ask("/pay", b"POST", b"1"))[0] == 500
-        upstream.connections[0].answer(waiting[0])
+        first = asyncio.create_task(balancer.request())
+        await wait_until(lambda: pending_requests)
+        assert (await balancer.request("/pay", b"POST", b"1"))[0] == 500
+        upstream.connections[0].respond(pending_requests[0])
 
         assert (await first)[0] == 200
         assert len(upstream.connections) == 1
-        assert balancer.node.counters["attempts malformed response"] == 1
+        assert balancer.app.counters["attempts malformed response"] == 1
 
 
 @loopback
-async def test_malformed_trailers_end_their_stream_alone():
-    waiting = []
+async def test_malformed_response_trailers_end_only_their_own_stream():
+    pending_requests = []
 
     def script(connection, request):
-        if not waiting:
-            waiting.append(request)
+        if not pending_requests:
+            pending_requests.append(request)
             return
-        connection.answer(request, end_stream=False)
-        trailers = encode((":status", "200"))
+        connection.respond(request, end_stream=False)
+        trailers = encode_headers((":status", "200"))
         connection.send(HeadersFrame(request.stream_id, trailers, flags=[END_HEADERS, END_STREAM]))
 
     async with (
         ScriptedUpstream(script) as upstream,
-        Running([upstream.address], parts=HTTP2) as balancer,
+        RunningBalancer([upstream.address], extensions=HTTP2_BOTH_SIDES) as balancer,
     ):
-        first = asyncio.create_task(balancer.ask())
-        await until(lambda: waiting)
-        assert (await balancer.ask("/pay", b"POST", b"1"))[0] == 500
-        upstream.connections[0].answer(waiting[0])
+        first = asyncio.create_task(balancer.request())
+        await wait_until(lambda: pending_requests)
+        assert (await balancer.request("/pay", b"POST", b"1"))[0] == 500
+        upstream.connections[0].respond(pending_requests[0])
 
         assert (await first)[0] == 200
 
 
 @pytest.mark.parametrize("name", MALFORMED_REQUESTS)
 @loopback
-async def test_malformed_request_head_is_reset_and_the_others_are_answered(name):
+async def test_request_with_malformed_headers_is_reset_and_others_are_answered(name):
     release = asyncio.Event()
 
     async def script(*_):
         await release.wait()
-        return answer()
+        return make_response()
 
     async with (
-        Peer(script) as peer,
-        Running([peer.dial], parts=HTTP2_CLIENTS) as balancer,
+        ScriptedPeer(script) as peer,
+        RunningBalancer([peer.address], extensions=HTTP2_CLIENTS) as balancer,
         ScriptedClient(balancer.port, is_raw=True) as client,
     ):
         client.expect_response(1)
         client.expect_response(3)
         client.send(PREFACE, SETTINGS, request_frame(1))
-        await until(lambda: peer.seen)
+        await wait_until(lambda: peer.requests)
         client.send(request_frame(3, MALFORMED_REQUESTS[name]))
         await client.read(lambda: 3 in client.reset_codes)
         release.set()
--- a/tests/http2/test_protocol_detection.py
+++ b/tests/http2/test_protocol_detection.py
@@ -1,10 +1,11 @@
-"""Which protocol a new connection gets, by its first bytes."""
+"""Detection of a connection's protocol by its first bytes."""
 
-from tests.http2.balancers import HTTP2
+from tests.http2.balancers import HTTP2_BOTH_SIDES
 from tests.http2.frames import PREFACE
 from tests.http2.scripted_client import ScriptedClient
 from tests.http2.scripted_upstream import ScriptedUpstream
-from tests.world import Running, loopback
+from tests.server.balancers import RunningBalancer
+from tests.world import loopback
 
 HALF_PREFACE = PREFACE[:9]
 
@@ -13,17 +14,17 @@
 async def test_both_protocols_are_served_on_one_listener():
     async with (
         ScriptedUpstream() as upstream,
-        Running([upstream.address], parts=HTTP2) as balancer,
+        RunningBalancer([upstream.address], extensions=HTTP2_BOTH_SIDES) as balancer,
         ScriptedClient(balancer.port) as client,
     ):
         assert await client.response(client.request()) == (200, b"done")
-        assert await balancer.ask() == (200, b"done")
+        assert await balancer.request() == (200, b"done")
 
 
 @loopback
-async def test_a_client_that_stops_within_the_preface_is_disconnected_in_time():
+async def test_a_client_that_sends_only_half_the_preface_is_disconnected():
     async with (
-        Running(parts=HTTP2) as balancer,
+        RunningBalancer(extensions=HTTP2_BOTH_SIDES) as balancer,
         ScriptedClient(balancer.port, is_raw=True) as client,
     ):
         client.send(HALF_PREFACE)
@@ -31,10 +32,10 @@
 
 
 @loopback
-async def test_bytes_that_leave_the_preface_are_answered_in_http_1():
+async def test_bytes_that_differ_from_the_preface_are_answered_over_http_1():
     async with (
-        Running(parts=HTTP2) as balancer,
+        RunningBalancer(extensions=HTTP2_BOTH_SIDES) as balancer,
         ScriptedClient(balancer.port, is_raw=True) as client,
     ):
-        client.send(HALF_PREFACE + b"nonsense\r\n\r\n")
+        client.send(HALF_PREFACE + b"invalid\r\n\r\n")
         assert (await client.remaining_bytes()).startswith(b"HTTP/1.")
--- a/tests/http2/test_server.py
+++ b/tests/http2/test_server.py
@@ -1,4 +1,4 @@
-"""Clients that speak HTTP/2: what they are answered, and what happens when they or we leave."""
+"""Serving clients over HTTP/2: responses, cancellation, shutdown and limits."""
 
 import asyncio
 
@@ -10,26 +10,31 @@
 from pepperhook.http2.protocol import CONNECTION_WINDOW
 from pepperhook.operator_config.schema import Http2Table
 from pepperhook.server.extensions import Extensions
-from tests.http2.balancers import HTTP2, HTTP2_CLIENTS, until
-from tests.http2.frames import PREFACE, SETTINGS, get_with_id, headers_frame
+from tests.http2.balancers import HTTP2_BOTH_SIDES, HTTP2_CLIENTS, wait_until
+from tests.http2.frames import PREFACE, SETTINGS, get_headers_with_id, headers_frame
 from tests.http2.scripted_client import ScriptedClient
 from tests.http2.scripted_upstream import ScriptedUpstream
-from tests.world import ENV, Peer, Running, answer, loopback
+from tests.server.balancers import ENVIRONMENT, RunningBalancer
+from tests.server.peers import ScriptedPeer, make_response
+from tests.world import loopback
 
-CANCELLING = {**ENV, "permissions": {**ENV["permissions"], "cancel": True}}
-MAX_BODY = b"x" * 65536
+ENVIRONMENT_WITH_CANCEL = {
+    **ENVIRONMENT,
+    "permissions": {**ENVIRONMENT["permissions"], "cancel": True},
+}
+LARGEST_BODY = b"x" * 65536
 
 
 @loopback
 async def test_each_of_many_streams_gets_one_response():
     async with (
         ScriptedUpstream() as upstream,
-        Running([upstream.address], parts=HTTP2) as balancer,
+        RunningBalancer([upstream.address], extensions=HTTP2_BOTH_SIDES) as balancer,
         ScriptedClient(balancer.port) as client,
     ):
         responses = []
         for first in range(1, 40, 3):
-            # Three at once are what the policy permits at one upstream.
+            # The policy permits three concurrent requests to one upstream.
             streams = [
                 client.request("/hold", "POST", b"x" * size, idempotency_key=f"k{size}")
                 for size in range(first, first + 3)
@@ -42,10 +47,10 @@
 
 
 @loopback
-async def test_a_request_is_forwarded_with_the_headers_that_upstreams_get():
+async def test_a_request_is_forwarded_with_only_the_headers_meant_for_upstreams():
     async with (
         ScriptedUpstream() as upstream,
-        Running([upstream.address], parts=HTTP2) as balancer,
+        RunningBalancer([upstream.address], extensions=HTTP2_BOTH_SIDES) as balancer,
         ScriptedClient(balancer.port) as client,
     ):
         stream_id = client.request(
@@ -72,51 +77,49 @@
         ("/look", "GET", b"", {"X_Request_ID": None}, 400),
         ("/hold", "POST", b"x", {}, 400),
         ("/look", "GET", b"", {"X_Timeout_Ms": "soon"}, 400),
-        ("/pay", "POST", MAX_BODY + b"x", {}, 413),
-        ("/pay", "POST", MAX_BODY, {}, 200),
+        ("/pay", "POST", LARGEST_BODY + b"x", {}, 413),
+        ("/pay", "POST", LARGEST_BODY, {}, 200),
     ],
     ids=[
         "unknown class",
         "POST to a safe class",
         "GET to an unsafe class",
         "GET with a body",
-        "no id",
-        "no key for a keyed class",
-        "time limit is no number",
+        "no request id",
+        "no idempotency key for a keyed class",
+        "non-numeric time limit",
         "body over the limit",
         "body at the limit",
     ],
 )
 @loopback
-async def test_a_request_has_the_status_that_it_has_over_http_1(
-    path, method, body, headers, status
-):
+async def test_a_request_gets_the_same_status_as_over_http_1(path, method, body, headers, status):
     lower_case = {name.lower(): value for name, value in headers.items()}
     async with (
-        Peer(lambda *_: answer()) as peer,
-        Running([peer.dial], parts=HTTP2_CLIENTS) as balancer,
+        ScriptedPeer(lambda *_: make_response()) as peer,
+        RunningBalancer([peer.address], extensions=HTTP2_CLIENTS) as balancer,
         ScriptedClient(balancer.port) as client,
     ):
         stream_id = await client.request_with_large_body(path, method, body, **lower_case)
         assert (await client.response(stream_id)).status == status
-        assert (await balancer.ask(path, method.encode(), body, **headers))[0] == status
+        assert (await balancer.request(path, method.encode(), body, **headers))[0] == status
 
 
 @loopback
-async def test_a_health_check_is_answered():
+async def test_a_health_check_of_the_balancer_is_answered():
     async with (
-        Peer(lambda *_: answer()) as peer,
-        Running([peer.dial], parts=HTTP2_CLIENTS) as balancer,
+        ScriptedPeer(lambda *_: make_response()) as peer,
+        RunningBalancer([peer.address], extensions=HTTP2_CLIENTS) as balancer,
         ScriptedClient(balancer.port) as client,
     ):
         assert await client.response(client.request("/_health")) == (200, b"serving\n")
 
 
 @loopback
-async def test_the_second_request_of_an_id_is_refused():
+async def test_a_second_request_with_the_same_id_is_refused():
     async with (
-        Peer(lambda *_: answer()) as peer,
-        Running([peer.dial], parts=HTTP2_CLIENTS) as balancer,
+        ScriptedPeer(lambda *_: make_response()) as peer,
+        RunningBalancer([peer.address], extensions=HTTP2_CLIENTS) as balancer,
         ScriptedClient(balancer.port) as client,
     ):
         streams = [client.request(x_request_id="same") for _ in range(2)]
@@ -125,94 +128,96 @@
 
 
 @loopback
-async def test_a_client_that_resets_or_disconnects_has_its_attempts_cancelled():
+async def test_attempts_are_cancelled_when_their_client_resets_the_stream_or_disconnects():
     async with (
-        Peer(lambda *_: None) as peer,
-        Running([peer.dial], parts=HTTP2_CLIENTS, env=CANCELLING) as balancer,
+        ScriptedPeer(lambda *_: None) as peer,
+        RunningBalancer(
+            [peer.address], extensions=HTTP2_CLIENTS, env=ENVIRONMENT_WITH_CANCEL
+        ) as balancer,
     ):
         async with ScriptedClient(balancer.port) as client:
             streams = [client.request() for _ in range(3)]
-            await until(lambda: len(peer.seen) == 3)
+            await wait_until(lambda: len(peer.requests) == 3)
             client.reset(streams[0], ErrorCodes.CANCEL)
-            await until(lambda: peer.lost == 1)
-            assert len(balancer.node.requests.tasks) == 2
+            await wait_until(lambda: peer.closed_connections == 1)
+            assert len(balancer.app.requests.tasks) == 2
 
-        await until(lambda: peer.lost == 3 and not balancer.node.requests.tasks)
-        assert balancer.node.counters["clients left"] == 3
-        assert not balancer.node.http_server.server.streams
+        await wait_until(lambda: peer.closed_connections == 3 and not balancer.app.requests.tasks)
+        assert balancer.app.counters["clients left"] == 3
+        assert not balancer.app.http_server.server.streams
 
 
 @loopback
-async def test_a_shutdown_answers_what_was_accepted_and_refuses_later_streams():
-    gate = asyncio.Event()
+async def test_a_shutdown_answers_accepted_streams_and_refuses_later_ones():
+    release = asyncio.Event()
 
-    async def answer_late(_head, _body):
-        await gate.wait()
-        return answer()
+    async def respond_when_released(_head, _body):
+        await release.wait()
+        return make_response()
 
     async with (
-        Peer(answer_late) as peer,
-        Running([peer.dial], parts=HTTP2_CLIENTS) as balancer,
+        ScriptedPeer(respond_when_released) as peer,
+        RunningBalancer([peer.address], extensions=HTTP2_CLIENTS) as balancer,
         ScriptedClient(balancer.port) as client,
     ):
         accepted = client.request()
-        await until(lambda: peer.seen)
-        closing = asyncio.ensure_future(balancer.node.http_server.close(0.1, 5))
+        await wait_until(lambda: peer.requests)
+        shutdown = asyncio.ensure_future(balancer.app.http_server.close(0.1, 5))
         await client.read(lambda: client.goaway)
         assert client.goaway.error_code == ErrorCodes.NO_ERROR
         assert client.goaway.last_stream_id == accepted
 
         late = accepted + 2
-        client.send(headers_frame(late, get_with_id("late")))
+        client.send(headers_frame(late, get_headers_with_id("late")))
         await asyncio.sleep(0.05)
-        gate.set()
+        release.set()
         received = await client.remaining_bytes()
-        await closing
+        await shutdown
 
     assert b"done" in received
     assert RstStreamFrame(late, ErrorCodes.REFUSED_STREAM).serialize() in received
-    assert len(peer.seen) == 1
+    assert len(peer.requests) == 1
 
 
 @loopback
-async def test_a_client_without_window_holds_up_only_its_own_stream():
+async def test_an_exhausted_window_of_a_client_blocks_only_its_own_stream():
     async with (
-        Peer(lambda *_: answer(body=b"x" * 30000)) as peer,
-        Running([peer.dial], parts=HTTP2_CLIENTS) as balancer,
-        ScriptedClient(balancer.port, returns_windows=False) as client,
+        ScriptedPeer(lambda *_: make_response(body=b"x" * 30000)) as peer,
+        RunningBalancer([peer.address], extensions=HTTP2_CLIENTS) as balancer,
+        ScriptedClient(balancer.port, replenishes_windows=False) as client,
     ):
         client.h2.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 1000})
         client.flush()
-        held_up = client.request()
-        await client.read(lambda: len(client.bodies.get(held_up, b"")) == 1000)
+        blocked = client.request()
+        await client.read(lambda: len(client.bodies.get(blocked, b"")) == 1000)
 
         other = client.request()
         client.open_window(other, 40000)
         assert len((await client.response(other)).body) == 30000
-        assert held_up not in client.ended
+        assert blocked not in client.ended
 
-        client.open_window(held_up, 40000)
-        assert len((await client.response(held_up)).body) == 30000
+        client.open_window(blocked, 40000)
+        assert len((await client.response(blocked)).body) == 30000
 
 
 @loopback
-async def test_more_than_a_connections_window_passes_on_one_connection():
-    # Against windows that are not given back, on either side.
-    count = CONNECTION_WINDOW // len(MAX_BODY) + 4
+async def test_one_connection_transfers_more_than_its_window():
+    # Guards against connection windows that are not replenished, on either side.
+    count = CONNECTION_WINDOW // len(LARGEST_BODY) + 4
 
-    def answer_large(connection, request):
-        connection.answer(request, body=b"y" * 16384, end_stream=False)
+    def respond_with_large_body(connection, request):
+        connection.respond(request, body=b"y" * 16384, end_stream=False)
         for is_last in (False, False, True):
             connection.h2.send_data(request.stream_id, b"y" * 16384, end_stream=is_last)
         connection.flush()
 
     async with (
-        ScriptedUpstream(answer_large) as upstream,
-        Running([upstream.address], parts=HTTP2) as balancer,
+        ScriptedUpstream(respond_with_large_body) as upstream,
+        RunningBalancer([upstream.address], extensions=HTTP2_BOTH_SIDES) as balancer,
         ScriptedClient(balancer.port) as client,
     ):
         for _ in range(count):
-            stream_id = await client.request_with_large_body("/pay", "POST", MAX_BODY)
+            stream_id = await client.request_with_large_body("/pay", "POST", LARGEST_BODY)
             status, body = await client.response(stream_id)
             assert status == 200 and len(body) == 65536
         assert len(upstream.connections) == 1
@@ -222,24 +227,28 @@
 async def test_streams_beyond_the_announced_limit_reach_no_upstream():
     four_streams = Extensions(h2=Http2Table(streams=4))
     async with (
-        Peer(lambda *_: None) as peer,
-        Running([peer.dial], parts=four_streams) as balancer,
+        ScriptedPeer(lambda *_: None) as peer,
+        RunningBalancer([peer.address], extensions=four_streams) as balancer,
         ScriptedClient(balancer.port, is_raw=True) as client,
     ):
-        requests = [headers_frame(n, get_with_id(f"b{n}")) for n in range(1, 15, 2)]
+        requests = [
+            headers_frame(stream_id, get_headers_with_id(f"b{stream_id}"))
+            for stream_id in range(1, 15, 2)
+        ]
         client.send(PREFACE, SETTINGS, *requests)
 
         code = await client.connection_error()
         assert code in (ErrorCodes.PROTOCOL_ERROR, ErrorCodes.REFUSED_STREAM, None)
-        assert len(peer.seen) <= 4
+        assert len(peer.requests) <= 4
 
 
 @loopback
-async def test_a_frame_that_is_too_large_is_refused_by_its_header():
-    # Against a peer that announces 16 MB and sends them bit by bit, on each of its connections.
+async def test_an_oversized_frame_is_rejected_by_its_header():
+    # Guards against peers that announce frames of 16 MB and send them slowly, on many connections:
+    # the balancer would buffer each frame until it is complete.
     async with (
-        Peer(lambda *_: answer()) as peer,
-        Running([peer.dial], parts=HTTP2_CLIENTS) as balancer,
+        ScriptedPeer(lambda *_: make_response()) as peer,
+        RunningBalancer([peer.address], extensions=HTTP2_CLIENTS) as balancer,
         ScriptedClient(balancer.port, is_raw=True) as client,
     ):
         client.send(PREFACE, SETTINGS, b"\xff\xff\xff\0\0\0\0\0\1")
