--- a/pepperhook/container/__init__.py
+++ b/pepperhook/container/__init__.py
@@ -1,13 +1,13 @@
-"""Reads and writes the container: an append-only file of compressed, checksummed blocks.
+"""Reads and writes containers: append-only files of compressed, checksummed blocks.
 
 The format is described in ``docs/formats/record.md``::
 
     file   = signature line, block*
     block  = type:u8 length:u32 raw_length:u32 crc:u32 header_crc:u32 payload    (little-endian)
 
-The first block is the file's metadata. Record blocks follow; a file that was closed ends with an
-index block and a footer block that says where the index begins. A block is either whole or
-skipped: the reader returns every whole block of a file that was cut short or damaged.
+The first block is the file's metadata. Record blocks follow. A file that was closed properly ends
+with an index block and a footer block that holds the offset of the index. The reader returns every
+intact block of a truncated or damaged file and skips all others.
 """
 
 from pepperhook.container.blocks import Block, BlockType, encode_block
--- a/pepperhook/container/errors.py
+++ b/pepperhook/container/errors.py
@@ -1,15 +1,15 @@
-"""Errors of reading a container; the text of each is one line that begins with the file's name."""
+"""Errors raised when reading a container; each message is one line that begins with the path."""
 
 from pepperhook.errors import PepperhookError
 
 
 class UnreadableFileError(PepperhookError, ValueError):
-    """The file cannot be read, or does not hold what the caller wants of it."""
+    """The file cannot be read, or does not have the content that the caller needs."""
 
 
 class NotAContainerError(UnreadableFileError):
-    """The file does not begin like a container."""
+    """The file does not begin with the signature of a container."""
 
 
 class UnsupportedVersionError(UnreadableFileError):
-    """The file was written in a version of the format newer than this program knows."""
+    """The file's format version is newer than this program supports."""
--- a/pepperhook/container/footer.py
+++ b/pepperhook/container/footer.py
@@ -1,19 +1,19 @@
-"""The footer block, which says where the index begins."""
+"""The footer block, which holds the offset of the index block."""
 
 import struct
 
-MAX_FOOTER_BYTES = 128  # of the whole block: how far from a file's end it may begin
+MAX_FOOTER_BYTES = 128  # upper bound of the whole block, header included
 
 _INDEX_OFFSET = struct.Struct("<Q")
 
 
 def encode_footer(index_offset: int) -> bytes:
-    """Return the content of the footer block."""
+    """Return the content of a footer block."""
     return _INDEX_OFFSET.pack(index_offset)
 
 
 def decode_footer(content: bytes) -> int | None:
-    """Return the offset of the index block, or None if the content is no footer."""
+    """Return the offset of the index block, or None if the content is not a footer."""
     if len(content) != _INDEX_OFFSET.size:
         return None
     (index_offset,) = _INDEX_OFFSET.unpack(content)
--- a/pepperhook/container/framing.py
+++ b/pepperhook/container/framing.py
@@ -1,4 +1,4 @@
-"""Separates the records within a block: each is preceded by its length, a little-endian u32."""
+"""Frames the records within a block: each is preceded by its length, a little-endian u32."""
 
 from collections.abc import Iterator
 from typing import TypeVar
@@ -11,12 +11,12 @@
 
 
 def frame_record(data: bytes) -> bytes:
-    """Put the length before one encoded record."""
+    """Prefix one encoded record with its length."""
     return len(data).to_bytes(_LENGTH_BYTES, "little") + data
 
 
 def iter_records(content: bytes, decoder: Decoder[RecordT]) -> Iterator[RecordT]:
-    """Decode the records of a block one by one."""
+    """Yield the decoded records of a block's content."""
     view = memoryview(content)
     position = 0
     while position < len(content):
--- a/pepperhook/container/index.py
+++ b/pepperhook/container/index.py
@@ -1,6 +1,6 @@
-"""The index of a container: which records each block may hold, without I/O.
+"""The index of a container: the time range and the keys of each record block, without I/O.
 
-The index is a hint. A reader checks it against the blocks that it names and can do without it.
+The index is only a hint: readers check it against the file, and work without it.
 """
 
 import sys
@@ -19,20 +19,20 @@
 
 
 class IndexEntry(Struct, array_like=True, forbid_unknown_fields=True):
-    """One block of records. Times are those that the records were appended with."""
+    """The index entry of one record block; times are those passed to ``append``."""
 
     offset: int
     record_count: int
     first_time_ns: int
     last_time_ns: int
-    keys: dict[str, Any]  # by key name, what pack_keys returned
+    keys: dict[str, Any]  # key name to IndexedKeys, as returned by pack_keys
 
 
 class IndexBuilder:
-    """Collects what the index says of each block while the file is written."""
+    """Builds the index while the file is being written."""
 
     def __init__(self) -> None:
-        """Begin with an empty index and an empty block."""
+        """Start with an empty index and an empty pending block."""
         self._entries: list[IndexEntry] = []
         self._record_count = 0
         self._first_time_ns = 0
@@ -41,11 +41,11 @@
 
     @property
     def pending_count(self) -> int:
-        """How many records the block has that is not finished yet."""
+        """Number of records in the pending block, which is not written yet."""
         return self._record_count
 
     def add_record(self, time_ns: int, keys: Mapping[str, IndexKey]) -> None:
-        """Take note of a record of the block that is not finished yet."""
+        """Add the time and the keys of a record to the pending block."""
         is_first = self._record_count == 0
         self._first_time_ns = time_ns if is_first else min(self._first_time_ns, time_ns)
         self._last_time_ns = time_ns if is_first else max(self._last_time_ns, time_ns)
@@ -54,7 +54,7 @@
             self._keys.setdefault(name, set()).add(value)
 
     def finish_block(self, offset: int) -> None:
-        """Turn what was noted into the entry of the block at this offset."""
+        """Add the entry of the pending block, written at ``offset``, and start the next block."""
         packed = {name: pack_keys(values) for name, values in self._keys.items()}
         entry = IndexEntry(
             offset, self._record_count, self._first_time_ns, self._last_time_ns, packed
@@ -63,7 +63,7 @@
         self._start_block()
 
     def encode(self) -> bytes:
-        """Return the content of the index block."""
+        """Return the content of the index block, encoded as MessagePack."""
         return msgspec.msgpack.encode(self._entries)
 
     def _start_block(self) -> None:
@@ -80,10 +80,10 @@
 
 
 def pack_keys(values: Collection[IndexKey]) -> IndexedKeys:
-    """Return keys as the index holds them.
+    """Return keys in the form in which the index stores them.
 
-    Integers, which must fit 32 bits, become sorted little-endian u32 values in one bytes object,
-    as there may be one for each record. Other keys become a sorted list.
+    Integers, which must fit 32 bits, are packed as sorted little-endian u32 values into one bytes
+    object, because there may be one for each record. Other keys become a sorted list.
     """
     if all(isinstance(value, int) for value in values):
         integers = sorted(value for value in values if isinstance(value, int))
@@ -92,7 +92,7 @@
 
 
 def contains_key(keys: IndexedKeys, value: IndexKey) -> bool:
-    """Tell whether keys as the index holds them include a value."""
+    """Return whether keys in the form of the index include a value."""
     if not isinstance(keys, bytes):
         return value in keys
     numbers = array("I", keys)
--- a/pepperhook/container/metadata.py
+++ b/pepperhook/container/metadata.py
@@ -1,4 +1,4 @@
-"""What a container says about itself: the signature line and the first block."""
+"""The description of a container: the signature line and the metadata block."""
 
 from typing import Any
 
@@ -11,28 +11,28 @@
 
 
 class FileMetadata(Struct, omit_defaults=True):
-    """The first block of a file.
+    """The metadata in the first block of a file.
 
-    Fields may be added: older files then have the defaults, and older readers ignore what is new.
+    Fields may be added: older files then have the defaults, and older readers ignore new fields.
     The names given to ``field`` are those in the file.
     """
 
-    content: str  # what the records are: "capture" or "trace"
+    content: str  # kind of the records: "capture" or "trace"
     content_version: int
     name: str = ""  # of the balancer
-    tier: int = 0
+    tier: int = 0  # of the balancer
     created_unix_ns: int = field(default=0, name="begun_unix")
-    created_ns: int = field(default=0, name="begun")  # the same moment on the balancer's clock
-    extra: dict[str, Any] = field(default_factory=dict, name="more")  # by kind of content
+    created_ns: int = field(default=0, name="begun")  # the same instant on the balancer's clock
+    extra: dict[str, Any] = field(default_factory=dict, name="more")  # depends on ``content``
 
 
 def file_signature(version: int = FORMAT_VERSION) -> bytes:
-    """Return the line that a file of this version of the format begins with."""
+    """Return the first line of a file in this version of the format."""
     return _SIGNATURE_PREFIX + b"%d\n" % version
 
 
 def parse_signature(line: bytes) -> int | None:
-    """Return the version that a signature line names, or None if it is no signature."""
+    """Return the format version in a signature line, or None if it is not a signature."""
     version = line.removeprefix(_SIGNATURE_PREFIX).removesuffix(b"\n")
     is_signature = line.startswith(_SIGNATURE_PREFIX) and line.endswith(b"\n")
     return int(version) if is_signature and version.isdigit() else None
--- a/pepperhook/container/reader.py
+++ b/pepperhook/container/reader.py
@@ -1,4 +1,4 @@
-"""Reads a container, also one that was cut short or damaged."""
+"""Reads containers, including truncated and damaged ones."""
 
 import os
 from collections.abc import Iterator
@@ -37,9 +37,9 @@
 
 
 class SkippedData(Struct):
-    """What of a file could not be read. The names given to ``field`` are those of the JSON output.
+    """The parts of a file that could not be read, summed over all iterations over its blocks.
 
-    It counts what was passed over by each iteration over the blocks.
+    The names given to ``field`` are those of the JSON output.
     """
 
     regions: int = field(default=0, name="places")
@@ -47,7 +47,7 @@
     first_offset: int = field(default=_NONE_YET, name="first")
 
     def add(self, begin: int, end: int) -> None:
-        """Count the region between two offsets."""
+        """Count the unreadable region between two offsets."""
         self.regions += 1
         self.bytes += end - begin
         if self.first_offset == _NONE_YET:
@@ -55,17 +55,17 @@
 
 
 class ContainerReader:
-    """Reads one file a block at a time, so the file may be larger than memory."""
+    """Reads one file block by block, so the file may be larger than memory."""
 
     def __init__(self, path: str | os.PathLike[str]) -> None:
         """Open the file and read its metadata.
 
-        Raises UnreadableFileError if there is no such file, if it is not a container, if its
-        version is newer than this program, or if its metadata block is damaged.
+        Raises UnreadableFileError if the file cannot be opened, is not a container, has a newer
+        format version than this program supports, or has a damaged metadata block.
         """
         self.path = Path(path)
         self.skipped = SkippedData()
-        self._display_path = str(path)  # as the caller wrote it
+        self._display_path = str(path)  # as given by the caller, for error messages
         try:
             self._file: BinaryIO = self.path.open("rb")
         except OSError as error:
@@ -79,7 +79,7 @@
             raise
 
     def __enter__(self) -> Self:
-        """Return the reader, which is open already."""
+        """Return the reader itself."""
         return self
 
     def __exit__(
@@ -96,7 +96,7 @@
         self._file.close()
 
     def blocks(self) -> Iterator[Block]:
-        """Yield each whole block in order; what lies between them is counted in ``skipped``."""
+        """Yield each intact block in order; regions between them are counted in ``skipped``."""
         offset = self._first_offset
         while offset < self.size:
             block = self.read_block(offset)
@@ -109,11 +109,11 @@
             offset = next_offset
 
     def record_blocks(self) -> Iterator[Block]:
-        """Yield each whole block of records in order."""
+        """Yield each intact record block in order."""
         return (block for block in self.blocks() if block.block_type == BlockType.RECORDS)
 
     def read_block(self, offset: int) -> Block | None:
-        """Return the block at an offset, or None if no whole block stands there."""
+        """Return the block at an offset, or None if there is no intact block."""
         header = self._read_header(offset)
         if header is None or header.raw_length > MAX_RAW_BYTES:
             return None
@@ -126,7 +126,7 @@
         return Block(offset, header.block_type, content, end_offset)
 
     def index(self) -> list[IndexEntry] | None:
-        """Return the index, or None if the file has none or it names what are no record blocks."""
+        """Return the index, or None if it is missing, damaged or names other than record blocks."""
         index_offset = self._find_index_offset()
         if index_offset is None:
             return None
@@ -140,7 +140,7 @@
         return entries if is_consistent else None
 
     def _read_signature(self) -> int:
-        """Check the signature line and return where the blocks begin."""
+        """Check the signature line and return the offset of the first block."""
         line = self._file.readline(MAX_SIGNATURE_BYTES)
         version = parse_signature(line)
         if version is None:
@@ -158,7 +158,7 @@
             raise UnreadableFileError(
                 f"{self._display_path}: its first block, which says what it holds, is not whole"
             )
-        self.skipped = SkippedData()  # iterations over all blocks count from here
+        self.skipped = SkippedData()  # discard what this call counted
         return msgspec.msgpack.decode(first.content, type=FileMetadata)
 
     def _read_header(self, offset: int) -> BlockHeader | None:
@@ -166,12 +166,12 @@
         return decode_header(self._file.read(HEADER_BYTES))
 
     def _is_record_block(self, offset: int) -> bool:
-        """Look at the header alone, as the index may name many blocks."""
+        """Check the header only, as the index may name many blocks."""
         header = self._read_header(offset)
         return header is not None and header.block_type == BlockType.RECORDS
 
     def _find_index_offset(self) -> int | None:
-        """Return the offset that the footer names, or None where the file has no footer."""
+        """Return the offset of the index from the footer, or None if the file has no footer."""
         offset = max(self._first_offset, self.size - MAX_FOOTER_BYTES)
         while (offset := find_next_header(self._file, offset, self.size)) < self.size:
             block = self.read_block(offset)
--- a/pepperhook/container/recovery.py
+++ b/pepperhook/container/recovery.py
@@ -1,16 +1,16 @@
-"""Finds the next block behind damage."""
+"""Finds the next block after a damaged region."""
 
 from typing import BinaryIO
 
 from pepperhook.container.blocks import HEADER_BYTES, find_header
 
-_SCAN_BYTES = 64 * 1024  # read at a time
+_SCAN_BYTES = 64 * 1024  # bytes per read
 
 
 def find_next_header(file: BinaryIO, offset: int, file_size: int) -> int:
-    """Return the first offset, from this one on, at which a whole header stands.
+    """Return the offset of the first valid header at or after ``offset``.
 
-    Returns the file's size where there is none. The payload is not looked at.
+    Return ``file_size`` if there is none. The payload is not checked.
     """
     while offset < file_size:
         file.seek(offset)
@@ -20,6 +20,6 @@
             return offset + position
         if len(data) < HEADER_BYTES or offset + len(data) >= file_size:
             return file_size
-        # A header may lie across the end of what was read.
+        # The next read overlaps this one, as a header may begin in the last bytes of this one.
         offset += len(data) - HEADER_BYTES + 1
     return file_size
--- a/pepperhook/container/retention.py
+++ b/pepperhook/container/retention.py
@@ -1,4 +1,4 @@
-"""Decides which segments are deleted to keep a ring within its bounds, without I/O."""
+"""Selects the segments to delete so that a ring stays within its limits, without I/O."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 
 class SegmentFile(Struct, frozen=True):
-    """One segment as the file system describes it."""
+    """The file status of one segment."""
 
     path: Path
     size: int  # bytes
@@ -19,20 +19,21 @@
 
 
 class Retention(Struct, frozen=True):
-    """The bounds of a ring."""
+    """The limits of a ring: the age of a segment and the total size."""
 
     max_age_s: float
     max_bytes: float
 
     @classmethod
     def from_settings(cls, minutes: float, megabytes: float) -> Self:
-        """Take the bounds in the units of the operator's file."""
+        """Create the limits from settings, which are in minutes and megabytes (MiB)."""
         return cls(minutes * _SECONDS_PER_MINUTE, megabytes * _BYTES_PER_MEGABYTE)
 
     def expired(self, segments: Sequence[SegmentFile], now_s: float) -> list[SegmentFile]:
-        """Return the segments to delete, of those given oldest first.
+        """Return the segments to delete; ``segments`` are sorted by age, oldest first.
 
-        The oldest go until one is young enough and the rest fit.
+        The oldest are deleted until the next one is within the age limit and the rest are within
+        the size limit.
         """
         total_bytes = sum(segment.size for segment in segments)
         oldest_allowed_s = now_s - self.max_age_s
--- a/pepperhook/container/ring.py
+++ b/pepperhook/container/ring.py
@@ -1,7 +1,7 @@
-"""A bounded ring of segments of one balancer, as the event loop sees it.
+"""A size- and age-limited ring of one balancer's segments: the interface for the event loop.
 
-Nothing of it may delay a request: what the writer thread does not keep up with is dropped and
-counted, and what the disk refuses is lost and logged.
+Nothing here may delay a request. Records are dropped and counted when the writer thread falls
+behind, and lost and logged when a write fails.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 
 class SegmentRing:
-    """Hands segments and records to a SegmentWriter, and counts what it could not take."""
+    """Passes commands to a SegmentWriter, and counts those that its full queue rejected."""
 
     def __init__(
         self,
@@ -34,15 +34,15 @@
         *,
         flush_interval_s: float = FLUSH_INTERVAL_S,
     ) -> None:
-        """Describe the ring; nothing is made or started yet."""
+        """Configure the ring; no folder is created and no thread started yet."""
         self.directory = directory
         self.writer = SegmentWriter(
             directory, log, self._mark_gap, flush_interval_s=flush_interval_s
         )
-        self.dropped = 0  # commands that found the queue full
-        self.segments = 0  # begun so far
-        # Whether records were lost. The owner clears it when it begins a new segment behind the
-        # gap; the event loop and the writer thread set it.
+        self.dropped = 0  # commands dropped because the queue was full
+        self.segments = 0  # segments begun so far
+        # Whether records were lost. The event loop and the writer thread set it; the owner clears
+        # it when it begins a new segment after the gap.
         self.has_gap = False
 
     @property
@@ -51,7 +51,7 @@
         return self.writer.error
 
     def create_folder(self, setting: str) -> None:
-        """Make the folder, or raise SegmentFolderError, a ValueError that names the setting."""
+        """Create the folder. Raises SegmentFolderError, a ValueError that names ``setting``."""
         self.directory.create(setting)
 
     def start(self) -> None:
@@ -59,24 +59,24 @@
         self.writer.start()
 
     def open_segment(self, metadata: FileMetadata) -> None:
-        """Begin the next segment; the one before is closed."""
+        """Begin the next segment, and close the current one."""
         self.segments += 1
         self._submit(OpenSegment(self.directory.new_segment_path(), metadata))
 
     def append(self, record: bytes, time_ns: int, keys: Mapping[str, IndexKey] = _NO_KEYS) -> None:
-        """Append framed records to the open segment; keys are what they are found by."""
+        """Append framed records to the open segment, indexed by ``keys``."""
         self._submit(AppendRecord(record, time_ns, keys))
 
     def preserve(self) -> None:
-        """Move the closed segments to a folder of their own, where they are not deleted."""
+        """Move the closed segments to a separate folder, which retention does not touch."""
         self._submit(PreserveSegments(self.directory.new_preservation_folder()))
 
     async def close(self) -> None:
-        """Write what is queued, close the open segment and end the thread."""
+        """Write all queued records, close the open segment and stop the thread."""
         await asyncio.to_thread(self.writer.stop)
 
     def log_fields(self) -> dict[str, int | str]:
-        """Return the counters by the names that they have in the log."""
+        """Return the counters, keyed by their log keys."""
         return {
             "written_kb": self.writer.closed_bytes // _BYTES_PER_KILOBYTE,
             "segments": self.segments,
--- a/pepperhook/container/segment_directory.py
+++ b/pepperhook/container/segment_directory.py
@@ -1,4 +1,4 @@
-"""The folder that holds one balancer's segments: their names, their deletion and preservation."""
+"""The folder with one balancer's segments: file names, deletion and preservation."""
 
 import os
 import time
@@ -12,11 +12,11 @@
 
 
 class SegmentFolderError(PepperhookError, ValueError):
-    """The folder cannot be made; the text is one line that begins with the setting's key."""
+    """The folder cannot be created; the message is one line that begins with the setting's key."""
 
 
 class SegmentDirectory:
-    """Segments ``NAME-TIME.SUFFIX`` in a folder that other balancers and rings may share."""
+    """Files ``NAME-TIME.SUFFIX`` in a folder that other balancers and rings may share."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         retention: Retention,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        """Describe the folder; nothing is made yet. The clock gives Unix time in seconds."""
+        """Configure the folder without creating it; ``clock`` returns Unix time in seconds."""
         self.folder = Path(folder)
         self.name = name
         self.suffix = suffix
@@ -34,18 +34,18 @@
         self._clock = clock
 
     def create(self, setting: str) -> None:
-        """Make the folder, or raise SegmentFolderError that names the setting."""
+        """Create the folder. Raises SegmentFolderError, which names ``setting``."""
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
         except OSError as error:
             raise SegmentFolderError(f"{setting}: {self.folder}: {error.strerror}") from error
 
     def new_segment_path(self) -> Path:
-        """Return the path of a segment that begins now; names sort by time."""
+        """Return the path for a segment that begins now; paths sort by time."""
         return self.folder / f"{self.name}-{time.time_ns():020d}.{self.suffix}"
 
     def new_preservation_folder(self) -> Path:
-        """Return the folder that segments preserved now are moved to."""
+        """Return the path of the folder for segments that are preserved now."""
         return self.folder / f"kept-{time.time_ns() // _NS_PER_S}"
 
     def segment_paths(self) -> list[Path]:
@@ -53,23 +53,23 @@
         return sorted(self.folder.glob(f"{self.name}-*.{self.suffix}"))
 
     def delete_expired(self) -> None:
-        """Delete the segments that are out of the bounds of retention."""
-        for segment in self._retention.expired(self._describe_segments(), self._clock()):
+        """Delete the segments that exceed the retention limits."""
+        for segment in self._retention.expired(self._segment_files(), self._clock()):
             segment.path.unlink(missing_ok=True)
 
     def preserve(self, target: Path, open_segment: Path | None) -> None:
-        """Move all segments but the open one to a folder that retention does not touch."""
+        """Move all segments except the open one to ``target``, which retention does not touch."""
         target.mkdir(exist_ok=True)
         for path in self.segment_paths():
             if path != open_segment:
                 path.replace(target / path.name)
 
-    def _describe_segments(self) -> list[SegmentFile]:
+    def _segment_files(self) -> list[SegmentFile]:
         segments = []
         for path in self.segment_paths():
             try:
                 status = path.stat()
             except FileNotFoundError:
-                continue  # deleted by somebody else since the folder was listed
+                continue  # deleted by another process since the folder was listed
             segments.append(SegmentFile(path, status.st_size, status.st_mtime))
         return segments
--- a/pepperhook/container/segment_writer.py
+++ b/pepperhook/container/segment_writer.py
@@ -1,4 +1,4 @@
-"""Writes segments in a thread, so that no compression and no slow disk delays the event loop."""
+"""Writes segments in a thread, so that compression and a slow disk do not delay the event loop."""
 
 import queue
 import threading
@@ -13,8 +13,8 @@
 from pepperhook.container.index import IndexKey
 from pepperhook.container.segment_directory import SegmentDirectory
 
-QUEUE_CAPACITY = 256  # commands that may wait for the thread
-FLUSH_INTERVAL_S = 2.0  # records older than this are on disk, where they survive kill -9
+QUEUE_CAPACITY = 256  # commands
+FLUSH_INTERVAL_S = 2.0  # older records have been written to the file, so they survive kill -9
 
 
 class EventLog(Protocol):
@@ -24,7 +24,7 @@
         """Log an event."""
 
     def warning(self, event: str, **fields: object) -> None:
-        """Log an event that an operator should look at."""
+        """Log an event that needs an operator's attention."""
 
 
 class OpenSegment(Struct, frozen=True):
@@ -43,17 +43,17 @@
 
 
 class FlushPending(Struct, frozen=True):
-    """Write the records that wait for their block to fill."""
+    """Write the pending records as a block, although it is not full."""
 
 
 class PreserveSegments(Struct, frozen=True):
-    """Move all closed segments to a folder of their own."""
+    """Move all closed segments to ``folder``."""
 
     folder: Path
 
 
 class StopWriter(Struct, frozen=True):
-    """Close the open segment and end the thread."""
+    """Close the open segment and stop the thread."""
 
 
 Command: TypeAlias = OpenSegment | AppendRecord | FlushPending | PreserveSegments | StopWriter
@@ -62,9 +62,9 @@
 class SegmentWriter:
     """Owns the writer thread, its queue of commands and the open segment.
 
-    The public methods are for the event loop. The public attributes are written by the thread
-    alone and may be read from anywhere. What the disk refuses is lost and logged once; the next
-    OpenSegment tries again.
+    The public methods are for the event loop. Only the thread writes the public attributes; any
+    thread may read them. When a write fails, records are lost until the next OpenSegment; the
+    first of several failures in a row is logged.
     """
 
     def __init__(
@@ -75,23 +75,23 @@
         *,
         flush_interval_s: float = FLUSH_INTERVAL_S,
     ) -> None:
-        """Describe the writer; ``on_failure`` is called in the thread after each failed write."""
+        """Configure the writer; the thread calls ``on_failure`` after each failed command."""
         self.queue: queue.Queue[Command] = queue.Queue(QUEUE_CAPACITY)
-        self.closed_bytes = 0  # of all segments that were closed
-        self.preservations = 0
-        self.error: str | None = None  # why there is no open segment
+        self.closed_bytes = 0  # total size of the closed segments
+        self.preservations = 0  # PreserveSegments commands carried out
+        self.error: str | None = None  # reason of the last failure; None once a segment is open
         self._directory = directory
         self._log = log
         self._on_failure = on_failure
         self._flush_interval_s = flush_interval_s
         self._thread: threading.Thread | None = None
         self._segment: ContainerWriter | None = None
-        # The monotonic time at which the first record arrived that no block in the file has.
+        # Monotonic time of the first pending record, or None if no record is pending.
         self._pending_since_s: float | None = None
 
     def start(self) -> None:
-        """Start the thread, which works off what is in the queue already."""
-        # A daemon, as a disk that hangs must not keep the process from ending.
+        """Start the thread, which also executes the commands queued before."""
+        # A daemon thread, so that a hanging disk does not keep the process from exiting.
         self._thread = threading.Thread(target=self._run, name=self._directory.suffix, daemon=True)
         self._thread.start()
 
@@ -104,7 +104,7 @@
         return True
 
     def stop(self) -> None:
-        """Wait until all that is queued is written and the thread has ended."""
+        """Wait until all queued commands are executed and the thread has ended."""
         self.queue.put(StopWriter())
         if self._thread is not None:
             self._thread.join()
@@ -115,11 +115,11 @@
             command = self._next_command()
             try:
                 self._execute(command)
-            except Exception as error:  # an end of the thread would drop all that comes
+            except Exception as error:  # a dead thread would lose all later records
                 self._record_failure(error)
 
     def _next_command(self) -> Command:
-        """Return the next command, or FlushPending once records have waited long enough."""
+        """Return the next command, or FlushPending when pending records are due to be written."""
         try:
             return self.queue.get(timeout=self._seconds_until_flush())
         except queue.Empty:
--- a/pepperhook/container/writer.py
+++ b/pepperhook/container/writer.py
@@ -1,4 +1,4 @@
-"""Writes a container."""
+"""Writes containers."""
 
 import os
 from collections.abc import Mapping
@@ -11,14 +11,14 @@
 from pepperhook.container.index import IndexBuilder, IndexKey
 from pepperhook.container.metadata import FileMetadata, file_signature
 
-BLOCK_BYTES = 256 * 1024  # raw bytes after which a block is written
+BLOCK_BYTES = 256 * 1024  # a block is written once its raw content has this size
 _NO_KEYS: Mapping[str, IndexKey] = {}
 
 
 class ContainerWriter:
-    """Writes one new file, a block at a time; a file that was closed has an index.
+    """Writes one new file block by block; ``close`` adds the index.
 
-    Methods raise OSError where the disk refuses; the file then keeps the blocks written before.
+    Methods raise OSError if a write fails; the blocks written before remain readable.
     """
 
     def __init__(
@@ -28,9 +28,9 @@
         level: int = COMPRESSION_LEVEL,
         block_bytes: int = BLOCK_BYTES,
     ) -> None:
-        """Create the file, which must not exist yet, and write its first block."""
+        """Create the file, which must not exist yet, and write the signature and the metadata."""
         self.path = Path(path)
-        self.size = 0  # bytes of the file so far
+        self.size = 0  # bytes written so far
         self._level = level
         self._block_bytes = block_bytes
         self._pending = bytearray()
@@ -42,18 +42,18 @@
 
     @property
     def has_pending_records(self) -> bool:
-        """Whether records were appended that no block in the file has."""
+        """Whether there are appended records that are not written yet."""
         return self._index.pending_count > 0
 
     def append(self, record: bytes, time_ns: int, keys: Mapping[str, IndexKey] = _NO_KEYS) -> None:
-        """Add framed records, as one row of the index counts; keys are what they are found by."""
+        """Add framed records, indexed by ``keys``; the index counts them as one record."""
         self._pending += record
         self._index.add_record(time_ns, keys)
         if len(self._pending) >= self._block_bytes:
             self.flush()
 
     def flush(self) -> None:
-        """Write the pending records as a block, so that they survive the end of the process."""
+        """Write the pending records as a block, so that they survive a kill of the process."""
         if not self.has_pending_records:
             return
         offset = self.size
@@ -63,7 +63,7 @@
         self._index.finish_block(offset)
 
     def close(self) -> None:
-        """Write what is pending, the index and the footer, and sync the file to the disk."""
+        """Write the pending records, the index and the footer, and sync the file to disk."""
         self.flush()
         index_offset = self.size
         self._write_block(BlockType.INDEX, self._index.encode())
@@ -73,7 +73,7 @@
         self._file.close()
 
     def abandon(self) -> None:
-        """Close the file as it is, without an index."""
+        """Close the file without writing pending records or an index."""
         self._file.close()
 
     def _write_block(self, block_type: BlockType, content: bytes) -> None:
--- a/pepperhook/stored_words.py
+++ b/pepperhook/stored_words.py
@@ -1,7 +1,7 @@
-"""The words of stored files, beside the names that the code has for them.
+"""Maps names in the code to the words that stand for them in stored files, and back.
 
-Captures and traces outlive the code that wrote them: their words stay, whatever a class or a method
-is called. This is the one place where the two meet.
+Captures and traces are read by later versions of the code, so a stored word never changes, even if
+the class, method or field is renamed. Only this module defines the mapping.
 """
 
 from pepperhook.actions import (
@@ -36,6 +36,7 @@
     Effect.UNSAFE: "binding",
 }
 EFFECT_OF = {word: effect for effect, word in EFFECTS.items()}
+# Entry points of the policy, by method name.
 CALLS = {
     "endpoints_changed": "listing",
     "endpoints_corrected": "listing_corrected",
@@ -63,6 +64,7 @@
     WakeAt: "wake",
     OperatorNote: "note",
 }
+# Fields of Settings that captures store.
 SETTINGS = {
     "index": "me",
     "fleet_size": "balancers",
@@ -99,7 +101,9 @@
     "report_names": "report_names",
     "report_figures": "report_fields",
 }
+# Keys of the lists of service classes and tenants in stored settings.
 SERVICE_CLASSES, TENANTS = "grades", "customers"
+# Fields of ServiceClass.
 SERVICE_CLASS = {
     "number": "number",
     "time_limit_ns": "limit_ns",
@@ -111,4 +115,5 @@
     "late_priority_weight": "late_earnings",
     "streaming": "stream",
 }
+# Fields of TenantQuota.
 TENANT = {"quota_per_s": "quota", "share": "share"}
