--- a/pepperhook/capture/driver.py
+++ b/pepperhook/capture/driver.py
@@ -26,7 +26,7 @@
     def __init__(self, make: Callable[..., Any]) -> None:
         """Replay with policies of ``make``."""
         self.build = policy_build.as_build(make)
-        self.module: Any = None
+        self.policy: Any = None
         self.settings = Settings()
         self.calls = 0
         self.watched: WatchedActions | None = None
@@ -39,13 +39,13 @@
         self.upstreams: dict[int, Upstream] = {}
         self.numbers = Numbers()
 
-    def new(self, settings: dict[str, Any], seed: int, now: int) -> None:
+    def start_policy(self, settings: dict[str, Any], seed: int, now: int) -> None:
         """Begin with a policy's start."""
         self.settings = stored_settings.decode(settings)
-        self.module = self.build.make(self.settings, seed, now)
+        self.policy = self.build.make(self.settings, seed, now)
         self.clear()
 
-    def thaw(self, shape: str, data: bytes, *known: Any) -> None:
+    def restore_state(self, shape: str, data: bytes, *known: Any) -> None:
         """Begin with a whole state. Raises StateRefusedError if this build's has another shape."""
         module, objects = state.thaw(data, self.build, shape)
         try:
@@ -63,7 +63,7 @@
         if state.shape(module) != fresh:
             text = f"its state has the shape {shape}, this build's policy has {fresh}"
             raise StateRefusedError(text)
-        self.module = module
+        self.policy = module
         self.settings = module.settings
         self.clear()
         self.numbers.last = list(last)
@@ -77,13 +77,13 @@
                 mine[number] = thing
                 theirs[thing] = number
 
-    def upstream(self, number: int, *fields: Any) -> None:
+    def add_upstream(self, number: int, *fields: Any) -> None:
         """Take in the record of an upstream."""
         upstream = self.upstreams[number] = Upstream(*fields)
         self.numbers.upstreams[upstream] = number
         self.numbers.last[2] = number
 
-    def request(self, number: int, request_id: Any, stored_class: Any, *fields: Any) -> None:
+    def add_request(self, number: int, request_id: Any, stored_class: Any, *fields: Any) -> None:
         """Take in the record of a request; the last field is the number of its service class."""
         *rest, class_number = fields
         if stored_class is None:
@@ -140,13 +140,13 @@
         arguments = self.arguments(name, stored)
         fault = None
         if self.watched is not None:
-            self.module.actions = self.watched
+            self.policy.actions = self.watched
         try:
-            actions = getattr(self.module, name)(now, *arguments)
+            actions = getattr(self.policy, name)(now, *arguments)
         except Exception as problem:
             fault = type(problem).__name__
-            actions = self.module.actions
-            self.module.actions = []
+            actions = self.policy.actions
+            self.policy.actions = []
         for action in actions:
             if isinstance(action, StartAttempt) and action.attempt not in self.numbers.attempts:
                 self.attempts[self.numbers.attempt(action.attempt)] = action.attempt
--- a/pepperhook/capture/legacy_state.py
+++ b/pepperhook/capture/legacy_state.py
@@ -147,7 +147,7 @@
 
 
 @cache
-def attributes_not_kept(shape_digest: str) -> frozenset[str]:
+def missing_attributes(shape_digest: str) -> frozenset[str]:
     """Return the attributes that a stored state of this shape says nothing of."""
     return NOT_KEPT if shape_digest in SHAPES else frozenset()
 
--- a/pepperhook/capture/replay.py
+++ b/pepperhook/capture/replay.py
@@ -91,30 +91,30 @@
     def record(self, kind: str, fields: list[Any]) -> None:
         """Take in one record."""
         if kind == "new":
-            self.driver.new(*fields)
+            self.driver.start_policy(*fields)
             self.result.beginnings += 1
         elif kind == "state":
             self.state(fields)
-        elif self.driver.module is None:
+        elif self.driver.policy is None:
             self.result.skipped += kind == "call"
         elif kind == "upstream":
-            self.driver.upstream(*fields)
+            self.driver.add_upstream(*fields)
         elif kind == "operation":
-            self.driver.request(*fields)
+            self.driver.add_request(*fields)
         elif kind == "call":
             self.call(*fields)
 
     def state(self, fields: list[Any]) -> None:
         """Begin with a state, or check that the replay has come to just that state."""
-        if self.driver.module is None:
-            self.driver.thaw(*fields)
+        if self.driver.policy is None:
+            self.driver.restore_state(*fields)
             self.result.beginnings += 1
             return
         other = Driver(self.make)
-        other.thaw(*fields)
+        other.restore_state(*fields)
         self.result.states_checked += 1
-        ignored = legacy_state.attributes_not_kept(fields[0])
-        found = state.differences(self.driver.module, other.module, ignored=ignored)
+        ignored = legacy_state.missing_attributes(fields[0])
+        found = state.differences(self.driver.policy, other.policy, ignored=ignored)
         self.result.states_differ += found[: MAX_STATE_DIFFERENCES - len(self.result.states_differ)]
 
     def call(
@@ -126,7 +126,7 @@
         self.last = now
         subject_id = driver.about(name, arguments)
         if driver.calls + 1 == self.watch_at:
-            driver.watched = WatchedActions(driver.module)
+            driver.watched = WatchedActions(driver.policy)
         replayed, raised = driver.call(name, now, arguments)
         self.result.calls += 1
         if raised != fault or ENCODER.encode(replayed) != ENCODER.encode(recorded):
@@ -141,7 +141,7 @@
                 stage=self.stage(recorded, replayed),
                 led=self.earlier_calls(subject_id),
             )
-        line = f"{now} {name} {subject_id}: {brief(replayed)}"
+        line = f"{now} {name} {subject_id}: {format_actions(replayed)}"
         self.recent_calls.append(_ReplayedCall(subject_id, line))
 
     def earlier_calls(self, subject_id: str) -> list[str]:
@@ -158,7 +158,7 @@
         return watched.by[at] if watched is not None and at < len(watched.by) else None
 
 
-def play(path: Any, make: Callable[..., Any], watch_at: int | None = None) -> Replay:
+def replay_file(path: Any, make: Callable[..., Any], watch_at: int | None = None) -> Replay:
     """Replay one file with policies of ``make``.
 
     Raises UnreadableFileError, StateRefusedError.
@@ -177,17 +177,17 @@
         result.lost_bytes = reader.skipped.bytes
     if result.difference is not None and watch_at is None:
         # Once more, with an eye on that call.
-        return play(path, make, result.difference.call)
+        return replay_file(path, make, result.difference.call)
     return result
 
 
-def brief(results: list[list[Any]]) -> str:
+def format_actions(results: list[list[Any]]) -> str:
     """Return stored actions as a line."""
     lines = (" ".join(map(str, result)) for result in results if result[0] != "wake")
     return "; ".join(lines) or "nothing"
 
 
-def make_of(
+def select_build(
     policy: str | None = None, revision: str | None = None
 ) -> PolicyBuild | revision_replay.RevisionBuild:
     """Return what makes policies: this build, a changed copy of the package, or a revision."""
--- a/pepperhook/cli/record.py
+++ b/pepperhook/cli/record.py
@@ -88,12 +88,12 @@
     if policy is not None and revision is not None:
         raise InvalidInputError("--policy and --revision: one of them")
     with reporting_file_errors():
-        build: Any = replay_module.make_of(policy, revision)
+        build: Any = replay_module.select_build(policy, revision)
     exit_code = ExitCode.SUCCESS
     for path in files:
         begun_s = time.perf_counter()
         with reporting_file_errors():
-            result = replay_module.play(path, build)
+            result = replay_module.replay_file(path, build)
         _print_replay(result, time.perf_counter() - begun_s, as_json)
         if result.difference is not None or result.states_differ:
             exit_code = ExitCode.FAILURE
@@ -120,15 +120,15 @@
 
 
 def _print_difference(difference: Any) -> None:
-    from pepperhook.capture.replay import brief
+    from pepperhook.capture.replay import format_actions
 
     fault = f" (raised {difference.fault})" if difference.fault else ""
     click.echo(
         f"    call {difference.call}, {difference.name} at {difference.now}, "
         f"about {difference.about or 'no operation'}"
     )
-    click.echo(f"    recorded: {brief(difference.recorded)}")
-    click.echo(f"    replayed: {brief(difference.replayed)}{fault}")
+    click.echo(f"    recorded: {format_actions(difference.recorded)}")
+    click.echo(f"    replayed: {format_actions(difference.replayed)}{fault}")
     click.echo(f"    by: {difference.stage or 'nothing returned'}")
     for line in difference.led:
         click.echo(f"      led by: {line}")
--- a/pepperhook/lab/tracecost.py
+++ b/pepperhook/lab/tracecost.py
@@ -49,17 +49,17 @@
     spent_ns = requests = 0
     clock = time.process_time_ns
     for kind, *rest in records:
-        if kind == "new" or (kind == "state" and driver.module is None):
-            begin = driver.new if kind == "new" else driver.thaw
+        if kind == "new" or (kind == "state" and driver.policy is None):
+            begin = driver.start_policy if kind == "new" else driver.restore_state
             begin(*rest)
             if sampled_fraction is not None:
                 keep = lambda trace: traces.append(len(encode(trace)))  # noqa: E731
-                driver.module = Tracer(driver.module, keep, (), (), sampled_fraction)
+                driver.policy = Tracer(driver.policy, keep, (), (), sampled_fraction)
         elif kind == "upstream":
-            driver.upstream(*rest)
+            driver.add_upstream(*rest)
         elif kind == "operation":
-            driver.request(*rest)
-        elif kind == "call" and driver.module is not None:
+            driver.add_request(*rest)
+        elif kind == "call" and driver.policy is not None:
             name, now, arguments, _, _ = rest
             requests += name == CALLS["accept"]
             begun = clock()
--- a/pepperhook/tracing/retrace.py
+++ b/pepperhook/tracing/retrace.py
@@ -97,9 +97,9 @@
         if kind == "new" or (kind == "state" and not self._has_come_to(fields)):
             self._begin(kind, fields)
         elif kind == "upstream":
-            self._driver.upstream(*fields)
+            self._driver.add_upstream(*fields)
         elif kind == "operation":
-            self._driver.request(*fields)
+            self._driver.add_request(*fields)
         elif kind == "call" and self._tracer is not None:
             self._call(*fields)
 
@@ -111,19 +111,19 @@
     def _begin(self, kind: str, fields: list[Any]) -> None:
         self.stop()
         driver = self._driver
-        driver.module = None
+        driver.policy = None
         if kind == "new":
-            driver.new(*fields)
+            driver.start_policy(*fields)
         else:
-            driver.thaw(*fields)
+            driver.restore_state(*fields)
         self._tracer = Tracer(
-            driver.module,
+            driver.policy,
             self._write,
             self._service_classes,
             self._tenants,
             parent_pattern=self._parent_pattern,
         )
-        driver.module = self._tracer
+        driver.policy = self._tracer
 
     def _call(
         self, name: str, now: int, arguments: list[Any], recorded: list[Any], fault: str | None
@@ -143,11 +143,11 @@
         if self._tracer is None:
             return False
         stored = Driver(Balancer)
-        stored.thaw(*fields)
+        stored.restore_state(*fields)
         # A stored state is of a policy that takes no notes.
         self._tracer.module.notes = None
-        ignored = legacy_state.attributes_not_kept(fields[0])
-        found = state.differences(self._tracer.module, stored.module, ignored=ignored)
+        ignored = legacy_state.missing_attributes(fields[0])
+        found = state.differences(self._tracer.module, stored.policy, ignored=ignored)
         return not found
 
     def _write(self, trace: RequestTrace) -> None:
--- a/tests/capture/test_extension.py
+++ b/tests/capture/test_extension.py
@@ -57,7 +57,7 @@
     assert len(preserved) >= 2
     assert len(files) >= 3
     assert capture.ring.dropped == 0
-    results = [replay.play(path, Balancer) for path in files]
+    results = [replay.replay_file(path, Balancer) for path in files]
     assert sum(result.calls for result in results) > 40
     for result in results:
         assert result.difference is None
@@ -91,7 +91,7 @@
 
     assert capture.ring.dropped == 1
     assert capture.ring.segments == 2
-    last = replay.play(sorted(tmp_path.glob("*.rec"))[-1], Balancer)
+    last = replay.replay_file(sorted(tmp_path.glob("*.rec"))[-1], Balancer)
     assert last.calls > 5
     assert last.difference is None
 
--- a/tests/capture/test_hostile_states.py
+++ b/tests/capture/test_hostile_states.py
@@ -208,7 +208,7 @@
     writer.close()
 
     try:
-        replay.play(path, Balancer)
+        replay.replay_file(path, Balancer)
     except (StateRefusedError, UnreadableFileError):
         return
 
@@ -219,4 +219,6 @@
     driver = replay.Driver(Balancer)
 
     with pytest.raises(StateRefusedError, match="period"):
-        driver.thaw(state.shape(policy), state.freeze(policy, known), [], [], [], 0, [0, 0, 0])
+        driver.restore_state(
+            state.shape(policy), state.freeze(policy, known), [], [], [], 0, [0, 0, 0]
+        )
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -24,7 +24,7 @@
     world.run(1500, chance=0.3)
     world.writer.close()
 
-    result = replay.play(tmp_path / "a", Balancer)
+    result = replay.replay_file(tmp_path / "a", Balancer)
 
     assert result.difference is None
     assert result.calls > 1000
@@ -41,7 +41,7 @@
     world.run(500, chance=0.3)
     world.writer.close()
 
-    result = replay.play(tmp_path / "b", Balancer)
+    result = replay.replay_file(tmp_path / "b", Balancer)
 
     assert result.difference is None
     assert result.calls > 300
@@ -55,14 +55,14 @@
     constant = "MAX_QUEUE_TIME = 0.2 "
 
     longer = changed_policy(tmp_path, "admission", constant, "MAX_QUEUE_TIME = 0.21 ")
-    difference = replay.play(tmp_path / "a", longer).difference
+    difference = replay.replay_file(tmp_path / "a", longer).difference
     same = changed_policy(tmp_path, "admission", constant, "MAX_QUEUE_TIME = 0.20 ")
 
     assert difference is not None
     assert difference.recorded != difference.replayed
     assert difference.name in ("take", "ended", "wake", "listing")
     assert difference.stage
-    assert replay.play(tmp_path / "a", same).difference is None
+    assert replay.replay_file(tmp_path / "a", same).difference is None
 
 
 def test_policy_that_reads_a_clock_is_found(tmp_path):
@@ -74,7 +74,7 @@
 
     build = changed_policy(tmp_path, "completion", line, reads_clock)
 
-    assert replay.play(tmp_path / "a", build).difference is not None
+    assert replay.replay_file(tmp_path / "a", build).difference is not None
 
 
 def test_failure_of_the_policy_in_a_call_is_replayed_as_one(tmp_path):
@@ -85,8 +85,8 @@
     assert sum(step_fails(world) for _ in range(400)) == 1
     world.writer.close()
 
-    same = replay.play(tmp_path / "a", build)
-    other = replay.play(tmp_path / "a", Balancer).difference
+    same = replay.replay_file(tmp_path / "a", build)
+    other = replay.replay_file(tmp_path / "a", Balancer).difference
 
     assert same.difference is None
     assert same.calls > 200
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize("path", RECORDED_RUNS, ids=lambda path: path.stem)
 def test_recorded_runs_replay_to_the_byte(path):
     """A change of the decisions shows here; if it is wanted, capture the runs anew and say so."""
-    result = replay.play(path, Balancer)
+    result = replay.replay_file(path, Balancer)
 
     assert result.difference is None
     assert result.calls > 500
@@ -131,7 +131,7 @@
     build = changed_policy(tmp_path, "outlier", constants, constants.replace("2.0", "1.2"))
 
     assert len(RECORDED_RUNS) == 3
-    assert any(replay.play(path, build).difference is not None for path in RECORDED_RUNS)
+    assert any(replay.replay_file(path, build).difference is not None for path in RECORDED_RUNS)
 
 
 @pytest.mark.parametrize("keeps_classes", [True, False])
@@ -154,7 +154,7 @@
     world.state_chance = 0.05
     world.run(300, chance=0.5)
     world.writer.close()
-    result = replay.play(tmp_path / "a", Balancer)
+    result = replay.replay_file(tmp_path / "a", Balancer)
 
     assert result.difference is None
     assert result.states_checked > 3
--- a/tests/capture/test_state.py
+++ b/tests/capture/test_state.py
@@ -23,7 +23,7 @@
     build = changed_policy(tmp_path, "admission", line, f"{line}\n        self.more = 1")
 
     with pytest.raises(StateRefusedError, match="shape"):
-        replay.play(tmp_path / "b", build)
+        replay.replay_file(tmp_path / "b", build)
 
 
 def test_state_that_names_foreign_things_is_refused():
--- a/tests/cli/test_record.py
+++ b/tests/cli/test_record.py
@@ -40,7 +40,7 @@
     """A replay that differs from the capture in a state and in a call."""
     result = Replay("a.rec", 3, 0.5, DIFFERENCE, states_checked=2)
     result.states_differ = ["admission.queue: 1 and 2"]
-    monkeypatch.setattr(replay, "play", lambda *_: result)
+    monkeypatch.setattr(replay, "replay_file", lambda *_: result)
 
 
 @pytest.mark.usefixtures("different_replay")
@@ -71,7 +71,7 @@
 
 def test_one_capture_that_differs_fails_the_command(monkeypatch):
     rows = [Replay("a.rec", 1, 0.1, None, states_differ=["x"]), Replay("b.rec", 1, 0.1, None)]
-    monkeypatch.setattr(replay, "play", lambda path, _: rows[path == "b.rec"])
+    monkeypatch.setattr(replay, "replay_file", lambda path, _: rows[path == "b.rec"])
 
     result = run("record", "replay", "a.rec", "b.rec")
 
--- a/tests/control_plane/test_balancer_settings.py
+++ b/tests/control_plane/test_balancer_settings.py
@@ -92,7 +92,7 @@
         assert request.service_class is service_class
         assert service_class == content
     assert all(request in world.answered for request in world.taken)
-    replayed = replay.play(tmp_path / "a", Balancer)
+    replayed = replay.replay_file(tmp_path / "a", Balancer)
     assert replayed.difference is None
     assert replayed.states_checked
     assert not replayed.states_differ
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -167,7 +167,7 @@
     [("capture-new.rec", 525, 0.5, 2, 15228), ("capture-mid-life.rec", 391, 1.094, 1, 22111)],
 )
 def test_captures_replay_without_difference(name, calls, seconds, states, size):
-    told = replay.play(STORED / name, Balancer)
+    told = replay.replay_file(STORED / name, Balancer)
     assert told.difference is None and told.states_differ == []
     assert (told.calls, told.seconds, told.states_checked) == (calls, seconds, states)
     assert (told.beginnings, told.skipped, told.lost_bytes) == (1, 0, 0)
