--- a/pepperhook/capture/__init__.py
+++ b/pepperhook/capture/__init__.py
@@ -1,1 +1,1 @@
-"""Captures: recorded calls of a policy, its stored states, and the replay of both."""
+"""Captures: records of a policy's calls and states, and their replay."""
--- a/pepperhook/capture/driver.py
+++ b/pepperhook/capture/driver.py
@@ -1,11 +1,11 @@
-"""Makes the calls of a capture to a policy, with the objects that its host would have."""
+"""Repeats the calls of a capture on a policy, with the objects that its host would have."""
 
 from collections.abc import Callable, Sequence
 from typing import Any
 
 from pepperhook.actions import StartAttempt
 from pepperhook.capture import policy_build, state, stored_settings
-from pepperhook.capture.recorder import Numbers, ended_requests, subject
+from pepperhook.capture.recorder import ObjectNumbers, ended_requests, request_of_call
 from pepperhook.capture.state_errors import StateRefusedError
 from pepperhook.capture.watched_actions import WatchedActions
 from pepperhook.domain import (
@@ -23,87 +23,94 @@
 class Driver:
     """One policy under replay, with the objects that its host would have."""
 
-    def __init__(self, make: Callable[..., Any]) -> None:
-        """Replay with policies of ``make``."""
-        self.build = policy_build.as_build(make)
+    def __init__(self, make_policy: Callable[..., Any]) -> None:
+        """Replay on policies created by ``make_policy``, which may be a PolicyBuild."""
+        self.build = policy_build.as_build(make_policy)
         self.policy: Any = None
         self.settings = Settings()
         self.calls = 0
-        self.watched: WatchedActions | None = None
+        self.watched_actions: WatchedActions | None = None
         self.clear()
 
     def clear(self) -> None:
-        """Forget all objects."""
+        """Drop all requests, attempts and upstreams, and their numbers."""
         self.requests: dict[int, Request] = {}
         self.attempts: dict[int, Attempt] = {}
         self.upstreams: dict[int, Upstream] = {}
-        self.numbers = Numbers()
+        self.numbers = ObjectNumbers()
 
     def start_policy(self, settings: dict[str, Any], seed: int, now: int) -> None:
-        """Begin with a policy's start."""
+        """Create a new policy from the fields of a ``new`` record."""
         self.settings = stored_settings.decode(settings)
-        self.policy = self.build.make(self.settings, seed, now)
+        self.policy = self.build.make_policy(self.settings, seed, now)
         self.clear()
 
-    def restore_state(self, shape: str, data: bytes, *known: Any) -> None:
-        """Begin with a whole state. Raises StateRefusedError if this build's has another shape."""
-        module, objects = state.thaw(data, self.build, shape)
+    def restore_state(self, shape: str, data: bytes, *fields: Any) -> None:
+        """Restore a policy from the fields of a ``state`` record.
+
+        Raises StateRefusedError, also if this build's policy has another shape.
+        """
+        policy, objects = state.deserialize(data, self.build, shape)
         try:
-            self._begin_with(shape, module, objects, *known)
+            self._use_state(shape, policy, objects, *fields)
         except StateRefusedError:
             raise
-        except Exception as problem:
-            # A state of the right classes with values of wrong types.
-            raise StateRefusedError(f"the state can't be used: {problem}") from problem
-
-    def _begin_with(self, shape: str, module: Any, objects: Any, *known: Any) -> None:
-        requests, attempts, upstreams, now, last = known
-        _check_timers(module)
-        fresh = state.shape(self.build.make(module.settings, 1, now))
-        if state.shape(module) != fresh:
-            text = f"its state has the shape {shape}, this build's policy has {fresh}"
+        except Exception as error:
+            # A state of the right classes may have values of wrong types.
+            raise StateRefusedError(f"the state can't be used: {error}") from error
+
+    def _use_state(self, shape: str, policy: Any, objects: Any, *fields: Any) -> None:
+        requests, attempts, upstreams, now, last_numbers = fields
+        _check_timers(policy)
+        own_shape = state.shape(self.build.make_policy(policy.settings, 1, now))
+        if state.shape(policy) != own_shape:
+            text = f"the state has the shape {shape}, this build's policy has {own_shape}"
             raise StateRefusedError(text)
-        self.policy = module
-        self.settings = module.settings
+        self.policy = policy
+        self.settings = policy.settings
         self.clear()
-        self.numbers.last = list(last)
+        self.numbers.last = list(last_numbers)
         numbers = self.numbers
-        for mine, theirs, things, counted in (
+        for by_number, numbers_by_object, restored, stored_numbers in (
             (self.requests, numbers.requests, objects[0], requests),
             (self.attempts, numbers.attempts, objects[1], attempts),
             (self.upstreams, numbers.upstreams, objects[2], upstreams),
         ):
-            for number, thing in zip(counted, things, strict=True):
-                mine[number] = thing
-                theirs[thing] = number
+            for number, restored_object in zip(stored_numbers, restored, strict=True):
+                by_number[number] = restored_object
+                numbers_by_object[restored_object] = number
 
     def add_upstream(self, number: int, *fields: Any) -> None:
-        """Take in the record of an upstream."""
+        """Create the upstream of an ``upstream`` record."""
         upstream = self.upstreams[number] = Upstream(*fields)
         self.numbers.upstreams[upstream] = number
         self.numbers.last[2] = number
 
     def add_request(self, number: int, request_id: Any, stored_class: Any, *fields: Any) -> None:
-        """Take in the record of a request; the last field is the number of its service class."""
-        *rest, class_number = fields
+        """Create the request of an ``operation`` record.
+
+        The last field is the number of its service class. ``stored_class`` is None if the class is
+        the one that the settings have under this number.
+        """
+        *other_fields, class_number = fields
         if stored_class is None:
             service_class = self.settings.service_classes[class_number]
         else:
             service_class = stored_settings.decode_class(stored_class)
-        request = self.requests[number] = Request(request_id, service_class, *rest)
+        request = self.requests[number] = Request(request_id, service_class, *other_fields)
         self.numbers.requests[request] = number
         self.numbers.last[0] = number
 
-    def arguments(self, name: str, stored: list[Any]) -> list[Any]:
-        """Return the arguments of a call as the policy takes them."""
+    def decode_arguments(self, name: str, stored: list[Any]) -> list[Any]:
+        """Convert the stored arguments of a call to those that the policy takes."""
         first, *rest = stored or [None]
         arguments = list(stored)
         match name:
             case "endpoints_changed":
-                rows = [
+                updates = [
                     EndpointUpdate(self.upstreams[u], UpstreamState(s), at) for u, s, at in rest[0]
                 ]
-                arguments = [first, rows]
+                arguments = [first, updates]
             case "endpoints_corrected":
                 arguments = [
                     [EndpointUpdate(self.upstreams[u], UpstreamState(s), at) for u, s, at in first]
@@ -120,50 +127,59 @@
                 arguments = [self.upstreams[first], OUTCOME_OF[rest[0]], *rest[1:]]
             case "reconfigure":
                 weights = [(self.upstreams[u], weight) for u, weight in rest[0]]
-                arguments = [self.new_settings(first, *rest[1:]), weights]
+                arguments = [self.decode_settings(first, *rest[1:]), weights]
         return arguments
 
-    def new_settings(self, stored: dict[str, Any], kept: Sequence[int] = ()) -> Settings:
-        """Return other settings, in which the service classes ``kept`` are the same objects."""
+    def decode_settings(self, stored: dict[str, Any], unchanged: Sequence[int] = ()) -> Settings:
+        """Decode the settings of a reconfiguration.
+
+        Service classes whose numbers are in ``unchanged`` remain the same objects.
+        """
         settings = stored_settings.decode(stored)
-        own = self.settings.service_classes
+        current = self.settings.service_classes
         settings.service_classes = [
-            own[one.number] if one.number in kept and one.number < len(own) else one
-            for one in settings.service_classes
+            current[service_class.number]
+            if service_class.number in unchanged and service_class.number < len(current)
+            else service_class
+            for service_class in settings.service_classes
         ]
         return settings
 
     def call(self, word: str, now: int, stored: list[Any]) -> tuple[list[list[Any]], str | None]:
-        """Make one call; return the actions as they are stored, and the fault's name or None."""
+        """Make one call.
+
+        Return the actions in their stored form, and the name of the exception that the call raised
+        or None.
+        """
         self.calls += 1
         name = CALL_OF[word]
-        arguments = self.arguments(name, stored)
+        arguments = self.decode_arguments(name, stored)
         fault = None
-        if self.watched is not None:
-            self.policy.actions = self.watched
+        if self.watched_actions is not None:
+            self.policy.actions = self.watched_actions
         try:
             actions = getattr(self.policy, name)(now, *arguments)
-        except Exception as problem:
-            fault = type(problem).__name__
+        except Exception as error:
+            fault = type(error).__name__
             actions = self.policy.actions
             self.policy.actions = []
         for action in actions:
             if isinstance(action, StartAttempt) and action.attempt not in self.numbers.attempts:
                 self.attempts[self.numbers.attempt(action.attempt)] = action.attempt
-        encoded = self.numbers.actions(actions)
-        for request in ended_requests(name, subject(name, tuple(arguments)), actions):
-            self.drop(request)
+        encoded = self.numbers.encode_actions(actions)
+        for request in ended_requests(name, request_of_call(name, tuple(arguments)), actions):
+            self.release(request)
         return encoded, fault
 
-    def drop(self, request: Request) -> None:
-        """Forget a request that no later record names."""
+    def release(self, request: Request) -> None:
+        """Drop a request that no later record refers to, with its attempts."""
         for attempt in request.attempts:
             self.attempts.pop(self.numbers.attempts.get(attempt, -1), None)
         self.requests.pop(self.numbers.requests.get(request, -1), None)
-        self.numbers.drop(request)
+        self.numbers.release(request)
 
-    def about(self, word: str, stored: list[Any]) -> str:
-        """Return what a call is about, for the reader; empty where that is nothing."""
+    def describe_subject(self, word: str, stored: list[Any]) -> str:
+        """Return the request id or the upstream's address that a call refers to, or ""."""
         try:
             match CALL_OF.get(word):
                 case "accept" | "client_left":
@@ -177,8 +193,8 @@
         return ""
 
 
-def _check_timers(module: Any) -> None:
-    """Refuse a state with a repeated call that would never let the next wake-up end."""
-    for _, _, callback, argument in module.timers:
-        if callback.__name__ == module.repeat.__name__ and not argument[0] > 0:
-            raise StateRefusedError("a timer is repeated without a period")
+def _check_timers(policy: Any) -> None:
+    """Refuse a state with a repeating timer of period zero: a wake-up would never end."""
+    for _, _, callback, argument in policy.timers:
+        if callback.__name__ == policy.repeat.__name__ and not argument[0] > 0:
+            raise StateRefusedError("a repeating timer has no positive period")
--- a/pepperhook/capture/extension.py
+++ b/pepperhook/capture/extension.py
@@ -1,9 +1,9 @@
-"""The extension that captures a balancer's calls to the policy in a ring of segments on disk.
+"""The extension that captures a balancer's calls to its policy in a ring of segments on disk.
 
-Each segment begins with the policy's start or its whole state, so it can be replayed alone.
-Compression and disk are a thread's; where it does not keep up records are dropped and counted. What
-was captured around such a gap cannot be replayed, so a new segment begins behind it. SIGUSR2
-preserves what the ring holds.
+Each segment begins with the start of the policy or its complete state, so it can be replayed alone.
+A separate thread compresses and writes. If it falls behind, records are dropped and counted; as a
+segment with such a gap cannot be replayed past it, a new segment begins after the gap. SIGUSR2
+preserves the segments of the ring.
 """
 
 import time
@@ -22,18 +22,18 @@
 from pepperhook.server.structured_logging import Log
 
 SUFFIX = "rec"
-BATCH_BYTES = 64 * 1024  # that go to the writer thread at once
+BATCH_BYTES = 64 * 1024  # a batch of this size goes to the writer thread
 NS_PER_S = 10**9
-# For so long records may wait for a batch to fill: a balancer with few calls takes minutes to fill
-# one, all of which a kill would cost.
+# A batch also goes to the writer thread at this age: a balancer with few calls takes minutes to
+# fill one, and a kill would lose all of them.
 MAX_BATCH_AGE_NS = 2 * NS_PER_S
 
 
 class Capture:
-    """The extension; it owns the ring and the recorder that stands in the policy's place."""
+    """The extension. It owns the segment ring and the recorder that wraps the policy."""
 
     def __init__(self, table: CaptureTable, config: Config, log: Log) -> None:
-        """Describe the ring; nothing is made before ``hold``."""
+        """Configure the ring; ``hold`` creates its folder."""
         self.config = config
         self.segment_ns = int(table.segment_s * NS_PER_S)
         retention = Retention.from_settings(table.minutes, table.mb)
@@ -48,11 +48,11 @@
         self._is_writing_state = False
 
     def hold(self) -> None:
-        """Make the ring's folder. Raises SegmentFolderError."""
+        """Create the ring's folder. Raises SegmentFolderError."""
         self.ring.create_folder("record.folder")
 
     def born(self, app: BalancerApp, policy: Any, now: int) -> Recorder:
-        """Stand in the new policy's place, so that the first segment begins with its start."""
+        """Wrap the new policy in a recorder, so that the first segment begins with its start."""
         self.app = app
         self.hold()
         self.ring.start()
@@ -61,14 +61,14 @@
         return self.recorder
 
     def started(self, app: BalancerApp) -> None:
-        """Preserve the ring when an operator asks for it."""
+        """Preserve the ring when an operator sends SIGUSR2."""
         add_preserve_callback(app.runtime, self.preserve)
 
     async def left(self) -> None:
-        """Give the policy back, and close the ring."""
+        """Remove the recorder from the runtime, and close the ring."""
         assert self.app is not None and self.recorder is not None
         self.app.runtime.policy = self.recorder.module
-        self.hand_over_batch()
+        self.submit_batch()
         await self.ring.close()
         stop_preserving(self.app.runtime)
 
@@ -76,27 +76,27 @@
         """Return the counters for the log."""
         return {
             "name": "record",
-            "calls": self.recorder.recorded if self.recorder else 0,
+            "calls": self.recorder.record_count if self.recorder else 0,
             **self.ring.log_fields(),
         }
 
     def write(self, record: bytes, now: int, _request_id: object) -> None:
-        """Take a record from the recorder; ``now`` is 0 where the record of a call follows."""
+        """Write a record of the recorder; ``now`` is 0 if it belongs to a call recorded next."""
         self._add_to_batch(record, now)
         if not now or self._is_writing_state or self.recorder is None:
             return
-        # Behind the record of a call: the state that comes next has what the call did.
+        # A segment may begin here: the call is recorded, and the state includes its effects.
         if self.ring.has_gap or now >= self.segment_end_ns:
             self._begin_segment_with_state(self.recorder, now)
 
     def preserve(self) -> None:
-        """Begin a new segment, and preserve those before it."""
+        """Begin a new segment, and preserve the earlier ones."""
         assert self.app is not None and self.recorder is not None
         self._begin_segment_with_state(self.recorder, self.app.runtime.now())
         self.ring.preserve()
 
-    def hand_over_batch(self) -> None:
-        """Hand what was recorded so far to the writer thread."""
+    def submit_batch(self) -> None:
+        """Queue the batched records for the writer thread."""
         if self._batch:
             self.ring.append(bytes(self._batch), self._batch_begin_ns)
             self._batch.clear()
@@ -108,15 +108,15 @@
         self._batch += record
         is_old = self._last_ns - self._batch_begin_ns >= MAX_BATCH_AGE_NS
         if is_old or len(self._batch) >= BATCH_BYTES:
-            self.hand_over_batch()
+            self.submit_batch()
 
     def _begin_segment_with_state(self, recorder: Recorder, now: int) -> None:
         self.ring.has_gap = False
-        self.hand_over_batch()
+        self.submit_batch()
         self._open_segment(now)
         self._is_writing_state = True
         try:
-            recorder.begin_again(now)
+            recorder.write_state(now)
         finally:
             self._is_writing_state = False
 
@@ -130,7 +130,7 @@
             self.config.settings.tier,
             created_unix_ns=time.time_ns(),
             created_ns=now,
-            # The policy has only the numbers of these.
+            # The policy knows service classes and tenants only by number.
             extra={"grades": list(names.service_classes), "customers": list(names.tenants)},
         )
         self.ring.open_segment(metadata)
--- a/pepperhook/capture/legacy_state.py
+++ b/pepperhook/capture/legacy_state.py
@@ -1,8 +1,8 @@
-"""States that version 0.2 stored, translated to today's classes.
+"""Converts states stored by version 0.2 to the current classes.
 
-0.2 had all decisions in one module, with other names, and plain maps for the settings. Its pickles
-are read into stand-ins first, as their graphs have cycles, and then copied object by object; what
-was one object stays one. Nothing that they name is called.
+Version 0.2 had the whole policy in one module, used other names, and kept settings in plain dicts.
+As the object graphs have cycles, a pickle is first read into stand-in objects, which are then
+converted one by one; shared references stay shared. Nothing that a pickle names is called.
 """
 
 from __future__ import annotations
@@ -32,15 +32,16 @@
 from pepperhook.unserved_requests import UnservedRequest, UnservedRequests
 from pepperhook.value_queue import ValueQueue
 
-Made = TypeVar("Made")
+Converted = TypeVar("Converted")
 SHAPES = frozenset(("97d25dcfc6463a83",))
 MODULES = ("pepperhook.model", "pepperhook.policy")
-# What 0.2 did not keep: a replay from there on has it, a state that 0.2 stored has the defaults.
-NOT_KEPT = frozenset(
+# Attributes that 0.2 did not store: a replayed policy has values for them, a converted state has
+# their defaults.
+MISSING_ATTRIBUTES = frozenset(
     ("good_until", "health_check_began_at", "is_confirmed", "planned_at", "shown_ready_at")
 )
-KEEP_GONE_NS = 60 * 10**9  # in 0.2
-# Attributes by what they were called.
+KEEP_GONE_NS = 60 * 10**9  # EndpointRing.keep_gone_ns in 0.2
+# For each class: the attribute names of 0.2, mapped to the current ones.
 MOMENTS = {
     "span": "span_ns",
     "at": "updated_at",
@@ -93,6 +94,7 @@
     "done": "completed",
     "ghosts": "abandoned",
 }
+# Callbacks of timers in 0.2, mapped to the current component ("" for the policy) and method.
 CALLBACKS = {
     "due": ("", "repeat"),
     "review": ("", "_review"),
@@ -120,167 +122,174 @@
 
 
 class LegacyObject:
-    """Stands in for an object of 0.2: has its attributes, and nothing else."""
+    """Stand-in for an object of 0.2, with its attributes and no methods of its class."""
 
     def set_attributes(self, stored: Any) -> None:
-        """Take the attributes, those of slots too. Raises StateRefusedError."""
+        """Set the stored attributes, including slots. Raises StateRefusedError."""
         for part in stored if isinstance(stored, tuple) else (stored,):
             if not isinstance(part, (dict, type(None))):
-                raise StateRefusedError("attributes that are no map")
+                raise StateRefusedError("the stored attributes of an object are not a dict")
             for name, value in (part or {}).items():
                 if not isinstance(name, str) or name.startswith("__"):
-                    raise StateRefusedError(f"{name!r:.40} is no attribute")
+                    raise StateRefusedError(f"{name!r:.40} is not a valid attribute name")
                 self.__dict__[name] = value
 
     def __getattr__(self, name: str) -> Any:
-        """Raise for what 0.2 did not store."""
-        raise StateRefusedError(f"the state's {type(self).__name__} has no {name}")
+        """Raise StateRefusedError for an attribute that is missing in the state."""
+        raise StateRefusedError(f"the stored {type(self).__name__} has no attribute {name}")
 
 
 class LegacyMethod:
-    """A bound method of 0.2, by its name."""
+    """Stand-in for a bound method of 0.2."""
 
     def __init__(self, owner: LegacyObject, name: str) -> None:
-        """Stand for ``owner.name``."""
+        """Represent ``owner.name``."""
         self.owner = owner
         self.name = name
 
 
 @cache
 def missing_attributes(shape_digest: str) -> frozenset[str]:
-    """Return the attributes that a stored state of this shape says nothing of."""
-    return NOT_KEPT if shape_digest in SHAPES else frozenset()
+    """Return the names of attributes that a stored state of this shape does not contain."""
+    return MISSING_ATTRIBUTES if shape_digest in SHAPES else frozenset()
 
 
 def legacy_class(name: str) -> type:
-    """Return the stand-in for a class of 0.2."""
+    """Return a stand-in class with this name."""
     return type(name, (LegacyObject,), {})
 
 
 class LegacyFactory:
-    """Makes stand-ins of the classes of 0.2."""
+    """Creates stand-ins for the objects of 0.2; a GraphFactory."""
 
-    def check(self, named: GlobalName) -> None:
-        """Check a class that the state names. Raises StateRefusedError."""
+    def check_class(self, named: GlobalName) -> None:
+        """Check that 0.2 had the policy's classes in this module. Raises StateRefusedError."""
         if named.module not in MODULES:
-            text = f"the state names {named.module}.{named.name}, which is no part of a policy"
+            text = f"the state names {named.module}.{named.name}, which is not part of a policy"
             raise StateRefusedError(text)
 
-    def new(self, named: GlobalName, arguments: tuple[Any, ...]) -> LegacyObject:
-        """Return a stand-in without its attributes. Raises StateRefusedError."""
+    def new_object(self, named: GlobalName, arguments: tuple[Any, ...]) -> LegacyObject:
+        """Return a stand-in without attributes. Raises StateRefusedError if there are arguments."""
         if arguments:
-            raise StateRefusedError(f"{named.name}: an object with arguments")
-        made: LegacyObject = legacy_class(named.name)()
-        return made
+            raise StateRefusedError(f"{named.name}: the object is created with arguments")
+        stand_in: LegacyObject = legacy_class(named.name)()
+        return stand_in
 
-    def value(self, named: GlobalName, _arguments: tuple[Any, ...]) -> Any:
-        """Refuse: 0.2 stored no values that a class makes."""
+    def enum_member(self, named: GlobalName, _arguments: tuple[Any, ...]) -> Any:
+        """Raise StateRefusedError: states of 0.2 contain no enum members."""
         raise StateRefusedError(f"the state calls {named.module}.{named.name}")
 
-    def method(self, owner: Any, name: str) -> LegacyMethod:
-        """Return what stands for a bound method; its name is looked up in CALLBACKS."""
+    def bound_method(self, owner: Any, name: str) -> LegacyMethod:
+        """Return a stand-in for a bound method; the converter looks its name up in CALLBACKS."""
         return LegacyMethod(owner, name)
 
-    def fill(self, made: Any, state: Any) -> None:
-        """Set the attributes, those of slots too. Raises StateRefusedError."""
-        if not isinstance(made, LegacyObject):
-            raise StateRefusedError("fields of what is no object")
-        made.set_attributes(state)
+    def set_fields(self, target: Any, stored: Any) -> None:
+        """Set the attributes of a stand-in, including slots. Raises StateRefusedError."""
+        if not isinstance(target, LegacyObject):
+            raise StateRefusedError("the state sets fields of a value that is not an object")
+        target.set_attributes(stored)
 
 
-def thaw(data: bytes, build: PolicyBuild) -> tuple[Any, Any]:
-    """Return the policy and the host's references of a state of 0.2."""
-    module, (requests, attempts, upstreams) = pickle_graph.read(data, LegacyFactory())
+def deserialize(data: bytes, build: PolicyBuild) -> tuple[Any, Any]:
+    """Return the policy of a state of 0.2, and the host's requests, attempts and upstreams."""
+    legacy_policy, (requests, attempts, upstreams) = pickle_graph.read(data, LegacyFactory())
     converter = Converter(build)
-    policy = converter.balancer(module)
-    known = (
-        [converter.request(one) for one in requests],
-        [converter.attempt(one) for one in attempts],
-        [converter.upstream(one) for one in upstreams],
+    policy = converter.balancer(legacy_policy)
+    host_objects = (
+        [converter.request(request) for request in requests],
+        [converter.attempt(attempt) for attempt in attempts],
+        [converter.upstream(upstream) for upstream in upstreams],
     )
-    return policy, known
+    return policy, host_objects
 
 
 class Converter:
-    """Copies a graph of 0.2; each object once."""
+    """Converts an object graph of 0.2, each object once."""
 
     def __init__(self, build: PolicyBuild) -> None:
-        """Make objects of the classes of ``build``."""
+        """Create objects of the classes of ``build``."""
         self.build = build
-        self.made: dict[int, Any] = {}
+        self.converted: dict[int, Any] = {}  # by the id() of the stand-in
         self.policy: Any = None
 
-    def once(self, old: Any, kind: type[Made], fill: Callable[[Any, Made], None]) -> Made:
-        """Return the copy of ``old``; its attributes are filled in when it is known already."""
-        if id(old) in self.made:
-            known: Made = self.made[id(old)]
-            return known
-        new = self.made[id(old)] = kind.__new__(kind)
+    def convert_once(
+        self, old: Any, kind: type[Converted], fill: Callable[[Any, Converted], None]
+    ) -> Converted:
+        """Return the object converted from ``old``.
+
+        A new object is registered before ``fill`` sets its attributes, as the graph has cycles.
+        """
+        if id(old) in self.converted:
+            existing: Converted = self.converted[id(old)]
+            return existing
+        new = self.converted[id(old)] = kind.__new__(kind)
         fill(old, new)
         return new
 
     @staticmethod
-    def copy(old: Any, new: Any, names: dict[str, str]) -> None:
-        """Copy plain attributes under their new names."""
-        for was, name in names.items():
-            setattr(new, name, getattr(old, was))
+    def copy_attributes(old: Any, new: Any, names: dict[str, str]) -> None:
+        """Copy attributes without conversion; ``names`` maps old names to new ones."""
+        for old_name, name in names.items():
+            setattr(new, name, getattr(old, old_name))
 
     def moments(self, old: Any) -> DecayingMoments:
-        """Convert decaying sums."""
-        return self.once(old, DecayingMoments, lambda a, b: self.copy(a, b, MOMENTS))
+        """Convert decaying moments."""
+        return self.convert_once(
+            old, DecayingMoments, lambda a, b: self.copy_attributes(a, b, MOMENTS)
+        )
 
     def mean(self, old: Any) -> DecayingMean:
         """Convert a decaying mean."""
-        return self.once(old, DecayingMean, lambda a, b: self.copy(a, b, MEAN))
+        return self.convert_once(old, DecayingMean, lambda a, b: self.copy_attributes(a, b, MEAN))
 
     def service_class(self, old: dict[str, Any]) -> ServiceClass:
-        """Convert the map of a service class."""
-        if id(old) in self.made:
-            known: ServiceClass = self.made[id(old)]
-            return known
-        new = self.made[id(old)] = stored_settings.decode_class(old)
+        """Convert the dict of a service class."""
+        if id(old) in self.converted:
+            existing: ServiceClass = self.converted[id(old)]
+            return existing
+        new = self.converted[id(old)] = stored_settings.decode_class(old)
         return new
 
     def request(self, old: Any) -> Request:
         """Convert a request with its attempts."""
-        return self.once(old, Request, self.fill_request)
+        return self.convert_once(old, Request, self.fill_request)
 
     def fill_request(self, old: Any, new: Request) -> None:
-        """Fill in a request."""
-        self.copy(old, new, REQUEST)
+        """Set the attributes of a converted request."""
+        self.copy_attributes(old, new, REQUEST)
         new.service_class = self.service_class(old.grade)
-        new.attempts = [self.attempt(one) for one in old.dispatches]
+        new.attempts = [self.attempt(attempt) for attempt in old.dispatches]
 
     def attempt(self, old: Any) -> Attempt:
         """Convert an attempt."""
-        return self.once(old, Attempt, self.fill_attempt)
+        return self.convert_once(old, Attempt, self.fill_attempt)
 
     def fill_attempt(self, old: Any, new: Attempt) -> None:
-        """Fill in an attempt."""
-        self.copy(old, new, ATTEMPT)
+        """Set the attributes of a converted attempt."""
+        self.copy_attributes(old, new, ATTEMPT)
         new.outcome = None if old.outcome is None else OUTCOME_OF[old.outcome]
         new.upstream = self.upstream(old.upstream)
         new.request = self.request(old.operation)
 
     def upstream(self, old: Any) -> Upstream:
-        """Convert an upstream; its statistics are unset while no list has named it."""
-        return self.once(old, Upstream, self.fill_upstream)
+        """Convert an upstream; its statistics stay unset if no endpoint list has named it."""
+        return self.convert_once(old, Upstream, self.fill_upstream)
 
     def fill_upstream(self, old: Any, new: Upstream) -> None:
-        """Fill in an upstream."""
-        self.copy(old, new, UPSTREAM)
+        """Set the attributes of a converted upstream."""
+        self.copy_attributes(old, new, UPSTREAM)
         new.state = UpstreamState(old.state)
         new.is_known = old.times is not None
-        new.health_check_began_at = new.shown_ready_at = 0  # 0.2 did not keep them
-        for was, name in UPSTREAM_STATISTICS.items():
+        new.health_check_began_at = new.shown_ready_at = 0  # 0.2 did not store them
+        for old_name, name in UPSTREAM_STATISTICS.items():
             if new.is_known:
-                setattr(new, name, self.moments(getattr(old, was)))
-        new.in_flight = {self.attempt(one): True for one in old.pending}
+                setattr(new, name, self.moments(getattr(old, old_name)))
+        new.in_flight = {self.attempt(attempt): True for attempt in old.pending}
 
     def balancer(self, old: Any) -> Any:
         """Convert the policy itself."""
-        make: Any = self.build.make
-        new = self.policy = make.__new__(make)
+        policy_class: Any = self.build.make_policy
+        new = self.policy = policy_class.__new__(policy_class)
         new.seed, new.now, new.counter = old.seed, old.now, old.counter
         new.actions, new.notes, new.next_wake_at = [], None, old.wanted
         new.settings = stored_settings.decode(old.settings, self.service_class)
@@ -289,7 +298,7 @@
             module, _, kind_name = path.rpartition(".")
             kind: Any = self.build.find_class(module, kind_name)
             if kind is None:
-                raise StateRefusedError(f"this policy has no {path}")
+                raise StateRefusedError(f"this build's policy has no class {path}")
             component = kind.__new__(kind)
             component.balancer, component.settings = new, new.settings
             setattr(new, name, component)
@@ -300,10 +309,10 @@
         return new
 
     def fill_stages(self, old: Any, new: Any) -> None:
-        """Fill in what the stages hold of their own."""
+        """Set the state of the stages and of the endpoint polls."""
         self.fill_completion(old.answers, new.completion)
-        new.priority.tenant_rates = [self.moments(one) for one in old.answers.inner.asked]
-        new.admission.queue = ValueQueue(self.request(one) for one in old.gate.queue)
+        new.priority.tenant_rates = [self.moments(rate) for rate in old.answers.inner.asked]
+        new.admission.queue = ValueQueue(self.request(request) for request in old.gate.queue)
         budget = new.retry_budget
         budget.B, budget.f, budget.f_by_class = old.budget.B, old.budget.f, list(old.budget.grades)
         budget.rate = self.moments(old.budget.rate)
@@ -315,57 +324,58 @@
         endpoints.notified_after = min(NOTIFIED_AFTER, discovery.within)
         endpoints.good_until = discovery.asked + endpoints.notified_after
         endpoints.backoff = endpoints.make_backoff()
-        # 0.2 had no more than one timer that opens a watch, and gave it no argument.
+        # 0.2 had at most one timer that opens a watch, and gave it no argument. A timer opens a
+        # watch only if its argument is equal to planned_at, so that has to be None as well.
         endpoints.planned_at = None
 
     def fill_completion(self, old: Any, new: Any) -> None:
-        """Fill in what is known of requests that ended unserved."""
+        """Set the state of the completion stage, with the requests that ended unserved."""
         new.unserved = UnservedRequests(len(old.unserved), old.unserved[0].maxlen)
-        for kept, rows in zip(new.unserved.by_class, old.unserved, strict=True):
-            kept.extend(UnservedRequest(*row) for row in rows)
+        for requests, rows in zip(new.unserved.by_class, old.unserved, strict=True):
+            requests.extend(UnservedRequest(*row) for row in rows)
         new.given_up = self.moments(old.ends)
         new.client_waits = self.moments(old.backs)
         new.margin = old.lead
 
     def fill_selection(self, old: Any, new: Any) -> None:
-        """Fill in what one stage of 0.2 held: subset, times, capacity and load queries."""
+        """Set the state of subset, service times, capacity and load queries: one stage in 0.2."""
         subset, capacity = new.subset, new.capacity
         times = new.service_times = ServiceTimes(SERVICE_TIMES, (), 0)
         times.best = list(old.best)
-        times.durations = [self.moments(one) for one in old.grades]
-        times.costs = [self.moments(one) for one in old.costs]
+        times.durations = [self.moments(moments) for moments in old.grades]
+        times.costs = [self.moments(moments) for moments in old.costs]
         subset.ring = self.ring(old)
-        subset.same_zone = [self.upstream(one) for one in old.home]
-        subset.members = [self.upstream(one) for one in old.members]
+        subset.same_zone = [self.upstream(upstream) for upstream in old.home]
+        subset.members = [self.upstream(upstream) for upstream in old.members]
         subset.demand, subset.fair_share = old.out, old.part
         capacity.level = self.mean(old.mean_out)
         capacity.latency_pressure = old.crowd
         capacity.values = self.moments(old.values)
         new.load_queries.enabled = bool(old.sees)
         new.load_queries.running = {
-            self.request(request): [self.upstream(one) for one in asked]
-            for request, asked in old.looks.items()
+            self.request(request): [self.upstream(upstream) for upstream in queried]
+            for request, queried in old.looks.items()
         }
 
     def ring(self, old: Any) -> EndpointRing:
         """Convert the endpoint list."""
         new = EndpointRing(KEEP_GONE_NS)
-        new.listed = {self.upstream(one): at for one, at in old.listed.items()}
-        new.seen = {self.upstream(one): at for one, at in old.seen.items()}
-        new.positions = [self.upstream(one) for one in old.places]
-        new.ready = [self.upstream(one) for one in old.ring]
+        new.listed = {self.upstream(upstream): at for upstream, at in old.listed.items()}
+        new.seen = {self.upstream(upstream): at for upstream, at in old.seen.items()}
+        new.positions = [self.upstream(upstream) for upstream in old.places]
+        new.ready = [self.upstream(upstream) for upstream in old.ring]
         return new
 
-    def timer(self, at: int, counter: int, method: LegacyMethod, about: Any) -> tuple[Any, ...]:
-        """Convert a timer with its argument."""
+    def timer(self, at: int, counter: int, method: LegacyMethod, stored: Any) -> tuple[Any, ...]:
+        """Convert a timer with its argument: a repeated call, a request or None."""
         if method.name == "due":
-            period, repeated = about
+            period, repeated = stored
             return at, counter, self.callback(method), (period, self.callback(repeated))
-        argument = None if about is None else self.request(about)
+        argument = None if stored is None else self.request(stored)
         return at, counter, self.callback(method), argument
 
     def callback(self, method: LegacyMethod) -> Any:
-        """Return the method that is called today."""
+        """Return the current method for a timer callback of 0.2."""
         component, name = CALLBACKS[method.name]
         owner = getattr(self.policy, component) if component else self.policy
         return getattr(owner, name)
--- a/pepperhook/capture/pickle_graph.py
+++ b/pepperhook/capture/pickle_graph.py
@@ -1,9 +1,9 @@
-"""Reads the pickles of states as data: nothing that a stream names is ever called.
+"""Reads the pickles of states as pure data: nothing that a pickle names is ever called.
 
-The standard library's reader calls what a stream names, with arguments of the stream, so a reader
-that lets some names through lets all through that can be reached from these. This one knows only
-the opcodes that make data, and hands each class, object and bound method that the stream describes
-to a factory, which decides by closed tables.
+The standard library's unpickler calls what a pickle names, with arguments from the pickle. Allowing
+only certain names is not enough, as these give access to everything reachable from them. This
+reader supports only the opcodes that build data. A factory creates the classes, objects and bound
+methods that a pickle describes, and accepts only those in its fixed tables.
 """
 
 import pickletools
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GlobalName:
-    """A class or function that the stream names; only a name."""
+    """The name of a class or function in a pickle; it is never resolved here."""
 
     module: str
     name: str
@@ -29,44 +29,44 @@
 
 
 class GraphFactory(Protocol):
-    """Makes what a stream describes. Each raises StateRefusedError for what it does not know."""
+    """Creates what a pickle describes. Each method raises StateRefusedError for unknown names."""
 
-    def check(self, named: GlobalName) -> None:
-        """Check a class that the stream names."""
+    def check_class(self, named: GlobalName) -> None:
+        """Check that a class may be named."""
 
-    def new(self, named: GlobalName, arguments: tuple[Any, ...]) -> Any:
-        """Return an object of a class; its fields follow by ``fill``."""
+    def new_object(self, named: GlobalName, arguments: tuple[Any, ...]) -> Any:
+        """Return a new object of a class; ``set_fields`` sets its fields later."""
 
-    def value(self, named: GlobalName, arguments: tuple[Any, ...]) -> Any:
-        """Return a member of an enum, or a record that is described by its values."""
+    def enum_member(self, named: GlobalName, arguments: tuple[Any, ...]) -> Any:
+        """Return the member of an enum class with this value."""
 
-    def fill(self, made: Any, state: Any) -> None:
-        """Set the fields of an object."""
+    def set_fields(self, target: Any, stored: Any) -> None:
+        """Set the fields of an object from its stored state."""
 
-    def method(self, owner: Any, name: str) -> Any:
-        """Return what stands for a bound method."""
+    def bound_method(self, owner: Any, name: str) -> Any:
+        """Return a bound method of ``owner``, or a stand-in."""
 
 
 class _Mark:
-    """Where a run of values begins on the stack."""
+    """Marks the begin of a sequence of values on the stack."""
 
 
 MARK = _Mark()
 
 
 def read(data: bytes, factory: GraphFactory) -> Any:
-    """Return what a stream describes. Raises StateRefusedError."""
+    """Return the object that a pickle describes. Raises StateRefusedError."""
     try:
         return _Machine(factory).run(data)
     except StateRefusedError:
         raise
     except Exception as error:
-        # What a malformed stream leads to: an empty stack, a value of a wrong type, bad text.
+        # A malformed pickle causes various errors: an empty stack, wrong types, invalid UTF-8.
         raise StateRefusedError(f"the state can't be read: {error}") from error
 
 
 class _Machine:
-    """The stack and the memo of one stream."""
+    """The unpickling machine: the stack and the memo of one pickle."""
 
     def __init__(self, factory: GraphFactory) -> None:
         self.factory = factory
@@ -74,7 +74,7 @@
         self.memo: dict[int, Any] = {}
 
     def run(self, data: bytes) -> Any:
-        """Carry out the stream."""
+        """Execute the opcodes of a pickle, and return the resulting object."""
         for opcode, argument, _ in pickletools.genops(data):
             if opcode.name == "STOP":
                 break
@@ -85,7 +85,9 @@
             elif opcode.name in OPERATIONS:
                 OPERATIONS[opcode.name](self, argument)
             else:
-                raise StateRefusedError(f"the state has the opcode {opcode.name}, which is no data")
+                raise StateRefusedError(
+                    f"the state has the opcode {opcode.name}, which is not allowed"
+                )
         result = self.pop()
         if isinstance(result, GlobalName):
             self.refuse(result)
@@ -93,27 +95,29 @@
 
     @staticmethod
     def refuse(named: GlobalName) -> None:
-        text = f"the state names {named.module}.{named.name}, which is no part of a policy"
+        """Raise StateRefusedError for a name."""
+        text = f"the state names {named.module}.{named.name}, which is not part of a policy"
         raise StateRefusedError(text)
 
     def pop(self) -> Any:
+        """Remove and return the top of the stack, which must be a value."""
         value = self.stack.pop()
         if value is MARK:
-            raise StateRefusedError("a mark in the place of a value")
+            raise StateRefusedError("the state has a mark in place of a value")
         return value
 
     def pop_to_mark(self) -> list[Any]:
-        """Take the values behind the last mark, and the mark."""
-        at = len(self.stack) - 1
-        while self.stack[at] is not MARK:
-            at -= 1
-            if at < 0:
-                raise StateRefusedError("a run of values without a mark")
-        values = self.stack[at + 1 :]
-        del self.stack[at:]
+        """Remove the last mark and everything above it, and return these values."""
+        index = len(self.stack) - 1
+        while self.stack[index] is not MARK:
+            index -= 1
+            if index < 0:
+                raise StateRefusedError("the state has a sequence of values without a mark")
+        values = self.stack[index + 1 :]
+        del self.stack[index:]
         return values
 
-    # The memo.
+    # Memo opcodes.
 
     def memoize(self, _argument: Any) -> None:
         self.memo[len(self.memo)] = self.stack[-1]
@@ -124,7 +128,7 @@
     def get(self, argument: Any) -> None:
         self.stack.append(self.memo[argument])
 
-    # Containers.
+    # Opcodes of lists, tuples, dicts and sets.
 
     def mark(self, _argument: Any) -> None:
         self.stack.append(MARK)
@@ -162,7 +166,7 @@
         elif isinstance(top, list):
             list.extend(top, values)
         else:
-            raise StateRefusedError("values are added to what is no list")
+            raise StateRefusedError("the state appends values to an object that is not a list")
 
     def set_item(self, _argument: Any) -> None:
         value, key = self.pop(), self.pop()
@@ -174,17 +178,17 @@
     def update_top(self, values: list[Any]) -> None:
         top = self.stack[-1]
         if type(top) is not dict:
-            raise StateRefusedError("pairs are added to what is no map")
+            raise StateRefusedError("the state sets items of an object that is not a dict")
         for key, value in zip(values[::2], values[1::2], strict=True):
             top[key] = value
 
     def add_all(self, _argument: Any) -> None:
         values, top = self.pop_to_mark(), self.stack[-1]
         if type(top) is not set:
-            raise StateRefusedError("values are added to what is no set")
+            raise StateRefusedError("the state adds values to an object that is not a set")
         top.update(values)
 
-    # Classes and objects.
+    # Opcodes of classes and objects.
 
     def stack_global(self, _argument: Any) -> None:
         name, module = self.pop(), self.pop()
@@ -196,54 +200,56 @@
 
     def push_global(self, module: Any, name: Any) -> None:
         if not (isinstance(module, str) and isinstance(name, str)):
-            raise StateRefusedError("a name that is no text")
+            raise StateRefusedError("the state has a class name that is not a string")
         named = GlobalName(module, name)
         if named not in (GETATTR, DEQUE, FROZENSET):
-            self.factory.check(named)
+            self.factory.check_class(named)
         self.stack.append(named)
 
     def reduce(self, _argument: Any) -> None:
         arguments, named = self.pop(), self.pop()
         if not (isinstance(named, GlobalName) and type(arguments) is tuple):
-            raise StateRefusedError("the state calls what is no class")
+            raise StateRefusedError("the state calls an object that is not a class")
         if named == GETATTR:
             owner, name = arguments
-            made = self.factory.method(owner, name)
+            result = self.factory.bound_method(owner, name)
         elif named == DEQUE:
-            made = _deque(*arguments)
+            result = _deque(*arguments)
         elif named == FROZENSET:
-            made = _frozenset(*arguments)
+            result = _frozenset(*arguments)
         else:
-            made = self.factory.value(named, arguments)
-        self.stack.append(made)
+            result = self.factory.enum_member(named, arguments)
+        self.stack.append(result)
 
     def new_object(self, _argument: Any) -> None:
         arguments, named = self.pop(), self.pop()
         if not (isinstance(named, GlobalName) and type(arguments) is tuple):
-            raise StateRefusedError("the state makes an object of what is no class")
+            raise StateRefusedError("the state creates an object of something that is not a class")
         if named in (GETATTR, DEQUE, FROZENSET):
             self.refuse(named)
-        self.stack.append(self.factory.new(named, arguments))
+        self.stack.append(self.factory.new_object(named, arguments))
 
     def build(self, _argument: Any) -> None:
-        state = self.pop()
-        self.factory.fill(self.stack[-1], state)
+        stored = self.pop()
+        self.factory.set_fields(self.stack[-1], stored)
 
 
 def _deque(values: Any = (), maxlen: Any = None) -> deque[Any]:
     if type(values) not in (list, tuple) or type(maxlen) not in (int, type(None)):
-        raise StateRefusedError("a deque of what is no list")
+        raise StateRefusedError("the state has a deque with invalid arguments")
     return deque(values, maxlen)
 
 
 def _frozenset(values: Any = ()) -> frozenset[Any]:
     if type(values) not in (list, tuple, set):
-        raise StateRefusedError("a set of what is no list")
+        raise StateRefusedError("the state has a frozenset with invalid arguments")
     return frozenset(values)
 
 
 Operation = Callable[[_Machine, Any], None]
+# Opcodes that push a constant.
 CONSTANTS: dict[str, Any] = {"NONE": None, "NEWTRUE": True, "NEWFALSE": False, "EMPTY_TUPLE": ()}
+# Opcodes that push their argument.
 LITERALS = frozenset(
     (
         "BINBYTES",
--- a/pepperhook/capture/policy_build.py
+++ b/pepperhook/capture/policy_build.py
@@ -1,4 +1,4 @@
-"""Policies to replay with: this build's, or one of a changed copy of ``pepperhook/policy``."""
+"""Policies for a replay: this build's own, or one from a modified copy of ``pepperhook/policy``."""
 
 from __future__ import annotations
 
@@ -15,84 +15,86 @@
 from pepperhook import balancer
 from pepperhook.container import UnreadableFileError
 
-PACKAGE = "pepperhook.policy"
-WIRING = "pepperhook.balancer"
+POLICY_PACKAGE = "pepperhook.policy"
+BALANCER_MODULE = "pepperhook.balancer"
 
 
 class PolicyBuild:
-    """A way to make policies, and the classes that they consist of."""
+    """A factory of policies, and the classes that they consist of."""
 
-    def __init__(self, make: Callable[..., Any], modules: dict[str, ModuleType]) -> None:
-        """``modules``: those that stand in the place of this build's own, by their names."""
-        self.make = make
+    def __init__(self, make_policy: Callable[..., Any], modules: dict[str, ModuleType]) -> None:
+        """``modules``, by name, replace those of this build."""
+        self.make_policy = make_policy
         self.modules = modules
 
     def __call__(self, *arguments: Any) -> Any:
-        """Make a policy."""
-        return self.make(*arguments)
+        """Create a policy."""
+        return self.make_policy(*arguments)
 
-    def find_class(self, module: str, name: str) -> type | None:
-        """Return a class by its module and name; this policy's own, where it has one."""
-        home = self.modules.get(module) or sys.modules.get(module)
-        found = getattr(home, name, None)
-        return found if isinstance(found, type) else None
+    def find_class(self, module_name: str, name: str) -> type | None:
+        """Return a class by its module and name, or None; ``modules`` take precedence."""
+        module = self.modules.get(module_name) or sys.modules.get(module_name)
+        value = getattr(module, name, None)
+        return value if isinstance(value, type) else None
 
 
-def own() -> PolicyBuild:
-    """Return this build's policy."""
+def current_build() -> PolicyBuild:
+    """Return the policy of the running program."""
     return PolicyBuild(balancer.Balancer, {})
 
 
-def as_build(make: Callable[..., Any]) -> PolicyBuild:
-    """Return a build for any callable that makes policies."""
-    return make if isinstance(make, PolicyBuild) else PolicyBuild(make, {})
+def as_build(make_policy: Callable[..., Any]) -> PolicyBuild:
+    """Return a build for any callable that creates policies."""
+    return make_policy if isinstance(make_policy, PolicyBuild) else PolicyBuild(make_policy, {})
 
 
 def from_folder(path: Path) -> PolicyBuild:
-    """Return the policy of a copy of the package. Raises UnreadableFileError."""
+    """Load the policy from a copy of the package. Raises UnreadableFileError."""
     entry = path / "__init__.py"
     if not entry.is_file():
         raise UnreadableFileError(
-            f"{path}: can't be used as a policy: it is no copy of the package"
+            f"{path}: can't be used as a policy: it is not a copy of the package"
         )
-    with set_aside():
+    with isolated_policy_modules():
         try:
             spec = importlib.util.spec_from_file_location(
-                PACKAGE, entry, submodule_search_locations=[str(path)]
+                POLICY_PACKAGE, entry, submodule_search_locations=[str(path)]
             )
             assert spec is not None and spec.loader is not None
             package = importlib.util.module_from_spec(spec)
-            sys.modules[PACKAGE] = package
+            sys.modules[POLICY_PACKAGE] = package
             spec.loader.exec_module(package)
-            make = importlib.import_module(WIRING).Balancer
-        except Exception as problem:
-            kind = type(problem).__name__
+            make_policy = importlib.import_module(BALANCER_MODULE).Balancer
+        except Exception as error:
+            kind = type(error).__name__
             raise UnreadableFileError(
-                f"{path}: can't be used as a policy: {kind}: {problem}"
-            ) from problem
-        return PolicyBuild(make, {name: sys.modules[name] for name in policy_modules()})
+                f"{path}: can't be used as a policy: {kind}: {error}"
+            ) from error
+        return PolicyBuild(
+            make_policy, {name: sys.modules[name] for name in loaded_policy_modules()}
+        )
 
 
-def policy_modules() -> list[str]:
-    """Return the names of the loaded modules that a policy consists of."""
-    return [name for name in sys.modules if name == WIRING or is_policy(name)]
+def loaded_policy_modules() -> list[str]:
+    """Return the names of the imported modules that a policy consists of."""
+    return [name for name in sys.modules if name == BALANCER_MODULE or is_policy_module(name)]
 
 
-def is_policy(module: str) -> bool:
-    """Return whether a module belongs to the package of the decisions."""
-    return module == PACKAGE or module.startswith(PACKAGE + ".")
+def is_policy_module(module_name: str) -> bool:
+    """Return whether a module is in the package ``pepperhook.policy``."""
+    return module_name == POLICY_PACKAGE or module_name.startswith(POLICY_PACKAGE + ".")
 
 
 @contextmanager
-def set_aside() -> Iterator[None]:
-    """Have the policy's modules imported anew inside, and put this build's own back after."""
-    kept = {name: sys.modules.pop(name) for name in policy_modules()}
+def isolated_policy_modules() -> Iterator[None]:
+    """Import the policy's modules anew within the context, and restore this build's on exit."""
+    own_modules = {name: sys.modules.pop(name) for name in loaded_policy_modules()}
     package = getattr(pepperhook, "policy", None)
     try:
         yield
     finally:
-        for name in policy_modules():
+        for name in loaded_policy_modules():
             del sys.modules[name]
-        sys.modules.update(kept)
+        sys.modules.update(own_modules)
         pepperhook.policy = package  # type: ignore[attr-defined]
         pepperhook.balancer = balancer
--- a/pepperhook/capture/reader.py
+++ b/pepperhook/capture/reader.py
@@ -1,4 +1,4 @@
-"""Reads captures one record at a time."""
+"""Opens captures and reads their records."""
 
 import os
 from collections.abc import Iterator
@@ -15,7 +15,7 @@
 
 
 def open_capture(path: str | os.PathLike[str]) -> ContainerReader:
-    """Open a capture. Raises UnreadableFileError."""
+    """Open a capture. Raises UnreadableFileError if it is not one or its version is too new."""
     reader = ContainerReader(path)
     metadata = reader.metadata
     problem = None
@@ -33,6 +33,6 @@
 
 
 def read_records(reader: ContainerReader) -> Iterator[list[Any]]:
-    """Yield the records of an open capture: the kind of each, and its fields."""
+    """Yield the records of an open capture; each is a list of its kind and its fields."""
     for block in reader.record_blocks():
         yield from iter_records(block.content, _DECODER)
--- a/pepperhook/capture/recorder.py
+++ b/pepperhook/capture/recorder.py
@@ -1,13 +1,13 @@
-"""Captures: every call that the policy is given and the actions it returned, in their order.
+"""Records captures: every call of a policy and the actions it returned, in order.
 
-A recorder stands in the policy's place. Requests, attempts and upstreams have numbers in the file,
-in the order in which they were first seen; a number is given back when its request is finished and
-has no open attempt. Records are arrays, whose first value says what they are (the words are those
-of ``stored_words``):
+A recorder wraps the policy. Requests, attempts and upstreams are numbered in the file, in the order
+in which they first occur. The numbers of a request and its attempts are released when the request
+is finished and has no open attempt. A record is an array whose first value is its kind (see
+``stored_words`` for the words):
 
     ["new", settings, seed, now]                                            the policy's start
-    ["state", shape, bytes, requests, attempts, upstreams, now, last]       or its whole state, from
-                                                                            which a file may begin
+    ["state", shape, bytes, requests, attempts, upstreams, now, last]       its complete state; a
+                                                                            file may begin with it
     ["upstream", number, address, zone, cell, units, kind]
     ["operation", number, id, class or null, tenant, key, deadline, cost, retry, class number]
     ["call", name, now, arguments, results, fault or null]
@@ -41,25 +41,25 @@
 Write = Callable[[bytes, int, object], None]
 
 
-class Numbers:
-    """Numbers of what calls and actions are about."""
+class ObjectNumbers:
+    """The numbers of the requests, attempts and upstreams that records refer to."""
 
     def __init__(self) -> None:
-        """Start with none given."""
+        """Start without any numbers."""
         self.requests: dict[Request, int] = {}
         self.attempts: dict[Attempt, int] = {}
         self.upstreams: dict[Upstream, int] = {}
-        self.last = [0, 0, 0]
+        self.last = [0, 0, 0]  # last number of a request, an attempt and an upstream
 
     def upstream(self, upstream: Upstream, write_record: WriteRecord | None = None) -> int:
-        """Return an upstream's number; ``write_record`` gets the record of a new one."""
+        """Return an upstream's number; pass the record of a new one to ``write_record``."""
         number = self.upstreams.get(upstream)
         if number is None:
             self.last[2] += 1
             number = self.upstreams[upstream] = self.last[2]
             if write_record is not None:
-                place = [upstream.zone, upstream.cell, upstream.units, upstream.kind]
-                write_record(["upstream", number, upstream.address, *place])
+                location = [upstream.zone, upstream.cell, upstream.units, upstream.kind]
+                write_record(["upstream", number, upstream.address, *location])
         return number
 
     def request(
@@ -68,27 +68,27 @@
         write_record: WriteRecord | None = None,
         settings: Settings | None = None,
     ) -> int:
-        """Return a request's number; ``write_record`` gets the record of a new one."""
+        """Return a request's number; pass the record of a new one to ``write_record``."""
         number = self.requests.get(request)
         if number is None:
             self.last[0] += 1
             number = self.requests[request] = self.last[0]
             if write_record is not None:
-                write_record(["operation", number, *self.describe(request, settings)])
+                write_record(["operation", number, *self.request_fields(request, settings)])
         return number
 
     @staticmethod
-    def describe(request: Request, settings: Settings | None) -> list[Any]:
-        """Return the fields of a request's record; its class is null if the settings have it."""
+    def request_fields(request: Request, settings: Settings | None) -> list[Any]:
+        """Return the fields of a request's record; the class is null if the settings contain it."""
         service_class = request.service_class
-        at = service_class.number
+        number = service_class.number
         classes = settings.service_classes if settings is not None else []
-        is_own = at < len(classes) and classes[at] is service_class
-        stored = None if is_own else stored_settings.encode_class(service_class)
-        plain = (str, bytes, int, type(None))
-        key = request.key if isinstance(request.key, plain) else str(request.key)
-        about = [request.tenant, key, request.deadline, request.cost_ns, request.is_retry]
-        return [request.id, stored, *about, at]
+        is_in_settings = number < len(classes) and classes[number] is service_class
+        stored = None if is_in_settings else stored_settings.encode_class(service_class)
+        scalars = (str, bytes, int, type(None))
+        key = request.key if isinstance(request.key, scalars) else str(request.key)
+        others = [request.tenant, key, request.deadline, request.cost_ns, request.is_retry]
+        return [request.id, stored, *others, number]
 
     def attempt(self, attempt: Attempt) -> int:
         """Return an attempt's number."""
@@ -98,24 +98,24 @@
             number = self.attempts[attempt] = self.last[1]
         return number
 
-    def drop(self, request: Request) -> None:
-        """Give back the numbers of a request that nobody can name any more."""
+    def release(self, request: Request) -> None:
+        """Release the numbers of a request that no later record refers to, and of its attempts."""
         self.requests.pop(request, None)
         for attempt in request.attempts:
             self.attempts.pop(attempt, None)
 
-    def actions(self, actions: Iterable[Action]) -> list[list[Any]]:
-        """Return actions as they are stored."""
-        return [[ACTIONS[type(action)], *self.arguments(action)] for action in actions]
+    def encode_actions(self, actions: Iterable[Action]) -> list[list[Any]]:
+        """Return actions in their stored form."""
+        return [[ACTIONS[type(action)], *self.action_arguments(action)] for action in actions]
 
-    def arguments(self, action: Action) -> list[Any]:
-        """Return the stored arguments of an action."""
+    def action_arguments(self, action: Action) -> list[Any]:
+        """Return the arguments of an action in their stored form."""
         stored: list[Any] = []
         match action:
             case StartAttempt(attempt, timeout_ns):
                 number = self.attempt(attempt)
-                about = [self.request(attempt.request), self.upstream(attempt.upstream)]
-                stored = [number, *about, timeout_ns]
+                context = [self.request(attempt.request), self.upstream(attempt.upstream)]
+                stored = [number, *context, timeout_ns]
             case CancelAttempt(attempt):
                 stored = [self.attempt(attempt)]
             case RejectRequest(request, retry_after_ns):
@@ -132,81 +132,84 @@
 
 
 class Recorder(PolicyProxy):
-    """In a policy's place: passes each call on, and records it. All else is the policy's own.
+    """Wraps a policy: forwards each call to it, and records the call and its actions.
 
-    ``write(record, now, request_id)`` gets each framed record, its time, and the id of the request
-    that it is about or None.
+    ``write(record, now, request_id)`` receives each framed record. ``now`` is the time in
+    nanoseconds, or 0 for the record of an object, which precedes the record of its call;
+    ``request_id`` is the id of the request that the call refers to, or None.
     """
 
     def __init__(
         self,
-        module: Any,
+        policy: Any,
         settings: Settings,
         seed: int,
         now: int,
         write: Write,
-        mid_life: bool = False,
+        begin_with_state: bool = False,
     ) -> None:
-        """Begin with the policy's start, or with its state where it has been called already."""
-        super().__init__(module, write=write, numbers=Numbers(), recorded=0)
-        if mid_life:
-            # What it knows already are objects of the host's, too, and will be named by it.
-            known = state.find(module, (Request, Attempt, Upstream))
-            for request in known[Request]:
+        """Begin with the policy's start, or with its state if it has been called before."""
+        super().__init__(policy, write=write, numbers=ObjectNumbers(), record_count=0)
+        if begin_with_state:
+            # The host shares these objects with the policy, so its later calls refer to them.
+            objects = state.find_objects(policy, (Request, Attempt, Upstream))
+            for request in objects[Request]:
                 self.numbers.request(request)
-            for attempt in known[Attempt]:
+            for attempt in objects[Attempt]:
                 self.numbers.attempt(attempt)
-            for upstream in known[Upstream]:
+            for upstream in objects[Upstream]:
                 self.numbers.upstream(upstream)
-            self.begin_again(now)
+            self.write_state(now)
         else:
             self.write_record(["new", stored_settings.encode(settings), seed, now], now)
 
     def write_record(self, record: list[Any], now: int = 0, request_id: object = None) -> None:
-        """Write one record."""
-        self.__dict__["recorded"] += 1
+        """Encode and write one record."""
+        self.__dict__["record_count"] += 1
         self.write(frame_record(ENCODER.encode(record)), now, request_id)
 
-    def begin_again(self, now: int) -> None:
-        """Write the whole state: from here on a file may be read without what came before."""
+    def write_state(self, now: int) -> None:
+        """Write the complete state, so that the capture can be replayed from here on."""
         numbers = self.numbers
-        known = (list(numbers.requests), list(numbers.attempts), list(numbers.upstreams))
-        frozen = state.freeze(self.module, known)
-        counted = [
+        objects = (list(numbers.requests), list(numbers.attempts), list(numbers.upstreams))
+        serialized = state.serialize(self.module, objects)
+        object_numbers = [
             list(numbers.requests.values()),
             list(numbers.attempts.values()),
             list(numbers.upstreams.values()),
         ]
         shape = state.shape(self.module)
-        self.write_record(["state", shape, frozen, *counted, now, list(numbers.last)], now)
+        self.write_record(
+            ["state", shape, serialized, *object_numbers, now, list(numbers.last)], now
+        )
 
     def call(self, name: str, now: int, *arguments: Any) -> list[Action]:
-        """Pass one call on, and record it with what it returned or how it failed."""
-        stored = self.stored_arguments(name, arguments)
-        request = subject(name, arguments)
+        """Forward one call, and record it with its actions and the name of a raised exception."""
+        stored = self.encode_arguments(name, arguments)
+        request = request_of_call(name, arguments)
         fault = None
         actions: list[Action] = []
         try:
             actions = getattr(self.module, name)(now, *arguments)
-        except Exception as problem:
-            fault, actions = type(problem).__name__, self.module.actions
+        except Exception as error:
+            fault, actions = type(error).__name__, self.module.actions
             raise
         finally:
-            record = ["call", CALLS[name], now, stored, self.numbers.actions(actions), fault]
+            record = ["call", CALLS[name], now, stored, self.numbers.encode_actions(actions), fault]
             self.write_record(record, now, request.id if request is not None else None)
             for ended in ended_requests(name, request, actions):
-                self.numbers.drop(ended)
+                self.numbers.release(ended)
         return actions
 
-    def stored_arguments(self, name: str, arguments: tuple[Any, ...]) -> list[Any]:
-        """Return the arguments of a call as they are stored."""
+    def encode_arguments(self, name: str, arguments: tuple[Any, ...]) -> list[Any]:
+        """Return the arguments of a call in their stored form."""
         numbers = self.numbers
         stored = list(arguments)
         match name, arguments:
             case "endpoints_changed", (whole, updates):
-                stored = [whole, self.stored_updates(updates)]
+                stored = [whole, self.encode_updates(updates)]
             case "endpoints_corrected", (updates,):
-                stored = [self.stored_updates(updates)]
+                stored = [self.encode_updates(updates)]
             case (("accept" | "client_left"), (request,)):
                 stored = [numbers.request(request, self.write_record, self.module.settings)]
             case "response_started", (attempt,):
@@ -217,23 +220,27 @@
                 stored = [numbers.upstream(upstream, self.write_record), OUTCOMES[outcome], *rest]
             case "reconfigure", (settings, weights):
                 rows = [[numbers.upstream(u, self.write_record), weight] for u, weight in weights]
-                # Requests in flight hold their classes: which ones stay the same objects is a part
-                # of the state.
-                own = self.module.settings.service_classes
-                kept = [c.number for c in settings.service_classes if any(c is one for one in own)]
-                stored = [stored_settings.encode(settings), rows, kept]
+                # Requests in flight refer to their service class, so a replay must keep those that
+                # remain the same objects.
+                current = self.module.settings.service_classes
+                unchanged = [
+                    new.number
+                    for new in settings.service_classes
+                    if any(new is old for old in current)
+                ]
+                stored = [stored_settings.encode(settings), rows, unchanged]
         return stored
 
-    def stored_updates(self, updates: Iterable[EndpointUpdate]) -> list[list[Any]]:
-        """Return updates of the endpoint list as they are stored."""
+    def encode_updates(self, updates: Iterable[EndpointUpdate]) -> list[list[Any]]:
+        """Return updates of the endpoint list in their stored form."""
         return [
             [self.numbers.upstream(upstream, self.write_record), str(upstream_state), at]
             for upstream, upstream_state, at in updates
         ]
 
 
-def subject(name: str, arguments: tuple[Any, ...]) -> Request | None:
-    """Return the request that a call is about."""
+def request_of_call(name: str, arguments: tuple[Any, ...]) -> Request | None:
+    """Return the request that a call refers to, or None."""
     request: Request | None = None
     if name in ("accept", "client_left"):
         request = arguments[0]
@@ -243,7 +250,7 @@
 
 
 def ended_requests(name: str, request: Request | None, actions: Iterable[Action]) -> list[Request]:
-    """Return the requests that nobody can name any more after a call."""
+    """Return the requests that no later call can refer to."""
     ended = [
         action.request
         for action in actions
--- a/pepperhook/capture/replay.py
+++ b/pepperhook/capture/replay.py
@@ -1,8 +1,8 @@
-"""Drives a policy with the very calls of a capture, and compares what it returns, call by call.
+"""Replays the calls of a capture on a policy, and compares the returned actions with the recorded.
 
-The same build gives the same actions to the byte, whenever and wherever it runs. Where another
-build differs, the first difference is what counts: all that comes behind it has other state. It is
-reported with the function whose action differs, which a second run finds out.
+The same build returns byte-identical actions whenever and wherever it runs. For another build, a
+replay stops at the first difference, since the states differ from there on. A second run finds the
+function that added the differing action.
 """
 
 from collections import deque
@@ -22,79 +22,81 @@
 from pepperhook.capture.watched_actions import WatchedActions
 from pepperhook.container import UnreadableFileError
 
-MAX_EARLIER_CALLS = 12  # about the same request or upstream, that are reported with a difference
-MAX_REMEMBERED_CALLS = 400
+MAX_EARLIER_CALLS = 12  # reported with a difference: those about the same request or upstream
+MAX_REMEMBERED_CALLS = 400  # of all requests and upstreams
 MAX_STATE_DIFFERENCES = 5
 NS_PER_S = 1e9
 
 
 class Difference(Struct):
-    """The first call whose actions are others."""
+    """The first call whose replayed actions or exception differ from the recorded ones."""
 
-    call: int  # its place among the calls, from 1
-    now: int
-    name: str
-    about: str  # the request's id, or what else the call was about
-    recorded: list[Any]
-    replayed: list[Any]
-    fault: str | None  # of the replayed one
-    stage: str | None  # the function of the policy whose action is the first that differs
-    led: list[str]  # the calls before it about the same
+    call: int  # number of the call in the capture, from 1
+    now: int  # nanoseconds on the balancer's clock
+    name: str  # the stored word of the call
+    about: str  # id of the request or address of the upstream that the call refers to, or ""
+    recorded: list[Any]  # actions in their stored form
+    replayed: list[Any]  # actions in their stored form
+    fault: str | None  # class name of the exception that the replayed call raised
+    stage: str | None  # function of the policy that added the first differing action
+    led: list[str]  # earlier calls about the same request or upstream
 
 
 class Replay(Struct):
-    """What a replay found; ``skipped``: calls before the first beginning that can be used."""
+    """The result of a replay."""
 
     file: str
     calls: int
-    seconds: float  # of the capture
+    seconds: float  # between the first and the last replayed call
     difference: Difference | None
-    skipped: int = 0
-    lost_bytes: int = 0
-    beginnings: int = 0
-    states_checked: int = 0
-    states_differ: list[str] = []
+    skipped: int = 0  # calls before the first record that a replay can begin with
+    lost_bytes: int = 0  # unreadable bytes of the file
+    beginnings: int = 0  # policies that were started or restored from a stored state
+    states_checked: int = 0  # stored states that were compared with the replayed policy
+    states_differ: list[str] = []  # differences of these states
 
 
 class _ReplayedCall(NamedTuple):
-    """A call that may have led to a difference."""
+    """A replayed call, kept to be reported with a later difference."""
 
     subject: str
     line: str
 
 
-class Player:
+class Replayer:
     """Replays one file, record by record."""
 
-    def __init__(self, path: Any, make: Callable[..., Any], watch_at: int | None) -> None:
-        """``watch_at``: the call whose actions are watched."""
-        self.make = make
-        self.driver = Driver(make)
+    def __init__(
+        self, path: Any, make_policy: Callable[..., Any], watched_call: int | None
+    ) -> None:
+        """``watched_call``: number of the call whose actions are attributed to functions."""
+        self.make_policy = make_policy
+        self.driver = Driver(make_policy)
         self.result = Replay(str(path), 0, 0.0, None)
         self.recent_calls: deque[_ReplayedCall] = deque(maxlen=MAX_REMEMBERED_CALLS)
-        self.watch_at = watch_at
-        self.first: int | None = None
-        self.last = 0
+        self.watched_call = watched_call
+        self.first_ns: int | None = None
+        self.last_ns = 0
 
-    def take(self, record: list[Any]) -> None:
-        """Take in one record as it is stored. Raises UnreadableFileError, StateRefusedError."""
+    def process(self, record: list[Any]) -> None:
+        """Process one stored record. Raises UnreadableFileError and StateRefusedError."""
         try:
             kind, *fields = record
-            self.record(kind, fields)
-        except (LookupError, TypeError, ValueError, AttributeError) as problem:
-            if isinstance(problem, (StateRefusedError, UnreadableFileError)):
+            self.apply(kind, fields)
+        except (LookupError, TypeError, ValueError, AttributeError) as error:
+            if isinstance(error, (StateRefusedError, UnreadableFileError)):
                 raise
             raise UnreadableFileError(
-                f"{self.result.file}: a record can't be used: {problem!r:.120}"
-            ) from problem
+                f"{self.result.file}: a record can't be used: {error!r:.120}"
+            ) from error
 
-    def record(self, kind: str, fields: list[Any]) -> None:
-        """Take in one record."""
+    def apply(self, kind: str, fields: list[Any]) -> None:
+        """Apply a record of this kind; skip those before the first start or state."""
         if kind == "new":
             self.driver.start_policy(*fields)
             self.result.beginnings += 1
         elif kind == "state":
-            self.state(fields)
+            self.apply_state(fields)
         elif self.driver.policy is None:
             self.result.skipped += kind == "call"
         elif kind == "upstream":
@@ -104,29 +106,31 @@
         elif kind == "call":
             self.call(*fields)
 
-    def state(self, fields: list[Any]) -> None:
-        """Begin with a state, or check that the replay has come to just that state."""
+    def apply_state(self, fields: list[Any]) -> None:
+        """Restore a stored state, or compare it with that of the policy under replay."""
         if self.driver.policy is None:
             self.driver.restore_state(*fields)
             self.result.beginnings += 1
             return
-        other = Driver(self.make)
-        other.restore_state(*fields)
+        stored = Driver(self.make_policy)
+        stored.restore_state(*fields)
         self.result.states_checked += 1
         ignored = legacy_state.missing_attributes(fields[0])
-        found = state.differences(self.driver.policy, other.policy, ignored=ignored)
-        self.result.states_differ += found[: MAX_STATE_DIFFERENCES - len(self.result.states_differ)]
+        differences = state.differences(self.driver.policy, stored.policy, ignored=ignored)
+        self.result.states_differ += differences[
+            : MAX_STATE_DIFFERENCES - len(self.result.states_differ)
+        ]
 
     def call(
         self, name: str, now: int, arguments: list[Any], recorded: list[Any], fault: str | None
     ) -> None:
-        """Replay one call and compare."""
+        """Replay one call, and compare its actions and exception with the recorded ones."""
         driver = self.driver
-        self.first = now if self.first is None else self.first
-        self.last = now
-        subject_id = driver.about(name, arguments)
-        if driver.calls + 1 == self.watch_at:
-            driver.watched = WatchedActions(driver.policy)
+        self.first_ns = now if self.first_ns is None else self.first_ns
+        self.last_ns = now
+        subject = driver.describe_subject(name, arguments)
+        if driver.calls + 1 == self.watched_call:
+            driver.watched_actions = WatchedActions(driver.policy)
         replayed, raised = driver.call(name, now, arguments)
         self.result.calls += 1
         if raised != fault or ENCODER.encode(replayed) != ENCODER.encode(recorded):
@@ -134,65 +138,71 @@
                 call=driver.calls,
                 now=now,
                 name=name,
-                about=subject_id,
+                about=subject,
                 recorded=recorded,
                 replayed=replayed,
                 fault=raised,
-                stage=self.stage(recorded, replayed),
-                led=self.earlier_calls(subject_id),
+                stage=self.differing_function(recorded, replayed),
+                led=self.earlier_calls(subject),
             )
-        line = f"{now} {name} {subject_id}: {format_actions(replayed)}"
-        self.recent_calls.append(_ReplayedCall(subject_id, line))
+        line = f"{now} {name} {subject}: {format_actions(replayed)}"
+        self.recent_calls.append(_ReplayedCall(subject, line))
 
-    def earlier_calls(self, subject_id: str) -> list[str]:
-        """Return the last calls about the same, where it is known what a call is about."""
-        lines = [call.line for call in self.recent_calls if call.subject == subject_id != ""]
+    def earlier_calls(self, subject: str) -> list[str]:
+        """Return the last calls with this subject, or none if the subject is ""."""
+        lines = [call.line for call in self.recent_calls if call.subject == subject != ""]
         return lines[-MAX_EARLIER_CALLS:]
 
-    def stage(self, recorded: list[Any], replayed: list[Any]) -> str | None:
-        """Return the function that added the first action that differs, where it is watched."""
+    def differing_function(self, recorded: list[Any], replayed: list[Any]) -> str | None:
+        """Return the function that added the first differing action, if the call is watched."""
         pairs = enumerate(zip(recorded, replayed, strict=False))
         shorter = min(len(recorded), len(replayed))
-        at = next((number for number, (a, b) in pairs if a != b), shorter)
-        watched = self.driver.watched
-        return watched.by[at] if watched is not None and at < len(watched.by) else None
+        index = next((index for index, (a, b) in pairs if a != b), shorter)
+        watched = self.driver.watched_actions
+        return (
+            watched.added_by[index]
+            if watched is not None and index < len(watched.added_by)
+            else None
+        )
 
 
-def replay_file(path: Any, make: Callable[..., Any], watch_at: int | None = None) -> Replay:
-    """Replay one file with policies of ``make``.
+def replay_file(
+    path: Any, make_policy: Callable[..., Any], watched_call: int | None = None
+) -> Replay:
+    """Replay one file on policies created by ``make_policy``, or with a RevisionBuild.
 
-    Raises UnreadableFileError, StateRefusedError.
+    Raises UnreadableFileError and StateRefusedError.
     """
-    if isinstance(make, revision_replay.RevisionBuild):
-        return msgspec.convert(make.replay(path), Replay)
-    player = Player(path, make, watch_at)
+    if isinstance(make_policy, revision_replay.RevisionBuild):
+        return msgspec.convert(make_policy.replay(path), Replay)
+    replayer = Replayer(path, make_policy, watched_call)
     with open_capture(path) as reader:
         for record in read_records(reader):
-            player.take(record)
-            if player.result.difference is not None:
+            replayer.process(record)
+            if replayer.result.difference is not None:
                 break
-        result = player.result
-        first = player.last if player.first is None else player.first
-        result.seconds = round((player.last - first) / NS_PER_S, 3)
+        result = replayer.result
+        first_ns = replayer.last_ns if replayer.first_ns is None else replayer.first_ns
+        result.seconds = round((replayer.last_ns - first_ns) / NS_PER_S, 3)
         result.lost_bytes = reader.skipped.bytes
-    if result.difference is not None and watch_at is None:
-        # Once more, with an eye on that call.
-        return replay_file(path, make, result.difference.call)
+    if result.difference is not None and watched_call is None:
+        # Replay again, to find the function that added the differing action.
+        return replay_file(path, make_policy, result.difference.call)
     return result
 
 
-def format_actions(results: list[list[Any]]) -> str:
-    """Return stored actions as a line."""
-    lines = (" ".join(map(str, result)) for result in results if result[0] != "wake")
-    return "; ".join(lines) or "nothing"
+def format_actions(stored: list[list[Any]]) -> str:
+    """Return stored actions as one line, without wake-ups."""
+    texts = (" ".join(map(str, action)) for action in stored if action[0] != "wake")
+    return "; ".join(texts) or "nothing"
 
 
 def select_build(
     policy: str | None = None, revision: str | None = None
 ) -> PolicyBuild | revision_replay.RevisionBuild:
-    """Return what makes policies: this build, a changed copy of the package, or a revision."""
+    """Return this build, that of a modified copy of ``pepperhook/policy``, or a revision's."""
     if policy is not None:
         return policy_build.from_folder(Path(policy))
     if revision is not None:
         return revision_replay.RevisionBuild(revision, Path(__file__).resolve().parents[2])
-    return policy_build.own()
+    return policy_build.current_build()
--- a/pepperhook/capture/revision_replay.py
+++ b/pepperhook/capture/revision_replay.py
@@ -1,7 +1,7 @@
-"""Replays with a whole revision of the repository, in a process of its own.
+"""Replays a capture with another revision of the repository, in a separate process.
 
-A revision's policy goes with the types, the settings and the codec that it had, so that any
-revision that reads the capture can be compared, whatever was renamed since.
+The process uses that revision's types, settings and codec along with its policy, so any revision
+that can read the capture can be compared, whatever has been renamed since.
 """
 
 import json
@@ -17,36 +17,36 @@
 
 
 class RevisionBuild:
-    """The package as it was at a revision, unpacked for as long as this object lives."""
+    """The package of a revision, unpacked to a temporary folder that this object owns."""
 
     def __init__(self, revision: str, root: Path) -> None:
-        """Unpack ``revision`` of the repository at ``root``. Raises UnreadableFileError."""
+        """Unpack ``revision`` of the Git repository at ``root``. Raises UnreadableFileError."""
         self.revision = revision
         self.folder = tempfile.TemporaryDirectory(prefix="pepperhook-revision-")
-        done = subprocess.run(
+        archived = subprocess.run(
             ["git", "-C", str(root), "archive", revision, "pepperhook"],
             capture_output=True,
             check=False,
         )
-        if done.returncode:
-            reason = done.stderr.decode(errors="replace").strip().splitlines()[-1]
+        if archived.returncode:
+            reason = archived.stderr.decode(errors="replace").strip().splitlines()[-1]
             raise UnreadableFileError(f"revision {revision}: {reason}")
-        with tarfile.open(fileobj=BytesIO(done.stdout)) as archive:
+        with tarfile.open(fileobj=BytesIO(archived.stdout)) as archive:
             archive.extractall(self.folder.name, filter="data")
 
     def replay(self, path: Any) -> dict[str, Any]:
-        """Replay one file there, and return what that found. Raises UnreadableFileError."""
+        """Replay one file with the revision; return its JSON output. Raises UnreadableFileError."""
         command = [sys.executable, "-m", "pepperhook.cli", "record", "replay", "--json"]
-        done = subprocess.run(
+        process = subprocess.run(
             [*command, str(Path(path).resolve())],
             cwd=self.folder.name,
             capture_output=True,
             text=True,
             check=False,
         )
-        if done.returncode not in (0, 1) or not done.stdout:
-            reason = (done.stderr.strip().splitlines() or ["nothing was printed"])[-1]
+        if process.returncode not in (0, 1) or not process.stdout:
+            reason = (process.stderr.strip().splitlines() or ["no output"])[-1]
             raise UnreadableFileError(f"revision {self.revision}: {reason}")
-        told = json.loads(done.stdout)
-        told.pop("took_s", None)
-        return dict(told, file=str(path))
+        result = json.loads(process.stdout)
+        result.pop("took_s", None)
+        return dict(result, file=str(path))
--- a/pepperhook/capture/state.py
+++ b/pepperhook/capture/state.py
@@ -1,10 +1,11 @@
-"""A policy's whole state as bytes and back: from where a capture may begin in the middle of a life.
-
-Pickled by the standard library, which is quick, and read back as data (``pickle_graph``): classes
-come from a closed table, and nothing that a state names is called. A state goes with its shape, the
-names of all classes and attributes in it: a build whose own policy has another shape refuses it,
-but for the shapes that ``legacy_state`` translates. Equality is by a walk over both graphs
-together, which also sees what is shared.
+"""Serializes the complete state of a policy, so that a capture can begin while the policy runs.
+
+The state is pickled with the standard library, which is fast, and read back as pure data by
+``pickle_graph``: only classes in a fixed table are allowed, and nothing that a state names is
+called. A state is stored with its shape, a digest of the names of its classes and attributes. A
+build whose policy has another shape refuses the state, except for the shapes that ``legacy_state``
+converts. States are compared by walking both object graphs in parallel, so that differences in
+shared references are found too.
 """
 
 import pickle
@@ -22,179 +23,191 @@
 from pepperhook.capture.state_factory import CLASSES, StateFactory
 from pepperhook.domain import Attempt, Request, Upstream
 
-PLAIN = (int, float, str, bytes, bool, type(None))
-# They have parts of a policy that no state holds, but that belong to its shape.
+SCALAR_TYPES = (int, float, str, bytes, bool, type(None))
+# Modules with classes that no state contains, but that are part of a policy's shape.
 SUPPORT_MODULES = ("pepperhook.decision_notes", "pepperhook.pipeline", "pepperhook.scheduler")
-COMES_AND_GOES = (Request, Attempt, Upstream)
+TRANSIENT_CLASSES = (Request, Attempt, Upstream)  # their objects come and go while a policy runs
 
 
-def is_own(module: str) -> bool:
-    """Return whether a module is one whose classes a state may hold."""
-    is_support = module in SUPPORT_MODULES
-    return module in CLASSES or is_support or module.startswith("pepperhook.policy.")
+def is_policy_part(module_name: str) -> bool:
+    """Return whether the classes of a module are part of a policy's shape."""
+    is_support = module_name in SUPPORT_MODULES
+    return module_name in CLASSES or is_support or module_name.startswith("pepperhook.policy.")
 
 
-def names(thing: object) -> list[str]:
-    """Return the attributes that an object has, slots and all, sorted."""
-    if isinstance(thing, Struct):
-        return sorted(thing.__struct_fields__)
-    found = set(getattr(thing, "__dict__", ()))
-    for kind in type(thing).__mro__:
+def attribute_names(obj: object) -> list[str]:
+    """Return the sorted names of the attributes that are set on an object, including slots."""
+    if isinstance(obj, Struct):
+        return sorted(obj.__struct_fields__)
+    names = set(getattr(obj, "__dict__", ()))
+    for kind in type(obj).__mro__:
         slots = kind.__dict__.get("__slots__", ())
-        listed = (slots,) if isinstance(slots, str) else slots
-        found.update(name for name in listed if hasattr(thing, name))
-    return sorted(found)
+        slot_names = (slots,) if isinstance(slots, str) else slots
+        names.update(name for name in slot_names if hasattr(obj, name))
+    return sorted(names)
 
 
-def shape(module: Any) -> str:
-    """Return a digest of the classes that make up a policy's own parts, and of their attributes.
+def shape(policy: Any) -> str:
+    """Return a digest of the classes that a policy consists of, and of their attribute names.
 
-    Objects that come and go (requests, timers) count by their constructors only.
+    Of the transient classes, only the names used in the constructors are included.
     """
-    seen: set[int] = set()
+    visited: set[int] = set()
     rows: set[tuple[str, tuple[str, ...]]] = {
-        (kind.__name__, kind.__init__.__code__.co_names) for kind in COMES_AND_GOES
+        (kind.__name__, kind.__init__.__code__.co_names) for kind in TRANSIENT_CLASSES
     }
-    todo = [module]
-    while todo:
-        thing = todo.pop()
-        kind = type(thing)
-        is_part = is_own(kind.__module__) or thing is module
-        if id(thing) in seen or not is_part or isinstance(thing, (*COMES_AND_GOES, Enum)):
+    pending = [policy]
+    while pending:
+        obj = pending.pop()
+        kind = type(obj)
+        is_part = is_policy_part(kind.__module__) or obj is policy
+        if id(obj) in visited or not is_part or isinstance(obj, (*TRANSIENT_CLASSES, Enum)):
             continue
-        seen.add(id(thing))
-        attributes = names(thing)
+        visited.add(id(obj))
+        attributes = attribute_names(obj)
         rows.add((kind.__name__, tuple(attributes)))
-        # Of a container's elements only the kind of the first counts: all are of one class.
+        # The first element of a list is enough, as all elements are of the same class.
         for name in attributes:
-            value = getattr(thing, name)
-            todo += value[:1] if isinstance(value, list) else [value]
+            value = getattr(obj, name)
+            pending += value[:1] if isinstance(value, list) else [value]
     return blake2b(repr(sorted(rows)).encode(), digest_size=8).hexdigest()
 
 
-def find(module: Any, kinds: Iterable[type]) -> dict[type, list[Any]]:
-    """Return all objects of these classes that a policy reaches, each once."""
-    found: dict[type, list[Any]] = {kind: [] for kind in kinds}
-    seen: set[int] = set()
-    todo = [module]
-    while todo:
-        thing = todo.pop()
-        if isinstance(thing, PLAIN) or id(thing) in seen:
+def find_objects(policy: Any, kinds: Iterable[type]) -> dict[type, list[Any]]:
+    """Return all objects of these classes that are reachable from a policy, each once."""
+    objects: dict[type, list[Any]] = {kind: [] for kind in kinds}
+    visited: set[int] = set()
+    pending = [policy]
+    while pending:
+        obj = pending.pop()
+        if isinstance(obj, SCALAR_TYPES) or id(obj) in visited:
             continue
-        seen.add(id(thing))
-        if type(thing) in found:
-            found[type(thing)].append(thing)
-        if isinstance(thing, dict):
-            todo += [*thing.keys(), *thing.values()]
-        elif isinstance(thing, (list, tuple, deque)):
-            todo += thing
-        elif hasattr(thing, "__self__"):
-            todo.append(thing.__self__)
+        visited.add(id(obj))
+        if type(obj) in objects:
+            objects[type(obj)].append(obj)
+        if isinstance(obj, dict):
+            pending += [*obj.keys(), *obj.values()]
+        elif isinstance(obj, (list, tuple, deque)):
+            pending += obj
+        elif hasattr(obj, "__self__"):
+            pending.append(obj.__self__)
         else:
-            todo += [getattr(thing, name) for name in names(thing)]
-    return found
+            pending += [getattr(obj, name) for name in attribute_names(obj)]
+    return objects
+
 
+def serialize(policy: Any, host_objects: Any) -> bytes:
+    """Return the state of a policy as bytes.
 
-def freeze(module: Any, known: Any) -> bytes:
-    """Return the state; ``known``: the host's references, which must stay the same objects."""
-    notes = getattr(module, "notes", None)
+    ``host_objects`` are those that the host refers to; they are stored along with the policy, so
+    that references shared with it are kept.
+    """
+    notes = getattr(policy, "notes", None)
     if notes is not None:
-        module.notes = None  # who traces is no part of a state
+        policy.notes = None  # notes for tracing are not part of the state
     try:
-        return pickle.dumps((module, known), protocol=5)
+        return pickle.dumps((policy, host_objects), protocol=5)
     finally:
         if notes is not None:
-            module.notes = notes
+            policy.notes = notes
 
 
-def clone(module: Any, known: Any) -> tuple[Any, Any]:
-    """Return a copy of a policy in this process, with the host's references into it.
+def clone(policy: Any, host_objects: Any) -> tuple[Any, Any]:
+    """Return a copy of a policy, and of the host's objects that it shares.
 
-    By the quick reader, as nothing of it was ever outside: what is stored is for ``thaw`` alone.
+    The fast standard unpickler is safe here, as the bytes never leave the process. Stored states
+    must be read with ``deserialize``.
     """
-    copied: tuple[Any, Any] = pickle.loads(freeze(module, known))
+    copied: tuple[Any, Any] = pickle.loads(serialize(policy, host_objects))
     return copied
 
 
-def thaw(data: bytes, build: PolicyBuild, shape_digest: str | None = None) -> tuple[Any, Any]:
-    """Return the policy and the host's references of a state. Raises StateRefusedError."""
+def deserialize(
+    data: bytes, build: PolicyBuild, shape_digest: str | None = None
+) -> tuple[Any, Any]:
+    """Return the policy of a stored state, and the host's objects. Raises StateRefusedError."""
     try:
         if shape_digest in legacy_state.SHAPES:
-            return legacy_state.thaw(data, build)
-        policy, known = pickle_graph.read(data, StateFactory(build))
+            return legacy_state.deserialize(data, build)
+        policy, host_objects = pickle_graph.read(data, StateFactory(build))
     except StateRefusedError:
         raise
-    except Exception as problem:
-        raise StateRefusedError(f"the state can't be read: {problem}") from problem
-    return policy, known
+    except Exception as error:
+        raise StateRefusedError(f"the state can't be read: {error}") from error
+    return policy, host_objects
 
 
 def differences(
-    one: Any, other: Any, most: int = 5, ignored: frozenset[str] = frozenset()
+    left: Any, right: Any, limit: int = 5, ignored: frozenset[str] = frozenset()
 ) -> list[str]:
-    """Return where two graphs differ: values, order, or what is shared; else nothing.
+    """Return up to ``limit`` differences of two object graphs, a line for each.
 
-    ``ignored``: attributes that are not compared.
+    Values, order and shared references are compared, except the attributes ``ignored``.
     """
-    return Comparison(most, ignored).run(one, other)
+    return Comparison(limit, ignored).run(left, right)
 
 
 class Comparison:
-    """A walk over two graphs together."""
+    """Walks two object graphs in parallel and collects their differences."""
 
-    def __init__(self, most: int, ignored: frozenset[str]) -> None:
-        """Stop at ``most`` differences; pass over the attributes ``ignored``."""
-        self.most = most
+    def __init__(self, limit: int, ignored: frozenset[str]) -> None:
+        """Stop after ``limit`` differences; skip the attributes ``ignored``."""
+        self.limit = limit
         self.ignored = ignored
-        self.twins: dict[int, int] = {}
-        self.back: dict[int, int] = {}
-        self.found: list[str] = []
-        self.todo: list[tuple[str, Any, Any]] = []
-
-    def run(self, one: Any, other: Any) -> list[str]:
-        """Compare from these two on."""
-        self.todo = [("module", one, other)]
-        while self.todo and len(self.found) < self.most:
-            self.compare(*self.todo.pop())
-        return self.found
+        # The id() of each visited object, mapped to that of its counterpart in the other graph.
+        self.right_of: dict[int, int] = {}
+        self.left_of: dict[int, int] = {}
+        self.differences: list[str] = []
+        self.pending: list[tuple[str, Any, Any]] = []  # path, left and right object
+
+    def run(self, left: Any, right: Any) -> list[str]:
+        """Compare two objects and everything reachable from them."""
+        self.pending = [("policy", left, right)]
+        while self.pending and len(self.differences) < self.limit:
+            self.compare(*self.pending.pop())
+        return self.differences
 
     def compare(self, path: str, a: Any, b: Any) -> None:
-        """Compare two objects, and plan for what they hold."""
+        """Compare two objects, and schedule the comparison of their contents."""
         if type(a).__name__ != type(b).__name__:
-            self.found.append(f"{path}: {type(a).__name__} and {type(b).__name__}")
-        elif isinstance(a, PLAIN):
+            self.differences.append(f"{path}: {type(a).__name__} and {type(b).__name__}")
+        elif isinstance(a, SCALAR_TYPES):
             if a != b or repr(a) != repr(b):
-                self.found.append(f"{path}: {a!r} and {b!r}")
-        elif self.twins.get(id(a), id(b)) != id(b) or self.back.get(id(b), id(a)) != id(a):
-            self.found.append(f"{path}: not the same object as elsewhere")
-        elif id(a) not in self.twins:
-            self.twins[id(a)] = id(b)
-            self.back[id(b)] = id(a)
+                self.differences.append(f"{path}: {a!r} and {b!r}")
+        elif self.right_of.get(id(a), id(b)) != id(b) or self.left_of.get(id(b), id(a)) != id(a):
+            self.differences.append(f"{path}: not the same object as elsewhere")
+        elif id(a) not in self.right_of:
+            self.right_of[id(a)] = id(b)
+            self.left_of[id(b)] = id(a)
             self.descend(path, a, b)
 
     def descend(self, path: str, a: Any, b: Any) -> None:
-        """Plan the comparison of what two objects of one kind hold."""
+        """Schedule the comparison of the contents of two objects of the same type."""
         if isinstance(a, (list, tuple, deque)):
             self.compare_lengths(path, a, b)
             pairs = enumerate(zip(a, b, strict=False))
-            self.todo += [(f"{path}[{at}]", x, y) for at, (x, y) in pairs]
+            self.pending += [(f"{path}[{index}]", x, y) for index, (x, y) in pairs]
         elif isinstance(a, dict):
             self.compare_lengths(path, a, b)
-            for at, ((k, x), (m, y)) in enumerate(zip(a.items(), b.items(), strict=False)):
-                name: object = k if isinstance(k, PLAIN) else at
-                self.todo += [(f"{path} key {at}", k, m), (f"{path}[{name}]", x, y)]
+            for index, ((a_key, x), (b_key, y)) in enumerate(
+                zip(a.items(), b.items(), strict=False)
+            ):
+                name: object = a_key if isinstance(a_key, SCALAR_TYPES) else index
+                self.pending += [(f"{path} key {index}", a_key, b_key), (f"{path}[{name}]", x, y)]
         elif callable(a) and hasattr(a, "__self__"):
             if a.__name__ != b.__name__:
-                self.found.append(f"{path}: {a.__name__} and {b.__name__}")
-            self.todo.append((f"{path}.self", a.__self__, b.__self__))
+                self.differences.append(f"{path}: {a.__name__} and {b.__name__}")
+            self.pending.append((f"{path}.self", a.__self__, b.__self__))
         else:
-            mine, its = names(a), names(b)
-            if mine != its:
-                self.found.append(f"{path}: attributes {mine} and {its}")
-            shared = [name for name in mine if hasattr(b, name) and name not in self.ignored]
-            self.todo += [(f"{path}.{name}", getattr(a, name), getattr(b, name)) for name in shared]
+            a_names, b_names = attribute_names(a), attribute_names(b)
+            if a_names != b_names:
+                self.differences.append(f"{path}: attributes {a_names} and {b_names}")
+            common = [name for name in a_names if hasattr(b, name) and name not in self.ignored]
+            self.pending += [
+                (f"{path}.{name}", getattr(a, name), getattr(b, name)) for name in common
+            ]
 
     def compare_lengths(self, path: str, a: Any, b: Any) -> None:
-        """Note where two containers hold different numbers of things."""
+        """Report two containers of different lengths."""
         if len(a) != len(b):
-            self.found.append(f"{path}: {len(a)} and {len(b)} of them")
+            self.differences.append(f"{path}: {len(a)} and {len(b)} elements")
--- a/pepperhook/capture/state_errors.py
+++ b/pepperhook/capture/state_errors.py
@@ -1,7 +1,7 @@
-"""What can be wrong with a stored state."""
+"""Errors of stored states."""
 
 from pepperhook.errors import PepperhookError
 
 
 class StateRefusedError(PepperhookError, ValueError):
-    """The state can't be used here; the text says why in one line."""
+    """A stored state cannot be used by this build; the message gives the reason in one line."""
--- a/pepperhook/capture/state_factory.py
+++ b/pepperhook/capture/state_factory.py
@@ -1,4 +1,4 @@
-"""Makes the objects of a stored state: classes of a closed table, filled field by field."""
+"""Creates the objects of a stored state: only classes in a fixed table, set field by field."""
 
 from dataclasses import fields, is_dataclass
 from enum import Enum
@@ -10,7 +10,7 @@
 from pepperhook.capture.policy_build import PolicyBuild
 from pepperhook.capture.state_errors import StateRefusedError
 
-# By module; a build may have its own classes of these names.
+# Class names by module. A PolicyBuild may replace these modules by its own.
 CLASSES = {
     "pepperhook.balancer": {"Balancer"},
     "pepperhook.domain": {
@@ -44,89 +44,98 @@
     "pepperhook.unserved_requests": {"UnservedRequest", "UnservedRequests"},
     "pepperhook.value_queue": {"ValueQueue"},
 }
-# The methods that timers hold; a state can name no others.
+# The methods that timers call; a state can refer to no others.
 CALLBACKS = frozenset(
     ("_adjust", "_finish", "_give_up", "_review", "_time_out", "_watch", "repeat")
 )
 
 
 class StateFactory:
-    """Makes objects of the classes that a build's policy consists of."""
+    """Creates objects of the classes that a build's policy consists of; a GraphFactory."""
 
     def __init__(self, build: PolicyBuild) -> None:
-        """Make objects of the classes of ``build``."""
+        """Create objects of the classes of ``build``."""
         self.build = build
-        self.classes: dict[GlobalName, type] = {}  # that the state has named
-        self.made: set[type] = set()
+        self.classes: dict[GlobalName, type] = {}  # those that the state has named
+        self.created: set[type] = set()  # classes of the objects created so far
 
-    def check(self, named: GlobalName) -> None:
-        """Check a class that the state names. Raises StateRefusedError."""
-        found = self.build.find_class(named.module, named.name)
+    def check_class(self, named: GlobalName) -> None:
+        """Check that a class is part of a policy. Raises StateRefusedError."""
+        kind = self.build.find_class(named.module, named.name)
         is_listed = named.name in CLASSES.get(named.module, ())
-        if found is None or not (is_listed or found is self.build.make):
-            text = f"the state names {named.module}.{named.name}, which is no part of a policy"
+        if kind is None or not (is_listed or kind is self.build.make_policy):
+            text = f"the state names {named.module}.{named.name}, which is not part of a policy"
             raise StateRefusedError(text)
-        self.classes[named] = found
+        self.classes[named] = kind
 
-    def new(self, named: GlobalName, arguments: tuple[Any, ...]) -> Any:
+    def new_object(self, named: GlobalName, arguments: tuple[Any, ...]) -> Any:
         """Return an object without its fields, or a named tuple. Raises StateRefusedError."""
         kind = self.classes[named]
         if issubclass(kind, tuple):
             if len(arguments) != len(getattr(kind, "_fields", ())):
-                raise StateRefusedError(f"{named.name}: a record of {len(arguments)} values")
+                raise StateRefusedError(f"{named.name}: a tuple of {len(arguments)} values")
             return tuple.__new__(kind, arguments)
         if arguments or issubclass(kind, Enum):
-            raise StateRefusedError(f"{named.name}: an object with arguments")
-        self.made.add(kind)
+            raise StateRefusedError(f"{named.name}: the object is created with arguments")
+        self.created.add(kind)
         return list.__new__(kind) if issubclass(kind, list) else object.__new__(kind)
 
-    def value(self, named: GlobalName, arguments: tuple[Any, ...]) -> Any:
-        """Return a member of an enum. Raises StateRefusedError."""
+    def enum_member(self, named: GlobalName, arguments: tuple[Any, ...]) -> Any:
+        """Return the member of an enum with this value. Raises StateRefusedError."""
         kind = self.classes[named]
         members = getattr(kind, "_value2member_map_", {}) if issubclass(kind, Enum) else {}
         if len(arguments) != 1 or arguments[0] not in members:
             raise StateRefusedError(f"the state calls {named.module}.{named.name}")
         return members[arguments[0]]
 
-    def method(self, owner: Any, name: str) -> Any:
-        """Return a timer's callback. Raises StateRefusedError."""
+    def bound_method(self, owner: Any, name: str) -> Any:
+        """Return a timer callback as a bound method. Raises StateRefusedError."""
         kind = type(owner)
         function = getattr_static(kind, name, None) if isinstance(name, str) else None
         is_callback = name in CALLBACKS and isinstance(function, FunctionType)
-        if kind not in self.made or not is_callback:
-            raise StateRefusedError(f"the state names {name!r:.40}, which is no timer's callback")
+        if kind not in self.created or not is_callback:
+            raise StateRefusedError(f"the state names {name!r:.40}, which is not a timer callback")
         return MethodType(function, owner)
 
-    def fill(self, made: Any, state: Any) -> None:
+    def set_fields(self, target: Any, stored: Any) -> None:
         """Set the fields of an object. Raises StateRefusedError."""
-        if type(made) not in self.made:
-            raise StateRefusedError("fields of what is no object of a policy")
-        for name, value in _pairs(made, state):
-            _check_field(type(made), name)
-            object.__setattr__(made, name, value)
-
-
-def _pairs(made: Any, state: Any) -> list[tuple[Any, Any]]:
-    """Return names and values of a state, in any of the three forms that objects are stored in."""
-    if isinstance(state, dict):
-        return list(state.items())
-    if type(state) is tuple and len(state) == 2:  # noqa: PLR2004  attributes, and slots
-        parts = [part for part in state if part is not None]
+        if type(target) not in self.created:
+            raise StateRefusedError(
+                "the state sets fields of a value that is not a policy's object"
+            )
+        for name, value in _fields(target, stored):
+            _check_field(type(target), name)
+            object.__setattr__(target, name, value)
+
+
+def _fields(target: Any, stored: Any) -> list[tuple[Any, Any]]:
+    """Return the names and values of stored fields.
+
+    They are stored as a dict, as a pair of dicts (attributes and slots; either may be None), or for
+    a dataclass with slots as the list of its values.
+    """
+    if isinstance(stored, dict):
+        return list(stored.items())
+    if type(stored) is tuple and len(stored) == 2:  # noqa: PLR2004  attributes and slots
+        parts = [part for part in stored if part is not None]
         if all(type(part) is dict for part in parts):
             return [pair for part in parts for pair in part.items()]
-    if type(state) is list and is_dataclass(made) and len(state) == len(fields(made)):
-        names = (row.name for row in fields(made))
-        return list(zip(names, state, strict=True))
-    raise StateRefusedError(f"{type(made).__name__}: no fields")
+    if type(stored) is list and is_dataclass(target) and len(stored) == len(fields(target)):
+        names = (field.name for field in fields(target))
+        return list(zip(names, stored, strict=True))
+    raise StateRefusedError(f"{type(target).__name__}: the stored fields are malformed")
 
 
 def _check_field(kind: type, name: Any) -> None:
-    """Check that a name is a field of objects of a class, and nothing that code relies on."""
+    """Check that a name is a field of a class's objects and does not hide a class attribute.
+
+    Raises StateRefusedError.
+    """
     if not isinstance(name, str) or name.startswith("__"):
-        raise StateRefusedError(f"{kind.__name__}: {name!r:.40} is no field")
+        raise StateRefusedError(f"{kind.__name__}: {name!r:.40} is not a field")
     on_class = getattr_static(kind, name, None)
     is_slot = type(on_class).__name__ == "member_descriptor"
     has_attributes = any("__dict__" in vars(base) for base in kind.__mro__)
     is_shadowing = on_class is not None and not is_slot
     if is_shadowing or not (is_slot or has_attributes):
-        raise StateRefusedError(f"{kind.__name__}: {name!r:.40} is no field")
+        raise StateRefusedError(f"{kind.__name__}: {name!r:.40} is not a field")
--- a/pepperhook/capture/stored_settings.py
+++ b/pepperhook/capture/stored_settings.py
@@ -1,4 +1,4 @@
-"""Settings as captures hold them: a map of the stored words, and back."""
+"""Converts settings to the dict that captures store, whose keys are stored words, and back."""
 
 from collections.abc import Callable
 from dataclasses import fields
@@ -10,46 +10,48 @@
 
 
 def encode(settings: Settings) -> dict[str, Any]:
-    """Return the map of settings; what is at its default is left out."""
+    """Return the stored form of settings, without the fields that have their default value."""
     stored: dict[str, Any] = {}
     defaults = Settings()
-    for row in fields(Settings):
-        word = words.SETTINGS.get(row.name)
-        value = getattr(settings, row.name)
-        if word is not None and value != getattr(defaults, row.name):
+    for field in fields(Settings):
+        word = words.SETTINGS.get(field.name)
+        value = getattr(settings, field.name)
+        if word is not None and value != getattr(defaults, field.name):
             stored[word] = value
     stored[words.TENANTS] = [
         {word: getattr(tenant, name) for name, word in words.TENANT.items()}
         for tenant in settings.tenants
     ]
-    stored[words.SERVICE_CLASSES] = [encode_class(one) for one in settings.service_classes]
+    stored[words.SERVICE_CLASSES] = [
+        encode_class(service_class) for service_class in settings.service_classes
+    ]
     return stored
 
 
 def encode_class(service_class: ServiceClass) -> dict[str, Any]:
-    """Return the map of one service class."""
+    """Return the stored form of one service class."""
     stored = {word: getattr(service_class, name) for name, word in words.SERVICE_CLASS.items()}
     stored["effect"] = words.EFFECTS[service_class.effect]
     return stored
 
 
 def decode(
-    stored: dict[str, Any], class_of: Callable[[dict[str, Any]], ServiceClass] | None = None
+    stored: dict[str, Any], class_decoder: Callable[[dict[str, Any]], ServiceClass] | None = None
 ) -> Settings:
-    """Return the settings of a map; ``class_of`` makes its service classes."""
+    """Decode stored settings; ``class_decoder`` replaces ``decode_class`` if it is given."""
     values = {name: stored[word] for name, word in words.SETTINGS.items() if word in stored}
     if "report_source" in values:
         values["report_source"] = ReportSource(values["report_source"])
-    make_class = class_of or decode_class
+    decode_row = class_decoder or decode_class
     return Settings(
         **values,
         tenants=[decode_tenant(row) for row in stored[words.TENANTS]],
-        service_classes=[make_class(row) for row in stored[words.SERVICE_CLASSES]],
+        service_classes=[decode_row(row) for row in stored[words.SERVICE_CLASSES]],
     )
 
 
 def decode_class(stored: dict[str, Any]) -> ServiceClass:
-    """Return the service class of a map."""
+    """Decode a stored service class."""
     values = {name: stored[word] for name, word in words.SERVICE_CLASS.items() if word in stored}
     values["effect"] = words.EFFECT_OF[stored["effect"]]
     if "repeat_group" in values:
@@ -58,7 +60,7 @@
 
 
 def decode_tenant(stored: dict[str, Any]) -> TenantQuota:
-    """Return the tenant's quota of a map."""
+    """Decode a stored tenant quota."""
     return TenantQuota(
         **{name: stored[word] for name, word in words.TENANT.items() if word in stored}
     )
--- a/pepperhook/capture/watched_actions.py
+++ b/pepperhook/capture/watched_actions.py
@@ -1,4 +1,4 @@
-"""Actions of a policy with the function that added each, for the first difference of a replay."""
+"""Records which function of a policy added each action, to report a replay's first difference."""
 
 import sys
 from types import FrameType
@@ -6,35 +6,35 @@
 
 from pepperhook.actions import Action, WakeAt
 
-EARLIER_TIMER = "a timer of before"  # one that was set before the watch began
+EARLIER_TIMER = "a timer set before this call"
 
 
 class WatchedActions(list[Action]):
-    """A policy's actions, with the function that added each."""
+    """A policy's list of actions that also records the function that added each of them."""
 
-    def __init__(self, module: Any) -> None:
-        """Watch ``module``, its timers too."""
+    def __init__(self, policy: Any) -> None:
+        """Wrap ``policy.call_at``, to attribute a wake-up to the function that set the timer."""
         super().__init__()
-        self.by: list[str] = []
-        self.timers: dict[int, str] = {}
-        self.call_at = module.call_at
-        module.call_at = self.watch_timer
+        self.added_by: list[str] = []  # function and line for each action, in order
+        self.timers_set_by: dict[int, str] = {}  # by the time of the timer
+        self.call_at = policy.call_at
+        policy.call_at = self.watch_timer
 
     def watch_timer(self, at: int, callback: Any, argument: Any) -> None:
-        """Note who sets a timer."""
-        self.timers[at] = describe_frame(sys._getframe(1))
+        """Set a timer, and record the calling function."""
+        self.timers_set_by[at] = describe_frame(sys._getframe(1))
         self.call_at(at, callback, argument)
 
     def append(self, action: Action) -> None:
-        """Note who adds an action."""
+        """Add an action, and record the calling function."""
         if isinstance(action, WakeAt):
-            # Added by the scheduler; whoever set that timer is the one to name.
-            self.by.append(self.timers.get(action.at_ns) or EARLIER_TIMER)
+            # The scheduler adds these, on behalf of the function that set the timer.
+            self.added_by.append(self.timers_set_by.get(action.at_ns) or EARLIER_TIMER)
         else:
-            self.by.append(describe_frame(sys._getframe(1)))
+            self.added_by.append(describe_frame(sys._getframe(1)))
         super().append(action)
 
 
 def describe_frame(frame: FrameType) -> str:
-    """Return the function and the line of a frame."""
+    """Return the qualified function name and the line number of a frame."""
     return f"{frame.f_code.co_qualname}, line {frame.f_lineno}"
--- a/tests/capture/captured_world.py
+++ b/tests/capture/captured_world.py
@@ -33,7 +33,7 @@
 
     def step(self, span=2 * MS):
         if self.state_chance and self.random.random() < self.state_chance:
-            self.recorder.begin_again(self.now)
+            self.recorder.write_state(self.now)
         super().step(span)
 
 
--- a/tests/capture/test_extension.py
+++ b/tests/capture/test_extension.py
@@ -50,7 +50,7 @@
         Running([peer.dial, other.dial], parts=Extensions([capture])) as balancer,
     ):
         await send_requests(balancer, capture)
-        assert capture.recorder.recorded > 60
+        assert capture.recorder.record_count > 60
 
     preserved = sorted(tmp_path.glob("kept-*/*.rec"))
     files = preserved + sorted(tmp_path.glob("*.rec"))
@@ -105,5 +105,5 @@
     commands = capture.ring.writer.queue
     put_nowait = commands.put_nowait
     commands.put_nowait = refuse
-    capture.hand_over_batch()
+    capture.submit_batch()
     commands.put_nowait = put_nowait
--- a/tests/capture/test_hostile_states.py
+++ b/tests/capture/test_hostile_states.py
@@ -110,7 +110,7 @@
     sys.__dict__.pop(MARKER, None)
 
     with pytest.raises(StateRefusedError):
-        state.thaw(data, policy_build.own(), shape)
+        state.deserialize(data, policy_build.current_build(), shape)
 
     assert not hasattr(sys, MARKER)
 
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize("name", RAW)
 def test_malformed_streams_are_refused(name, shape):
     with pytest.raises(StateRefusedError):
-        state.thaw(RAW[name], policy_build.own(), shape)
+        state.deserialize(RAW[name], policy_build.current_build(), shape)
 
 
 @pytest.fixture(scope="module")
@@ -128,17 +128,17 @@
     world = CapturedWorld(8, tmp_path_factory.mktemp("capture") / "a")
     world.run(100)
     policy = world.recorder.module
-    found = state.find(policy, (Request, Attempt, Upstream))
-    return state.freeze(policy, tuple(found.values()))
+    found = state.find_objects(policy, (Request, Attempt, Upstream))
+    return state.serialize(policy, tuple(found.values()))
 
 
 def test_a_sound_state_is_read_whole(stored_state):
-    policy, known = state.thaw(stored_state, policy_build.own())
-    again = state.freeze(policy, known)
+    policy, known = state.deserialize(stored_state, policy_build.current_build())
+    again = state.serialize(policy, known)
 
     assert isinstance(policy, Balancer) and len(known) == 3
     assert not state.differences(pickle.loads(stored_state), (policy, known))
-    assert not state.differences(state.thaw(again, policy_build.own())[0], policy)
+    assert not state.differences(state.deserialize(again, policy_build.current_build())[0], policy)
 
 
 @settings(max_examples=300, deadline=None)
@@ -178,7 +178,7 @@
 
     sys.setprofile(note_call)
     try:
-        state.thaw(data, policy_build.own())
+        state.deserialize(data, policy_build.current_build())
     except StateRefusedError:
         pass
     finally:
@@ -214,11 +214,11 @@
 
 
 def test_state_with_a_timer_that_repeats_without_a_period_is_refused(stored_state):
-    policy, known = state.thaw(stored_state, policy_build.own())
+    policy, known = state.deserialize(stored_state, policy_build.current_build())
     policy.timers = [(0, 1, policy.repeat, (0, policy._review))]
     driver = replay.Driver(Balancer)
 
     with pytest.raises(StateRefusedError, match="period"):
         driver.restore_state(
-            state.shape(policy), state.freeze(policy, known), [], [], [], 0, [0, 0, 0]
+            state.shape(policy), state.serialize(policy, known), [], [], [], 0, [0, 0, 0]
         )
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -37,7 +37,7 @@
     world.run(500, chance=0.3)
     world.writer.close()
     world.writer = ContainerWriter(tmp_path / "b", FileMetadata("capture", 1))
-    world.recorder.begin_again(world.now)
+    world.recorder.write_state(world.now)
     world.run(500, chance=0.3)
     world.writer.close()
 
@@ -150,7 +150,7 @@
     assert any(not request.finished for request in world.taken)
 
     world.recorder.reconfigure(world.now, settings, [])
-    world.recorder.begin_again(world.now)
+    world.recorder.write_state(world.now)
     world.state_chance = 0.05
     world.run(300, chance=0.5)
     world.writer.close()
--- a/tests/capture/test_state.py
+++ b/tests/capture/test_state.py
@@ -16,7 +16,7 @@
     world.run(100)
     world.writer.close()
     world.writer = ContainerWriter(tmp_path / "b", FileMetadata("capture", 1))
-    world.recorder.begin_again(world.now)
+    world.recorder.write_state(world.now)
     world.run(50)
     world.writer.close()
     line = "self.queue = ValueQueue()"
@@ -28,7 +28,7 @@
 
 def test_state_that_names_foreign_things_is_refused():
     with pytest.raises(StateRefusedError, match="getcwd"):
-        state.thaw(pickle.dumps(os.getcwd), policy_build.own())
+        state.deserialize(pickle.dumps(os.getcwd), policy_build.current_build())
 
 
 def test_equal_states_have_no_differences():
