--- a/pepperhook/capture/legacy_state.py
+++ b/pepperhook/capture/legacy_state.py
@@ -33,10 +33,10 @@
 from pepperhook.value_queue import ValueQueue
 
 Converted = TypeVar("Converted")
-SHAPES = frozenset(("97d25dcfc6463a83",))
-MODULES = ("pepperhook.model", "pepperhook.policy")
+SHAPES = frozenset(("97d25dcfc6463a83",))  # of the states that 0.2 stored
+MODULES = ("pepperhook.model", "pepperhook.policy")  # of the classes that 0.2 stored
 # Attributes that 0.2 did not store: a replayed policy has values for them, a converted state has
-# their defaults.
+# defaults.
 MISSING_ATTRIBUTES = frozenset(
     ("good_until", "health_check_began_at", "is_confirmed", "planned_at", "shown_ready_at")
 )
@@ -104,6 +104,7 @@
     "looked": ("load_queries", "_finish"),
     "ask": ("endpoints", "_watch"),
 }
+# Classes of the components, by their attribute of the policy.
 COMPONENTS = {
     "subset": "pepperhook.policy.subset.Subset",
     "slow_start": "pepperhook.policy.slow_start.SlowStart",
@@ -118,6 +119,7 @@
     "guard": "pepperhook.policy.guard.Guard",
     "endpoints": "pepperhook.policy.endpoints.Endpoints",
 }
+# Components that are stages of the pipeline, the outermost first.
 PIPELINE = ("completion", "priority", "admission", "retry_budget", "selection", "guard")
 
 
@@ -163,7 +165,7 @@
     """Creates stand-ins for the objects of 0.2; a GraphFactory."""
 
     def check_class(self, named: GlobalName) -> None:
-        """Check that 0.2 had the policy's classes in this module. Raises StateRefusedError."""
+        """Check that a class is from a module of 0.2. Raises StateRefusedError."""
         if named.module not in MODULES:
             text = f"the state names {named.module}.{named.name}, which is not part of a policy"
             raise StateRefusedError(text)
--- a/pepperhook/capture/recorder.py
+++ b/pepperhook/capture/recorder.py
@@ -11,6 +11,10 @@
     ["upstream", number, address, zone, cell, units, kind]
     ["operation", number, id, class or null, tenant, key, deadline, cost, retry, class number]
     ["call", name, now, arguments, results, fault or null]
+
+An ``operation`` is a request. In a ``state``, ``requests``, ``attempts`` and ``upstreams`` are the
+numbers of the objects in the state, and ``last`` has the last number of each kind that was given.
+Results are the returned actions; a fault is the class name of the exception that was raised.
 """
 
 from collections.abc import Callable, Iterable
@@ -52,14 +56,17 @@
         self.last = [0, 0, 0]  # last number of a request, an attempt and an upstream
 
     def upstream(self, upstream: Upstream, write_record: WriteRecord | None = None) -> int:
-        """Return an upstream's number; pass the record of a new one to ``write_record``."""
+        """Return an upstream's number, a new one if it has none.
+
+        ``write_record`` receives the record of an upstream with a new number.
+        """
         number = self.upstreams.get(upstream)
         if number is None:
             self.last[2] += 1
             number = self.upstreams[upstream] = self.last[2]
             if write_record is not None:
-                location = [upstream.zone, upstream.cell, upstream.units, upstream.kind]
-                write_record(["upstream", number, upstream.address, *location])
+                fields = [upstream.zone, upstream.cell, upstream.units, upstream.kind]
+                write_record(["upstream", number, upstream.address, *fields])
         return number
 
     def request(
@@ -68,7 +75,10 @@
         write_record: WriteRecord | None = None,
         settings: Settings | None = None,
     ) -> int:
-        """Return a request's number; pass the record of a new one to ``write_record``."""
+        """Return a request's number, a new one if it has none.
+
+        ``write_record`` receives the record of a request with a new number.
+        """
         number = self.requests.get(request)
         if number is None:
             self.last[0] += 1
@@ -87,11 +97,11 @@
         stored = None if is_in_settings else stored_settings.encode_class(service_class)
         scalars = (str, bytes, int, type(None))
         key = request.key if isinstance(request.key, scalars) else str(request.key)
-        others = [request.tenant, key, request.deadline, request.cost_ns, request.is_retry]
-        return [request.id, stored, *others, number]
+        fields = [request.tenant, key, request.deadline, request.cost_ns, request.is_retry]
+        return [request.id, stored, *fields, number]
 
     def attempt(self, attempt: Attempt) -> int:
-        """Return an attempt's number."""
+        """Return an attempt's number, a new one if it has none."""
         number = self.attempts.get(attempt)
         if number is None:
             self.last[1] += 1
--- a/tests/capture/captured_world.py
+++ b/tests/capture/captured_world.py
@@ -1,4 +1,4 @@
-"""A random world whose policy is recorded."""
+"""A simulated world with random events whose policy is recorded to a capture."""
 
 import shutil
 from pathlib import Path
@@ -14,21 +14,24 @@
 
 
 class CapturedWorld(World):
-    """Writes a capture to ``path``; before a step its whole state, with ``state_chance``."""
+    """Writes a capture to ``path``.
 
-    def __init__(self, seed, path, state_chance=0, make=Balancer, **more):
+    Before each step, the complete state is written with the probability ``state_chance``.
+    """
+
+    def __init__(self, seed, path, state_chance=0, make=Balancer, **options):
         self.state_chance = state_chance
         self.make_recorded_policy = make
         self.writer = ContainerWriter(path, FileMetadata("capture", 1))
         self.recorder = None
-        super().__init__(seed, make=self.record, **more)
+        super().__init__(seed, make=self.make_recorder, **options)
 
-    def record(self, settings, seed, now):
+    def make_recorder(self, settings, seed, now):
         policy = self.make_recorded_policy(settings, seed, now)
-        self.recorder = Recorder(policy, settings, seed, now, self.append)
+        self.recorder = Recorder(policy, settings, seed, now, self.write_record)
         return self.recorder
 
-    def append(self, record, now, _request_id):
+    def write_record(self, record, now, _request_id):
         self.writer.append(record, now)
 
     def step(self, span=2 * MS):
@@ -38,7 +41,7 @@
 
 
 def changed_policy(tmp_path, module, before, after):
-    """A build with a copy of the decisions that has one text changed."""
+    """Return a build with a copy of the policy package in which one text is replaced."""
     folder = tmp_path / "policy"
     shutil.rmtree(folder, ignore_errors=True)
     shutil.copytree(POLICY_FOLDER, folder, ignore=shutil.ignore_patterns("__pycache__"))
--- a/tests/capture/test_extension.py
+++ b/tests/capture/test_extension.py
@@ -1,4 +1,4 @@
-"""The capture extension of a balancer on loopback, and the commands for what it writes."""
+"""The capture extension of a balancer on loopback, and the commands that read its captures."""
 
 import logging
 import queue
@@ -13,26 +13,27 @@
 from pepperhook.operator_config.schema import CaptureTable
 from pepperhook.server.extensions import Extensions
 from pepperhook.server.structured_logging import Log
-from tests.world import Peer, Running, answer, loopback, told
+from tests.server.balancers import make_config
+from tests.world import Peer, Running, answer, loopback
 
 
 @pytest.fixture
 def make_capture(tmp_path):
-    """Makes the extension, with segments of a length."""
+    """Return a function that creates the extension with a segment length in seconds."""
 
     def make(segment_s):
         table = CaptureTable(folder=str(tmp_path), segment_s=segment_s)
-        return Capture(table, told(), Log(logging.getLogger("test")))
+        return Capture(table, make_config(), Log(logging.getLogger("test")))
 
     return make
 
 
 async def send_requests(balancer, capture):
-    """Send 24 requests; let a segment end after the 13th, and preserve the ring at the 21st."""
+    """Send 24 requests; end a segment after the 13th, and preserve the ring after the 21st."""
     for number in range(24):
         path, method, body = ("/pay", b"POST", b"1") if number % 3 else ("/look", b"GET", b"")
         await balancer.ask(path, method, body, X_Timeout_Ms="200")
-        # What operators ask for changes nothing of what is captured.
+        # Logging the state at an operator's request must not affect the capture.
         balancer.node.log_state()
         if number == 12:
             capture.segment_end_ns = 0
@@ -41,13 +42,13 @@
 
 
 @loopback
-async def test_balancer_is_captured_in_segments_that_replay_alone(make_capture, tmp_path):
+async def test_each_segment_of_a_balancers_capture_replays_on_its_own(make_capture, tmp_path):
     capture = make_capture(segment_s=1.0)
-    turns = iter([answer(), answer(500), None] * 20)
+    responses = iter([answer(), answer(500), None] * 20)
     async with (
-        Peer(lambda *_: next(turns)) as peer,
-        Peer(lambda *_: answer()) as other,
-        Running([peer.dial, other.dial], parts=Extensions([capture])) as balancer,
+        Peer(lambda *_: next(responses)) as peer,
+        Peer(lambda *_: answer()) as healthy_peer,
+        Running([peer.dial, healthy_peer.dial], parts=Extensions([capture])) as balancer,
     ):
         await send_requests(balancer, capture)
         assert capture.recorder.record_count > 60
@@ -63,22 +64,22 @@
         assert result.difference is None
         assert result.beginnings == 1
         assert result.states_differ == []
-    assert_commands_read(files, tmp_path)
+    assert_commands_read_captures(files, tmp_path)
 
 
-def assert_commands_read(files, folder):
+def assert_commands_read_captures(files, folder):
     run = CliRunner().invoke
     info = run(main, ["record", "info", str(files[0])])
     replayed = run(main, ["record", "replay", *map(str, files)])
-    no_policy = ["--policy", str(folder / "nothing.py")]
-    refused = run(main, ["record", "replay", str(files[0]), *no_policy])
+    missing_policy = ["--policy", str(folder / "nothing.py")]
+    refused = run(main, ["record", "replay", str(files[0]), *missing_policy])
     assert "capture" in info.output
     assert replayed.exit_code == 0
     assert refused.exit_code == 2
 
 
 @loopback
-async def test_new_segment_begins_behind_records_that_were_dropped(make_capture, tmp_path):
+async def test_new_segment_begins_after_dropped_records(make_capture, tmp_path):
     capture = make_capture(segment_s=600.0)
     async with (
         Peer(lambda *_: answer()) as peer,
@@ -97,7 +98,7 @@
 
 
 def drop_batch(capture):
-    """Have the writer thread's queue be full for one batch."""
+    """Make the writer thread's queue refuse one batch, as if it were full."""
 
     def refuse(_):
         raise queue.Full
--- a/tests/capture/test_hostile_states.py
+++ b/tests/capture/test_hostile_states.py
@@ -1,11 +1,10 @@
-"""A stored state makes data and nothing else, whatever is in its bytes.
-
-What happened: a state of some 100 bytes ran any code in whoever opened the capture that held it
-(``record info``, ``record replay``, the shadow's tools). The reader was an unpickler that let
-``getattr`` and the classes of the policy through, and an unpickler calls what it names:
-``getattr(Request.__init__, "__globals__")`` leads to ``eval``. Now no callable is ever taken from
-the stream: classes come from a closed table, objects are filled field by field, and of methods only
-the callbacks of timers can be named.
+"""Reading a stored state never runs code, whatever its bytes are.
+
+A state of about 100 bytes could run arbitrary code in each tool that opened its capture
+(``record info``, ``record replay``, the shadow's tools): an unpickler that allows ``getattr`` and
+the policy's classes reaches ``eval`` through ``getattr(Request.__init__, "__globals__")``. The
+reader now takes no callable from a state: classes are looked up in a fixed table, objects are set
+field by field, and the only methods that a state can name are timer callbacks.
 """
 
 import pickle
@@ -33,80 +32,82 @@
 LEGACY_SHAPE = "97d25dcfc6463a83"
 
 
-class Get:
+class PickledGetattr:
     """Pickles as ``getattr(owner, name)``."""
 
     def __init__(self, owner, name):
-        self.pair = (owner, name)
+        self.reduced = (owner, name)
 
     def __reduce__(self):
-        return getattr, self.pair
+        return getattr, self.reduced
 
     def __call__(self):
-        raise AssertionError("only a callable may be pickled as one")
+        raise AssertionError("pickle requires a callable, but must never call it")
 
 
-class Call(Get):
+class PickledCall(PickledGetattr):
     """Pickles as ``function(*arguments)``."""
 
     def __init__(self, function, *arguments):
-        self.pair = (function, arguments)
+        self.reduced = (function, arguments)
 
     def __reduce__(self):
-        return self.pair
+        return self.reduced
 
 
-def eval_of(text):
-    """Return what runs ``text`` in an unpickler that lets getattr through."""
-    global_names = Get(Get(Request, "__init__"), "__globals__")
-    builtins = Call(Get(global_names, "__getitem__"), "__builtins__")
-    return Call(Call(Get(builtins, "__getitem__"), "eval"), text)
+def pickled_eval(text):
+    """Return an object whose pickle evaluates ``text`` in an unpickler that allows getattr."""
+    global_names = PickledGetattr(PickledGetattr(Request, "__init__"), "__globals__")
+    builtins = PickledCall(PickledGetattr(global_names, "__getitem__"), "__builtins__")
+    return PickledCall(PickledCall(PickledGetattr(builtins, "__getitem__"), "eval"), text)
 
 
-def built(module, name, value):
-    """Return the stream of an object with any state."""
-    named = b"".join(b"\x8c%c%s" % (len(text), text.encode()) for text in (module, name))
-    return b"\x80\x05" + named + b"\x93)\x81" + pickle.dumps(value, protocol=3)[2:-1] + b"b."
+def pickled_object(module, name, value):
+    """Return the pickle of an object of class ``module.name`` with the state ``value``."""
+    class_name = b"".join(b"\x8c%c%s" % (len(text), text.encode()) for text in (module, name))
+    return b"\x80\x05" + class_name + b"\x93)\x81" + pickle.dumps(value, protocol=3)[2:-1] + b"b."
 
 
-MARKER = "hostile_state_ran"
-HOSTILE = {
-    "eval by getattr": eval_of(f"__import__('sys').__setattr__({MARKER!r}, True)"),
-    "constructor": Call(Balancer, None, 1, 2),
-    "statistics' constructor": Call(DecayingMoments, 1, 2),
-    "method of an object": Call(Get(DecayingMoments(1, 2), "add"), 5),
-    "method that is no callback": Get(DecayingMoments(1, 2), "decay"),
-    "attribute of a class": Get(Request, "__slots__"),
+MARKER = "hostile_state_ran"  # attribute of sys, set if a hostile state runs code
+HOSTILE_OBJECTS = {
+    "eval by getattr": pickled_eval(f"__import__('sys').__setattr__({MARKER!r}, True)"),
+    "constructor": PickledCall(Balancer, None, 1, 2),
+    "constructor of statistics": PickledCall(DecayingMoments, 1, 2),
+    "bound method": PickledCall(PickledGetattr(DecayingMoments(1, 2), "add"), 5),
+    "method that is not a callback": PickledGetattr(DecayingMoments(1, 2), "decay"),
+    "attribute of a class": PickledGetattr(Request, "__slots__"),
     "foreign class": OrderedDict(a=1),
-    "foreign function": Call(sys.setrecursionlimit, 1000),
-    "deque of a number": Call(deque, 7),
+    "foreign function": PickledCall(sys.setrecursionlimit, 1000),
+    "deque of a number": PickledCall(deque, 7),
 }
-RAW = {
+MALFORMED_PICKLES = {
     "persistent id": b"Pid\n.",
     "extension code": b"\x82\x01.",
     "instance by name": b"(ios\nsystem\n.",
     "global by name": b"cos\nsystem\n.",
     "dotted name": b"\x80\x05\x8c\x11pepperhook.domain\x8c\x10Request.__init__\x93.",
-    "nothing": b"",
-    "no end": b"\x80\x05N",
+    "empty": b"",
+    "no STOP opcode": b"\x80\x05N",
     "empty stack": b"\x80\x05a.",
-    "missing memo": b"\x80\x05h\x07.",
-    "bad text": b"\x80\x05\x8c\x01\xff.",
+    "missing memo entry": b"\x80\x05h\x07.",
+    "invalid UTF-8": b"\x80\x05\x8c\x01\xff.",
     "huge length": b"\x80\x05\x8e\xff\xff\xff\xff\xff\xff\xff\x7fx.",
-    "shadowed method": built("pepperhook.balancer", "Balancer", {"accept": 7, "now": 1}),
-    "dunder attribute": built("pepperhook.balancer", "Balancer", {"__class__": 7}),
-    "unknown slot": built("pepperhook.domain", "Request", (None, {"not_a_slot": 1})),
-    "state that is no map": built("pepperhook.domain", "Request", 7),
-    "state of a list": built("pepperhook.balancer", "Balancer", [1, 2]),
+    "field that hides a method": pickled_object(
+        "pepperhook.balancer", "Balancer", {"accept": 7, "now": 1}
+    ),
+    "dunder field": pickled_object("pepperhook.balancer", "Balancer", {"__class__": 7}),
+    "unknown slot": pickled_object("pepperhook.domain", "Request", (None, {"not_a_slot": 1})),
+    "state that is an integer": pickled_object("pepperhook.domain", "Request", 7),
+    "state that is a list": pickled_object("pepperhook.balancer", "Balancer", [1, 2]),
     "fields of a class": b"\x80\x05\x8c\x11pepperhook.domain\x8c\x07Request\x93}b.",
     "unhashable key": b"\x80\x05}]Ns.",
 }
 
 
 @pytest.mark.parametrize("shape", [None, LEGACY_SHAPE])
-@pytest.mark.parametrize("name", HOSTILE)
+@pytest.mark.parametrize("name", HOSTILE_OBJECTS)
 def test_hostile_objects_are_refused_and_nothing_is_called(name, shape):
-    data = pickle.dumps((HOSTILE[name], ([], [], [])), protocol=5)
+    data = pickle.dumps((HOSTILE_OBJECTS[name], ([], [], [])), protocol=5)
     sys.__dict__.pop(MARKER, None)
 
     with pytest.raises(StateRefusedError):
@@ -116,29 +117,31 @@
 
 
 @pytest.mark.parametrize("shape", [None, LEGACY_SHAPE])
-@pytest.mark.parametrize("name", RAW)
-def test_malformed_streams_are_refused(name, shape):
+@pytest.mark.parametrize("name", MALFORMED_PICKLES)
+def test_malformed_pickles_are_refused(name, shape):
     with pytest.raises(StateRefusedError):
-        state.deserialize(RAW[name], policy_build.current_build(), shape)
+        state.deserialize(MALFORMED_PICKLES[name], policy_build.current_build(), shape)
 
 
 @pytest.fixture(scope="module")
 def stored_state(tmp_path_factory):
-    """The bytes of a real state."""
+    """Return a valid state as bytes."""
     world = CapturedWorld(8, tmp_path_factory.mktemp("capture") / "a")
     world.run(100)
     policy = world.recorder.module
-    found = state.find_objects(policy, (Request, Attempt, Upstream))
-    return state.serialize(policy, tuple(found.values()))
+    objects = state.find_objects(policy, (Request, Attempt, Upstream))
+    return state.serialize(policy, tuple(objects.values()))
 
 
-def test_a_sound_state_is_read_whole(stored_state):
-    policy, known = state.deserialize(stored_state, policy_build.current_build())
-    again = state.serialize(policy, known)
+def test_valid_state_is_read_completely(stored_state):
+    policy, host_objects = state.deserialize(stored_state, policy_build.current_build())
+    reserialized = state.serialize(policy, host_objects)
 
-    assert isinstance(policy, Balancer) and len(known) == 3
-    assert not state.differences(pickle.loads(stored_state), (policy, known))
-    assert not state.differences(state.deserialize(again, policy_build.current_build())[0], policy)
+    assert isinstance(policy, Balancer) and len(host_objects) == 3
+    assert not state.differences(pickle.loads(stored_state), (policy, host_objects))
+    assert not state.differences(
+        state.deserialize(reserialized, policy_build.current_build())[0], policy
+    )
 
 
 @settings(max_examples=300, deadline=None)
@@ -150,33 +153,33 @@
         mutated[position : position + data.draw(st.integers(0, 3))] = data.draw(
             st.binary(max_size=3)
         )
-    thaw_watched(bytes(mutated))
+    deserialize_without_calls(bytes(mutated))
 
 
 opcodes = st.sampled_from(
     [bytes([code]) for code in b"().0]}aesutbRNQcioP\x81\x85\x86\x87\x93\x94"]
 )
-pieces = st.sampled_from(
+fragments = st.sampled_from(
     [b"\x8c\x0eos", b"\x8c\x08builtins\x8c\x07getattr\x93", b"K\x01", b"h\x00"]
 )
 
 
 @settings(max_examples=500, deadline=None)
-@given(st.lists(opcodes | pieces | st.binary(max_size=4), max_size=30))
-def test_made_up_streams_are_read_or_refused_and_call_nothing(parts):
-    thaw_watched(b"\x80\x05" + b"".join(parts))
+@given(st.lists(opcodes | fragments | st.binary(max_size=4), max_size=30))
+def test_generated_pickles_are_read_or_refused_and_call_nothing(parts):
+    deserialize_without_calls(b"\x80\x05" + b"".join(parts))
 
 
-def thaw_watched(data):
-    """Read a state; anything but a value or StateRefusedError fails, and so does a call."""
+def deserialize_without_calls(data):
+    """Read a state; fail if it calls a function of the policy or raises another error."""
     called = []
 
-    def note_call(frame, event, _argument):
+    def record_call(frame, event, _argument):
         file = frame.f_code.co_filename
         if event == "call" and "/pepperhook/policy" in file or file.endswith("/balancer.py"):
             called.append(frame.f_code.co_qualname)
 
-    sys.setprofile(note_call)
+    sys.setprofile(record_call)
     try:
         state.deserialize(data, policy_build.current_build())
     except StateRefusedError:
@@ -186,21 +189,21 @@
     assert not called
 
 
-# Records of a capture.
+# Hostile records.
 
 words = st.sampled_from(["new", "state", "upstream", "operation", "call", "fleet", "take", "wake"])
 scalars = words | st.integers(-3, 3) | st.none() | st.booleans() | st.binary(max_size=4)
-stored = st.recursive(
+stored_values = st.recursive(
     scalars,
-    lambda inner: st.lists(inner, max_size=4) | st.dictionaries(words, inner, max_size=3),
+    lambda values: st.lists(values, max_size=4) | st.dictionaries(words, values, max_size=3),
     max_leaves=8,
 )
 SETTINGS = {"grades": [], "customers": []}
 
 
 @settings(max_examples=200, deadline=None)
-@given(st.lists(st.lists(stored, max_size=8), max_size=4))
-def test_made_up_records_are_replayed_or_refused(tmp_path_factory, records):
+@given(st.lists(st.lists(stored_values, max_size=8), max_size=4))
+def test_generated_records_are_replayed_or_refused(tmp_path_factory, records):
     path = tmp_path_factory.mktemp("capture") / "a"
     writer = ContainerWriter(path, FileMetadata("capture", 1))
     for record in [["new", SETTINGS, 1, 0], *records]:
@@ -214,11 +217,11 @@
 
 
 def test_state_with_a_timer_that_repeats_without_a_period_is_refused(stored_state):
-    policy, known = state.deserialize(stored_state, policy_build.current_build())
+    policy, host_objects = state.deserialize(stored_state, policy_build.current_build())
     policy.timers = [(0, 1, policy.repeat, (0, policy._review))]
     driver = replay.Driver(Balancer)
 
     with pytest.raises(StateRefusedError, match="period"):
         driver.restore_state(
-            state.shape(policy), state.serialize(policy, known), [], [], [], 0, [0, 0, 0]
+            state.shape(policy), state.serialize(policy, host_objects), [], [], [], 0, [0, 0, 0]
         )
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -1,4 +1,4 @@
-"""Captures of random worlds replay to the last byte, and changes of the policy are found."""
+"""Captures of simulated worlds replay byte-identically, and changes of the policy are found."""
 
 import dataclasses
 from pathlib import Path
@@ -10,16 +10,18 @@
 from pepperhook.container import ContainerWriter, FileMetadata
 from pepperhook.lab.proofs.replay import ReplayProof
 from tests.capture.captured_world import POLICY_FOLDER, CapturedWorld, changed_policy
-from tests.world import LOOKS
+from tests.policy.simulation import LOAD_QUERY_SETTINGS
 
-# Of the lab (`pepperhook lab prove replay --write tests/captures`), each from its policy's start.
+# Written by `pepperhook lab prove replay --write tests/captures`; each begins with the policy's
+# start.
 RECORDED_RUNS = sorted((Path(__file__).parents[1] / "captures").glob("*.rec"))
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_random_worlds_replay_to_the_byte_and_their_states_are_equal(tmp_path, seed):
-    # A load report that was counted on in place once made captures hold what came after it.
-    reports = LOOKS if seed % 2 else {}
+def test_simulated_worlds_replay_byte_identically_with_equal_states(tmp_path, seed):
+    # With load reports for odd seeds: when the policy updated a report in place, the captured call
+    # contained later values.
+    reports = LOAD_QUERY_SETTINGS if seed % 2 else {}
     world = CapturedWorld(seed, tmp_path / "a", state_chance=0.01, **reports)
     world.run(1500, chance=0.3)
     world.writer.close()
@@ -32,7 +34,7 @@
     assert result.states_differ == []
 
 
-def test_capture_that_begins_in_the_middle_replays_from_its_state(tmp_path):
+def test_capture_that_begins_with_a_state_replays_from_there(tmp_path):
     world = CapturedWorld(3, tmp_path / "a")
     world.run(500, chance=0.3)
     world.writer.close()
@@ -54,15 +56,15 @@
     world.writer.close()
     constant = "MAX_QUEUE_TIME = 0.2 "
 
-    longer = changed_policy(tmp_path, "admission", constant, "MAX_QUEUE_TIME = 0.21 ")
-    difference = replay.replay_file(tmp_path / "a", longer).difference
-    same = changed_policy(tmp_path, "admission", constant, "MAX_QUEUE_TIME = 0.20 ")
+    changed = changed_policy(tmp_path, "admission", constant, "MAX_QUEUE_TIME = 0.21 ")
+    difference = replay.replay_file(tmp_path / "a", changed).difference
+    equivalent = changed_policy(tmp_path, "admission", constant, "MAX_QUEUE_TIME = 0.20 ")
 
     assert difference is not None
     assert difference.recorded != difference.replayed
     assert difference.name in ("take", "ended", "wake", "listing")
     assert difference.stage
-    assert replay.replay_file(tmp_path / "a", same).difference is None
+    assert replay.replay_file(tmp_path / "a", equivalent).difference is None
 
 
 def test_policy_that_reads_a_clock_is_found(tmp_path):
@@ -77,38 +79,41 @@
     assert replay.replay_file(tmp_path / "a", build).difference is not None
 
 
-def test_failure_of_the_policy_in_a_call_is_replayed_as_one(tmp_path):
+def test_exception_in_the_policy_is_replayed_as_the_same_exception(tmp_path):
     line = "request.accepted_at = now\n"
-    fails = f"{line}        if request.id == 5:\n            raise ArithmeticError\n"
-    build = changed_policy(tmp_path, "completion", line, fails)
+    raises = f"{line}        if request.id == 5:\n            raise ArithmeticError\n"
+    build = changed_policy(tmp_path, "completion", line, raises)
     world = CapturedWorld(7, tmp_path / "a", make=build)
-    assert sum(step_fails(world) for _ in range(400)) == 1
+    assert sum(step_raises(world) for _ in range(400)) == 1
     world.writer.close()
 
-    same = replay.replay_file(tmp_path / "a", build)
-    other = replay.replay_file(tmp_path / "a", Balancer).difference
+    result = replay.replay_file(tmp_path / "a", build)
+    difference = replay.replay_file(tmp_path / "a", Balancer).difference
 
-    assert same.difference is None
-    assert same.calls > 200
-    assert (other.fault, other.name, other.about) == (None, "take", "5")
+    assert result.difference is None
+    assert result.calls > 200
+    assert (difference.fault, difference.name, difference.about) == (None, "take", "5")
 
 
-def step_fails(world):
-    """Do one step, and return whether the policy failed; the host then goes on."""
+def step_raises(world):
+    """Run one step as a host that survives exceptions; return whether the policy raised one."""
     try:
         world.run(1, chance=0.5)
     except ArithmeticError:
-        # What the policy had decided before it failed is kept.
+        # The actions that the policy added before the exception are carried out.
         actions, world.recorder.actions = world.recorder.actions, []
-        world.answered[world.taken[-1]] = "fault"
-        world.play(actions)
+        world.responses[world.requests[-1]] = "fault"
+        world.perform(actions)
         return True
     return False
 
 
 @pytest.mark.parametrize("path", RECORDED_RUNS, ids=lambda path: path.stem)
-def test_recorded_runs_replay_to_the_byte(path):
-    """A change of the decisions shows here; if it is wanted, capture the runs anew and say so."""
+def test_recorded_runs_replay_byte_identically(path):
+    """Fails if the policy's decisions change.
+
+    If the change is intended, capture the runs again and say so in the commit.
+    """
     result = replay.replay_file(path, Balancer)
 
     assert result.difference is None
@@ -118,8 +123,8 @@
 
 
 @pytest.mark.parametrize(("module", "before", "after"), ReplayProof.CHANGES)
-def test_what_the_acceptance_scenario_changes_is_in_the_policy(module, before, after):
-    # A constant once was renamed, and the scenario had nothing to change.
+def test_policy_contains_each_text_that_the_replay_proof_changes(module, before, after):
+    # After a constant was renamed, the proof found no text to change.
     text = (POLICY_FOLDER / f"{module}.py").read_text(encoding="utf-8")
 
     assert text.count(before) == 1
@@ -135,19 +140,21 @@
 
 
 @pytest.mark.parametrize("keeps_classes", [True, False])
-def test_states_after_other_settings_are_those_of_the_capture(tmp_path, keeps_classes):
-    """Requests in flight hold their service classes, also through a reconfiguration.
+def test_states_after_a_reconfiguration_replay_without_differences(tmp_path, keeps_classes):
+    """Requests in flight keep their service class objects through a reconfiguration.
 
-    A replay made all classes anew, so each state behind a reconfiguration that had left them as
-    they were, as by a change of the fleet, was reported as different ("not the same object as
+    When a replay created all classes again, each state after a reconfiguration that kept them, for
+    example a change of the fleet size, was reported as different ("not the same object as
     elsewhere").
     """
     world = CapturedWorld(11, tmp_path / "a")
     world.run(300, chance=0.5)
     settings = dataclasses.replace(world.recorder.module.settings, fleet_size=3, index=1)
     if not keeps_classes:
-        settings.service_classes = [dataclasses.replace(one) for one in settings.service_classes]
-    assert any(not request.finished for request in world.taken)
+        settings.service_classes = [
+            dataclasses.replace(service_class) for service_class in settings.service_classes
+        ]
+    assert any(not request.finished for request in world.requests)
 
     world.recorder.reconfigure(world.now, settings, [])
     world.recorder.write_state(world.now)
--- a/tests/capture/test_state.py
+++ b/tests/capture/test_state.py
@@ -1,4 +1,4 @@
-"""Stored states: what is refused, and how they are compared."""
+"""Stored states: which are refused, and how states are compared."""
 
 import os
 import pickle
@@ -20,25 +20,25 @@
     world.run(50)
     world.writer.close()
     line = "self.queue = ValueQueue()"
-    build = changed_policy(tmp_path, "admission", line, f"{line}\n        self.more = 1")
+    build = changed_policy(tmp_path, "admission", line, f"{line}\n        self.extra = 1")
 
     with pytest.raises(StateRefusedError, match="shape"):
         replay.replay_file(tmp_path / "b", build)
 
 
-def test_state_that_names_foreign_things_is_refused():
+def test_state_that_names_a_function_outside_the_policy_is_refused():
     with pytest.raises(StateRefusedError, match="getcwd"):
         state.deserialize(pickle.dumps(os.getcwd), policy_build.current_build())
 
 
 def test_equal_states_have_no_differences():
-    one, other = [1], [1]
+    left, right = [1], [1]
 
-    assert state.differences({"a": one, "b": one}, {"a": other, "b": other}) == []
+    assert state.differences({"a": left, "b": left}, {"a": right, "b": right}) == []
     assert not state.differences([0.3], [0.3])
 
 
-def test_differences_are_of_values_order_and_sharing():
+def test_values_order_and_shared_references_are_compared():
     shared = [1]
 
     assert state.differences({"a": shared, "b": shared}, {"a": [1], "b": [1]})
--- a/tests/container/test_container.py
+++ b/tests/container/test_container.py
@@ -1,4 +1,4 @@
-"""The container: what is written is read, and damage costs no block that is whole."""
+"""Containers: written records are read back, and damage never affects an intact block."""
 
 import random
 import struct
@@ -30,7 +30,7 @@
 
 
 def write_container(path: Path, blocks: int = 3) -> list[list]:
-    """Write blocks of four records each, and return the records."""
+    """Write a file with this number of blocks, and return the records."""
     writer = ContainerWriter(path, FileMetadata("trace", 1, "b0"))
     records = [[number, "x" * 20] for number in range(blocks * RECORDS_PER_BLOCK)]
     for number, record in enumerate(records):
@@ -43,7 +43,7 @@
 
 
 def read_container(path: Path):
-    """Return the records that can be read, and what was skipped."""
+    """Return the readable records, and the data that was skipped."""
     with ContainerReader(path) as reader:
         records = [
             record
@@ -53,7 +53,7 @@
         return records, reader.skipped
 
 
-def blocks_of(path: Path):
+def read_blocks(path: Path):
     with ContainerReader(path) as reader:
         return list(reader.blocks())
 
@@ -80,7 +80,7 @@
         assert reader.read_block(index[1].offset).block_type == BlockType.RECORDS
 
 
-def test_file_bytes_are_those_of_the_format_page(path):
+def test_file_bytes_follow_the_documented_format(path):
     writer = ContainerWriter(path, FileMetadata("trace", 1, "b0", created_unix_ns=7, created_ns=8))
     writer.append(frame_record(encode(["r"])), 5, {"ids": 2**32 - 1, "grade": "look"})
     writer.append(frame_record(encode(["s"])), 3, {"ids": 1})
@@ -89,7 +89,7 @@
     data = path.read_bytes()
     signature = b"pepperhook record 1\n"
     assert data.startswith(signature)
-    found, offset = [], len(signature)
+    blocks, offset = [], len(signature)
     while offset < len(data):
         fields = data[offset : offset + 13]
         block_type, length, raw_length, payload_crc = struct.unpack("<BIII", fields)
@@ -99,10 +99,10 @@
         assert header_crc == crc32(fields)
         assert payload_crc == crc32(payload)
         assert raw_length == len(content)
-        found.append((offset, block_type, content))
+        blocks.append((offset, block_type, content))
         offset += 17 + length
-    metadata, records, index, footer = found
-    assert [block_type for _, block_type, _ in found] == [1, 2, 3, 4]
+    metadata, records, index, footer = blocks
+    assert [block_type for _, block_type, _ in blocks] == [1, 2, 3, 4]
     assert msgspec.msgpack.decode(metadata[2]) == {
         "content": "trace",
         "content_version": 1,
@@ -117,38 +117,38 @@
     assert footer[2] == struct.pack("<Q", index[0])
 
 
-def test_file_cut_at_any_byte_gives_every_whole_block(tmp_path, path):
+def test_every_intact_block_of_a_truncated_file_is_read(tmp_path, path):
     records = write_container(path)
-    whole = path.read_bytes()
-    blocks = blocks_of(path)
+    data = path.read_bytes()
+    blocks = read_blocks(path)
     end_offsets = [block.end_offset for block in blocks]
-    cut_path = tmp_path / "cut"
+    truncated_path = tmp_path / "truncated"
 
-    for cut in range(len(whole)):
-        cut_path.write_bytes(whole[:cut])
-        if cut < end_offsets[0]:
+    for size in range(len(data)):
+        truncated_path.write_bytes(data[:size])
+        if size < end_offsets[0]:
             with pytest.raises(UnreadableFileError):
-                ContainerReader(cut_path)
+                ContainerReader(truncated_path)
             continue
-        complete = sum(
-            block.block_type == BlockType.RECORDS and block.end_offset <= cut for block in blocks
+        intact_blocks = sum(
+            block.block_type == BlockType.RECORDS and block.end_offset <= size for block in blocks
         )
-        read, skipped = read_container(cut_path)
-        assert read == records[: RECORDS_PER_BLOCK * complete]
-        assert (skipped.bytes == 0) == (cut in end_offsets)
+        read, skipped = read_container(truncated_path)
+        assert read == records[: RECORDS_PER_BLOCK * intact_blocks]
+        assert (skipped.bytes == 0) == (size in end_offsets)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_flipped_bit_costs_its_block_and_no_other(tmp_path, path, seed):
+def test_flipped_bit_loses_at_most_its_own_block(tmp_path, path, seed):
     records = write_container(path, blocks=6)
-    whole = path.read_bytes()
-    first_record_offset = blocks_of(path)[1].offset
+    data = path.read_bytes()
+    first_record_offset = read_blocks(path)[1].offset
     damaged_path = tmp_path / "damaged"
-    chance = random.Random(seed)
+    generator = random.Random(seed)
 
     for _ in range(60):
-        damaged = bytearray(whole)
-        damaged[chance.randrange(first_record_offset, len(whole))] ^= 1 << chance.randrange(8)
+        damaged = bytearray(data)
+        damaged[generator.randrange(first_record_offset, len(data))] ^= 1 << generator.randrange(8)
         damaged_path.write_bytes(damaged)
         read, skipped = read_container(damaged_path)
         assert len(read) >= len(records) - RECORDS_PER_BLOCK
@@ -156,10 +156,10 @@
         assert all(record in records for record in read)
 
 
-def test_index_that_names_no_record_block_is_ignored(path):
+def test_index_without_a_footer_is_ignored(path):
     write_container(path)
-    index_offset = blocks_of(path)[-1].offset
-    data = path.read_bytes()[:index_offset]
+    footer_offset = read_blocks(path)[-1].offset
+    data = path.read_bytes()[:footer_offset]
 
     path.write_bytes(data + encode_block(BlockType.INDEX, encode([[77, 4, 0, 1, {}]])))
 
@@ -168,9 +168,9 @@
     assert len(read_container(path)[0]) == 12
 
 
-def test_index_that_a_valid_footer_names_is_ignored_if_it_names_no_record_block(path):
+def test_index_that_does_not_refer_to_a_record_block_is_ignored(path):
     write_container(path)
-    index_block = blocks_of(path)[-2]
+    index_block = read_blocks(path)[-2]
     data = path.read_bytes()[: index_block.offset]
     index = encode_block(BlockType.INDEX, encode([[77, 4, 0, 1, {}]]))
     footer = encode_block(BlockType.FOOTER, struct.pack("<Q", index_block.offset))
@@ -186,7 +186,7 @@
     ("data", "error", "reason"),
     [
         pytest.param(b"", NotAContainerError, "is no record", id="empty"),
-        pytest.param(b"hello\n", NotAContainerError, "is no record", id="other-text"),
+        pytest.param(b"hello\n", NotAContainerError, "is no record", id="text-file"),
         pytest.param(file_signature(2), UnsupportedVersionError, "version 2", id="newer-version"),
         pytest.param(file_signature(), UnreadableFileError, "first block", id="no-metadata"),
         pytest.param(
@@ -197,20 +197,22 @@
         ),
     ],
 )
-def test_file_that_cannot_be_read_is_refused_in_one_line(path, data, error, reason):
+def test_unreadable_file_raises_an_error_of_one_line_that_begins_with_the_path(
+    path, data, error, reason
+):
     path.write_bytes(data)
 
-    with pytest.raises(error) as caught:
+    with pytest.raises(error) as raised:
         ContainerReader(path)
 
-    assert isinstance(caught.value, UnreadableFileError)
-    assert isinstance(caught.value, ValueError)
-    assert str(caught.value).startswith(f"{path}: ")
-    assert reason in str(caught.value)
-    assert "\n" not in str(caught.value)
+    assert isinstance(raised.value, UnreadableFileError)
+    assert isinstance(raised.value, ValueError)
+    assert str(raised.value).startswith(f"{path}: ")
+    assert reason in str(raised.value)
+    assert "\n" not in str(raised.value)
 
 
-def test_metadata_fields_of_a_newer_writer_are_ignored(path):
+def test_unknown_metadata_fields_are_ignored(path):
     metadata = {"content": "trace", "content_version": 1, "future": [1]}
     path.write_bytes(file_signature() + encode_block(BlockType.METADATA, encode(metadata)))
 
@@ -218,9 +220,9 @@
         assert reader.metadata.content == "trace"
 
 
-def test_blocks_of_an_unknown_type_are_passed_over(path):
+def test_blocks_of_an_unknown_type_are_ignored(path):
     records = write_container(path)
-    metadata_block = blocks_of(path)[0]
+    metadata_block = read_blocks(path)[0]
     data = path.read_bytes()
     unknown = encode_block(9, b"of a later version")
     position = metadata_block.end_offset
--- a/tests/container/test_preserve_signal.py
+++ b/tests/container/test_preserve_signal.py
@@ -1,4 +1,4 @@
-"""SIGUSR2 has all rings of a balancer preserved."""
+"""SIGUSR2 preserves all rings of a balancer."""
 
 import asyncio
 import os
@@ -8,14 +8,14 @@
 
 
 class Runtime:
-    """What the signal's handling needs of a balancer's runtime."""
+    """The part of a balancer's runtime that signal handling needs."""
 
     def __init__(self):
         self.loop = asyncio.get_running_loop()
 
 
-async def preserved_after_signal(add_callbacks):
-    """The names of the rings that are preserved at one SIGUSR2."""
+async def preserved_by_signal(add_callbacks):
+    """Send one SIGUSR2, and return the names of the rings that it preserved."""
     preserved = []
     runtime = Runtime()
     add_callbacks(runtime, preserved)
@@ -33,12 +33,12 @@
         add_preserve_callback(runtime, lambda: preserved.append("capture"))
         add_preserve_callback(runtime, lambda: preserved.append("trace"))
 
-    assert asyncio.run(preserved_after_signal(add_both)) == ["capture", "trace"]
+    assert asyncio.run(preserved_by_signal(add_both)) == ["capture", "trace"]
 
 
-def test_signal_is_not_handled_any_more_when_the_rings_are_closed():
+def test_signal_handler_is_removed_when_the_rings_are_closed():
     def add_one(runtime, preserved):
         add_preserve_callback(runtime, lambda: preserved.append("trace"))
 
-    assert asyncio.run(preserved_after_signal(add_one)) == ["trace"]
+    assert asyncio.run(preserved_by_signal(add_one)) == ["trace"]
     assert signal.getsignal(signal.SIGUSR2) == signal.SIG_DFL
--- a/tests/container/test_ring.py
+++ b/tests/container/test_ring.py
@@ -1,4 +1,4 @@
-"""The ring of segments: bounds, a disk that fails, and what a killed process leaves behind."""
+"""The segment ring: its limits, failing writes, and the files left by a killed process."""
 
 import os
 import subprocess
@@ -30,7 +30,7 @@
 
 
 class RecordingLog:
-    """Keeps the names of the events that were logged."""
+    """Stores the names of the logged events."""
 
     def __init__(self):
         self.events = []
@@ -43,7 +43,7 @@
 
 
 class GapNotifyingRing(SegmentRing):
-    """A ring that sets an event once it has a gap."""
+    """A ring that sets an event when it marks a gap."""
 
     def __init__(self, *arguments, **options):
         self.gap_marked = threading.Event()
@@ -64,12 +64,12 @@
     return tmp_path / "segments"
 
 
-def ring_in(folder, log, kind=SegmentRing):
+def make_ring(folder, log, ring_class=SegmentRing):
     retention = Retention.from_settings(minutes=60, megabytes=64)
-    return kind(SegmentDirectory(folder, "b0", "trc", retention), log)
+    return ring_class(SegmentDirectory(folder, "b0", "trc", retention), log)
 
 
-def append(ring, number):
+def append_number(ring, number):
     ring.append(frame_record(msgspec.msgpack.encode(number)), number, {"ids": number})
 
 
@@ -83,8 +83,8 @@
 
 
 @contextmanager
-def killed_afterwards(code):
-    """Run code in a process of its own, and kill it at the latest at the end of the block."""
+def running_until_killed(code):
+    """Run code in a separate process, which is killed at the end of the context."""
     process = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE, cwd=ROOT)
     try:
         yield process
@@ -94,12 +94,12 @@
         process.stdout.close()
 
 
-def test_ring_whose_folder_is_gone_logs_once_and_goes_on_when_it_is_back(folder, log):
-    ring = ring_in(folder, log, GapNotifyingRing)
+def test_ring_logs_a_missing_folder_once_and_recovers_when_it_exists_again(folder, log):
+    ring = make_ring(folder, log, GapNotifyingRing)
     ring.create_folder("trace.folder")
     folder.rmdir()
     ring.open_segment(METADATA)
-    append(ring, 1)
+    append_number(ring, 1)
     ring.start()
 
     assert ring.gap_marked.wait(WAIT_S)
@@ -110,7 +110,7 @@
 
     folder.mkdir()
     ring.open_segment(METADATA)
-    append(ring, 2)
+    append_number(ring, 2)
     ring.writer.stop()
 
     (path,) = folder.iterdir()
@@ -119,17 +119,17 @@
     assert log.events == ["record_broken"]
 
 
-def test_folder_that_cannot_be_made_is_refused_with_the_settings_key(tmp_path, log):
+def test_error_for_a_folder_that_cannot_be_created_names_the_setting(tmp_path, log):
     (tmp_path / "file").write_bytes(b"")
-    ring = ring_in(tmp_path / "file" / "folder", log)
+    ring = make_ring(tmp_path / "file" / "folder", log)
 
-    with pytest.raises(ValueError, match=r"^trace\.folder: ") as caught:
+    with pytest.raises(ValueError, match=r"^trace\.folder: ") as raised:
         ring.create_folder("trace.folder")
 
-    assert isinstance(caught.value, SegmentFolderError)
+    assert isinstance(raised.value, SegmentFolderError)
 
 
-def test_ring_is_bounded_by_size_and_age(tmp_path):
+def test_segments_beyond_the_size_or_age_limit_are_deleted(tmp_path):
     now_s = 10**9
     retention = Retention.from_settings(minutes=10, megabytes=1)
     directory = SegmentDirectory(tmp_path, "b0", "trc", retention, clock=lambda: now_s)
@@ -146,7 +146,7 @@
     assert of_another_balancer.exists()
 
 
-def test_retention_keeps_what_is_exactly_within_both_bounds():
+def test_segments_exactly_at_both_limits_are_retained():
     retention = Retention(max_age_s=10.0, max_bytes=20.0)
     segments = [SegmentFile(Path(name), 10, 90.0) for name in ("a", "b")]
 
@@ -155,12 +155,12 @@
     assert retention.expired([*segments, SegmentFile(Path("c"), 1, 95.0)], 100.0) == segments[:1]
 
 
-def test_command_that_finds_the_queue_full_is_dropped_counted_and_marked_as_a_gap(folder, log):
-    ring = ring_in(folder, log)
+def test_command_is_dropped_counted_and_marked_as_a_gap_if_the_queue_is_full(folder, log):
+    ring = make_ring(folder, log)
     ring.create_folder("trace.folder")
     ring.open_segment(METADATA)
-    for number in range(QUEUE_CAPACITY):  # one more than the queue takes beside the segment
-        append(ring, number)
+    for number in range(QUEUE_CAPACITY):  # with the segment, one more than the queue takes
+        append_number(ring, number)
 
     assert ring.dropped == 1
     assert ring.has_gap
@@ -171,13 +171,13 @@
     assert read_records(path) == list(range(QUEUE_CAPACITY - 1))
 
 
-def test_preserved_segments_leave_the_ring_and_the_open_one_stays(folder, log):
-    ring = ring_in(folder, log)
+def test_preserve_moves_all_segments_except_the_open_one(folder, log):
+    ring = make_ring(folder, log)
     ring.create_folder("trace.folder")
     ring.start()
     for number in range(3):
         ring.open_segment(METADATA)
-        append(ring, number)
+        append_number(ring, number)
     ring.preserve()
     ring.writer.stop()
 
@@ -189,8 +189,8 @@
     assert log.events == ["record_kept"]
 
 
-def test_records_survive_kill_although_no_block_was_full(tmp_path):
-    """A balancer with little traffic once held its last minutes in memory, and lost them."""
+def test_pending_records_are_written_before_the_block_is_full(tmp_path):
+    """With little traffic, blocks fill slowly, and a killed balancer lost minutes of records."""
     code = f"""
 import time
 from pepperhook.container import FileMetadata
@@ -207,7 +207,7 @@
 print("written", flush=True)
 time.sleep(60)
 """
-    with killed_afterwards(code) as process:
+    with running_until_killed(code) as process:
         assert process.stdout.readline() == b"written\n"
         path = next(tmp_path.glob("*.trc"))
         for _ in range(1000):
@@ -219,7 +219,7 @@
         assert count == 20
 
 
-def test_writer_killed_while_it_rotates_leaves_every_whole_block(tmp_path):
+def test_intact_blocks_are_readable_after_a_kill_during_segment_rotation(tmp_path):
     code = f"""
 import msgspec
 from pepperhook.container import FileMetadata, frame_record
@@ -239,17 +239,17 @@
         ring.writer.queue.put(FlushPending())
         number += 1
     if number == 400:
-        print("going", flush=True)
+        print("writing", flush=True)
 """
-    with killed_afterwards(code) as process:
-        assert process.stdout.readline() == b"going\n"
+    with running_until_killed(code) as process:
+        assert process.stdout.readline() == b"writing\n"
 
     paths, numbers = sorted(tmp_path.glob("*.trc")), []
     for path in paths:
         try:
             numbers += read_records(path)
         except UnreadableFileError as error:
-            # Only the newest may have been killed before its first block was whole.
+            # Only the last segment may lack a complete metadata block.
             assert path == paths[-1], error
     assert numbers == list(range(len(numbers)))
     assert len(numbers) > 100
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,7 +1,7 @@
-"""Files that version 0.2 wrote (tests/data/stored-0.2) are read by today's code with all they hold.
+"""The current code reads all data in files written by version 0.2 (tests/data/stored-0.2).
 
-The files are never written anew: who renames a class, a field or a word that is stored must still
-read them.
+These files are never regenerated. They must stay readable when a class, a field or a word that is
+stored in them is renamed in the code.
 """
 
 import hashlib
@@ -35,8 +35,9 @@
 STORED = Path(__file__).parent / "data" / "stored-0.2"
 SECRET = "a long secret of the installation"
 STRIP_KEY = "a key of the installation\n"
-BLOCK_HEAD = struct.Struct("<BIIII")
-JOURNAL_HEAD = struct.Struct("<III")
+BLOCK_HEADER = struct.Struct("<BIIII")
+JOURNAL_HEADER = struct.Struct("<III")
+# Classes that the state in capture-mid-life.rec names.
 STATE_CLASSES = {
     "pepperhook.model": {"Dispatch", "Level", "Operation", "Sums", "Upstream"},
     "pepperhook.policy": {
@@ -50,6 +51,7 @@
         "Shares",
     },
 }
+# Number of calls in capture-new.rec, by stored word.
 NEW_CALLS = {
     "probed": 267,
     "wake": 157,
@@ -61,10 +63,12 @@
     "started": 1,
     "retold": 1,
 }
+# Number of calls and of returned actions in capture-mid-life.rec, by stored word.
 MID_LIFE_CALLS = {"wake": 297, "take": 69, "ended": 23, "probed": 2}
 MID_LIFE_RESULTS = {"wake": 280, "shed": 47, "dispatch": 24, "break off": 2, "probe": 1}
+# Names of the timer callbacks in that state.
 TIMERS = {"adjust", "drop", "due", "give_up", "review"}
-# Number of the grade, number of the customer, and the key as the client sent it.
+# Service class number, tenant number, and the idempotency key that the client sent.
 JOURNAL_KEYS = [
     (1, 0, "never-0"),
     (1, 0, "paid-0"),
@@ -75,7 +79,7 @@
     (1, 0, "slow-0"),
     (1, 0, "slow-1"),
 ]
-# Kind and body: 0 begun, 1 ended, 2 never ran, 3 may have run.
+# The last record of each key. Kinds: 0 started, 1 finished, 2 not executed, 3 possibly executed.
 JOURNAL_LAST = [
     (2, None),
     (1, b"done pay 0"),
@@ -86,6 +90,7 @@
     (0, None),
     (0, None),
 ]
+# Kind and key of each record, by segment.
 JOURNAL_ROWS = [
     [(0, "never-0"), (2, "never-0")],
     [
@@ -107,56 +112,56 @@
 ]
 
 
-def command(*words, code=0):
-    """What a command says on standard output."""
-    done = CliRunner().invoke(main, [str(word) for word in words])
-    assert done.exit_code == code, done.output
-    return done.stdout
+def run_command(*words, code=0):
+    """Run a command, check its exit code, and return its standard output."""
+    result = CliRunner().invoke(main, [str(word) for word in words])
+    assert result.exit_code == code, result.output
+    return result.stdout
 
 
-def told_in_json(*words, code=0):
-    return json.loads(command(*words, "--json", code=code))
+def run_json_command(*words, code=0):
+    return json.loads(run_command(*words, "--json", code=code))
 
 
-def exported(path):
-    return command("trace", "export", path, "--format", "jsonl")
+def export_as_jsonl(path):
+    return run_command("trace", "export", path, "--format", "jsonl")
 
 
 def container_records(name):
-    """All records of a file, read as docs/formats/record.md has it and not by the program."""
+    """Return all records of a file, decoded as in docs/formats/record.md, not by the program."""
     data = (STORED / name).read_bytes()
-    magic = b"pepperhook record 1\n"
-    assert data.startswith(magic)
-    place, records = len(magic), []
-    while place < len(data):
-        kind, length, raw, check, head_check = BLOCK_HEAD.unpack_from(data, place)
-        assert crc32(data[place : place + BLOCK_HEAD.size - 4]) == head_check
-        place += BLOCK_HEAD.size
-        payload = data[place : place + length]
-        assert crc32(payload) == check
-        place += length
-        block = zstandard.ZstdDecompressor().decompress(payload, max_output_size=raw)
-        while kind == 2 and block:
-            size = int.from_bytes(block[:4], "little")
-            records.append(msgspec.msgpack.decode(block[4 : 4 + size]))
-            block = block[4 + size :]
+    signature = b"pepperhook record 1\n"
+    assert data.startswith(signature)
+    offset, records = len(signature), []
+    while offset < len(data):
+        block_type, length, raw_length, crc, header_crc = BLOCK_HEADER.unpack_from(data, offset)
+        assert crc32(data[offset : offset + BLOCK_HEADER.size - 4]) == header_crc
+        offset += BLOCK_HEADER.size
+        payload = data[offset : offset + length]
+        assert crc32(payload) == crc
+        offset += length
+        content = zstandard.ZstdDecompressor().decompress(payload, max_output_size=raw_length)
+        while block_type == 2 and content:
+            size = int.from_bytes(content[:4], "little")
+            records.append(msgspec.msgpack.decode(content[4 : 4 + size]))
+            content = content[4 + size :]
     return records
 
 
-def names_of(frozen):
-    """All words in a pickle, and the classes that it names by module."""
-    words, classes, memo, latest = [], {}, [], None
-    for operation, argument, _ in pickletools.genops(frozen):
-        if operation.name == "MEMOIZE":
+def pickled_names(data):
+    """Return all strings in a pickle, and the names of its classes by module."""
+    strings, classes, memo, latest = [], {}, [], None
+    for opcode, argument, _ in pickletools.genops(data):
+        if opcode.name == "MEMOIZE":
             memo.append(latest)
-        elif operation.name == "STACK_GLOBAL":
-            classes.setdefault(words[-2], set()).add(words[-1])
+        elif opcode.name == "STACK_GLOBAL":
+            classes.setdefault(strings[-2], set()).add(strings[-1])
             latest = None
         else:
-            latest = memo[argument] if operation.name.endswith("BINGET") else argument
+            latest = memo[argument] if opcode.name.endswith("BINGET") else argument
             if isinstance(latest, str):
-                words.append(latest)
-    return set(words), classes
+                strings.append(latest)
+    return set(strings), classes
 
 
 # Captures.
@@ -167,19 +172,19 @@
     [("capture-new.rec", 525, 0.5, 2, 15228), ("capture-mid-life.rec", 391, 1.094, 1, 22111)],
 )
 def test_captures_replay_without_difference(name, calls, seconds, states, size):
-    told = replay.replay_file(STORED / name, Balancer)
-    assert told.difference is None and told.states_differ == []
-    assert (told.calls, told.seconds, told.states_checked) == (calls, seconds, states)
-    assert (told.beginnings, told.skipped, told.lost_bytes) == (1, 0, 0)
-    said = told_in_json("record", "replay", STORED / name)
-    assert (said["calls"], said["states_checked"]) == (calls, states)
-    about = told_in_json("record", "info", STORED / name)
-    assert (about["content"], about["content_version"], about["name"]) == ("capture", 1, "edge-1")
-    assert about["more"] == {"grades": ["look", "pay", "hold"], "customers": ["acme"]}
-    assert about["indexed"] and about["bytes"] == size and about["lost"]["places"] == 0
-
-
-def test_the_capture_from_birth_begins_with_settings_and_has_every_call_but_messages():
+    result = replay.replay_file(STORED / name, Balancer)
+    assert result.difference is None and result.states_differ == []
+    assert (result.calls, result.seconds, result.states_checked) == (calls, seconds, states)
+    assert (result.beginnings, result.skipped, result.lost_bytes) == (1, 0, 0)
+    output = run_json_command("record", "replay", STORED / name)
+    assert (output["calls"], output["states_checked"]) == (calls, states)
+    info = run_json_command("record", "info", STORED / name)
+    assert (info["content"], info["content_version"], info["name"]) == ("capture", 1, "edge-1")
+    assert info["more"] == {"grades": ["look", "pay", "hold"], "customers": ["acme"]}
+    assert info["indexed"] and info["bytes"] == size and info["lost"]["places"] == 0
+
+
+def test_capture_that_begins_with_settings_has_every_call_of_0_2_except_peer_messages():
     first, *rest = container_records("capture-new.rec")
     kind, settings, _, now = first
     assert (kind, now) == ("new", 1_700_000_000_000_000_000)
@@ -191,27 +196,27 @@
     assert Counter(record[1] for record in rest if record[0] == "call") == NEW_CALLS
 
 
-def test_the_mid_life_capture_begins_with_all_that_can_be_under_way():
+def test_capture_that_begins_with_a_state_has_requests_attempts_and_timers_in_it():
     first, *rest = container_records("capture-mid-life.rec")
-    kind, shape, frozen, operations, dispatches, upstreams, now, last = first
+    kind, shape, pickled, requests, attempts, upstreams, now, last = first
     assert (kind, shape, now) == ("state", "97d25dcfc6463a83", 1_700_000_004_200_000_000)
-    assert (len(operations), len(dispatches), len(upstreams)) == (209, 20, 5)
+    assert (len(requests), len(attempts), len(upstreams)) == (209, 20, 5)
     assert last == [209, 20, 5]
-    words, classes = names_of(frozen)
+    strings, classes = pickled_names(pickled)
     assert {name: classes[name] for name in STATE_CLASSES} == STATE_CLASSES
-    assert TIMERS <= words
+    assert TIMERS <= strings
     calls = [record[1:] for record in rest if record[0] == "call"]
     results = [result for *_, results, _ in calls for result in results]
     assert Counter(name for name, *_ in calls) == MID_LIFE_CALLS
     assert Counter(result[0] for result in results) == MID_LIFE_RESULTS
-    # Dispatches that were out at the beginning end; a probe that was out ends, too.
-    ended = [about[0] for name, _, about, *_ in calls if name == "ended"]
-    assert len(set(ended) & set(dispatches)) == 9
-    assert [about[0] for name, _, about, *_ in calls if name == "probed"] == [5, 5]
+    # Attempts in flight in the state end later, and so does a health check.
+    ended = [arguments[0] for name, _, arguments, *_ in calls if name == "ended"]
+    assert len(set(ended) & set(attempts)) == 9
+    assert [arguments[0] for name, _, arguments, *_ in calls if name == "probed"] == [5, 5]
     assert [result for result in results if result[0] == "probe"] == [["probe", 5]]
-    # Operations that waited at the beginning are shed.
-    shed = {result[1] for result in results if result[0] == "shed"}
-    assert len(shed & set(operations)) == 11
+    # Requests queued in the state are rejected.
+    rejected = {result[1] for result in results if result[0] == "shed"}
+    assert len(rejected & set(requests)) == 11
 
 
 # Traces.
@@ -228,17 +233,17 @@
         ("made.trc", "edge-1", 0, 69),
     ],
 )
-def test_traces_say_whose_they_are_and_lose_nothing(name, balancer, tier, lives):
-    about = told_in_json("trace", "info", STORED / name)
-    assert (about["content"], about["content_version"]) == ("trace", 1)
-    assert (about.get("name", ""), about.get("tier", 0), about["lives"]) == (balancer, tier, lives)
-    assert about["indexed"] and about["lost"]["bytes"] == 0
+def test_trace_files_are_read_completely_with_their_metadata(name, balancer, tier, lives):
+    info = run_json_command("trace", "info", STORED / name)
+    assert (info["content"], info["content_version"]) == ("trace", 1)
+    assert (info.get("name", ""), info.get("tier", 0), info["lives"]) == (balancer, tier, lives)
+    assert info["indexed"] and info["lost"]["bytes"] == 0
     assert len(container_records(name)) == lives
 
 
-def test_a_trace_has_outcomes_reasons_and_upstreams():
-    told = told_in_json("trace", "summary", STORED / "front.trc")
-    assert told["all"]["finals"] == {
+def test_summary_of_a_trace_has_outcomes_reasons_and_upstreams():
+    summary = run_json_command("trace", "summary", STORED / "front.trc")
+    assert summary["all"]["finals"] == {
         "fulfilled": 29,
         "shed": 47,
         "broken off": 1,
@@ -246,18 +251,18 @@
         "left": 1,
         "open": 2,
     }
-    assert {name: row["lives"] for name, row in told["grades"].items()} == {
+    assert {name: row["lives"] for name, row in summary["grades"].items()} == {
         "hold": 29,
         "look": 25,
         "pay": 27,
     }
-    assert told["reasons"] == {
+    assert summary["reasons"] == {
         "shed: not again: overload": 26,
         "shed: waited in vain, no room": 12,
         "shed: waited in vain": 9,
         "broken off: not again: overload": 1,
     }
-    assert {name: row["dispatches"] for name, row in told["upstreams"].items()} == {
+    assert {name: row["dispatches"] for name, row in summary["upstreams"].items()} == {
         "u0:8080": 10,
         "u1:8080": 11,
         "u2:8080": 8,
@@ -265,148 +270,155 @@
         "u4:8080": 12,
         "u5:8080": 9,
     }
-    assert told["customers"] == [
+    assert summary["customers"] == [
         {"customer": "acme", "lives": 81, "too_high_by": 0, "not_served": 52}
     ]
-    back = told_in_json("trace", "summary", STORED / "back.trc")
+    back = run_json_command("trace", "summary", STORED / "back.trc")
     assert back["again"] == {"granted": 3, "goal": 2}
     assert back["all"]["finals"]["late"] == 1 and back["reasons"]["shed: no room"] == 2
 
 
-def test_the_index_finds_lives_by_what_they_are():
-    for words, ids in (
+def test_traces_are_found_by_outcome_id_service_class_and_tenant():
+    for options, ids in (
         (("--outcome", "late"), ["28"]),
         (("--outcome", "broken off"), ["8"]),
         (("--outcome", "left"), ["45"]),
         (("--outcome", "open"), ["79", "80"]),
         (("--id", "18", "--grade", "pay", "--customer", "acme"), ["18"]),
     ):
-        lines = command("trace", "grep", STORED / "front.trc", *words, "--json").splitlines()
+        lines = run_command("trace", "grep", STORED / "front.trc", *options, "--json").splitlines()
         assert [json.loads(line)["id"] for line in lines] == ids
-    command("trace", "grep", STORED / "front.trc", "--customer", "nobody", code=1)
+    run_command("trace", "grep", STORED / "front.trc", "--customer", "nobody", code=1)
 
 
-def test_one_operation_is_shown_across_the_stored_tiers():
+def test_trace_of_a_request_is_shown_across_tiers():
     files = STORED / "front.trc", STORED / "back.trc"
-    lines = command("trace", "show", "18", *files, "--json").splitlines()
+    lines = run_command("trace", "show", "18", *files, "--json").splitlines()
     rows = [json.loads(line) for line in lines]
     assert [(row["depth"], row["balancer"], row["id"]) for row in rows] == [
         (0, "front", "18"),
         (1, "back", "18-0a"),
     ]
-    above, below = rows
-    assert (above["final"], above["reason"]) == ("shed", "not again: overload")
-    assert above["waits"] == [
+    front_row, back_row = rows
+    assert (front_row["final"], front_row["reason"]) == ("shed", "not again: overload")
+    assert front_row["waits"] == [
         {"begun": 0, "until": 155000, "place": 4, "queue": 6, "usable": 0, "end": "sent"}
     ]
-    (sent,) = above["sent"]
-    assert (sent["upstream"], sent["sent"], sent["ended"]) == ("u1:8080", 155000, 355000)
-    assert (sent["outcome"], sent["again"]["verdict"]) == ("full", "overload")
-    assert sent["drawn"]["pair"][0][0] == "u1:8080"
-    assert (below["parent"], below["reason"]) == ("18", "waited in vain")
+    (attempt,) = front_row["sent"]
+    assert (attempt["upstream"], attempt["sent"], attempt["ended"]) == ("u1:8080", 155000, 355000)
+    assert (attempt["outcome"], attempt["again"]["verdict"]) == ("full", "overload")
+    assert attempt["drawn"]["pair"][0][0] == "u1:8080"
+    assert (back_row["parent"], back_row["reason"]) == ("18", "waited in vain")
 
 
 @pytest.mark.parametrize(
-    "name, words",
+    "name, options",
     [
         ("front.jsonl", ("--format", "jsonl")),
         ("front.csv", ("--format", "csv")),
         ("front-hold.otlp.jsonl", ("--format", "otlp", "--grade", "hold")),
     ],
 )
-def test_exports_of_the_stored_trace_are_the_stored_ones_to_the_byte(tmp_path, name, words):
-    command("trace", "export", STORED / "front.trc", *words, "-o", tmp_path / name)
+def test_exports_are_byte_identical_to_those_of_0_2(tmp_path, name, options):
+    run_command("trace", "export", STORED / "front.trc", *options, "-o", tmp_path / name)
     assert (tmp_path / name).read_bytes() == (STORED / name).read_bytes()
 
 
-def test_tools_make_of_the_stored_files_what_they_made_then(tmp_path):
+def test_trace_tools_give_the_same_results_as_in_0_2(tmp_path):
     front, back, key = STORED / "front.trc", STORED / "back.trc", tmp_path / "key"
     key.write_text(STRIP_KEY)
     unserved = "--outcome", "shed", "--outcome", "broken off", "--outcome", "late"
-    command("trace", "cut", front, *unserved, "-o", tmp_path / "cut.trc")
+    run_command("trace", "cut", front, *unserved, "-o", tmp_path / "cut.trc")
     merged = tmp_path / "merged.trc"
-    told = json.loads(command("trace", "merge", front, back, "-o", merged, "--json"))
-    assert (told["lives"], told["doubled"], told["unmatched"]) == (141, 0, 29)
-    assert [(clock["ahead"], clock["pairs"]) for clock in told["clocks"]] == [
+    output = json.loads(run_command("trace", "merge", front, back, "-o", merged, "--json"))
+    assert (output["lives"], output["doubled"], output["unmatched"]) == (141, 0, 29)
+    assert [(clock["ahead"], clock["pairs"]) for clock in output["clocks"]] == [
         (0, 0),
         (3_000_000_000, 31),
     ]
-    command("trace", "strip", front, "--key-file", key, "-o", tmp_path / "out")
+    run_command("trace", "strip", front, "--key-file", key, "-o", tmp_path / "out")
     (tmp_path / "out" / "front.trc").rename(tmp_path / "stripped.trc")
     made = tmp_path / "made.trc"
-    told = told_in_json("trace", "make", STORED / "capture-mid-life.rec", "-o", made)
-    assert (told["lives"], told["calls"], told["differs_at"]) == (69, 391, None)
+    output = run_json_command("trace", "make", STORED / "capture-mid-life.rec", "-o", made)
+    assert (output["lives"], output["calls"], output["differs_at"]) == (69, 391, None)
     for name in "cut.trc", "merged.trc", "stripped.trc", "made.trc":
-        assert exported(tmp_path / name) == exported(STORED / name), name
+        assert export_as_jsonl(tmp_path / name) == export_as_jsonl(STORED / name), name
 
 
-# Keys of requests.
+# Idempotency keys.
 
 
-def key_digest(grade, customer, key):
-    """As docs/formats/repeats-journal.md has it; grade and customer are numbers in decimal."""
+def key_digest(service_class, tenant, key):
+    """Return the digest of a key as in docs/formats/repeats-journal.md.
+
+    ``service_class`` and ``tenant`` are numbers.
+    """
     digest = hashlib.blake2b(digest_size=16)
-    for piece in b"%d" % grade, b"" if customer is None else b"%d" % customer, key.encode():
-        digest.update(b"%d " % len(piece) + piece)
+    for part in b"%d" % service_class, b"" if tenant is None else b"%d" % tenant, key.encode():
+        digest.update(b"%d " % len(part) + part)
     return digest.digest()
 
 
 def journal_records(path):
-    """The head and the records of a segment, read as its format is documented."""
+    """Return the header and the records of a segment, decoded as the format is documented."""
     data = path.read_bytes()
-    magic = b"pepperhook repeats 1\n"
-    assert data.startswith(magic)
-    place, payloads = len(magic), []
-    while place < len(data):
-        size, check, head_check = JOURNAL_HEAD.unpack_from(data, place)
-        assert crc32(data[place : place + 8]) == head_check
-        place += JOURNAL_HEAD.size
-        payload = data[place : place + size]
-        assert crc32(payload) == check
+    signature = b"pepperhook repeats 1\n"
+    assert data.startswith(signature)
+    offset, payloads = len(signature), []
+    while offset < len(data):
+        size, crc, header_crc = JOURNAL_HEADER.unpack_from(data, offset)
+        assert crc32(data[offset : offset + 8]) == header_crc
+        offset += JOURNAL_HEADER.size
+        payload = data[offset : offset + size]
+        assert crc32(payload) == crc
         payloads.append(msgspec.msgpack.decode(payload))
-        place += size
-    head, *groups = payloads
-    return head, [record for group in groups for record in group]
+        offset += size
+    header, *groups = payloads
+    return header, [record for group in groups for record in group]
 
 
-def journal_copy(tmp_path):
+def copy_journal(tmp_path):
     return shutil.copytree(STORED / "journal", tmp_path / "journal")
 
 
-def test_the_journals_segments_hold_what_was_recorded():
-    found = [journal_records(STORED / "journal" / f"{number}.log") for number in (1, 2, 3)]
-    assert {head[0] for head, _ in found} == {"00000000-0000-4000-8000-00000000b007"}
+def test_journal_segments_contain_the_recorded_requests():
+    segments = [journal_records(STORED / "journal" / f"{number}.log") for number in (1, 2, 3)]
+    assert {header[0] for header, _ in segments} == {"00000000-0000-4000-8000-00000000b007"}
     names = {key_digest(*key): key[2] for key in JOURNAL_KEYS}
-    rows = [[(record[0], names[record[1]]) for record in records] for _, records in found]
+    rows = [[(record[0], names[record[1]]) for record in records] for _, records in segments]
     assert rows == JOURNAL_ROWS
-    for _, records in found:
-        for kind, _, _, grade, customer, at, body, content_type in records:
-            assert (grade, customer) in {("pay", "acme"), ("hold", None)} and at > 0
+    for _, records in segments:
+        for kind, _, _, service_class, tenant, at, body, content_type in records:
+            assert (service_class, tenant) in {("pay", "acme"), ("hold", None)} and at > 0
             assert (body is not None) == (kind == 1) == (content_type == "text/plain")
 
 
-def test_recovery_of_the_journal_gives_each_key_its_last_record(tmp_path):
-    found = recovery.recover(journal_copy(tmp_path), 77)
-    assert found.truncated_bytes == 0 and found.has_rebooted
-    kinds = {key: (record.kind, record.body) for key, record in found.records.items()}
-    assert kinds == {
+def test_recovery_of_the_journal_returns_the_last_record_of_each_key(tmp_path):
+    recovered = recovery.recover(copy_journal(tmp_path), 77)
+    assert recovered.truncated_bytes == 0 and recovered.has_rebooted
+    last_records = {key: (record.kind, record.body) for key, record in recovered.records.items()}
+    assert last_records == {
         key_digest(*key): last for key, last in zip(JOURNAL_KEYS, JOURNAL_LAST, strict=True)
     }
-    assert {record.recorded_ns for record in found.records.values()} == {77}, "windows begin anew"
+    assert {record.recorded_ns for record in recovered.records.values()} == {77}, (
+        "key windows begin at the recovery"
+    )
 
 
 @loopback
-async def test_a_start_on_the_journal_answers_what_ended_and_holds_back_what_may_have_run(tmp_path):
-    it = balancers.make_extension(journal=str(journal_copy(tmp_path)), window_s={"hold": 60.0})
+async def test_journal_of_0_2_replays_responses_and_blocks_indeterminate_requests(tmp_path):
+    extension = balancers.make_extension(
+        journal=str(copy_journal(tmp_path)), window_s={"hold": 60.0}
+    )
     async with (
         Peer(lambda _, body: answer(body=b"again " + body)) as peer,
-        balancers.running(peer, it) as balancer,
+        balancers.running(peer, extension) as balancer,
     ):
-        assert it.told()["keys"] == 7, "what never ran is not known any more"
+        assert extension.told()["keys"] == 7, "a key that was not executed is dropped"
 
-        async def pay(key, body, path="/pay", customer="acme"):
-            more = {} if customer is None else {"X_Tenant_Id": customer}
-            return await balancers.pay(balancer, key, path, body, **more)
+        async def pay(key, body, path="/pay", tenant="acme"):
+            headers = {} if tenant is None else {"X_Tenant_Id": tenant}
+            return await balancers.pay(balancer, key, path, body, **headers)
 
         for number in range(3):
             body = b"pay %d" % number
@@ -415,13 +427,13 @@
         for key, body in ("lost-0", b"lost"), ("slow-0", b"slow"), ("slow-1", b"slow"):
             assert await pay(key, body) == (500, b"broken off\n")
         assert (await pay("paid-0", b"something else"))[0] == 422
-        assert not peer.seen, "nothing of these ran again"
+        assert not peer.seen, "no request was executed again"
         assert await pay("never-0", b"never") == (200, b"again never")
         assert await pay("new", b"new") == (200, b"again new")
 
 
-def test_lists_of_members_beside_the_journal_are_known(tmp_path):
-    folder = journal_copy(tmp_path)
+def test_member_lists_in_the_journals_folder_are_loaded(tmp_path):
+    folder = copy_journal(tmp_path)
     older, newer = MemberListHistory(folder).load()
     assert (older.epoch, newer.epoch) == (3, 4) and (older.dead, newer.dead) == ([], ["edge-0"])
     addresses = {member.name: member.address for member in newer.members}
@@ -429,14 +441,14 @@
     assert [member.name for member in older.members] == ["edge-1", "edge-2"]
 
 
-# Versions of the control service.
+# Versions of the control plane.
 
 
 def checksum(version):
-    """Over the fields that count in their order, with sorted keys and no blanks."""
+    """Return the SHA-256 of the signed fields as compact JSON with sorted keys."""
     names = "number", "parent", "author", "reason", "made_ms", "document", "forced"
-    told = [version[name] for name in names]
-    text = json.dumps(told, sort_keys=True, separators=(",", ":"))
+    values = [version[name] for name in names]
+    text = json.dumps(values, sort_keys=True, separators=(",", ":"))
     return hashlib.sha256(text.encode()).hexdigest()
 
 
@@ -444,19 +456,26 @@
     return hmac.new(SECRET.encode(), version["hash"].encode(), hashlib.sha256).hexdigest()
 
 
-def test_the_history_of_versions_is_read_by_number_and_checksum(tmp_path):
+def test_version_history_is_read_with_valid_checksums_and_signatures(tmp_path):
     store = history.HistoryStore(shutil.copy(STORED / "control.db", tmp_path))
-    versions = [msgspec.to_builtins(one) for one in store.versions()]
-    assert [(one["number"], one["parent"], one["author"], one["reason"]) for one in versions] == [
+    versions = [msgspec.to_builtins(version) for version in store.versions()]
+    assert [
+        (version["number"], version["parent"], version["author"], version["reason"])
+        for version in versions
+    ] == [
         (1, 0, "ann", "first limits"),
         (2, 1, "bo", "h1 is repaired"),
         (3, 2, "bo", "back from 2: a trial"),
         (4, 3, "ann", "holiday"),
     ]
-    assert [one["hash"] for one in versions] == VERSION_HASHES
-    for one in versions:
-        assert (one["hash"], one["key"], one["mac"]) == (checksum(one), "k1", signature(one))
-    assert [one["forced"] for one in versions[2:]] == [
+    assert [version["hash"] for version in versions] == VERSION_HASHES
+    for version in versions:
+        assert (version["hash"], version["key"], version["mac"]) == (
+            checksum(version),
+            "k1",
+            signature(version),
+        )
+    assert [version["forced"] for version in versions[2:]] == [
         ["effect", "limit", "method", "step"],
         ["step"],
     ]
@@ -465,7 +484,7 @@
     store.close()
 
 
-def test_a_service_goes_on_from_the_history(tmp_path):
+def test_control_service_continues_from_the_stored_history(tmp_path):
     keys = KeyRing([("k1", SECRET)])
     store = history.HistoryStore(shutil.copy(STORED / "control.db", tmp_path))
     control = service.ControlService(store, keys)
@@ -484,21 +503,21 @@
     assert control.catalog.newest.number == 4
     newest = control.catalog.newest
     request = ProposeRequest(document=newest.document, author="cy", parent=4)
-    made = control.catalog.propose(request)
-    assert made.number == 5
+    proposed = control.catalog.propose(request)
+    assert proposed.number == 5
     control.store.close()
 
 
 @loopback
-async def test_the_last_good_version_is_in_force_without_a_service(tmp_path):
+async def test_last_good_version_applies_without_a_control_service(tmp_path):
     path = shutil.copy(STORED / "last-good.json", tmp_path)
-    told = json.loads(Path(path).read_bytes())
-    assert (told["hash"], told["mac"]) == (checksum(told), signature(told))
-    it = helpers.control_extension("127.0.0.1:9", last_good_file=str(path))
+    version = json.loads(Path(path).read_bytes())
+    assert (version["hash"], version["mac"]) == (checksum(version), signature(version))
+    extension = helpers.control_extension("127.0.0.1:9", last_good_file=str(path))
     async with Peer(lambda *_: answer()) as first, Peer(lambda *_: answer()) as drained:
         dials = [first.dial, drained.dial]
-        async with Running(dials, parts=Extensions([it]), alone=False) as balancer:
-            assert (it.told()["version"], it.told()["connected"]) == (2, "no")
+        async with Running(dials, parts=Extensions([extension]), alone=False) as balancer:
+            assert (extension.told()["version"], extension.told()["connected"]) == (2, "no")
             for _ in range(8):
                 assert (await balancer.ask())[0] == 200
             settings = balancer.node.runtime.policy.settings
@@ -512,17 +531,19 @@
 # Logs.
 
 
-def test_a_chain_is_explained_from_the_stored_log():
-    told = told_in_json("explain", "op7", STORED / "chain.log")
-    steps = [(step["path"], step["depth"], step["service"], step["end"]) for step in told["steps"]]
+def test_call_chain_is_explained_from_a_stored_log():
+    explanation = run_json_command("explain", "op7", STORED / "chain.log")
+    steps = [
+        (step["path"], step["depth"], step["service"], step["end"]) for step in explanation["steps"]
+    ]
     assert steps == [
         ("0", 0, "e", "failed"),
         ("0.1", 1, "m", "failed"),
         ("0.1.1", 2, "z", "failed"),
     ]
-    assert [step["tried"] for step in told["steps"]] == [1, 1, 1]
-    assert [step["carried"] for step in told["steps"]] == [False, True, True]
-    assert {name: row["dispatches"] for name, row in told["services"].items()} == {
+    assert [step["tried"] for step in explanation["steps"]] == [1, 1, 1]
+    assert [step["carried"] for step in explanation["steps"]] == [False, True, True]
+    assert {name: row["dispatches"] for name, row in explanation["services"].items()} == {
         "e": 1,
         "m": 1,
         "z": 1,
