--- a/pepperhook/capture/legacy_state.py
+++ b/pepperhook/capture/legacy_state.py
@@ -162,7 +162,7 @@
 
 
 class LegacyFactory:
-    """Creates stand-ins for the objects of 0.2; a GraphFactory."""
+    """Creates stand-ins for the objects of 0.2 (a GraphFactory)."""
 
     def check_class(self, named: GlobalName) -> None:
         """Check that a class is from a module of 0.2. Raises StateRefusedError."""
--- a/pepperhook/capture/pickle_graph.py
+++ b/pepperhook/capture/pickle_graph.py
@@ -160,6 +160,7 @@
         self.extend_top(self.pop_to_mark())
 
     def extend_top(self, values: list[Any]) -> None:
+        """Append values to the list or deque on top of the stack."""
         top = self.stack[-1]
         if isinstance(top, deque):
             top.extend(values)
@@ -176,6 +177,7 @@
         self.update_top(self.pop_to_mark())
 
     def update_top(self, values: list[Any]) -> None:
+        """Set items of the dict on top of the stack; keys and values alternate."""
         top = self.stack[-1]
         if type(top) is not dict:
             raise StateRefusedError("the state sets items of an object that is not a dict")
@@ -199,6 +201,7 @@
         self.push_global(module, name)
 
     def push_global(self, module: Any, name: Any) -> None:
+        """Push a class name that the factory accepts, or one of the supported functions."""
         if not (isinstance(module, str) and isinstance(name, str)):
             raise StateRefusedError("the state has a class name that is not a string")
         named = GlobalName(module, name)
@@ -207,6 +210,7 @@
         self.stack.append(named)
 
     def reduce(self, _argument: Any) -> None:
+        """Push a bound method, deque, frozenset or enum member; the pickle describes it as a call."""
         arguments, named = self.pop(), self.pop()
         if not (isinstance(named, GlobalName) and type(arguments) is tuple):
             raise StateRefusedError("the state calls an object that is not a class")
@@ -230,6 +234,7 @@
         self.stack.append(self.factory.new_object(named, arguments))
 
     def build(self, _argument: Any) -> None:
+        """Set the fields of the object below the top from the state on top."""
         stored = self.pop()
         self.factory.set_fields(self.stack[-1], stored)
 
--- a/pepperhook/capture/state_factory.py
+++ b/pepperhook/capture/state_factory.py
@@ -51,7 +51,7 @@
 
 
 class StateFactory:
-    """Creates objects of the classes that a build's policy consists of; a GraphFactory."""
+    """Creates objects of the classes that a build's policy consists of (a GraphFactory)."""
 
     def __init__(self, build: PolicyBuild) -> None:
         """Create objects of the classes of ``build``."""
@@ -73,7 +73,7 @@
         kind = self.classes[named]
         if issubclass(kind, tuple):
             if len(arguments) != len(getattr(kind, "_fields", ())):
-                raise StateRefusedError(f"{named.name}: a tuple of {len(arguments)} values")
+                raise StateRefusedError(f"{named.name}: the tuple has {len(arguments)} values")
             return tuple.__new__(kind, arguments)
         if arguments or issubclass(kind, Enum):
             raise StateRefusedError(f"{named.name}: the object is created with arguments")
@@ -103,12 +103,12 @@
             raise StateRefusedError(
                 "the state sets fields of a value that is not a policy's object"
             )
-        for name, value in _fields(target, stored):
+        for name, value in _stored_fields(target, stored):
             _check_field(type(target), name)
             object.__setattr__(target, name, value)
 
 
-def _fields(target: Any, stored: Any) -> list[tuple[Any, Any]]:
+def _stored_fields(target: Any, stored: Any) -> list[tuple[Any, Any]]:
     """Return the names and values of stored fields.
 
     They are stored as a dict, as a pair of dicts (attributes and slots; either may be None), or for
--- a/tests/capture/captured_world.py
+++ b/tests/capture/captured_world.py
@@ -8,7 +8,8 @@
 from pepperhook.capture import policy_build
 from pepperhook.capture.recorder import Recorder
 from pepperhook.container import ContainerWriter, FileMetadata
-from tests.world import MS, World
+from pepperhook.units import MILLISECOND
+from tests.world import World
 
 POLICY_FOLDER = Path(pepperhook.policy.__file__).parent
 
@@ -34,10 +35,10 @@
     def write_record(self, record, now, _request_id):
         self.writer.append(record, now)
 
-    def step(self, span=2 * MS):
+    def step(self, duration_ns=2 * MILLISECOND):
         if self.state_chance and self.random.random() < self.state_chance:
             self.recorder.write_state(self.now)
-        super().step(span)
+        super().step(duration_ns)
 
 
 def changed_policy(tmp_path, module, before, after):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -130,9 +130,9 @@
 def container_records(name):
     """Return all records of a file, decoded as in docs/formats/record.md, not by the program."""
     data = (STORED / name).read_bytes()
-    signature = b"pepperhook record 1\n"
-    assert data.startswith(signature)
-    offset, records = len(signature), []
+    file_signature = b"pepperhook record 1\n"
+    assert data.startswith(file_signature)
+    offset, records = len(file_signature), []
     while offset < len(data):
         block_type, length, raw_length, crc, header_crc = BLOCK_HEADER.unpack_from(data, offset)
         assert crc32(data[offset : offset + BLOCK_HEADER.size - 4]) == header_crc
@@ -362,9 +362,9 @@
 def journal_records(path):
     """Return the header and the records of a segment, decoded as the format is documented."""
     data = path.read_bytes()
-    signature = b"pepperhook repeats 1\n"
-    assert data.startswith(signature)
-    offset, payloads = len(signature), []
+    file_signature = b"pepperhook repeats 1\n"
+    assert data.startswith(file_signature)
+    offset, payloads = len(file_signature), []
     while offset < len(data):
         size, crc, header_crc = JOURNAL_HEADER.unpack_from(data, offset)
         assert crc32(data[offset : offset + 8]) == header_crc
