--- a/pepperhook/capture/pickle_graph.py
+++ b/pepperhook/capture/pickle_graph.py
@@ -210,7 +210,7 @@
         self.stack.append(named)
 
     def reduce(self, _argument: Any) -> None:
-        """Push a bound method, deque, frozenset or enum member; the pickle describes it as a call."""
+        """Push a bound method, deque, frozenset or enum member, which pickles store as calls."""
         arguments, named = self.pop(), self.pop()
         if not (isinstance(named, GlobalName) and type(arguments) is tuple):
             raise StateRefusedError("the state calls an object that is not a class")
