--- a/pepperhook/capture/driver.py
+++ b/pepperhook/capture/driver.py
@@ -1,11 +1,21 @@
-"""Repeats the calls of a capture on a policy, with the objects that its host would have."""
+"""Repeats the calls of a capture on a policy, in place of the host.
+
+The host is the process that calls the policy, such as the server. It shares requests, attempts and
+upstreams with the policy; a capture refers to them by number.
+"""
 
 from collections.abc import Callable, Sequence
 from typing import Any
 
 from pepperhook.actions import StartAttempt
 from pepperhook.capture import policy_build, state, stored_settings
-from pepperhook.capture.recorder import ObjectNumbers, ended_requests, request_of_call
+from pepperhook.capture.recorder import (
+    LAST_REQUEST,
+    LAST_UPSTREAM,
+    ObjectNumbers,
+    ended_requests,
+    request_of_call,
+)
 from pepperhook.capture.state_errors import StateRefusedError
 from pepperhook.capture.watched_actions import WatchedActions
 from pepperhook.domain import (
@@ -21,7 +31,7 @@
 
 
 class Driver:
-    """One policy under replay, with the objects that its host would have."""
+    """One policy under replay, with the objects that its host would share with it."""
 
     def __init__(self, make_policy: Callable[..., Any]) -> None:
         """Replay on policies created by ``make_policy``, which may be a PolicyBuild."""
@@ -30,9 +40,9 @@
         self.settings = Settings()
         self.calls = 0
         self.watched_actions: WatchedActions | None = None
-        self.clear()
+        self.clear_objects()
 
-    def clear(self) -> None:
+    def clear_objects(self) -> None:
         """Drop all requests, attempts and upstreams, and their numbers."""
         self.requests: dict[int, Request] = {}
         self.attempts: dict[int, Attempt] = {}
@@ -43,12 +53,13 @@
         """Create a new policy from the fields of a ``new`` record."""
         self.settings = stored_settings.decode(settings)
         self.policy = self.build.make_policy(self.settings, seed, now)
-        self.clear()
+        self.clear_objects()
 
     def restore_state(self, shape: str, data: bytes, *fields: Any) -> None:
         """Restore a policy from the fields of a ``state`` record.
 
-        Raises StateRefusedError, also if this build's policy has another shape.
+        ``fields`` are the numbers of requests, attempts and upstreams, the time and the last
+        numbers. Raises StateRefusedError, also if this build's policy has another shape.
         """
         policy, objects = state.deserialize(data, self.build, shape)
         try:
@@ -68,7 +79,7 @@
             raise StateRefusedError(text)
         self.policy = policy
         self.settings = policy.settings
-        self.clear()
+        self.clear_objects()
         self.numbers.last = list(last_numbers)
         numbers = self.numbers
         for by_number, numbers_by_object, restored, stored_numbers in (
@@ -84,7 +95,7 @@
         """Create the upstream of an ``upstream`` record."""
         upstream = self.upstreams[number] = Upstream(*fields)
         self.numbers.upstreams[upstream] = number
-        self.numbers.last[2] = number
+        self.numbers.last[LAST_UPSTREAM] = number
 
     def add_request(self, number: int, request_id: Any, stored_class: Any, *fields: Any) -> None:
         """Create the request of an ``operation`` record.
@@ -99,11 +110,11 @@
             service_class = stored_settings.decode_class(stored_class)
         request = self.requests[number] = Request(request_id, service_class, *other_fields)
         self.numbers.requests[request] = number
-        self.numbers.last[0] = number
+        self.numbers.last[LAST_REQUEST] = number
 
     def decode_arguments(self, name: str, stored: list[Any]) -> list[Any]:
         """Convert the stored arguments of a call to those that the policy takes."""
-        first, *rest = stored or [None]
+        first, *rest = stored or [None]  # some calls have no arguments
         arguments = list(stored)
         match name:
             case "endpoints_changed":
@@ -165,7 +176,7 @@
             self.policy.actions = []
         for action in actions:
             if isinstance(action, StartAttempt) and action.attempt not in self.numbers.attempts:
-                self.attempts[self.numbers.attempt(action.attempt)] = action.attempt
+                self.attempts[self.numbers.number_attempt(action.attempt)] = action.attempt
         encoded = self.numbers.encode_actions(actions)
         for request in ended_requests(name, request_of_call(name, tuple(arguments)), actions):
             self.release(request)
@@ -194,7 +205,10 @@
 
 
 def _check_timers(policy: Any) -> None:
-    """Refuse a state with a repeating timer of period zero: a wake-up would never end."""
+    """Refuse a state with a repeating timer that has no positive period.
+
+    The policy would run the timer again and again within one wake-up.
+    """
     for _, _, callback, argument in policy.timers:
         if callback.__name__ == policy.repeat.__name__ and not argument[0] > 0:
             raise StateRefusedError("a repeating timer has no positive period")
--- a/pepperhook/capture/extension.py
+++ b/pepperhook/capture/extension.py
@@ -1,9 +1,9 @@
 """The extension that captures a balancer's calls to its policy in a ring of segments on disk.
 
-Each segment begins with the start of the policy or its complete state, so it can be replayed alone.
-A separate thread compresses and writes. If it falls behind, records are dropped and counted; as a
-segment with such a gap cannot be replayed past it, a new segment begins after the gap. SIGUSR2
-preserves the segments of the ring.
+Each segment begins with the start of the policy or its complete state, so it can be replayed
+without the other segments. A separate thread compresses and writes. If it falls behind, records are
+dropped and counted. As a segment cannot be replayed past such a gap, a new segment begins after it.
+SIGUSR2 preserves the segments of the ring.
 """
 
 import time
@@ -76,12 +76,15 @@
         """Return the counters for the log."""
         return {
             "name": "record",
-            "calls": self.recorder.record_count if self.recorder else 0,
+            "calls": self.recorder.record_count if self.recorder else 0,  # records of all kinds
             **self.ring.log_fields(),
         }
 
     def write(self, record: bytes, now: int, _request_id: object) -> None:
-        """Write a record of the recorder; ``now`` is 0 if it belongs to a call recorded next."""
+        """Write a record of the recorder.
+
+        ``now`` is 0 for the record of an object, which precedes the record of its call.
+        """
         self._add_to_batch(record, now)
         if not now or self._is_writing_state or self.recorder is None:
             return
--- a/pepperhook/capture/legacy_state.py
+++ b/pepperhook/capture/legacy_state.py
@@ -36,11 +36,11 @@
 SHAPES = frozenset(("97d25dcfc6463a83",))  # of the states that 0.2 stored
 MODULES = ("pepperhook.model", "pepperhook.policy")  # of the classes that 0.2 stored
 # Attributes that 0.2 did not store: a replayed policy has values for them, a converted state has
-# defaults.
+# defaults, so a comparison of the two ignores them.
 MISSING_ATTRIBUTES = frozenset(
     ("good_until", "health_check_began_at", "is_confirmed", "planned_at", "shown_ready_at")
 )
-KEEP_GONE_NS = 60 * 10**9  # EndpointRing.keep_gone_ns in 0.2
+KEEP_GONE_NS = 60 * 10**9  # how long 0.2 kept the position of an upstream that was gone
 # For each class: the attribute names of 0.2, mapped to the current ones.
 MOMENTS = {
     "span": "span_ns",
@@ -164,22 +164,27 @@
 class LegacyFactory:
     """Creates stand-ins for the objects of 0.2 (a GraphFactory)."""
 
-    def check_class(self, named: GlobalName) -> None:
+    def check_class(self, global_name: GlobalName) -> None:
         """Check that a class is from a module of 0.2. Raises StateRefusedError."""
-        if named.module not in MODULES:
-            text = f"the state names {named.module}.{named.name}, which is not part of a policy"
+        if global_name.module not in MODULES:
+            text = (
+                f"the state names {global_name.module}.{global_name.name}, "
+                "which is not part of a policy"
+            )
             raise StateRefusedError(text)
 
-    def new_object(self, named: GlobalName, arguments: tuple[Any, ...]) -> LegacyObject:
+    def new_object(self, global_name: GlobalName, arguments: tuple[Any, ...]) -> LegacyObject:
         """Return a stand-in without attributes. Raises StateRefusedError if there are arguments."""
         if arguments:
-            raise StateRefusedError(f"{named.name}: the object is created with arguments")
-        stand_in: LegacyObject = legacy_class(named.name)()
+            raise StateRefusedError(f"{global_name.name}: the object is created with arguments")
+        stand_in: LegacyObject = legacy_class(global_name.name)()
         return stand_in
 
-    def enum_member(self, named: GlobalName, _arguments: tuple[Any, ...]) -> Any:
+    def enum_member(self, global_name: GlobalName, _arguments: tuple[Any, ...]) -> Any:
         """Raise StateRefusedError: states of 0.2 contain no enum members."""
-        raise StateRefusedError(f"the state calls {named.module}.{named.name}")
+        raise StateRefusedError(
+            f"the state calls {global_name.module}.{global_name.name}, which is not allowed"
+        )
 
     def bound_method(self, owner: Any, name: str) -> LegacyMethod:
         """Return a stand-in for a bound method; the converter looks its name up in CALLBACKS."""
@@ -196,11 +201,11 @@
     """Return the policy of a state of 0.2, and the host's requests, attempts and upstreams."""
     legacy_policy, (requests, attempts, upstreams) = pickle_graph.read(data, LegacyFactory())
     converter = Converter(build)
-    policy = converter.balancer(legacy_policy)
+    policy = converter.convert_policy(legacy_policy)
     host_objects = (
-        [converter.request(request) for request in requests],
-        [converter.attempt(attempt) for attempt in attempts],
-        [converter.upstream(upstream) for upstream in upstreams],
+        [converter.convert_request(request) for request in requests],
+        [converter.convert_attempt(attempt) for attempt in attempts],
+        [converter.convert_upstream(upstream) for upstream in upstreams],
     )
     return policy, host_objects
 
@@ -234,17 +239,17 @@
         for old_name, name in names.items():
             setattr(new, name, getattr(old, old_name))
 
-    def moments(self, old: Any) -> DecayingMoments:
+    def convert_moments(self, old: Any) -> DecayingMoments:
         """Convert decaying moments."""
         return self.convert_once(
             old, DecayingMoments, lambda a, b: self.copy_attributes(a, b, MOMENTS)
         )
 
-    def mean(self, old: Any) -> DecayingMean:
+    def convert_mean(self, old: Any) -> DecayingMean:
         """Convert a decaying mean."""
         return self.convert_once(old, DecayingMean, lambda a, b: self.copy_attributes(a, b, MEAN))
 
-    def service_class(self, old: dict[str, Any]) -> ServiceClass:
+    def convert_service_class(self, old: dict[str, Any]) -> ServiceClass:
         """Convert the dict of a service class."""
         if id(old) in self.converted:
             existing: ServiceClass = self.converted[id(old)]
@@ -252,17 +257,17 @@
         new = self.converted[id(old)] = stored_settings.decode_class(old)
         return new
 
-    def request(self, old: Any) -> Request:
+    def convert_request(self, old: Any) -> Request:
         """Convert a request with its attempts."""
         return self.convert_once(old, Request, self.fill_request)
 
     def fill_request(self, old: Any, new: Request) -> None:
         """Set the attributes of a converted request."""
         self.copy_attributes(old, new, REQUEST)
-        new.service_class = self.service_class(old.grade)
-        new.attempts = [self.attempt(attempt) for attempt in old.dispatches]
+        new.service_class = self.convert_service_class(old.grade)
+        new.attempts = [self.convert_attempt(attempt) for attempt in old.dispatches]
 
-    def attempt(self, old: Any) -> Attempt:
+    def convert_attempt(self, old: Any) -> Attempt:
         """Convert an attempt."""
         return self.convert_once(old, Attempt, self.fill_attempt)
 
@@ -270,11 +275,11 @@
         """Set the attributes of a converted attempt."""
         self.copy_attributes(old, new, ATTEMPT)
         new.outcome = None if old.outcome is None else OUTCOME_OF[old.outcome]
-        new.upstream = self.upstream(old.upstream)
-        new.request = self.request(old.operation)
+        new.upstream = self.convert_upstream(old.upstream)
+        new.request = self.convert_request(old.operation)
 
-    def upstream(self, old: Any) -> Upstream:
-        """Convert an upstream; its statistics stay unset if no endpoint list has named it."""
+    def convert_upstream(self, old: Any) -> Upstream:
+        """Convert an upstream; its statistics stay unset if it was in no endpoint list yet."""
         return self.convert_once(old, Upstream, self.fill_upstream)
 
     def fill_upstream(self, old: Any, new: Upstream) -> None:
@@ -285,16 +290,16 @@
         new.health_check_began_at = new.shown_ready_at = 0  # 0.2 did not store them
         for old_name, name in UPSTREAM_STATISTICS.items():
             if new.is_known:
-                setattr(new, name, self.moments(getattr(old, old_name)))
-        new.in_flight = {self.attempt(attempt): True for attempt in old.pending}
+                setattr(new, name, self.convert_moments(getattr(old, old_name)))
+        new.in_flight = {self.convert_attempt(attempt): True for attempt in old.pending}
 
-    def balancer(self, old: Any) -> Any:
+    def convert_policy(self, old: Any) -> Any:
         """Convert the policy itself."""
-        policy_class: Any = self.build.make_policy
+        policy_class: Any = self.build.make_policy  # has to be the class here
         new = self.policy = policy_class.__new__(policy_class)
         new.seed, new.now, new.counter = old.seed, old.now, old.counter
         new.actions, new.notes, new.next_wake_at = [], None, old.wanted
-        new.settings = stored_settings.decode(old.settings, self.service_class)
+        new.settings = stored_settings.decode(old.settings, self.convert_service_class)
         new.fleet_size, new.index = old.balancers, old.index
         for name, path in COMPONENTS.items():
             module, _, kind_name = path.rpartition(".")
@@ -307,19 +312,21 @@
         link(*(getattr(new, name) for name in PIPELINE))
         self.fill_stages(old, new)
         self.fill_selection(old.pick, new)
-        new.timers = [self.timer(*row) for row in old.agenda]
+        new.timers = [self.convert_timer(*row) for row in old.agenda]
         return new
 
     def fill_stages(self, old: Any, new: Any) -> None:
         """Set the state of the stages and of the endpoint polls."""
         self.fill_completion(old.answers, new.completion)
-        new.priority.tenant_rates = [self.moments(rate) for rate in old.answers.inner.asked]
-        new.admission.queue = ValueQueue(self.request(request) for request in old.gate.queue)
+        new.priority.tenant_rates = [self.convert_moments(rate) for rate in old.answers.inner.asked]
+        new.admission.queue = ValueQueue(
+            self.convert_request(request) for request in old.gate.queue
+        )
         budget = new.retry_budget
         budget.B, budget.f, budget.f_by_class = old.budget.B, old.budget.f, list(old.budget.grades)
-        budget.rate = self.moments(old.budget.rate)
-        budget.steady_rate = self.moments(old.budget.steady)
-        budget.rejections = self.moments(old.budget.refused)
+        budget.rate = self.convert_moments(old.budget.rate)
+        budget.steady_rate = self.convert_moments(old.budget.steady)
+        budget.rejections = self.convert_moments(old.budget.refused)
         endpoints, discovery = new.endpoints, old.discovery
         endpoints.polls = bool(discovery.asks)
         endpoints.is_watching = endpoints.is_confirmed = discovery.watching
@@ -335,8 +342,8 @@
         new.unserved = UnservedRequests(len(old.unserved), old.unserved[0].maxlen)
         for requests, rows in zip(new.unserved.by_class, old.unserved, strict=True):
             requests.extend(UnservedRequest(*row) for row in rows)
-        new.given_up = self.moments(old.ends)
-        new.client_waits = self.moments(old.backs)
+        new.given_up = self.convert_moments(old.ends)
+        new.client_waits = self.convert_moments(old.backs)
         new.margin = old.lead
 
     def fill_selection(self, old: Any, new: Any) -> None:
@@ -344,39 +351,46 @@
         subset, capacity = new.subset, new.capacity
         times = new.service_times = ServiceTimes(SERVICE_TIMES, (), 0)
         times.best = list(old.best)
-        times.durations = [self.moments(moments) for moments in old.grades]
-        times.costs = [self.moments(moments) for moments in old.costs]
-        subset.ring = self.ring(old)
-        subset.same_zone = [self.upstream(upstream) for upstream in old.home]
-        subset.members = [self.upstream(upstream) for upstream in old.members]
+        times.durations = [self.convert_moments(moments) for moments in old.grades]
+        times.costs = [self.convert_moments(moments) for moments in old.costs]
+        subset.ring = self.convert_ring(old)
+        subset.same_zone = [self.convert_upstream(upstream) for upstream in old.home]
+        subset.members = [self.convert_upstream(upstream) for upstream in old.members]
         subset.demand, subset.fair_share = old.out, old.part
-        capacity.level = self.mean(old.mean_out)
+        capacity.level = self.convert_mean(old.mean_out)
         capacity.latency_pressure = old.crowd
-        capacity.values = self.moments(old.values)
+        capacity.values = self.convert_moments(old.values)
         new.load_queries.enabled = bool(old.sees)
         new.load_queries.running = {
-            self.request(request): [self.upstream(upstream) for upstream in queried]
+            self.convert_request(request): [self.convert_upstream(upstream) for upstream in queried]
             for request, queried in old.looks.items()
         }
 
-    def ring(self, old: Any) -> EndpointRing:
+    def convert_ring(self, old: Any) -> EndpointRing:
         """Convert the endpoint list."""
         new = EndpointRing(KEEP_GONE_NS)
-        new.listed = {self.upstream(upstream): at for upstream, at in old.listed.items()}
-        new.seen = {self.upstream(upstream): at for upstream, at in old.seen.items()}
-        new.positions = [self.upstream(upstream) for upstream in old.places]
-        new.ready = [self.upstream(upstream) for upstream in old.ring]
+        new.listed = {self.convert_upstream(upstream): at for upstream, at in old.listed.items()}
+        new.seen = {self.convert_upstream(upstream): at for upstream, at in old.seen.items()}
+        new.positions = [self.convert_upstream(upstream) for upstream in old.places]
+        new.ready = [self.convert_upstream(upstream) for upstream in old.ring]
         return new
 
-    def timer(self, at: int, counter: int, method: LegacyMethod, stored: Any) -> tuple[Any, ...]:
+    def convert_timer(
+        self, at: int, counter: int, method: LegacyMethod, stored: Any
+    ) -> tuple[Any, ...]:
         """Convert a timer with its argument: a repeated call, a request or None."""
         if method.name == "due":
             period, repeated = stored
-            return at, counter, self.callback(method), (period, self.callback(repeated))
-        argument = None if stored is None else self.request(stored)
-        return at, counter, self.callback(method), argument
-
-    def callback(self, method: LegacyMethod) -> Any:
+            return (
+                at,
+                counter,
+                self.convert_callback(method),
+                (period, self.convert_callback(repeated)),
+            )
+        argument = None if stored is None else self.convert_request(stored)
+        return at, counter, self.convert_callback(method), argument
+
+    def convert_callback(self, method: LegacyMethod) -> Any:
         """Return the current method for a timer callback of 0.2."""
         component, name = CALLBACKS[method.name]
         owner = getattr(self.policy, component) if component else self.policy
--- a/pepperhook/capture/pickle_graph.py
+++ b/pepperhook/capture/pickle_graph.py
@@ -1,9 +1,9 @@
 """Reads the pickles of states as pure data: nothing that a pickle names is ever called.
 
 The standard library's unpickler calls what a pickle names, with arguments from the pickle. Allowing
-only certain names is not enough, as these give access to everything reachable from them. This
-reader supports only the opcodes that build data. A factory creates the classes, objects and bound
-methods that a pickle describes, and accepts only those in its fixed tables.
+only certain names is not enough: from an allowed class, everything reachable through its attributes
+can be called. This reader supports only the opcodes that build data. A factory creates the objects
+and bound methods that a pickle describes, and accepts only classes and methods in fixed tables.
 """
 
 import pickletools
@@ -31,13 +31,13 @@
 class GraphFactory(Protocol):
     """Creates what a pickle describes. Each method raises StateRefusedError for unknown names."""
 
-    def check_class(self, named: GlobalName) -> None:
-        """Check that a class may be named."""
+    def check_class(self, global_name: GlobalName) -> None:
+        """Check that a state may contain a class of this name."""
 
-    def new_object(self, named: GlobalName, arguments: tuple[Any, ...]) -> Any:
+    def new_object(self, global_name: GlobalName, arguments: tuple[Any, ...]) -> Any:
         """Return a new object of a class; ``set_fields`` sets its fields later."""
 
-    def enum_member(self, named: GlobalName, arguments: tuple[Any, ...]) -> Any:
+    def enum_member(self, global_name: GlobalName, arguments: tuple[Any, ...]) -> Any:
         """Return the member of an enum class with this value."""
 
     def set_fields(self, target: Any, stored: Any) -> None:
@@ -48,7 +48,7 @@
 
 
 class _Mark:
-    """Marks the begin of a sequence of values on the stack."""
+    """Marks the beginning of a sequence of values on the stack."""
 
 
 MARK = _Mark()
@@ -94,9 +94,12 @@
         return result
 
     @staticmethod
-    def refuse(named: GlobalName) -> None:
+    def refuse(global_name: GlobalName) -> None:
         """Raise StateRefusedError for a name."""
-        text = f"the state names {named.module}.{named.name}, which is not part of a policy"
+        text = (
+            f"the state names {global_name.module}.{global_name.name}, "
+            "which is not part of a policy"
+        )
         raise StateRefusedError(text)
 
     def pop(self) -> Any:
@@ -204,34 +207,34 @@
         """Push a class name that the factory accepts, or one of the supported functions."""
         if not (isinstance(module, str) and isinstance(name, str)):
             raise StateRefusedError("the state has a class name that is not a string")
-        named = GlobalName(module, name)
-        if named not in (GETATTR, DEQUE, FROZENSET):
-            self.factory.check_class(named)
-        self.stack.append(named)
+        global_name = GlobalName(module, name)
+        if global_name not in (GETATTR, DEQUE, FROZENSET):
+            self.factory.check_class(global_name)
+        self.stack.append(global_name)
 
     def reduce(self, _argument: Any) -> None:
         """Push a bound method, deque, frozenset or enum member, which pickles store as calls."""
-        arguments, named = self.pop(), self.pop()
-        if not (isinstance(named, GlobalName) and type(arguments) is tuple):
-            raise StateRefusedError("the state calls an object that is not a class")
-        if named == GETATTR:
+        arguments, global_name = self.pop(), self.pop()
+        if not (isinstance(global_name, GlobalName) and type(arguments) is tuple):
+            raise StateRefusedError("the state contains a call of something that is not a class")
+        if global_name == GETATTR:
             owner, name = arguments
             result = self.factory.bound_method(owner, name)
-        elif named == DEQUE:
+        elif global_name == DEQUE:
             result = _deque(*arguments)
-        elif named == FROZENSET:
+        elif global_name == FROZENSET:
             result = _frozenset(*arguments)
         else:
-            result = self.factory.enum_member(named, arguments)
+            result = self.factory.enum_member(global_name, arguments)
         self.stack.append(result)
 
     def new_object(self, _argument: Any) -> None:
-        arguments, named = self.pop(), self.pop()
-        if not (isinstance(named, GlobalName) and type(arguments) is tuple):
+        arguments, global_name = self.pop(), self.pop()
+        if not (isinstance(global_name, GlobalName) and type(arguments) is tuple):
             raise StateRefusedError("the state creates an object of something that is not a class")
-        if named in (GETATTR, DEQUE, FROZENSET):
-            self.refuse(named)
-        self.stack.append(self.factory.new_object(named, arguments))
+        if global_name in (GETATTR, DEQUE, FROZENSET):
+            self.refuse(global_name)
+        self.stack.append(self.factory.new_object(global_name, arguments))
 
     def build(self, _argument: Any) -> None:
         """Set the fields of the object below the top from the state on top."""
--- a/pepperhook/capture/policy_build.py
+++ b/pepperhook/capture/policy_build.py
@@ -1,4 +1,4 @@
-"""Policies for a replay: this build's own, or one from a modified copy of ``pepperhook/policy``."""
+"""Policies for a replay: the running program's, or that of a modified ``pepperhook/policy``."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     """A factory of policies, and the classes that they consist of."""
 
     def __init__(self, make_policy: Callable[..., Any], modules: dict[str, ModuleType]) -> None:
-        """``modules``, by name, replace those of this build."""
+        """``modules``, by name, replace those of the running program."""
         self.make_policy = make_policy
         self.modules = modules
 
@@ -53,7 +53,7 @@
     entry = path / "__init__.py"
     if not entry.is_file():
         raise UnreadableFileError(
-            f"{path}: can't be used as a policy: it is not a copy of the package"
+            f"{path}: can't be used as a policy: it is not a copy of pepperhook/policy"
         )
     with isolated_policy_modules():
         try:
@@ -76,18 +76,18 @@
 
 
 def loaded_policy_modules() -> list[str]:
-    """Return the names of the imported modules that a policy consists of."""
-    return [name for name in sys.modules if name == BALANCER_MODULE or is_policy_module(name)]
+    """Return the names of the imported modules of the policy: its package and the balancer."""
+    return [name for name in sys.modules if name == BALANCER_MODULE or is_in_policy_package(name)]
 
 
-def is_policy_module(module_name: str) -> bool:
+def is_in_policy_package(module_name: str) -> bool:
     """Return whether a module is in the package ``pepperhook.policy``."""
     return module_name == POLICY_PACKAGE or module_name.startswith(POLICY_PACKAGE + ".")
 
 
 @contextmanager
 def isolated_policy_modules() -> Iterator[None]:
-    """Import the policy's modules anew within the context, and restore this build's on exit."""
+    """Import the policy's modules anew within the context, and restore the present ones on exit."""
     own_modules = {name: sys.modules.pop(name) for name in loaded_policy_modules()}
     package = getattr(pepperhook, "policy", None)
     try:
@@ -96,5 +96,6 @@
         for name in loaded_policy_modules():
             del sys.modules[name]
         sys.modules.update(own_modules)
+        # An import also sets a submodule as an attribute of its package.
         pepperhook.policy = package  # type: ignore[attr-defined]
         pepperhook.balancer = balancer
--- a/pepperhook/capture/reader.py
+++ b/pepperhook/capture/reader.py
@@ -23,8 +23,8 @@
         problem = f"holds a {metadata.content}, no capture"
     elif metadata.content_version > CONTENT_VERSION:
         problem = (
-            f"its captures have version {metadata.content_version}; "
-            f"this program reads up to {CONTENT_VERSION}"
+            f"has capture version {metadata.content_version}; "
+            f"this program reads up to capture version {CONTENT_VERSION}"
         )
     if problem is not None:
         reader.close()
--- a/pepperhook/capture/recorder.py
+++ b/pepperhook/capture/recorder.py
@@ -12,9 +12,11 @@
     ["operation", number, id, class or null, tenant, key, deadline, cost, retry, class number]
     ["call", name, now, arguments, results, fault or null]
 
-An ``operation`` is a request. In a ``state``, ``requests``, ``attempts`` and ``upstreams`` are the
-numbers of the objects in the state, and ``last`` has the last number of each kind that was given.
-Results are the returned actions; a fault is the class name of the exception that was raised.
+An ``operation`` is a request; its class is null if the settings have the same class under the class
+number, and its key is the idempotency key. In a ``state``, ``requests``, ``attempts`` and
+``upstreams`` are the numbers of the objects in the state, and ``last`` contains the last number
+assigned to a request, an attempt and an upstream. Results are the returned actions; a fault is the
+class name of the exception that was raised. Times and costs are in nanoseconds.
 """
 
 from collections.abc import Callable, Iterable
@@ -41,8 +43,9 @@
 from pepperhook.stored_words import ACTIONS, CALLS, OUTCOMES
 
 ENCODER = msgspec.msgpack.Encoder()
-WriteRecord = Callable[[list[Any]], None]
-Write = Callable[[bytes, int, object], None]
+WriteObjectRecord = Callable[[list[Any]], None]  # the record of a request or an upstream
+WriteFramedRecord = Callable[[bytes, int, object], None]  # record, time, request id
+LAST_REQUEST, LAST_ATTEMPT, LAST_UPSTREAM = range(3)  # indexes of ObjectNumbers.last
 
 
 class ObjectNumbers:
@@ -53,36 +56,38 @@
         self.requests: dict[Request, int] = {}
         self.attempts: dict[Attempt, int] = {}
         self.upstreams: dict[Upstream, int] = {}
-        self.last = [0, 0, 0]  # last number of a request, an attempt and an upstream
+        self.last = [0, 0, 0]  # numbers assigned last, by LAST_REQUEST and so on
 
-    def upstream(self, upstream: Upstream, write_record: WriteRecord | None = None) -> int:
-        """Return an upstream's number, a new one if it has none.
+    def number_upstream(
+        self, upstream: Upstream, write_record: WriteObjectRecord | None = None
+    ) -> int:
+        """Return the number of an upstream; assign the next number if it has none.
 
         ``write_record`` receives the record of an upstream with a new number.
         """
         number = self.upstreams.get(upstream)
         if number is None:
-            self.last[2] += 1
-            number = self.upstreams[upstream] = self.last[2]
+            self.last[LAST_UPSTREAM] += 1
+            number = self.upstreams[upstream] = self.last[LAST_UPSTREAM]
             if write_record is not None:
                 fields = [upstream.zone, upstream.cell, upstream.units, upstream.kind]
                 write_record(["upstream", number, upstream.address, *fields])
         return number
 
-    def request(
+    def number_request(
         self,
         request: Request,
-        write_record: WriteRecord | None = None,
+        write_record: WriteObjectRecord | None = None,
         settings: Settings | None = None,
     ) -> int:
-        """Return a request's number, a new one if it has none.
+        """Return the number of a request; assign the next number if it has none.
 
         ``write_record`` receives the record of a request with a new number.
         """
         number = self.requests.get(request)
         if number is None:
-            self.last[0] += 1
-            number = self.requests[request] = self.last[0]
+            self.last[LAST_REQUEST] += 1
+            number = self.requests[request] = self.last[LAST_REQUEST]
             if write_record is not None:
                 write_record(["operation", number, *self.request_fields(request, settings)])
         return number
@@ -100,12 +105,12 @@
         fields = [request.tenant, key, request.deadline, request.cost_ns, request.is_retry]
         return [request.id, stored, *fields, number]
 
-    def attempt(self, attempt: Attempt) -> int:
-        """Return an attempt's number, a new one if it has none."""
+    def number_attempt(self, attempt: Attempt) -> int:
+        """Return the number of an attempt; assign the next number if it has none."""
         number = self.attempts.get(attempt)
         if number is None:
-            self.last[1] += 1
-            number = self.attempts[attempt] = self.last[1]
+            self.last[LAST_ATTEMPT] += 1
+            number = self.attempts[attempt] = self.last[LAST_ATTEMPT]
         return number
 
     def release(self, request: Request) -> None:
@@ -123,17 +128,20 @@
         stored: list[Any] = []
         match action:
             case StartAttempt(attempt, timeout_ns):
-                number = self.attempt(attempt)
-                context = [self.request(attempt.request), self.upstream(attempt.upstream)]
-                stored = [number, *context, timeout_ns]
+                number = self.number_attempt(attempt)
+                request_and_upstream = [
+                    self.number_request(attempt.request),
+                    self.number_upstream(attempt.upstream),
+                ]
+                stored = [number, *request_and_upstream, timeout_ns]
             case CancelAttempt(attempt):
-                stored = [self.attempt(attempt)]
+                stored = [self.number_attempt(attempt)]
             case RejectRequest(request, retry_after_ns):
-                stored = [self.request(request), retry_after_ns]
+                stored = [self.number_request(request), retry_after_ns]
             case FailRequest(request):
-                stored = [self.request(request)]
+                stored = [self.number_request(request)]
             case HealthCheck(upstream):
-                stored = [self.upstream(upstream)]
+                stored = [self.number_upstream(upstream)]
             case WakeAt(at_ns):
                 stored = [at_ns]
             case OperatorNote(text):
@@ -144,6 +152,8 @@
 class Recorder(PolicyProxy):
     """Wraps a policy: forwards each call to it, and records the call and its actions.
 
+    ``module`` is the wrapped policy.
+
     ``write(record, now, request_id)`` receives each framed record. ``now`` is the time in
     nanoseconds, or 0 for the record of an object, which precedes the record of its call;
     ``request_id`` is the id of the request that the call refers to, or None.
@@ -155,27 +165,30 @@
         settings: Settings,
         seed: int,
         now: int,
-        write: Write,
+        write: WriteFramedRecord,
         begin_with_state: bool = False,
     ) -> None:
-        """Begin with the policy's start, or with its state if it has been called before."""
+        """Write the policy's start, or with ``begin_with_state`` its state.
+
+        ``begin_with_state`` is for a policy that has been called before.
+        """
         super().__init__(policy, write=write, numbers=ObjectNumbers(), record_count=0)
         if begin_with_state:
             # The host shares these objects with the policy, so its later calls refer to them.
             objects = state.find_objects(policy, (Request, Attempt, Upstream))
             for request in objects[Request]:
-                self.numbers.request(request)
+                self.numbers.number_request(request)
             for attempt in objects[Attempt]:
-                self.numbers.attempt(attempt)
+                self.numbers.number_attempt(attempt)
             for upstream in objects[Upstream]:
-                self.numbers.upstream(upstream)
+                self.numbers.number_upstream(upstream)
             self.write_state(now)
         else:
             self.write_record(["new", stored_settings.encode(settings), seed, now], now)
 
     def write_record(self, record: list[Any], now: int = 0, request_id: object = None) -> None:
         """Encode and write one record."""
-        self.__dict__["record_count"] += 1
+        self.__dict__["record_count"] += 1  # an ordinary assignment would set it on the policy
         self.write(frame_record(ENCODER.encode(record)), now, request_id)
 
     def write_state(self, now: int) -> None:
@@ -216,20 +229,26 @@
         numbers = self.numbers
         stored = list(arguments)
         match name, arguments:
-            case "endpoints_changed", (whole, updates):
-                stored = [whole, self.encode_updates(updates)]
+            case "endpoints_changed", (is_complete, updates):
+                stored = [is_complete, self.encode_updates(updates)]
             case "endpoints_corrected", (updates,):
                 stored = [self.encode_updates(updates)]
             case (("accept" | "client_left"), (request,)):
-                stored = [numbers.request(request, self.write_record, self.module.settings)]
+                stored = [numbers.number_request(request, self.write_record, self.module.settings)]
             case "response_started", (attempt,):
-                stored = [numbers.attempt(attempt)]
+                stored = [numbers.number_attempt(attempt)]
             case "attempt_ended", (attempt, outcome, *rest):
-                stored = [numbers.attempt(attempt), OUTCOMES[outcome], *rest]
+                stored = [numbers.number_attempt(attempt), OUTCOMES[outcome], *rest]
             case "health_check_ended", (upstream, outcome, *rest):
-                stored = [numbers.upstream(upstream, self.write_record), OUTCOMES[outcome], *rest]
+                stored = [
+                    numbers.number_upstream(upstream, self.write_record),
+                    OUTCOMES[outcome],
+                    *rest,
+                ]
             case "reconfigure", (settings, weights):
-                rows = [[numbers.upstream(u, self.write_record), weight] for u, weight in weights]
+                rows = [
+                    [numbers.number_upstream(u, self.write_record), weight] for u, weight in weights
+                ]
                 # Requests in flight refer to their service class, so a replay must keep those that
                 # remain the same objects.
                 current = self.module.settings.service_classes
@@ -244,7 +263,7 @@
     def encode_updates(self, updates: Iterable[EndpointUpdate]) -> list[list[Any]]:
         """Return updates of the endpoint list in their stored form."""
         return [
-            [self.numbers.upstream(upstream, self.write_record), str(upstream_state), at]
+            [self.numbers.number_upstream(upstream, self.write_record), str(upstream_state), at]
             for upstream, upstream_state, at in updates
         ]
 
@@ -266,10 +285,10 @@
         for action in actions
         if isinstance(action, FINAL_RESPONSES) and not action.request.open_attempts
     ]
-    is_last = name in ("attempt_ended", "client_left")
-    if request is not None and request.finished and not request.open_attempts and is_last:
+    may_end_request = name in ("attempt_ended", "client_left")
+    if request is not None and request.finished and not request.open_attempts and may_end_request:
         ended.append(request)
     return ended
 
 
-route_calls(Recorder)
+route_calls(Recorder)  # defines the policy's entry points, which call Recorder.call
--- a/pepperhook/capture/replay.py
+++ b/pepperhook/capture/replay.py
@@ -53,7 +53,7 @@
     lost_bytes: int = 0  # unreadable bytes of the file
     beginnings: int = 0  # policies that were started or restored from a stored state
     states_checked: int = 0  # stored states that were compared with the replayed policy
-    states_differ: list[str] = []  # differences of these states
+    states_differ: list[str] = []  # differences: the replayed value, then the stored one
 
 
 class _ReplayedCall(NamedTuple):
@@ -112,32 +112,32 @@
             self.driver.restore_state(*fields)
             self.result.beginnings += 1
             return
-        stored = Driver(self.make_policy)
-        stored.restore_state(*fields)
+        restored = Driver(self.make_policy)
+        restored.restore_state(*fields)
         self.result.states_checked += 1
         ignored = legacy_state.missing_attributes(fields[0])
-        differences = state.differences(self.driver.policy, stored.policy, ignored=ignored)
+        differences = state.differences(self.driver.policy, restored.policy, ignored=ignored)
         self.result.states_differ += differences[
             : MAX_STATE_DIFFERENCES - len(self.result.states_differ)
         ]
 
     def call(
-        self, name: str, now: int, arguments: list[Any], recorded: list[Any], fault: str | None
+        self, word: str, now: int, arguments: list[Any], recorded: list[Any], fault: str | None
     ) -> None:
         """Replay one call, and compare its actions and exception with the recorded ones."""
         driver = self.driver
         self.first_ns = now if self.first_ns is None else self.first_ns
         self.last_ns = now
-        subject = driver.describe_subject(name, arguments)
+        subject = driver.describe_subject(word, arguments)
         if driver.calls + 1 == self.watched_call:
             driver.watched_actions = WatchedActions(driver.policy)
-        replayed, raised = driver.call(name, now, arguments)
+        replayed, raised = driver.call(word, now, arguments)
         self.result.calls += 1
         if raised != fault or ENCODER.encode(replayed) != ENCODER.encode(recorded):
             self.result.difference = Difference(
                 call=driver.calls,
                 now=now,
-                name=name,
+                name=word,
                 about=subject,
                 recorded=recorded,
                 replayed=replayed,
@@ -145,7 +145,7 @@
                 stage=self.differing_function(recorded, replayed),
                 led=self.earlier_calls(subject),
             )
-        line = f"{now} {name} {subject}: {format_actions(replayed)}"
+        line = f"{now} {word} {subject}: {format_actions(replayed)}"
         self.recent_calls.append(_ReplayedCall(subject, line))
 
     def earlier_calls(self, subject: str) -> list[str]:
@@ -166,16 +166,15 @@
         )
 
 
-def replay_file(
-    path: Any, make_policy: Callable[..., Any], watched_call: int | None = None
-) -> Replay:
-    """Replay one file on policies created by ``make_policy``, or with a RevisionBuild.
+def replay_file(path: Any, build: Callable[..., Any], watched_call: int | None = None) -> Replay:
+    """Replay one file.
 
-    Raises UnreadableFileError and StateRefusedError.
+    ``build`` is a RevisionBuild, a PolicyBuild or another callable that creates policies. Raises
+    UnreadableFileError and StateRefusedError.
     """
-    if isinstance(make_policy, revision_replay.RevisionBuild):
-        return msgspec.convert(make_policy.replay(path), Replay)
-    replayer = Replayer(path, make_policy, watched_call)
+    if isinstance(build, revision_replay.RevisionBuild):
+        return msgspec.convert(build.replay(path), Replay)
+    replayer = Replayer(path, build, watched_call)
     with open_capture(path) as reader:
         for record in read_records(reader):
             replayer.process(record)
@@ -187,12 +186,12 @@
         result.lost_bytes = reader.skipped.bytes
     if result.difference is not None and watched_call is None:
         # Replay again, to find the function that added the differing action.
-        return replay_file(path, make_policy, result.difference.call)
+        return replay_file(path, build, result.difference.call)
     return result
 
 
 def format_actions(stored: list[list[Any]]) -> str:
-    """Return stored actions as one line, without wake-ups."""
+    """Return stored actions as one line, without wake-ups; "nothing" if there are no others."""
     texts = (" ".join(map(str, action)) for action in stored if action[0] != "wake")
     return "; ".join(texts) or "nothing"
 
@@ -200,7 +199,7 @@
 def select_build(
     policy: str | None = None, revision: str | None = None
 ) -> PolicyBuild | revision_replay.RevisionBuild:
-    """Return this build, that of a modified copy of ``pepperhook/policy``, or a revision's."""
+    """Return the running program's policy, that of a modified copy, or that of a Git revision."""
     if policy is not None:
         return policy_build.from_folder(Path(policy))
     if revision is not None:
--- a/pepperhook/capture/revision_replay.py
+++ b/pepperhook/capture/revision_replay.py
@@ -48,5 +48,5 @@
             reason = (process.stderr.strip().splitlines() or ["no output"])[-1]
             raise UnreadableFileError(f"revision {self.revision}: {reason}")
         result = json.loads(process.stdout)
-        result.pop("took_s", None)
+        result.pop("took_s", None)  # added by the command; not a field of Replay
         return dict(result, file=str(path))
--- a/pepperhook/capture/state.py
+++ b/pepperhook/capture/state.py
@@ -26,7 +26,8 @@
 SCALAR_TYPES = (int, float, str, bytes, bool, type(None))
 # Modules with classes that no state contains, but that are part of a policy's shape.
 SUPPORT_MODULES = ("pepperhook.decision_notes", "pepperhook.pipeline", "pepperhook.scheduler")
-TRANSIENT_CLASSES = (Request, Attempt, Upstream)  # their objects come and go while a policy runs
+# Objects of these classes are created and discarded while a policy runs.
+TRANSIENT_CLASSES = (Request, Attempt, Upstream)
 
 
 def is_policy_part(module_name: str) -> bool:
@@ -99,8 +100,8 @@
 def serialize(policy: Any, host_objects: Any) -> bytes:
     """Return the state of a policy as bytes.
 
-    ``host_objects`` are those that the host refers to; they are stored along with the policy, so
-    that references shared with it are kept.
+    ``host_objects`` are the objects that the host, the process that calls the policy, refers to.
+    They are stored in the same pickle, so that objects shared with the policy stay shared.
     """
     notes = getattr(policy, "notes", None)
     if notes is not None:
@@ -125,7 +126,10 @@
 def deserialize(
     data: bytes, build: PolicyBuild, shape_digest: str | None = None
 ) -> tuple[Any, Any]:
-    """Return the policy of a stored state, and the host's objects. Raises StateRefusedError."""
+    """Return the policy of a stored state, and the host's objects.
+
+    A state is converted if ``shape_digest`` is that of a legacy state. Raises StateRefusedError.
+    """
     try:
         if shape_digest in legacy_state.SHAPES:
             return legacy_state.deserialize(data, build)
@@ -142,7 +146,8 @@
 ) -> list[str]:
     """Return up to ``limit`` differences of two object graphs, a line for each.
 
-    Values, order and shared references are compared, except the attributes ``ignored``.
+    Values, order and shared references are compared, except the attributes ``ignored``. A line has
+    the path of the difference and, where there are values, the left one before the right one.
     """
     return Comparison(limit, ignored).run(left, right)
 
@@ -175,7 +180,7 @@
             if a != b or repr(a) != repr(b):
                 self.differences.append(f"{path}: {a!r} and {b!r}")
         elif self.right_of.get(id(a), id(b)) != id(b) or self.left_of.get(id(b), id(a)) != id(a):
-            self.differences.append(f"{path}: not the same object as elsewhere")
+            self.differences.append(f"{path}: one side shares an object where the other does not")
         elif id(a) not in self.right_of:
             self.right_of[id(a)] = id(b)
             self.left_of[id(b)] = id(a)
@@ -208,6 +213,6 @@
             ]
 
     def compare_lengths(self, path: str, a: Any, b: Any) -> None:
-        """Report two containers of different lengths."""
+        """Report different lengths of two collections."""
         if len(a) != len(b):
             self.differences.append(f"{path}: {len(a)} and {len(b)} elements")
--- a/pepperhook/capture/state_factory.py
+++ b/pepperhook/capture/state_factory.py
@@ -59,33 +59,40 @@
         self.classes: dict[GlobalName, type] = {}  # those that the state has named
         self.created: set[type] = set()  # classes of the objects created so far
 
-    def check_class(self, named: GlobalName) -> None:
+    def check_class(self, global_name: GlobalName) -> None:
         """Check that a class is part of a policy. Raises StateRefusedError."""
-        kind = self.build.find_class(named.module, named.name)
-        is_listed = named.name in CLASSES.get(named.module, ())
+        kind = self.build.find_class(global_name.module, global_name.name)
+        is_listed = global_name.name in CLASSES.get(global_name.module, ())
         if kind is None or not (is_listed or kind is self.build.make_policy):
-            text = f"the state names {named.module}.{named.name}, which is not part of a policy"
+            text = (
+                f"the state names {global_name.module}.{global_name.name}, "
+                "which is not part of a policy"
+            )
             raise StateRefusedError(text)
-        self.classes[named] = kind
+        self.classes[global_name] = kind
 
-    def new_object(self, named: GlobalName, arguments: tuple[Any, ...]) -> Any:
+    def new_object(self, global_name: GlobalName, arguments: tuple[Any, ...]) -> Any:
         """Return an object without its fields, or a named tuple. Raises StateRefusedError."""
-        kind = self.classes[named]
+        kind = self.classes[global_name]
         if issubclass(kind, tuple):
             if len(arguments) != len(getattr(kind, "_fields", ())):
-                raise StateRefusedError(f"{named.name}: the tuple has {len(arguments)} values")
+                raise StateRefusedError(
+                    f"{global_name.name}: the tuple has {len(arguments)} values"
+                )
             return tuple.__new__(kind, arguments)
         if arguments or issubclass(kind, Enum):
-            raise StateRefusedError(f"{named.name}: the object is created with arguments")
+            raise StateRefusedError(f"{global_name.name}: the object is created with arguments")
         self.created.add(kind)
         return list.__new__(kind) if issubclass(kind, list) else object.__new__(kind)
 
-    def enum_member(self, named: GlobalName, arguments: tuple[Any, ...]) -> Any:
+    def enum_member(self, global_name: GlobalName, arguments: tuple[Any, ...]) -> Any:
         """Return the member of an enum with this value. Raises StateRefusedError."""
-        kind = self.classes[named]
+        kind = self.classes[global_name]
         members = getattr(kind, "_value2member_map_", {}) if issubclass(kind, Enum) else {}
         if len(arguments) != 1 or arguments[0] not in members:
-            raise StateRefusedError(f"the state calls {named.module}.{named.name}")
+            raise StateRefusedError(
+                f"the state calls {global_name.module}.{global_name.name}, which is not allowed"
+            )
         return members[arguments[0]]
 
     def bound_method(self, owner: Any, name: str) -> Any:
@@ -133,9 +140,9 @@
     """
     if not isinstance(name, str) or name.startswith("__"):
         raise StateRefusedError(f"{kind.__name__}: {name!r:.40} is not a field")
-    on_class = getattr_static(kind, name, None)
-    is_slot = type(on_class).__name__ == "member_descriptor"
-    has_attributes = any("__dict__" in vars(base) for base in kind.__mro__)
-    is_shadowing = on_class is not None and not is_slot
-    if is_shadowing or not (is_slot or has_attributes):
+    class_attribute = getattr_static(kind, name, None)
+    is_slot = type(class_attribute).__name__ == "member_descriptor"
+    has_dict = any("__dict__" in vars(base) for base in kind.__mro__)
+    is_shadowing = class_attribute is not None and not is_slot
+    if is_shadowing or not (is_slot or has_dict):
         raise StateRefusedError(f"{kind.__name__}: {name!r:.40} is not a field")
--- a/pepperhook/capture/stored_settings.py
+++ b/pepperhook/capture/stored_settings.py
@@ -42,11 +42,11 @@
     values = {name: stored[word] for name, word in words.SETTINGS.items() if word in stored}
     if "report_source" in values:
         values["report_source"] = ReportSource(values["report_source"])
-    decode_row = class_decoder or decode_class
+    decode_one_class = class_decoder or decode_class
     return Settings(
         **values,
         tenants=[decode_tenant(row) for row in stored[words.TENANTS]],
-        service_classes=[decode_row(row) for row in stored[words.SERVICE_CLASSES]],
+        service_classes=[decode_one_class(row) for row in stored[words.SERVICE_CLASSES]],
     )
 
 
--- a/pepperhook/container/footer.py
+++ b/pepperhook/container/footer.py
@@ -2,7 +2,7 @@
 
 import struct
 
-MAX_FOOTER_BYTES = 128  # upper bound of the whole block, header included
+MAX_FOOTER_BYTES = 128  # the footer block begins at most this far before the end of the file
 
 _INDEX_OFFSET = struct.Struct("<Q")
 
--- a/pepperhook/container/index.py
+++ b/pepperhook/container/index.py
@@ -92,7 +92,7 @@
 
 
 def contains_key(keys: IndexedKeys, value: IndexKey) -> bool:
-    """Return whether keys in the form of the index include a value."""
+    """Return whether keys packed by ``pack_keys`` include a value."""
     if not isinstance(keys, bytes):
         return value in keys
     numbers = array("I", keys)
--- a/pepperhook/container/reader.py
+++ b/pepperhook/container/reader.py
@@ -126,7 +126,7 @@
         return Block(offset, header.block_type, content, end_offset)
 
     def index(self) -> list[IndexEntry] | None:
-        """Return the index, or None if it is missing, damaged or names other than record blocks."""
+        """Return the index, or None if it is missing, damaged or refers to other blocks."""
         index_offset = self._find_index_offset()
         if index_offset is None:
             return None
@@ -156,7 +156,7 @@
         first = next(self.blocks(), None)
         if first is None or first.block_type != BlockType.METADATA:
             raise UnreadableFileError(
-                f"{self._display_path}: its first block, which says what it holds, is not whole"
+                f"{self._display_path}: its first block, the metadata, is missing or damaged"
             )
         self.skipped = SkippedData()  # discard what this call counted
         return msgspec.msgpack.decode(first.content, type=FileMetadata)
@@ -166,7 +166,7 @@
         return decode_header(self._file.read(HEADER_BYTES))
 
     def _is_record_block(self, offset: int) -> bool:
-        """Check the header only, as the index may name many blocks."""
+        """Check the header only, as the index may refer to many blocks."""
         header = self._read_header(offset)
         return header is not None and header.block_type == BlockType.RECORDS
 
--- a/pepperhook/container/ring.py
+++ b/pepperhook/container/ring.py
@@ -68,7 +68,7 @@
         self._submit(AppendRecord(record, time_ns, keys))
 
     def preserve(self) -> None:
-        """Move the closed segments to a separate folder, which retention does not touch."""
+        """Move the closed segments to a separate folder, where none is deleted."""
         self._submit(PreserveSegments(self.directory.new_preservation_folder()))
 
     async def close(self) -> None:
--- a/pepperhook/container/segment_directory.py
+++ b/pepperhook/container/segment_directory.py
@@ -58,7 +58,7 @@
             segment.path.unlink(missing_ok=True)
 
     def preserve(self, target: Path, open_segment: Path | None) -> None:
-        """Move all segments except the open one to ``target``, which retention does not touch."""
+        """Move all segments except the open one to ``target``, where none is deleted."""
         target.mkdir(exist_ok=True)
         for path in self.segment_paths():
             if path != open_segment:
--- a/pepperhook/container/segment_writer.py
+++ b/pepperhook/container/segment_writer.py
@@ -14,7 +14,8 @@
 from pepperhook.container.segment_directory import SegmentDirectory
 
 QUEUE_CAPACITY = 256  # commands
-FLUSH_INTERVAL_S = 2.0  # older records have been written to the file, so they survive kill -9
+# A record waits at most this long for its block to fill. Once written, it survives kill -9.
+FLUSH_INTERVAL_S = 2.0
 
 
 class EventLog(Protocol):
@@ -140,6 +141,7 @@
             case FlushPending():
                 self._flush()
             case PreserveSegments():
+                # _next_command returns FlushPending only if the queue is empty.
                 self._flush_if_due()
                 self._preserve(command.folder)
             case StopWriter():
--- a/pepperhook/stored_words.py
+++ b/pepperhook/stored_words.py
@@ -1,7 +1,8 @@
 """Maps names in the code to the words that stand for them in stored files, and back.
 
 Captures and traces are read by later versions of the code, so a stored word never changes, even if
-the class, method or field is renamed. Only this module defines the mapping.
+the class, method or field is renamed. Therefore many words differ from the names in the code. Only
+this module defines the mapping.
 """
 
 from pepperhook.actions import (
@@ -18,6 +19,7 @@
 )
 from pepperhook.domain import Effect, Outcome
 
+# Outcomes of attempts.
 OUTCOMES = {
     Outcome.SERVED: "fulfilled",
     Outcome.ERROR: "error",
@@ -30,6 +32,7 @@
     Outcome.MALFORMED_RESPONSE: "spoilt",
 }
 OUTCOME_OF = {word: outcome for outcome, word in OUTCOMES.items()}
+# Effects of executing a request twice.
 EFFECTS = {
     Effect.SAFE: "retriable",
     Effect.KEYED: "fingerprinted",
@@ -53,6 +56,7 @@
     "wake": "wake",
 }
 CALL_OF = {word: name for name, word in CALLS.items()}
+# Actions that a policy returns.
 ACTIONS: dict[type[Action], str] = {
     StartAttempt: "dispatch",
     CancelAttempt: "call off",
--- a/tests/capture/test_extension.py
+++ b/tests/capture/test_extension.py
@@ -13,8 +13,9 @@
 from pepperhook.operator_config.schema import CaptureTable
 from pepperhook.server.extensions import Extensions
 from pepperhook.server.structured_logging import Log
-from tests.server.balancers import make_config
-from tests.world import Peer, Running, answer, loopback
+from tests.server.balancers import RunningBalancer, make_config
+from tests.server.peers import ScriptedPeer, make_response
+from tests.world import loopback
 
 
 @pytest.fixture
@@ -32,9 +33,9 @@
     """Send 24 requests; end a segment after the 13th, and preserve the ring after the 21st."""
     for number in range(24):
         path, method, body = ("/pay", b"POST", b"1") if number % 3 else ("/look", b"GET", b"")
-        await balancer.ask(path, method, body, X_Timeout_Ms="200")
+        await balancer.request(path, method, body, X_Timeout_Ms="200")
         # Logging the state at an operator's request must not affect the capture.
-        balancer.node.log_state()
+        balancer.app.log_state()
         if number == 12:
             capture.segment_end_ns = 0
         if number == 20:
@@ -44,11 +45,11 @@
 @loopback
 async def test_each_segment_of_a_balancers_capture_replays_on_its_own(make_capture, tmp_path):
     capture = make_capture(segment_s=1.0)
-    responses = iter([answer(), answer(500), None] * 20)
+    responses = iter([make_response(), make_response(500), None] * 20)
     async with (
-        Peer(lambda *_: next(responses)) as peer,
-        Peer(lambda *_: answer()) as healthy_peer,
-        Running([peer.dial, healthy_peer.dial], parts=Extensions([capture])) as balancer,
+        ScriptedPeer(lambda *_: next(responses)) as peer,
+        ScriptedPeer(lambda *_: make_response()) as healthy_peer,
+        RunningBalancer([peer.address, healthy_peer.address], Extensions([capture])) as balancer,
     ):
         await send_requests(balancer, capture)
         assert capture.recorder.record_count > 60
@@ -82,13 +83,13 @@
 async def test_new_segment_begins_after_dropped_records(make_capture, tmp_path):
     capture = make_capture(segment_s=600.0)
     async with (
-        Peer(lambda *_: answer()) as peer,
-        Running([peer.dial], parts=Extensions([capture])) as balancer,
+        ScriptedPeer(lambda *_: make_response()) as peer,
+        RunningBalancer([peer.address], Extensions([capture])) as balancer,
     ):
-        assert (await balancer.ask())[0] == 200
+        assert (await balancer.request())[0] == 200
         drop_batch(capture)
         for _ in range(5):
-            assert (await balancer.ask())[0] == 200
+            assert (await balancer.request())[0] == 200
 
     assert capture.ring.dropped == 1
     assert capture.ring.segments == 2
--- a/tests/capture/test_hostile_states.py
+++ b/tests/capture/test_hostile_states.py
@@ -1,10 +1,10 @@
 """Reading a stored state never runs code, whatever its bytes are.
 
-A state of about 100 bytes could run arbitrary code in each tool that opened its capture
-(``record info``, ``record replay``, the shadow's tools): an unpickler that allows ``getattr`` and
-the policy's classes reaches ``eval`` through ``getattr(Request.__init__, "__globals__")``. The
-reader now takes no callable from a state: classes are looked up in a fixed table, objects are set
-field by field, and the only methods that a state can name are timer callbacks.
+With the former reader, an unpickler that allowed ``getattr`` and the policy's classes, a state of
+about 100 bytes could run arbitrary code in each tool that opened its capture (``record info``,
+``record replay``, the tools of the shadow extension): ``getattr(Request.__init__, "__globals__")``
+leads to ``eval``. The reader therefore accepts no callable from a state: classes are looked up in a
+fixed table, objects are set field by field, and only timer callbacks can be named as methods.
 """
 
 import pickle
@@ -80,11 +80,11 @@
     "foreign function": PickledCall(sys.setrecursionlimit, 1000),
     "deque of a number": PickledCall(deque, 7),
 }
-MALFORMED_PICKLES = {
+MALFORMED_AND_DISALLOWED_PICKLES = {
     "persistent id": b"Pid\n.",
     "extension code": b"\x82\x01.",
-    "instance by name": b"(ios\nsystem\n.",
-    "global by name": b"cos\nsystem\n.",
+    "INST opcode": b"(ios\nsystem\n.",
+    "GLOBAL opcode of a foreign function": b"cos\nsystem\n.",
     "dotted name": b"\x80\x05\x8c\x11pepperhook.domain\x8c\x10Request.__init__\x93.",
     "empty": b"",
     "no STOP opcode": b"\x80\x05N",
@@ -117,10 +117,12 @@
 
 
 @pytest.mark.parametrize("shape", [None, LEGACY_SHAPE])
-@pytest.mark.parametrize("name", MALFORMED_PICKLES)
-def test_malformed_pickles_are_refused(name, shape):
+@pytest.mark.parametrize("name", MALFORMED_AND_DISALLOWED_PICKLES)
+def test_malformed_and_disallowed_pickles_are_refused(name, shape):
     with pytest.raises(StateRefusedError):
-        state.deserialize(MALFORMED_PICKLES[name], policy_build.current_build(), shape)
+        state.deserialize(
+            MALFORMED_AND_DISALLOWED_PICKLES[name], policy_build.current_build(), shape
+        )
 
 
 @pytest.fixture(scope="module")
@@ -153,12 +155,14 @@
         mutated[position : position + data.draw(st.integers(0, 3))] = data.draw(
             st.binary(max_size=3)
         )
-    deserialize_without_calls(bytes(mutated))
+    assert_deserialization_calls_nothing(bytes(mutated))
 
 
+# Opcodes of values, containers, objects and calls, supported or not.
 opcodes = st.sampled_from(
     [bytes([code]) for code in b"().0]}aesutbRNQcioP\x81\x85\x86\x87\x93\x94"]
 )
+# The length byte of the first string is greater than its length.
 fragments = st.sampled_from(
     [b"\x8c\x0eos", b"\x8c\x08builtins\x8c\x07getattr\x93", b"K\x01", b"h\x00"]
 )
@@ -167,16 +171,16 @@
 @settings(max_examples=500, deadline=None)
 @given(st.lists(opcodes | fragments | st.binary(max_size=4), max_size=30))
 def test_generated_pickles_are_read_or_refused_and_call_nothing(parts):
-    deserialize_without_calls(b"\x80\x05" + b"".join(parts))
+    assert_deserialization_calls_nothing(b"\x80\x05" + b"".join(parts))
 
 
-def deserialize_without_calls(data):
-    """Read a state; fail if it calls a function of the policy or raises another error."""
+def assert_deserialization_calls_nothing(data):
+    """Read a state; fail on a call of a policy's function or an error but StateRefusedError."""
     called = []
 
     def record_call(frame, event, _argument):
         file = frame.f_code.co_filename
-        if event == "call" and "/pepperhook/policy" in file or file.endswith("/balancer.py"):
+        if (event == "call" and "/pepperhook/policy" in file) or file.endswith("/balancer.py"):
             called.append(frame.f_code.co_qualname)
 
     sys.setprofile(record_call)
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -14,13 +14,13 @@
 
 # Written by `pepperhook lab prove replay --write tests/captures`; each begins with the policy's
 # start.
-RECORDED_RUNS = sorted((Path(__file__).parents[1] / "captures").glob("*.rec"))
+STORED_CAPTURES = sorted((Path(__file__).parents[1] / "captures").glob("*.rec"))
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_simulated_worlds_replay_byte_identically_with_equal_states(tmp_path, seed):
-    # With load reports for odd seeds: when the policy updated a report in place, the captured call
-    # contained later values.
+    # Odd seeds use load reports: when the policy updated a report in place, captures contained its
+    # later values.
     reports = LOAD_QUERY_SETTINGS if seed % 2 else {}
     world = CapturedWorld(seed, tmp_path / "a", state_chance=0.01, **reports)
     world.run(1500, chance=0.3)
@@ -50,7 +50,7 @@
     assert result.beginnings == 1
 
 
-def test_changed_constant_is_found_at_its_first_effect(tmp_path):
+def test_replay_differs_if_a_constant_has_another_value(tmp_path):
     world = CapturedWorld(5, tmp_path / "a")
     world.run(1500, chance=0.5)
     world.writer.close()
@@ -67,7 +67,7 @@
     assert replay.replay_file(tmp_path / "a", equivalent).difference is None
 
 
-def test_policy_that_reads_a_clock_is_found(tmp_path):
+def test_replay_differs_if_the_policy_reads_a_clock(tmp_path):
     world = CapturedWorld(6, tmp_path / "a")
     world.run(1500, chance=0.5)
     world.writer.close()
@@ -96,11 +96,11 @@
 
 
 def step_raises(world):
-    """Run one step as a host that survives exceptions; return whether the policy raised one."""
+    """Run one step; continue if the policy raises an exception, and return whether it did."""
     try:
         world.run(1, chance=0.5)
     except ArithmeticError:
-        # The actions that the policy added before the exception are carried out.
+        # The actions that the policy added before the exception are still carried out.
         actions, world.recorder.actions = world.recorder.actions, []
         world.responses[world.requests[-1]] = "fault"
         world.perform(actions)
@@ -108,11 +108,11 @@
     return False
 
 
-@pytest.mark.parametrize("path", RECORDED_RUNS, ids=lambda path: path.stem)
-def test_recorded_runs_replay_byte_identically(path):
+@pytest.mark.parametrize("path", STORED_CAPTURES, ids=lambda path: path.stem)
+def test_stored_captures_replay_byte_identically(path):
     """Fails if the policy's decisions change.
 
-    If the change is intended, capture the runs again and say so in the commit.
+    If the change is intended, record the captures again and say so in the commit.
     """
     result = replay.replay_file(path, Balancer)
 
@@ -124,19 +124,20 @@
 
 @pytest.mark.parametrize(("module", "before", "after"), ReplayProof.CHANGES)
 def test_policy_contains_each_text_that_the_replay_proof_changes(module, before, after):
-    # After a constant was renamed, the proof found no text to change.
+    # ReplayProof, an acceptance test of the lab, replaces these texts in a copy of the policy. It
+    # failed to change anything after a constant had been renamed.
     text = (POLICY_FOLDER / f"{module}.py").read_text(encoding="utf-8")
 
     assert text.count(before) == 1
     assert before != after
 
 
-def test_changed_constant_is_found_by_the_recorded_runs(tmp_path):
+def test_replay_of_the_stored_captures_differs_if_a_constant_has_another_value(tmp_path):
     constants = "MAX_SPEED, FAILURE_PENALTY = 2.0, "
     build = changed_policy(tmp_path, "outlier", constants, constants.replace("2.0", "1.2"))
 
-    assert len(RECORDED_RUNS) == 3
-    assert any(replay.replay_file(path, build).difference is not None for path in RECORDED_RUNS)
+    assert len(STORED_CAPTURES) == 3
+    assert any(replay.replay_file(path, build).difference is not None for path in STORED_CAPTURES)
 
 
 @pytest.mark.parametrize("keeps_classes", [True, False])
@@ -144,8 +145,8 @@
     """Requests in flight keep their service class objects through a reconfiguration.
 
     When a replay created all classes again, each state after a reconfiguration that kept them, for
-    example a change of the fleet size, was reported as different ("not the same object as
-    elsewhere").
+    example a change of the fleet size, was reported as different, because
+    it shared other objects.
     """
     world = CapturedWorld(11, tmp_path / "a")
     world.run(300, chance=0.5)
--- a/tests/capture/test_state.py
+++ b/tests/capture/test_state.py
@@ -38,7 +38,7 @@
     assert not state.differences([0.3], [0.3])
 
 
-def test_values_order_and_shared_references_are_compared():
+def test_differences_in_values_order_and_shared_references_are_reported():
     shared = [1]
 
     assert state.differences({"a": shared, "b": shared}, {"a": [1], "b": [1]})
--- a/tests/container/test_container.py
+++ b/tests/container/test_container.py
@@ -1,4 +1,4 @@
-"""Containers: written records are read back, and damage never affects an intact block."""
+"""Containers: records are read back, and damage to a block leaves the others readable."""
 
 import random
 import struct
@@ -26,6 +26,7 @@
 NS_PER_S = 10**9
 DECODER = msgspec.msgpack.Decoder()
 RECORDS_PER_BLOCK = 4
+OFFSET_INSIDE_A_BLOCK = 77
 encode = msgspec.msgpack.encode
 
 
@@ -139,7 +140,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_flipped_bit_loses_at_most_its_own_block(tmp_path, path, seed):
+def test_flipped_bit_makes_at_most_one_block_unreadable(tmp_path, path, seed):
     records = write_container(path, blocks=6)
     data = path.read_bytes()
     first_record_offset = read_blocks(path)[1].offset
@@ -161,7 +162,9 @@
     footer_offset = read_blocks(path)[-1].offset
     data = path.read_bytes()[:footer_offset]
 
-    path.write_bytes(data + encode_block(BlockType.INDEX, encode([[77, 4, 0, 1, {}]])))
+    path.write_bytes(
+        data + encode_block(BlockType.INDEX, encode([[OFFSET_INSIDE_A_BLOCK, 4, 0, 1, {}]]))
+    )
 
     with ContainerReader(path) as reader:
         assert reader.index() is None
@@ -172,7 +175,7 @@
     write_container(path)
     index_block = read_blocks(path)[-2]
     data = path.read_bytes()[: index_block.offset]
-    index = encode_block(BlockType.INDEX, encode([[77, 4, 0, 1, {}]]))
+    index = encode_block(BlockType.INDEX, encode([[OFFSET_INSIDE_A_BLOCK, 4, 0, 1, {}]]))
     footer = encode_block(BlockType.FOOTER, struct.pack("<Q", index_block.offset))
 
     path.write_bytes(data + index + footer)
--- a/tests/container/test_preserve_signal.py
+++ b/tests/container/test_preserve_signal.py
@@ -1,4 +1,4 @@
-"""SIGUSR2 preserves all rings of a balancer."""
+"""SIGUSR2 calls the preserve callbacks of all rings of a balancer."""
 
 import asyncio
 import os
@@ -15,7 +15,7 @@
 
 
 async def preserved_by_signal(add_callbacks):
-    """Send one SIGUSR2, and return the names of the rings that it preserved."""
+    """Send one SIGUSR2, and return the names of the rings whose callbacks were called."""
     preserved = []
     runtime = Runtime()
     add_callbacks(runtime, preserved)
@@ -28,7 +28,7 @@
     return preserved
 
 
-def test_signal_preserves_every_ring_once():
+def test_signal_calls_the_callback_of_each_ring_once():
     def add_both(runtime, preserved):
         add_preserve_callback(runtime, lambda: preserved.append("capture"))
         add_preserve_callback(runtime, lambda: preserved.append("trace"))
--- a/tests/container/test_ring.py
+++ b/tests/container/test_ring.py
@@ -159,7 +159,7 @@
     ring = make_ring(folder, log)
     ring.create_folder("trace.folder")
     ring.open_segment(METADATA)
-    for number in range(QUEUE_CAPACITY):  # with the segment, one more than the queue takes
+    for number in range(QUEUE_CAPACITY):  # one command too many: OpenSegment is queued too
         append_number(ring, number)
 
     assert ring.dropped == 1
@@ -190,7 +190,7 @@
 
 
 def test_pending_records_are_written_before_the_block_is_full(tmp_path):
-    """With little traffic, blocks fill slowly, and a killed balancer lost minutes of records."""
+    """When only full blocks were written, a kill lost minutes of records if traffic was low."""
     code = f"""
 import time
 from pepperhook.container import FileMetadata
@@ -212,6 +212,7 @@
         path = next(tmp_path.glob("*.trc"))
         for _ in range(1000):
             with ContainerReader(path) as reader:
+                # Each record is one byte.
                 count = sum(len(block.content) for block in reader.record_blocks())
             if count == 20:
                 break
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -30,7 +30,9 @@
 from pepperhook.server.extensions import Extensions
 from tests.control_plane import helpers
 from tests.idempotency import balancers
-from tests.world import Peer, Running, answer, loopback
+from tests.server.balancers import RunningBalancer
+from tests.server.peers import ScriptedPeer, make_response
+from tests.world import loopback
 
 STORED = Path(__file__).parent / "data" / "stored-0.2"
 SECRET = "a long secret of the installation"
@@ -52,7 +54,7 @@
     },
 }
 # Number of calls in capture-new.rec, by stored word.
-NEW_CALLS = {
+CALLS_AFTER_START = {
     "probed": 267,
     "wake": 157,
     "take": 57,
@@ -64,8 +66,8 @@
     "retold": 1,
 }
 # Number of calls and of returned actions in capture-mid-life.rec, by stored word.
-MID_LIFE_CALLS = {"wake": 297, "take": 69, "ended": 23, "probed": 2}
-MID_LIFE_RESULTS = {"wake": 280, "shed": 47, "dispatch": 24, "break off": 2, "probe": 1}
+CALLS_AFTER_STATE = {"wake": 297, "take": 69, "ended": 23, "probed": 2}
+ACTIONS_AFTER_STATE = {"wake": 280, "shed": 47, "dispatch": 24, "break off": 2, "probe": 1}
 # Names of the timer callbacks in that state.
 TIMERS = {"adjust", "drop", "due", "give_up", "review"}
 # Service class number, tenant number, and the idempotency key that the client sent.
@@ -80,7 +82,7 @@
     (1, 0, "slow-1"),
 ]
 # The last record of each key. Kinds: 0 started, 1 finished, 2 not executed, 3 possibly executed.
-JOURNAL_LAST = [
+JOURNAL_LAST_RECORDS = [
     (2, None),
     (1, b"done pay 0"),
     (1, b"done pay 1"),
@@ -91,7 +93,7 @@
     (0, None),
 ]
 # Kind and key of each record, by segment.
-JOURNAL_ROWS = [
+JOURNAL_RECORDS_BY_SEGMENT = [
     [(0, "never-0"), (2, "never-0")],
     [
         (0, "paid-0"),
@@ -104,6 +106,7 @@
     ],
     [(1, "held-0"), (0, "lost-0"), (3, "lost-0"), (0, "slow-0"), (0, "slow-1")],
 ]
+BOOT_ID = "00000000-0000-4000-8000-00000000b007"  # of the machine that wrote the journal
 VERSION_HASHES = [
     "f5f5836d10d5397d5693b591b779a708753fe43e4c33b1723d042b3449330933",
     "c6c534d6247d998d3236259832e84a35bb6809b64cfa5e5ab0a6a471e9da899a",
@@ -185,30 +188,30 @@
 
 
 def test_capture_that_begins_with_settings_has_every_call_of_0_2_except_peer_messages():
-    first, *rest = container_records("capture-new.rec")
-    kind, settings, _, now = first
+    first_record, *records = container_records("capture-new.rec")
+    kind, settings, _, now = first_record
     assert (kind, now) == ("new", 1_700_000_000_000_000_000)
     assert settings["reports"] == "probe" and len(settings["grades"]) == 3
     effects = [grade["effect"] for grade in settings["grades"]]
     assert effects == ["retriable", "binding", "fingerprinted"]
-    kinds = Counter(record[0] for record in rest)
+    kinds = Counter(record[0] for record in records)
     assert kinds == {"call": 525, "operation": 57, "upstream": 6, "state": 2}
-    assert Counter(record[1] for record in rest if record[0] == "call") == NEW_CALLS
+    assert Counter(record[1] for record in records if record[0] == "call") == CALLS_AFTER_START
 
 
-def test_capture_that_begins_with_a_state_has_requests_attempts_and_timers_in_it():
-    first, *rest = container_records("capture-mid-life.rec")
-    kind, shape, pickled, requests, attempts, upstreams, now, last = first
+def test_state_at_the_beginning_of_a_capture_contains_requests_attempts_and_timers():
+    first_record, *records = container_records("capture-mid-life.rec")
+    kind, shape, pickled, requests, attempts, upstreams, now, last = first_record
     assert (kind, shape, now) == ("state", "97d25dcfc6463a83", 1_700_000_004_200_000_000)
     assert (len(requests), len(attempts), len(upstreams)) == (209, 20, 5)
     assert last == [209, 20, 5]
     strings, classes = pickled_names(pickled)
     assert {name: classes[name] for name in STATE_CLASSES} == STATE_CLASSES
     assert TIMERS <= strings
-    calls = [record[1:] for record in rest if record[0] == "call"]
+    calls = [record[1:] for record in records if record[0] == "call"]
     results = [result for *_, results, _ in calls for result in results]
-    assert Counter(name for name, *_ in calls) == MID_LIFE_CALLS
-    assert Counter(result[0] for result in results) == MID_LIFE_RESULTS
+    assert Counter(name for name, *_ in calls) == CALLS_AFTER_STATE
+    assert Counter(result[0] for result in results) == ACTIONS_AFTER_STATE
     # Attempts in flight in the state end later, and so does a health check.
     ended = [arguments[0] for name, _, arguments, *_ in calls if name == "ended"]
     assert len(set(ended) & set(attempts)) == 9
@@ -223,7 +226,7 @@
 
 
 @pytest.mark.parametrize(
-    "name, balancer, tier, lives",
+    "name, balancer, tier, requests",
     [
         ("front.trc", "front", 0, 81),
         ("back.trc", "back", 1, 60),
@@ -233,12 +236,16 @@
         ("made.trc", "edge-1", 0, 69),
     ],
 )
-def test_trace_files_are_read_completely_with_their_metadata(name, balancer, tier, lives):
+def test_trace_files_are_read_completely_with_their_metadata(name, balancer, tier, requests):
     info = run_json_command("trace", "info", STORED / name)
     assert (info["content"], info["content_version"]) == ("trace", 1)
-    assert (info.get("name", ""), info.get("tier", 0), info["lives"]) == (balancer, tier, lives)
+    assert (info.get("name", ""), info.get("tier", 0), info["lives"]) == (
+        balancer,
+        tier,
+        requests,
+    )
     assert info["indexed"] and info["lost"]["bytes"] == 0
-    assert len(container_records(name)) == lives
+    assert len(container_records(name)) == requests
 
 
 def test_summary_of_a_trace_has_outcomes_reasons_and_upstreams():
@@ -383,10 +390,10 @@
 
 def test_journal_segments_contain_the_recorded_requests():
     segments = [journal_records(STORED / "journal" / f"{number}.log") for number in (1, 2, 3)]
-    assert {header[0] for header, _ in segments} == {"00000000-0000-4000-8000-00000000b007"}
+    assert {header[0] for header, _ in segments} == {BOOT_ID}
     names = {key_digest(*key): key[2] for key in JOURNAL_KEYS}
     rows = [[(record[0], names[record[1]]) for record in records] for _, records in segments]
-    assert rows == JOURNAL_ROWS
+    assert rows == JOURNAL_RECORDS_BY_SEGMENT
     for _, records in segments:
         for kind, _, _, service_class, tenant, at, body, content_type in records:
             assert (service_class, tenant) in {("pay", "acme"), ("hold", None)} and at > 0
@@ -398,7 +405,7 @@
     assert recovered.truncated_bytes == 0 and recovered.has_rebooted
     last_records = {key: (record.kind, record.body) for key, record in recovered.records.items()}
     assert last_records == {
-        key_digest(*key): last for key, last in zip(JOURNAL_KEYS, JOURNAL_LAST, strict=True)
+        key_digest(*key): last for key, last in zip(JOURNAL_KEYS, JOURNAL_LAST_RECORDS, strict=True)
     }
     assert {record.recorded_ns for record in recovered.records.values()} == {77}, (
         "key windows begin at the recovery"
@@ -411,7 +418,7 @@
         journal=str(copy_journal(tmp_path)), window_s={"hold": 60.0}
     )
     async with (
-        Peer(lambda _, body: answer(body=b"again " + body)) as peer,
+        ScriptedPeer(lambda _, body: make_response(body=b"again " + body)) as peer,
         balancers.running(peer, extension) as balancer,
     ):
         assert extension.told()["keys"] == 7, "a key that was not executed is dropped"
@@ -427,7 +434,7 @@
         for key, body in ("lost-0", b"lost"), ("slow-0", b"slow"), ("slow-1", b"slow"):
             assert await pay(key, body) == (500, b"broken off\n")
         assert (await pay("paid-0", b"something else"))[0] == 422
-        assert not peer.seen, "no request was executed again"
+        assert not peer.requests, "no request was executed again"
         assert await pay("never-0", b"never") == (200, b"again never")
         assert await pay("new", b"new") == (200, b"again new")
 
@@ -514,18 +521,23 @@
     version = json.loads(Path(path).read_bytes())
     assert (version["hash"], version["mac"]) == (checksum(version), signature(version))
     extension = helpers.control_extension("127.0.0.1:9", last_good_file=str(path))
-    async with Peer(lambda *_: answer()) as first, Peer(lambda *_: answer()) as drained:
-        dials = [first.dial, drained.dial]
-        async with Running(dials, parts=Extensions([extension]), alone=False) as balancer:
+    async with (
+        ScriptedPeer(lambda *_: make_response()) as first,
+        ScriptedPeer(lambda *_: make_response()) as drained,
+    ):
+        addresses = [first.address, drained.address]
+        async with RunningBalancer(
+            addresses, Extensions([extension]), owns_event_loop=False
+        ) as balancer:
             assert (extension.told()["version"], extension.told()["connected"]) == (2, "no")
             for _ in range(8):
-                assert (await balancer.ask())[0] == 200
-            settings = balancer.node.runtime.policy.settings
+                assert (await balancer.request())[0] == 200
+            settings = balancer.app.runtime.policy.settings
             assert settings.max_attempts == 2
             look, pay, _ = settings.service_classes
             assert (look.time_limit_ns, look.objective_ns) == (1_500_000_000, 900_000_000)
             assert pay.time_limit_ns == 2_000_000_000
-        assert len(first.seen) == 8 and not drained.seen
+        assert len(first.requests) == 8 and not drained.requests
 
 
 # Logs.
