--- a/pepperhook/stored_words.py
+++ b/pepperhook/stored_words.py
@@ -1,7 +1,8 @@
-"""The words of stored files, beside the names that the code has for them.
+"""Maps names in the code to the words that stand for them in stored files, and back.
 
-Captures and traces outlive the code that wrote them: their words stay, whatever a class or a method
-is called. This is the one place where the two meet.
+Captures and traces are read by later versions of the code, so a stored word never changes, even if
+the class, method or field is renamed. Therefore many words differ from the names in the code. Only
+this module defines the mapping.
 """
 
 from pepperhook.actions import (
@@ -18,6 +19,7 @@
 )
 from pepperhook.domain import Effect, Outcome
 
+# Outcomes of attempts.
 OUTCOMES = {
     Outcome.SERVED: "fulfilled",
     Outcome.ERROR: "error",
@@ -30,12 +32,14 @@
     Outcome.MALFORMED_RESPONSE: "spoilt",
 }
 OUTCOME_OF = {word: outcome for outcome, word in OUTCOMES.items()}
+# Effects of executing a request twice.
 EFFECTS = {
     Effect.SAFE: "retriable",
     Effect.KEYED: "fingerprinted",
     Effect.UNSAFE: "binding",
 }
 EFFECT_OF = {word: effect for effect, word in EFFECTS.items()}
+# Entry points of the policy, by method name.
 CALLS = {
     "endpoints_changed": "listing",
     "endpoints_corrected": "listing_corrected",
@@ -52,6 +56,7 @@
     "wake": "wake",
 }
 CALL_OF = {word: name for name, word in CALLS.items()}
+# Actions that a policy returns.
 ACTIONS: dict[type[Action], str] = {
     StartAttempt: "dispatch",
     CancelAttempt: "call off",
@@ -63,6 +68,7 @@
     WakeAt: "wake",
     OperatorNote: "note",
 }
+# Fields of Settings that captures store.
 SETTINGS = {
     "index": "me",
     "fleet_size": "balancers",
@@ -99,7 +105,9 @@
     "report_names": "report_names",
     "report_figures": "report_fields",
 }
+# Keys of the lists of service classes and tenants in stored settings.
 SERVICE_CLASSES, TENANTS = "grades", "customers"
+# Fields of ServiceClass.
 SERVICE_CLASS = {
     "number": "number",
     "time_limit_ns": "limit_ns",
@@ -111,4 +119,5 @@
     "late_priority_weight": "late_earnings",
     "streaming": "stream",
 }
+# Fields of TenantQuota.
 TENANT = {"quota_per_s": "quota", "share": "share"}
