--- a/pepperhook/tracing/__init__.py
+++ b/pepperhook/tracing/__init__.py
@@ -1,1 +1,1 @@
-"""Traces of requests: recorded with the reasons of the decisions, read, merged and exported."""
+"""Records, reads, merges and exports traces of requests with the reasons for each decision."""
--- a/pepperhook/tracing/clock_offsets.py
+++ b/pepperhook/tracing/clock_offsets.py
@@ -8,9 +8,10 @@
     answered - ended <= offset <= accepted - sent
 
 The bounds of many pairs are intersected (Marzullo's algorithm, as in NTP: RFC 5905, section
-11.2.1); the estimate is the middle, its error half the width. Offsets along a path add up, and so
-do their errors, so each balancer's offset comes by the path with the least error from the reference
-(Dijkstra's algorithm). Bounds that contradict each other mean that a clock drifted or stepped.
+11.2.1); the estimate is the middle of the intersection, its error half the width. Offsets along a
+path of balancers add up, and so do their errors, so each offset is computed along the path from the
+reference that has the smallest error (Dijkstra's algorithm). Bounds that contradict each other mean
+that a clock drifted or stepped.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -21,14 +22,14 @@
 
 
 class OffsetBounds(Struct):
-    """The least and the most that the callee's clock is ahead of the caller's, in nanoseconds."""
+    """Bounds of how far the callee's clock is ahead of the caller's, in nanoseconds."""
 
     low: int | None = None
     high: int | None = None
-    pairs: int = 0  # that the bounds rest on
+    pairs: int = 0  # attempts with their calls that the bounds are computed from
 
     def add_pair(self, sent: int, ended: int, accepted: int, answered: int) -> None:
-        """Narrow the bounds: the attempt by the caller's clock, the call by the callee's."""
+        """Narrow the bounds by an attempt (caller's clock) and its call (callee's clock)."""
         low, high = answered - ended, accepted - sent
         self.low = low if self.low is None else max(self.low, low)
         self.high = high if self.high is None else min(self.high, high)
@@ -40,16 +41,16 @@
 
     name: str
     ahead: int = 0
-    error: int | None = None  # at most; None: no call connects it with the reference
-    pairs: int = 0
-    contradicts: bool = False
+    error: int | None = None  # largest error; None if no call connects it with the reference
+    pairs: int = 0  # attempts with calls between this clock and the previous one on the path
+    contradicts: bool = False  # whether any bounds on the path contradict each other
 
 
 ClockPair: TypeAlias = tuple[str, str]  # names of the caller and of the callee
 
 
 class _Edge(NamedTuple):
-    """From one clock to another: how far the other is ahead."""
+    """A connection to the clock ``name``, which is ahead by ``ahead``; times in nanoseconds."""
 
     name: str
     ahead: int
@@ -58,33 +59,33 @@
     contradicts: bool
 
 
-class _Step(NamedTuple):
-    """A path from a reference to a clock; sorts by error, then by age."""
+class _Path(NamedTuple):
+    """A path from a reference to the clock ``name``; sorts by error, then by ``number``."""
 
     error: int
-    number: int
+    number: int  # in the order of discovery
     name: str
     ahead: int
-    pairs: int
+    pairs: int  # of the last edge
     contradicts: bool
 
 
 def estimate_offsets(
     names: Sequence[str], bounds: Mapping[ClockPair, OffsetBounds]
 ) -> dict[str, Offset]:
-    """Return the offsets from the first of ``names``.
+    """Return how far each clock is ahead of the clock of the first balancer in ``names``.
 
-    Where nothing connects balancers with it, the first of these is a reference of its own, and all
-    that are connected with that one have no error.
+    Balancers that no calls connect with the first one are measured against the first of their own
+    group, and the error of their offsets is None.
     """
     edges = _edges(names, bounds)
     offsets: dict[str, Offset] = {}
     for root in names:
         if root in offsets:
             continue
-        for step in _shortest_paths(root, edges, offsets):
-            error = step.error if root == names[0] else None
-            offsets[step.name] = Offset(step.name, step.ahead, error, step.pairs, step.contradicts)
+        for path in _shortest_paths(root, edges, offsets):
+            error = path.error if root == names[0] else None
+            offsets[path.name] = Offset(path.name, path.ahead, error, path.pairs, path.contradicts)
     return offsets
 
 
@@ -105,29 +106,29 @@
 
 def _shortest_paths(
     root: str, edges: Mapping[str, list[_Edge]], known: Mapping[str, Offset]
-) -> Iterable[_Step]:
-    """Yield the path to each clock that is connected with ``root``, the least error first.
+) -> Iterable[_Path]:
+    """Yield the best path to each clock connected with ``root``, by increasing error.
 
-    The caller adds to ``known`` what it gets.
+    The caller must add each clock to ``known`` before it requests the next path.
     """
-    queue = [_Step(0, 0, root, 0, 0, False)]
+    queue = [_Path(0, 0, root, 0, 0, False)]
     count = 0
     while queue:
-        step = heappop(queue)
-        if step.name in known:
+        path = heappop(queue)
+        if path.name in known:
             continue
-        yield step
-        for edge in edges[step.name]:
+        yield path
+        for edge in edges[path.name]:
             if edge.name not in known:
                 count += 1
                 heappush(
                     queue,
-                    _Step(
-                        step.error + edge.error,
+                    _Path(
+                        path.error + edge.error,
                         count,
                         edge.name,
-                        step.ahead + edge.ahead,
+                        path.ahead + edge.ahead,
                         edge.pairs,
-                        step.contradicts or edge.contradicts,
+                        path.contradicts or edge.contradicts,
                     ),
                 )
--- a/pepperhook/tracing/collector.py
+++ b/pepperhook/tracing/collector.py
@@ -1,7 +1,7 @@
-"""Makes the traces of requests from the calls of a policy, their notes and actions, without I/O.
+"""Builds traces of requests from a policy's calls, notes and actions, without I/O.
 
 A trace is complete when its request has ended and has no open attempt. Requests that were rejected,
-that failed or were late are always written, of the rest a sample.
+failed, late, or still open when tracing stopped are always written; the others are sampled.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -20,35 +20,35 @@
 from pepperhook.tracing.sampling import RequestSampler
 
 ALWAYS_WRITTEN = (RequestOutcome.REJECTED, RequestOutcome.FAILED, RequestOutcome.OPEN)
-Write = Callable[[RequestTrace], None]
+WriteTrace = Callable[[RequestTrace], None]
 Notes = Iterable[tuple[domain.Request, DecisionNote]]
 
 
 class TraceCollector:
-    """Holds the traces of open requests, and hands on those that are complete."""
+    """Keeps the traces of open requests, and writes each one when it is complete."""
 
     def __init__(
         self,
-        write: Write,
+        write: WriteTrace,
         service_classes: Sequence[str],
         tenants: Sequence[str],
         sampler: RequestSampler,
     ) -> None:
-        """``write`` gets each trace that is kept, once.
+        """Pass each trace that is to be stored to ``write``, once.
 
-        ``service_classes`` and ``tenants`` are the names behind the policy's numbers.
+        ``service_classes`` and ``tenants`` are names, indexed by the numbers that the policy uses.
         """
         self.write = write
         self.service_classes = service_classes
         self.tenants = tenants
         self.sampler = sampler
         self.open_traces: dict[domain.Request, OpenTrace] = {}
-        self.seen = 0
-        self.written = 0
+        self.accepted_count = 0
+        self.written_count = 0
 
     def accept(self, now: int, request: domain.Request) -> None:
-        """Begin the trace of a request that the policy is about to be given."""
-        self.seen += 1
+        """Begin the trace of a request that is about to be passed to the policy."""
+        self.accepted_count += 1
         self.open_traces[request] = OpenTrace(self._new_trace(now, request))
 
     def collect(
@@ -59,7 +59,7 @@
         notes: Notes,
         actions: Iterable[Action],
     ) -> None:
-        """Take in one call of the policy, with the notes that it left and the actions of it."""
+        """Process one call of the policy with the notes and actions that it produced."""
         changed: list[domain.Request] = []
         if call == "attempt_ended":
             self._end_attempt(now, arguments[0], arguments[1], changed)
@@ -67,20 +67,20 @@
             if (open_trace := self.open_traces.get(request)) is not None:
                 self.add_note(now, open_trace, note)
         for action in actions:
-            self._take_action(now, action, changed)
+            self._apply_action(now, action, changed)
         if call == "client_left":
-            self._leave(now, arguments[0], changed)
+            self._record_client_left(now, arguments[0], changed)
         for request in changed:
-            self._close_if_over(request)
+            self._close_if_complete(request)
 
     def add_note(self, now: int, open_trace: OpenTrace, note: DecisionNote) -> None:
-        """Record the reason of a decision on a request."""
+        """Record a decision on a request and its reason."""
         open_trace.add_note(now, note)
 
     def close_all(self) -> None:
-        """Write the traces of open requests as they are."""
+        """Write the traces of the requests that are still open."""
         for open_trace in self.open_traces.values():
-            self._write_if_kept(open_trace.trace)
+            self._write_if_selected(open_trace.trace)
         self.open_traces.clear()
 
     def _new_trace(self, now: int, request: domain.Request) -> RequestTrace:
@@ -113,7 +113,7 @@
         if open_trace is not None and open_trace.end_attempt(now, attempt, outcome):
             changed.append(attempt.request)
 
-    def _take_action(self, now: int, action: Action, changed: list[domain.Request]) -> None:
+    def _apply_action(self, now: int, action: Action, changed: list[domain.Request]) -> None:
         if isinstance(action, StartAttempt):
             open_trace = self.open_traces.get(action.attempt.request)
             if open_trace is not None:
@@ -126,7 +126,9 @@
                 open_trace.finish(now, outcome)
                 changed.append(action.request)
 
-    def _leave(self, now: int, request: domain.Request, changed: list[domain.Request]) -> None:
+    def _record_client_left(
+        self, now: int, request: domain.Request, changed: list[domain.Request]
+    ) -> None:
         open_trace = self.open_traces.get(request)
         if open_trace is None:
             return
@@ -134,18 +136,18 @@
             open_trace.finish(now, RequestOutcome.CLIENT_LEFT)
         changed.append(request)
 
-    def _close_if_over(self, request: domain.Request) -> None:
+    def _close_if_complete(self, request: domain.Request) -> None:
         if not request.finished or request.open_attempts:
             return
         open_trace = self.open_traces.pop(request, None)
         if open_trace is not None:
             open_trace.trace.worth = round(request.value, 3)
-            self._write_if_kept(open_trace.trace)
+            self._write_if_selected(open_trace.trace)
 
-    def _write_if_kept(self, trace: RequestTrace) -> None:
-        is_kept = trace.final in ALWAYS_WRITTEN or trace.late
-        if is_kept or self.sampler.includes(trace.root or trace.id):
-            self.written += 1
+    def _write_if_selected(self, trace: RequestTrace) -> None:
+        is_always_written = trace.final in ALWAYS_WRITTEN or trace.late
+        if is_always_written or self.sampler.includes(trace.root or trace.id):
+            self.written_count += 1
             self.write(trace)
 
 
--- a/pepperhook/tracing/cut.py
+++ b/pepperhook/tracing/cut.py
@@ -1,4 +1,4 @@
-"""Writes the records that match a filter to a file."""
+"""Copies the records that match a filter to a new file."""
 
 from collections.abc import Sequence
 
@@ -18,10 +18,10 @@
 def cut(
     paths: Sequence[StrPath],
     out: StrPath,
-    wanted: TraceFilter,
+    trace_filter: TraceFilter,
     report_progress: ReportProgress = ignore_progress,
 ) -> int:
-    """Write what matches to ``out``, several files in their order; return how many records.
+    """Copy the matching records to ``out``, file by file, and return their number.
 
     Raises UnreadableFileError.
     """
@@ -30,14 +30,14 @@
         for number, path in enumerate(paths):
             report_progress(str(path), number / len(paths))
             with open_trace_file(path) as reader:
-                for trace in read_traces(reader, wanted):
+                for trace in read_traces(reader, trace_filter):
                     append_trace(writer, trace)
                     count += 1
     return count
 
 
 def _metadata_of(paths: Sequence[StrPath]) -> FileMetadata:
-    """Return that of the first file; a cut of several names no balancer."""
+    """Return the metadata of the first file, without a balancer's name if there are several."""
     with open_trace_file(paths[0]) as first:
         metadata = first.metadata
     if len(paths) == 1:
--- a/pepperhook/tracing/errors.py
+++ b/pepperhook/tracing/errors.py
@@ -1,14 +1,14 @@
-"""What can be wrong with working on traces; the text of each is one line."""
+"""Errors of the operations on traces; each message is a single line."""
 
 from pepperhook.errors import PepperhookError
 
 
 class KeyTooShortError(PepperhookError, ValueError):
-    """The key of pseudonyms is so short that it could be guessed."""
+    """The key for pseudonyms is short enough to be guessed."""
 
 
 class OverwritesInputError(PepperhookError, ValueError):
-    """A file would be written over the file that it is made from."""
+    """An output file would overwrite the file that it is made from."""
 
 
 class ParquetUnavailableError(PepperhookError, RuntimeError):
--- a/pepperhook/tracing/export.py
+++ b/pepperhook/tracing/export.py
@@ -1,6 +1,6 @@
-"""Writes traces for other programs: JSON lines, CSV, Parquet, and OpenTelemetry's JSON.
+"""Writes traces in formats of other programs: JSON lines, CSV, Parquet, OpenTelemetry's JSON.
 
-All of them write records one by one. Parquet needs pyarrow.
+Records are streamed and not collected in memory. Parquet needs pyarrow.
 """
 
 import csv
@@ -39,7 +39,7 @@
     "outcomes",
     "again",
 )
-PARQUET_TYPES = {  # by the names that pyarrow has for them; all other columns are strings
+PARQUET_TYPES = {  # names of pyarrow's type factories; all other columns are strings
     "tier": "int32",
     "taken": "int64",
     "limit": "int64",
@@ -57,17 +57,17 @@
 
 
 def write_json_lines(rows: Rows, file: TextIO) -> int:
-    """Write each record with all that it has; return how many."""
+    """Write each record with all its fields; return the number of records."""
     return _write_lines(rows, file, to_dict)
 
 
 def write_opentelemetry(rows: Rows, file: TextIO) -> int:
-    """Write each record as OpenTelemetry's ``TracesData``; return how many."""
+    """Write each record as OpenTelemetry's ``TracesData``; return the number of records."""
     return _write_lines(rows, file, traces_data)
 
 
 def write_csv(rows: Rows, file: TextIO) -> int:
-    """Write a line for each record, below a head; return how many."""
+    """Write a header line and a line for each record; return the number of records."""
     writer = csv.DictWriter(file, COLUMNS)
     writer.writeheader()
     count = 0
@@ -78,7 +78,7 @@
 
 
 def write_parquet(rows: Rows, path: Path) -> int:
-    """Write a row for each record; return how many. Raises ParquetUnavailableError."""
+    """Write a row for each record; return their number. Raises ParquetUnavailableError."""
     try:
         import pyarrow  # type: ignore[import-not-found]
         from pyarrow import parquet
@@ -96,15 +96,15 @@
 
 
 def to_dict(metadata: FileMetadata, trace: RequestTrace) -> dict[str, Any]:
-    """Return a record with all that it has, by name, and the balancer that it is of."""
-    return {"balancer": metadata.name, "tier": metadata.tier, **_by_name(trace)}
+    """Return all fields of a record by name, with the name and tier of its balancer."""
+    return {"balancer": metadata.name, "tier": metadata.tier, **_to_dicts(trace)}
 
 
 def to_flat_dict(metadata: FileMetadata, trace: RequestTrace) -> dict[str, Any]:
     """Return a record as one row of COLUMNS.
 
-    What there may be several of is joined by blanks. Times are microseconds, ``taken`` is
-    nanoseconds.
+    Several values in one column are separated by spaces. Times are in microseconds, except
+    ``taken``, which is in nanoseconds.
     """
     return {
         "balancer": metadata.name,
@@ -147,9 +147,9 @@
         yield batch
 
 
-def _by_name(value: Any) -> Any:
-    """Return records, which are stored as arrays, as dictionaries all the way down."""
+def _to_dicts(value: Any) -> Any:
+    """Convert records, nested ones too, to dictionaries; msgspec would convert them to arrays."""
     if isinstance(value, msgspec.Struct):
         fields = msgspec.structs.fields(value)
-        return {field.name: _by_name(getattr(value, field.name)) for field in fields}
-    return [_by_name(inner) for inner in value] if isinstance(value, list) else value
+        return {field.name: _to_dicts(getattr(value, field.name)) for field in fields}
+    return [_to_dicts(item) for item in value] if isinstance(value, list) else value
--- a/pepperhook/tracing/extension.py
+++ b/pepperhook/tracing/extension.py
@@ -1,6 +1,6 @@
-"""The extension that traces a balancer's requests into a ring of segments on disk.
+"""The extension that writes traces of a balancer's requests to a ring of segments on disk.
 
-SIGUSR2 preserves what the ring holds.
+SIGUSR2 preserves the segments of the ring.
 """
 
 import time
@@ -29,10 +29,10 @@
 
 
 class Tracing:
-    """The extension; it owns the ring and the tracer that stands in the policy's place."""
+    """The extension, which owns the ring and the tracer that wraps the policy."""
 
     def __init__(self, table: TraceTable, config: Config, log: Log) -> None:
-        """Describe the ring; nothing is made before ``hold``."""
+        """Configure the ring; nothing is created on disk before ``hold``."""
         self.table = table
         self.config = config
         self.segment_ns = int(table.segment_s * NS_PER_S)
@@ -44,11 +44,11 @@
         self.segment_end_ns = 0
 
     def hold(self) -> None:
-        """Make the ring's folder. Raises SegmentFolderError."""
+        """Create the ring's folder. Raises SegmentFolderError."""
         self.ring.create_folder("trace.folder")
 
     def born(self, app: BalancerApp, policy: Any, now: int) -> Tracer:
-        """Stand in the policy's place."""
+        """Wrap the policy in a tracer, and open the first segment."""
         self.app = app
         self.hold()
         self.ring.start()
@@ -65,11 +65,11 @@
         return self.tracer
 
     def started(self, app: BalancerApp) -> None:
-        """Preserve the ring when an operator asks for it."""
+        """Register for SIGUSR2, by which an operator has the ring preserved."""
         add_preserve_callback(app.runtime, self.preserve)
 
     async def left(self) -> None:
-        """Give the policy back, write what is open, and close the ring."""
+        """Restore the unwrapped policy, write the traces of open requests, and close the ring."""
         assert self.app is not None and self.tracer is not None
         self.app.runtime.policy = self.tracer.stop()
         await self.ring.close()
@@ -80,19 +80,22 @@
         collector = self.tracer.collector if self.tracer else None
         return {
             "name": "trace",
-            "seen": collector.seen if collector else 0,
-            "traced": collector.written if collector else 0,
+            "seen": collector.accepted_count if collector else 0,
+            "traced": collector.written_count if collector else 0,
             **self.ring.log_fields(),
         }
 
     def write(self, trace: RequestTrace) -> None:
-        """Append a trace to the ring."""
-        if self.ring.has_gap or trace.over >= self.segment_end_ns:
-            self._open_segment(trace.over)
+        """Append a trace to the ring.
+
+        A new segment begins if the current one is past its end or has lost records.
+        """
+        if self.ring.has_gap or trace.end_ns >= self.segment_end_ns:
+            self._open_segment(trace.end_ns)
         self.ring.append(encode(trace), trace.taken, index_keys(trace))
 
     def preserve(self) -> None:
-        """Begin a new segment, and preserve those before it."""
+        """Begin a new segment, and preserve the earlier ones."""
         assert self.app is not None
         self._open_segment(self.app.runtime.now())
         self.ring.preserve()
--- a/pepperhook/tracing/filter.py
+++ b/pepperhook/tracing/filter.py
@@ -1,4 +1,4 @@
-"""Chooses records of traces, and the blocks of a file that may hold them, without I/O."""
+"""Selects records of traces, and the blocks of a file that may contain them, without I/O."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -10,20 +10,21 @@
 
 
 class TraceFilter(Struct, kw_only=True):
-    """What is looked for; a field that is left at its default matches everything."""
+    """Conditions that a record must all meet; a field with its default value accepts any record."""
 
     begin: int | None = None  # accepted at or after this time, in nanoseconds
     end: int | None = None  # accepted before this time
     grades: frozenset[str] = frozenset()  # service classes
     customers: frozenset[str] = frozenset()  # tenants
-    outcomes: frozenset[str] = frozenset()  # of RequestOutcome; SERVED includes LATE
-    upstreams: frozenset[str] = frozenset()  # of any attempt
-    reason: str = ""  # a part of the reason
-    ids: frozenset[str] = frozenset()  # of the requests themselves,
-    parents: frozenset[str] = frozenset()  # or of the requests that they were made for
+    outcomes: frozenset[str] = frozenset()  # values of RequestOutcome; SERVED also matches LATE
+    upstreams: frozenset[str] = frozenset()  # that any attempt was sent to
+    reason: str = ""  # substring of the reason
+    # A record matches if its own id is in ``ids`` or its parent's id is in ``parents``.
+    ids: frozenset[str] = frozenset()
+    parents: frozenset[str] = frozenset()
 
     def matches(self, trace: RequestTrace) -> bool:
-        """Return whether a record is looked for."""
+        """Return whether a record meets all conditions."""
         return (
             self._matches_time(trace)
             and (not self.grades or trace.grade in self.grades)
@@ -35,16 +36,16 @@
         )
 
     def may_match_block(self, entry: IndexEntry) -> bool:
-        """Return whether a block may hold a match, by its entry in the index."""
+        """Return whether a block may contain a match, according to its index entry."""
         if self.begin is not None and entry.last_time_ns < self.begin:
             return False
         if self.end is not None and entry.first_time_ns >= self.end:
             return False
         return (
-            _may_hold(entry.keys, "grade", self.grades)
-            and _may_hold(entry.keys, "customer", self.customers)
-            and _may_hold(entry.keys, "outcome", self._indexed_outcomes())
-            and self._may_hold_id(entry.keys)
+            _may_contain(entry.keys, "grade", self.grades)
+            and _may_contain(entry.keys, "customer", self.customers)
+            and _may_contain(entry.keys, "outcome", self._indexed_outcomes())
+            and self._may_contain_id(entry.keys)
         )
 
     def _matches_time(self, trace: RequestTrace) -> bool:
@@ -52,27 +53,27 @@
         return is_late_enough and (self.end is None or trace.taken < self.end)
 
     def _matches_id(self, trace: RequestTrace) -> bool:
-        is_any = not self.ids and not self.parents
-        return is_any or trace.id in self.ids or trace.parent in self.parents
+        accepts_any_id = not self.ids and not self.parents
+        return accepts_any_id or trace.id in self.ids or trace.parent in self.parents
 
     def _indexed_outcomes(self) -> frozenset[str]:
-        # A late request is served, but the index has it only as late.
+        # A late request counts as served, but the index lists it only as late.
         if RequestOutcome.SERVED in self.outcomes:
             return self.outcomes | {RequestOutcome.LATE}
         return self.outcomes
 
-    def _may_hold_id(self, keys: Mapping[str, Any]) -> bool:
+    def _may_contain_id(self, keys: Mapping[str, Any]) -> bool:
         if not self.ids and not self.parents:
             return True
-        return _holds_checksum(keys, "ids", self.ids) or _holds_checksum(
+        return _contains_checksum(keys, "ids", self.ids) or _contains_checksum(
             keys, "parents", self.parents
         )
 
 
-def _may_hold(keys: Mapping[str, Any], name: str, wanted: frozenset[str]) -> bool:
-    return not wanted or not wanted.isdisjoint(keys.get(name, ()))
+def _may_contain(keys: Mapping[str, Any], name: str, wanted_values: frozenset[str]) -> bool:
+    return not wanted_values or not wanted_values.isdisjoint(keys.get(name, ()))
 
 
-def _holds_checksum(keys: Mapping[str, Any], name: str, ids: frozenset[str]) -> bool:
+def _contains_checksum(keys: Mapping[str, Any], name: str, ids: frozenset[str]) -> bool:
     indexed = keys.get(name, b"")
     return any(contains_key(indexed, id_checksum(request_id)) for request_id in ids)
--- a/pepperhook/tracing/heavy_hitters.py
+++ b/pepperhook/tracing/heavy_hitters.py
@@ -1,63 +1,64 @@
-"""Finds the names that occur most often, in bounded memory, without I/O.
+"""Finds the most frequent names in bounded memory, without I/O.
 
 Uses the Space-Saving algorithm (Metwally, Agrawal, El Abbadi 2005): a count is never too low, and
-it is known by how much it may be too high.
+there is a known bound on how much too high it is.
 """
 
 from heapq import heapify, heappop, heappush
 
 from msgspec import Struct
 
-_MAX_STALE_ENTRIES = 4  # entries of the heap for each name, before it is rebuilt
+_MAX_HEAP_ENTRIES_PER_NAME = 4  # beyond this average, the heap is rebuilt
 
 
 class HeavyHitter(Struct):
-    """One name with its counts."""
+    """One of the most frequent names, with its counts."""
 
     name: str
     count: int
-    marked: int  # occurrences that were marked since the name is held
-    overcount: int  # by how much the count may be too high
+    marked: int  # marked occurrences since the name was last added
+    overcount: int  # at most this much of ``count`` is in excess
 
 
 class SpaceSaving:
-    """Counts names, and holds those that occur most often."""
+    """Counts names, and keeps the most frequent ones."""
 
     def __init__(self, capacity: int) -> None:
-        """Hold at most ``capacity`` names."""
+        """Keep at most ``capacity`` names."""
         self._capacity = capacity
-        self._held: dict[str, HeavyHitter] = {}
-        # Counts as they were pushed: an entry may be out of date, or of a name not held any more.
+        self._hitters: dict[str, HeavyHitter] = {}
+        # Counts at the time of the push: an entry may be outdated, or of a name that was removed.
         self._heap: list[tuple[int, str]] = []
 
     def add(self, name: str, is_marked: bool) -> None:
-        """Count an occurrence."""
-        held = self._held.get(name)
-        if held is not None:
-            held.count += 1
-            held.marked += is_marked
+        """Count an occurrence of a name; marked occurrences are also counted on their own."""
+        hitter = self._hitters.get(name)
+        if hitter is not None:
+            hitter.count += 1
+            hitter.marked += is_marked
             return
-        # A name that is new takes over the count of the one it replaces, as it may have been its.
-        overcount = 0 if len(self._held) < self._capacity else self._remove_rarest()
-        self._held[name] = HeavyHitter(name, overcount + 1, int(is_marked), overcount)
+        # A new name takes over the count of the name that it replaces, because it may have occurred
+        # that often while it was not kept.
+        overcount = 0 if len(self._hitters) < self._capacity else self._remove_rarest()
+        self._hitters[name] = HeavyHitter(name, overcount + 1, int(is_marked), overcount)
         heappush(self._heap, (overcount + 1, name))
-        if len(self._heap) > _MAX_STALE_ENTRIES * self._capacity:
-            self._heap = [(held.count, held.name) for held in self._held.values()]
+        if len(self._heap) > _MAX_HEAP_ENTRIES_PER_NAME * self._capacity:
+            self._heap = [(hitter.count, hitter.name) for hitter in self._hitters.values()]
             heapify(self._heap)
 
     def most_frequent(self, limit: int) -> list[HeavyHitter]:
         """Return the names with the highest counts."""
-        hitters = sorted(self._held.values(), key=lambda hitter: (-hitter.count, hitter.name))
+        hitters = sorted(self._hitters.values(), key=lambda hitter: (-hitter.count, hitter.name))
         return hitters[:limit]
 
     def _remove_rarest(self) -> int:
         """Remove the name with the lowest count, and return that count."""
         while True:
             count, name = heappop(self._heap)
-            held = self._held.get(name)
-            if held is None:
+            hitter = self._hitters.get(name)
+            if hitter is None:
                 continue
-            if held.count == count:
-                del self._held[name]
+            if hitter.count == count:
+                del self._hitters[name]
                 return count
-            heappush(self._heap, (held.count, name))
+            heappush(self._heap, (hitter.count, name))
--- a/pepperhook/tracing/merge.py
+++ b/pepperhook/tracing/merge.py
@@ -1,4 +1,4 @@
-"""Merges the traces of several balancers into one file, with their clocks corrected."""
+"""Merges the traces of several balancers into one file, and corrects their clocks."""
 
 import heapq
 from collections.abc import Iterable, Iterator, Mapping, Sequence
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from pepperhook.container import FileMetadata
-from pepperhook.tracing.clock_matching import ClockMatcher, Source, sources_of
+from pepperhook.tracing.clock_matching import ClockMatcher, Source, group_by_balancer
 from pepperhook.tracing.clock_offsets import Offset, estimate_offsets
 from pepperhook.tracing.reader import StrPath, open_trace_file, read_traces
 from pepperhook.tracing.records import CONTENT, CONTENT_VERSION, RequestTrace
@@ -19,25 +19,26 @@
     replacing_trace_file,
 )
 
-MAX_REMEMBERED = 200_000  # requests that are held to find calls before their attempts
-MAX_RECENT = 4096  # records that are held without regard to their age, to find doubles
+MAX_TRACKED_REQUESTS = 200_000  # remembered to find calls that precede their attempts
+MAX_RECENT_RECORDS = 4096  # beyond this, records too old to have a duplicate are forgotten
 NS_PER_S = 10**9
-MERGED_TIER = -1  # of a file that has several tiers
+MERGED_TIER = -1  # stored as the tier of a file with records of several tiers
 
 
 class Merged(Struct):
-    """What a merge did. Times in nanoseconds."""
+    """The result of a merge."""
 
     lives: int  # records that were written
-    doubled: int  # records that were in the files more than once
+    doubled: int  # duplicate records that were omitted
     clocks: list[Offset]
-    unmatched: int  # calls whose attempt is in no file, or could not be told
-    # Calls that come before their attempt on the corrected clocks: these contradict, or drifted.
+    unmatched: int  # calls that bound no clock offset
+    # Calls that precede their attempt even on the corrected clocks, because bounds of the offsets
+    # contradict each other or a clock drifted.
     before_their_dispatch: int
 
 
 class _Row(NamedTuple):
-    """A record in the order of merging; no two have the same tier, source and number."""
+    """A record with its sort key; tier, source and number together are unique to a record."""
 
     accepted_ns: int  # on the corrected clock
     tier: int
@@ -49,13 +50,13 @@
 def merge(
     paths: Iterable[StrPath], out: StrPath, report_progress: ReportProgress = ignore_progress
 ) -> Merged:
-    """Write the records of several balancers to ``out``, in the order of acceptance.
+    """Write the records of several balancers to ``out``, sorted by time of acceptance.
 
-    Times are on the clock of the first balancer. Calls are matched with the attempts that they were
-    made for to correct the others. A record that is there twice is written once. Raises
-    UnreadableFileError.
+    Times are converted to the clock of the first balancer. The offsets of the other clocks are
+    estimated from calls and the attempts that they were made for. Duplicate records are written
+    once. Raises UnreadableFileError.
     """
-    sources = sources_of(paths)
+    sources = group_by_balancer(paths)
     matcher = ClockMatcher(sources, report_progress)
     matcher.run()
     clocks = estimate_offsets([source.name for source in sources], matcher.bounds)
@@ -64,7 +65,7 @@
     report_progress("writing", 1.0)
     with replacing_trace_file(out, _metadata_of(sources, clocks)) as writer:
         for row in heapq.merge(*_sorted_sources(sources, clocks)):
-            if recent.is_double(row):
+            if recent.is_duplicate(row):
                 merged.doubled += 1
             else:
                 append_trace(writer, row.trace)
@@ -74,29 +75,30 @@
 
 
 def count_early_calls(path: StrPath) -> int:
-    """Count the calls in a merged file that were accepted before any attempt for them was sent."""
-    first_sent: dict[str, int] = {}  # by the request's id, nanoseconds
-    waiting: dict[str, list[int]] = {}  # calls that came before the request they were made for
+    """Count the calls in a merged file that were accepted before their parent sent any attempt."""
+    first_sent: dict[str, int] = {}  # by request id, when its first attempt was sent, nanoseconds
+    # By parent id, when calls were accepted whose parent has not been read yet, in nanoseconds.
+    pending_calls: dict[str, list[int]] = {}
     count = 0
     with open_trace_file(path) as reader:
         for trace in read_traces(reader):
             if trace.parent in first_sent:
                 count += trace.taken < first_sent[trace.parent]
             elif trace.parent:
-                waiting.setdefault(trace.parent, []).append(trace.taken)
+                pending_calls.setdefault(trace.parent, []).append(trace.taken)
             if trace.sent:
                 sent = first_sent[trace.id] = trace.time_ns(trace.sent[0].sent)
-                count += sum(accepted < sent for accepted in waiting.pop(trace.id, ()))
+                count += sum(accepted < sent for accepted in pending_calls.pop(trace.id, ()))
             _limit_size(first_sent)
-            _limit_size(waiting)
+            _limit_size(pending_calls)
     return count
 
 
-def _limit_size(remembered: dict[str, Any]) -> None:
-    """Forget the older half of what is remembered, where it is too much."""
-    if len(remembered) > MAX_REMEMBERED:
-        for request_id in list(remembered)[: MAX_REMEMBERED // 2]:
-            del remembered[request_id]
+def _limit_size(entries: dict[str, Any]) -> None:
+    """Remove the older half of the entries if there are more than MAX_TRACKED_REQUESTS."""
+    if len(entries) > MAX_TRACKED_REQUESTS:
+        for request_id in list(entries)[: MAX_TRACKED_REQUESTS // 2]:
+            del entries[request_id]
 
 
 def _metadata_of(sources: Sequence[Source], clocks: Mapping[str, Offset]) -> FileMetadata:
@@ -108,24 +110,25 @@
 
 
 class _RecentRecords:
-    """Remembers the records written lately, to find those that come again."""
+    """Remembers the records written recently, to detect duplicates."""
 
     def __init__(self, sources: Sequence[Source]) -> None:
-        """Remember for as long as the same record may come again."""
+        """Remember each record for as long as a duplicate of it may follow."""
         self._names = [source.name for source in sources]
         longest_ns = max((source.longest_ns for source in sources), default=0)
         self._window_ns = 2 * longest_ns + NS_PER_S
+        # By balancer, request id and original time of acceptance.
         self._accepted: dict[tuple[str, str, int], int] = {}
 
-    def is_double(self, row: _Row) -> bool:
-        """Return whether a record was there before; remember it if not."""
+    def is_duplicate(self, row: _Row) -> bool:
+        """Return whether a record was written before; remember it if not."""
         key = (self._names[row.source], row.trace.id, row.trace.taken)
         if key in self._accepted:
             return True
         self._accepted[key] = row.accepted_ns
-        if len(self._accepted) > MAX_RECENT:
-            oldest = row.accepted_ns - self._window_ns
-            self._accepted = {key: at for key, at in self._accepted.items() if at > oldest}
+        if len(self._accepted) > MAX_RECENT_RECORDS:
+            oldest_ns = row.accepted_ns - self._window_ns
+            self._accepted = {key: ns for key, ns in self._accepted.items() if ns > oldest_ns}
         return False
 
 
@@ -139,18 +142,18 @@
 
 
 def _sorted_rows(source: Source, index: int, ahead_ns: int) -> Iterator[_Row]:
-    """Yield the records of a balancer by acceptance, on the corrected clock.
+    """Yield the records of a balancer by time of acceptance, on the corrected clock.
 
-    Files have them in the order of their ends, so a record waits here for as long as the longest
-    lifecycle.
+    A file has them in the order in which the requests ended, so a record is buffered for as long as
+    the longest request lasted.
     """
-    waiting: list[_Row] = []
+    buffer: list[_Row] = []
     for number, trace in enumerate(source.traces()):
         corrected = replace(trace, taken=trace.taken - ahead_ns)
-        heapq.heappush(waiting, _Row(corrected.taken, source.tier, index, number, corrected))
-        # No record that comes later was accepted before this time.
-        complete_until_ns = corrected.over - source.longest_ns
-        while waiting and waiting[0].accepted_ns < complete_until_ns:
-            yield heapq.heappop(waiting)
-    while waiting:
-        yield heapq.heappop(waiting)
+        heapq.heappush(buffer, _Row(corrected.taken, source.tier, index, number, corrected))
+        # No record that follows in the file was accepted before this time.
+        complete_until_ns = corrected.end_ns - source.longest_ns
+        while buffer and buffer[0].accepted_ns < complete_until_ns:
+            yield heapq.heappop(buffer)
+    while buffer:
+        yield heapq.heappop(buffer)
--- a/pepperhook/tracing/open_trace.py
+++ b/pepperhook/tracing/open_trace.py
@@ -1,4 +1,4 @@
-"""The trace of one request that has not ended."""
+"""The trace of a request that has not ended yet."""
 
 from pepperhook import domain
 from pepperhook.decision_notes import (
@@ -25,13 +25,13 @@
     WaitEnd,
 )
 
-MAX_STEPS = 64  # waits, and attempts, that are kept of one request
+MAX_STEPS = 64  # limit per request, for waits and for attempts; further ones are only counted
 NO_CAPACITY = "no room"
 NONE_USABLE = "none usable"
 
 
 class OpenTrace:
-    """Adds to a record what the policy decides and what comes of its attempts."""
+    """Adds the policy's decisions and the outcomes of attempts to the record of a request."""
 
     __slots__ = ("trace", "attempts", "selection", "usable", "reason", "last_ended")
 
@@ -39,9 +39,9 @@
         """Begin with the record of a request that was just accepted."""
         self.trace = trace
         self.attempts: dict[domain.Attempt, AttemptTrace] = {}
-        self.selection: SelectionNote | None = None  # of the attempt that comes next
-        self.usable = 0  # upstreams, by the last selection
-        self.reason = ""  # why the request fails, if it fails now
+        self.selection: SelectionNote | None = None  # for the attempt that is sent next
+        self.usable = 0  # usable upstreams at the last selection
+        self.reason = ""  # why the request fails, if it fails next
         self.last_ended: AttemptTrace | None = None
 
     @property
@@ -50,7 +50,7 @@
         return self.trace.answered >= 0
 
     def add_note(self, now: int, note: DecisionNote) -> None:
-        """Record the reason of a decision."""
+        """Record a decision of the policy and its reason."""
         match note:
             case SelectionNote():
                 self._add_selection(note)
@@ -64,12 +64,12 @@
                 self._add_rejection(now, reason)
 
     def start_attempt(self, now: int, attempt: domain.Attempt) -> None:
-        """Record that an attempt is sent."""
+        """Record that an attempt was sent."""
         self._end_wait(now, WaitEnd.SENT)
         if len(self.trace.sent) >= MAX_STEPS:
             self.trace.cut += 1
             return
-        record = AttemptTrace(_text(attempt.upstream.address), self._offset_us(now))
+        record = AttemptTrace(_decode_address(attempt.upstream.address), self._offset_us(now))
         if self.selection is not None:
             record.drawn = _selection_record(self.selection)
         self.selection = None
@@ -78,11 +78,11 @@
         self.attempts[attempt] = record
 
     def end_attempt(self, now: int, attempt: domain.Attempt, outcome: domain.Outcome) -> bool:
-        """Record the outcome of an attempt; return False if it was not open here."""
+        """Record the outcome of an attempt; return False if it had ended before."""
         record = self.attempts.get(attempt)
         if record is None:
-            # Beyond what is kept of a request, and yet its end may be the request's.
-            return self._end_uncounted(now, outcome)
+            # Omitted because of MAX_STEPS, but its response may still be that of the request.
+            return self._end_unrecorded_attempt(now, outcome)
         if record.ended >= 0:
             return False
         record.ended = self._offset_us(now)
@@ -92,13 +92,13 @@
             self.finish(now, RequestOutcome.SERVED)
         return True
 
-    def _end_uncounted(self, now: int, outcome: domain.Outcome) -> bool:
+    def _end_unrecorded_attempt(self, now: int, outcome: domain.Outcome) -> bool:
         if outcome == domain.Outcome.SERVED and not self.is_answered:
             self.finish(now, RequestOutcome.SERVED)
         return True
 
     def finish(self, now: int, outcome: RequestOutcome) -> None:
-        """Record the final outcome; only the first one counts."""
+        """Record the final outcome of the request; later ones are ignored."""
         trace = self.trace
         if trace.final != RequestOutcome.OPEN:
             return
@@ -108,9 +108,9 @@
         trace.answered = self._offset_us(now)
         trace.late = outcome == RequestOutcome.SERVED and trace.answered > trace.goal
         if is_unserved:
-            trace.reason = self.reason or self._last_outcome()
+            trace.reason = self.reason or self._last_attempt_reason()
 
-    def _last_outcome(self) -> str:
+    def _last_attempt_reason(self) -> str:
         return f"dispatch {self.last_ended.outcome}" if self.last_ended else ""
 
     def _offset_us(self, now: int) -> int:
@@ -157,7 +157,7 @@
     source = CandidateSource.SUBSET if note.from_subset else CandidateSource.ALL_READY
     candidates = [
         Candidate(
-            _text(candidate.address),
+            _decode_address(candidate.address),
             round(candidate.weight, 3),
             round(candidate.load, 2),
             round(candidate.latency_score, 2),
@@ -167,5 +167,5 @@
     return Selection(source, note.usable, note.with_capacity, candidates)
 
 
-def _text(address: bytes | str) -> str:
+def _decode_address(address: bytes | str) -> str:
     return address.decode(errors="replace") if isinstance(address, bytes) else str(address)
--- a/pepperhook/tracing/opentelemetry.py
+++ b/pepperhook/tracing/opentelemetry.py
@@ -1,9 +1,10 @@
-"""Traces in the JSON of OpenTelemetry's protocol, without I/O.
+"""Converts traces to the JSON of OpenTelemetry's protocol, without I/O.
 
-The form is ``TracesData`` of opentelemetry-proto 1.x in its "JSON Protobuf Encoding": ids are
-hexadecimal, 64-bit numbers are text, enums are numbers. A file has one object a line, as from
-OpenTelemetry's file exporter. A request is a span of kind SERVER, and each of its attempts one of
-kind CLIENT below it; the span of a request that was made for another one stands below that one's.
+The format is ``TracesData`` of opentelemetry-proto 1.x in its "JSON Protobuf Encoding": ids are
+hexadecimal, 64-bit numbers are strings, enums are numbers. A file has one object per line, like the
+files of OpenTelemetry's file exporter. A request becomes a span of kind SERVER, and each of its
+attempts a child span of kind CLIENT. The span of a request that has a parent request is a child of
+the parent's span.
 """
 
 from enum import IntEnum
@@ -44,7 +45,7 @@
 
 
 def traces_data(metadata: FileMetadata, trace: RequestTrace) -> Json:
-    """Return a request and its attempts as ``TracesData``."""
+    """Convert a request and its attempts to ``TracesData``."""
     spans = [_request_span(trace)]
     spans += [_attempt_span(trace, number, attempt) for number, attempt in enumerate(trace.sent)]
     resource = {
@@ -131,7 +132,7 @@
 
 
 def _attribute(key: str, value: bool | int | float | str) -> Json:
-    # bool first: it is an int, too.
+    # Check for bool first, as it is a subclass of int.
     if isinstance(value, bool):
         typed: Json = {"boolValue": value}
     elif isinstance(value, int):
--- a/pepperhook/tracing/pseudonyms.py
+++ b/pepperhook/tracing/pseudonyms.py
@@ -1,8 +1,8 @@
-"""Keyed pseudonyms: nobody without the key can find out a name by trying names.
+"""Keyed pseudonyms: without the key, a name cannot be found by trying candidates.
 
-The same name has the same pseudonym under one key, so that a set of files stays one set. They are
-BLAKE2b with a key (RFC 7693, section 2.9), of which 80 bits are used: of a million names any two
-share a pseudonym with a probability of 4 in 10^13.
+The same name has the same pseudonym under one key, so records of different files still match. A
+pseudonym is a keyed BLAKE2b digest (RFC 7693, section 2.9) of 80 bits: among a million names, the
+probability that any two share a pseudonym is 4 in 10^13.
 """
 
 from base64 import b32encode
@@ -18,17 +18,17 @@
 
 
 class NameKind(StrEnum):
-    """What a name is of; equal names of different kinds have different pseudonyms."""
+    """The kind of a name; equal names of different kinds have different pseudonyms."""
 
     ID = "id"
     TENANT = "customer"
 
 
 class Pseudonyms:
-    """Makes the pseudonyms of one key."""
+    """Computes pseudonyms under one key."""
 
     def __init__(self, key: bytes) -> None:
-        """Derive the key to use. Raises KeyTooShortError."""
+        """Derive the hash key from ``key``. Raises KeyTooShortError."""
         if len(key) < MIN_KEY_BYTES:
             raise KeyTooShortError(
                 f"a key of at least {MIN_KEY_BYTES} bytes is wanted, not {len(key)}"
--- a/pepperhook/tracing/reader.py
+++ b/pepperhook/tracing/reader.py
@@ -1,4 +1,4 @@
-"""Reads traces one record at a time: a file may be larger than memory."""
+"""Reads traces one record at a time, because a file may be larger than memory."""
 
 import os
 from collections.abc import Iterable, Iterator
@@ -15,14 +15,17 @@
     SourcedTrace,
 )
 
-MAX_GENERATIONS = 16  # of requests that were made for one another
+MAX_GENERATIONS = 16  # levels of descendants that find_descendants returns
 StrPath: TypeAlias = str | os.PathLike[str]
 
 _DECODER = msgspec.msgpack.Decoder(RequestTrace)
 
 
 def open_trace_file(path: StrPath) -> ContainerReader:
-    """Open a file of traces. Raises UnreadableFileError."""
+    """Open a trace file.
+
+    Raises UnreadableFileError, also for other content and for a later version of the records.
+    """
     reader = ContainerReader(path)
     metadata = reader.metadata
     problem = None
@@ -40,61 +43,61 @@
 
 
 def read_traces(
-    reader: ContainerReader, wanted: TraceFilter | None = None
+    reader: ContainerReader, trace_filter: TraceFilter | None = None
 ) -> Iterator[RequestTrace]:
-    """Yield the records of an open file that match, in the order of the file."""
-    for block in _blocks_for(reader, wanted):
+    """Yield the matching records of an open file, in the order of the file."""
+    for block in _blocks_for(reader, trace_filter):
         for trace in iter_records(block.content, _DECODER):
-            if wanted is None or wanted.matches(trace):
+            if trace_filter is None or trace_filter.matches(trace):
                 yield trace
 
 
 def read_files(
-    paths: Iterable[StrPath], wanted: TraceFilter | None = None
+    paths: Iterable[StrPath], trace_filter: TraceFilter | None = None
 ) -> Iterator[SourcedTrace]:
-    """Yield the records of files that match, one file after the other.
+    """Yield the matching records of several files, one file after the other.
 
     Raises UnreadableFileError.
     """
     for path in paths:
         with open_trace_file(path) as reader:
-            for trace in read_traces(reader, wanted):
+            for trace in read_traces(reader, trace_filter):
                 yield SourcedTrace(reader.metadata, trace)
 
 
 def find_descendants(paths: Iterable[StrPath], request_id: str) -> list[SourcedTrace]:
-    """Return the records of a request, and of all requests made for it, tier by tier.
+    """Return the records of a request and of all its descendants, tier by tier.
 
     Raises UnreadableFileError.
     """
     files = list(paths)
-    found: list[SourcedTrace] = []
-    known: set[tuple[str, int, str, int]] = set()
+    rows: list[SourcedTrace] = []
+    seen_keys: set[tuple[str, int, str, int]] = set()
     parents = frozenset([request_id])
-    wanted = TraceFilter(ids=parents, parents=parents)
+    trace_filter = TraceFilter(ids=parents, parents=parents)
     for _ in range(MAX_GENERATIONS):
         children: set[str] = set()
-        for row in read_files(files, wanted):
+        for row in read_files(files, trace_filter):
             key = (row.metadata.name, row.metadata.tier, row.trace.id, row.trace.taken)
-            if key not in known:
-                known.add(key)
-                found.append(row)
+            if key not in seen_keys:
+                seen_keys.add(key)
+                rows.append(row)
                 children.add(row.trace.id)
         children.discard(request_id)
         if not children:
             break
-        wanted = TraceFilter(parents=frozenset(children))
-    return found
+        trace_filter = TraceFilter(parents=frozenset(children))
+    return rows
 
 
-def _blocks_for(reader: ContainerReader, wanted: TraceFilter | None) -> Iterator[Block]:
-    """Yield the blocks that may hold a match: all of them, where there is no valid index."""
-    entries = reader.index() if wanted is not None else None
-    if wanted is None or entries is None:
+def _blocks_for(reader: ContainerReader, trace_filter: TraceFilter | None) -> Iterator[Block]:
+    """Yield the blocks that may contain a match, or all blocks if there is no valid index."""
+    entries = reader.index() if trace_filter is not None else None
+    if trace_filter is None or entries is None:
         yield from reader.record_blocks()
         return
     for entry in entries:
-        if wanted.may_match_block(entry):
+        if trace_filter.may_match_block(entry):
             block = reader.read_block(entry.offset)
             if block is not None:
                 yield block
--- a/pepperhook/tracing/records.py
+++ b/pepperhook/tracing/records.py
@@ -1,8 +1,9 @@
-"""The records of a trace: one for each request at one balancer.
+"""The record types of a trace: one record per request and balancer.
 
-Records are MessagePack arrays by position. Fields may be added at the end: a reader of older
-records then has their defaults, and an older reader ignores what is new. The fields have the words
-of the stored formats and exports (``docs/formats/record.md``), as exports are named after them.
+Records are encoded as MessagePack arrays, so a field is identified by its position. New fields may
+only be added at the end: a reader fills those that an older record lacks with their defaults, and
+an older reader ignores the extra ones. The fields keep the names of the stored formats
+(``docs/formats/record.md``), because exports use them as column and attribute names.
 """
 
 from enum import StrEnum
@@ -18,17 +19,17 @@
 CONTENT = "trace"
 CONTENT_VERSION = 1
 NS_PER_US = 1000
-UNKNOWN_US = -1  # in place of a time that is not known, or has not come
-OPEN_ATTEMPT = "open"  # the word of outputs for an attempt without an outcome
+UNKNOWN_US = -1  # stands for a time that is unknown or not reached yet
+OPEN_ATTEMPT = "open"  # printed and exported for an attempt without an outcome
 
 _ENCODER = msgspec.msgpack.Encoder()
 
 
 class RequestOutcome(StrEnum):
-    """How a request ended, by the words of stored traces."""
+    """How a request ended, in the words of stored traces."""
 
     SERVED = "fulfilled"
-    LATE = "late"  # served past its latency objective; ``final`` is then SERVED
+    LATE = "late"  # served after its latency objective; ``final`` is then SERVED
     REJECTED = "shed"
     FAILED = "broken off"
     CLIENT_LEFT = "left"
@@ -36,21 +37,21 @@
 
 
 class CandidateSource(StrEnum):
-    """Where the upstreams of a selection came from, by the words of stored traces."""
+    """The set of upstreams that a selection chose from, in the words of stored traces."""
 
     SUBSET = "slice"
-    ALL_READY = "ring"  # where no member of the subset was usable
+    ALL_READY = "ring"  # used if no member of the subset was usable
 
 
 class WaitEnd(StrEnum):
-    """How a stay in the admission queue ended, where the policy gave no reason of its own."""
+    """How a wait in the admission queue ended, if the policy gave no reason of its own."""
 
     SENT = "sent"
     TIME_UP = "time up"
 
 
 class Candidate(NamedTuple):
-    """One upstream of those that were compared."""
+    """One of the upstreams that a selection compared."""
 
     upstream: str
     weight: float
@@ -59,43 +60,43 @@
 
 
 class Selection(Struct, array_like=True, omit_defaults=True):
-    """Why an attempt went to its upstream."""
+    """How the upstream of an attempt was chosen."""
 
     where: str = ""  # a CandidateSource
     usable: int = 0  # upstreams that were ready and allowed
-    fit: int = 0  # of those, the ones with capacity
-    pair: list[Candidate] = []
+    fit: int = 0  # usable upstreams that had capacity
+    pair: list[Candidate] = []  # the upstreams that were compared
 
 
 class RetryDecision(Struct, array_like=True, omit_defaults=True):
-    """Whether an attempt was followed by a retry, with the state of the retry budget."""
+    """Whether a retry followed an attempt, and the state of the retry budget."""
 
     verdict: str = ""  # a decision_notes.RetryVerdict
-    drawn: float | None = None  # None where the decision did not come to a draw
-    most: float = 0.0  # a draw below it grants the retry
+    drawn: float | None = None  # random number; None if none was drawn
+    most: float = 0.0  # a drawn number below this grants the retry
     B: float = 0.0  # the retry budget
     f: float = 0.0  # the fraction of attempts that fail
 
 
 class AttemptTrace(Struct, array_like=True, omit_defaults=True):
-    """One attempt. Times are microseconds since the request was accepted."""
+    """One attempt. Times are in microseconds since the request was accepted."""
 
     upstream: str
     sent: int
     ended: int = UNKNOWN_US
-    outcome: str = ""  # by the words of stored_words.OUTCOMES; empty while it is open
-    drawn: Selection | None = None
-    again: RetryDecision | None = None
+    outcome: str = ""  # a word of stored_words.OUTCOMES; empty while the attempt is open
+    drawn: Selection | None = None  # how its upstream was chosen
+    again: RetryDecision | None = None  # whether a retry followed
 
 
 class QueueWait(Struct, array_like=True, omit_defaults=True):
-    """One stay in the admission queue. Times are microseconds since the request was accepted."""
+    """One wait in the admission queue. Times are in microseconds since the request was accepted."""
 
     begun: int
     until: int = UNKNOWN_US
-    place: int = 0  # in the queue, from 0
-    queue: int = 0  # the queue's length at the beginning
-    usable: int = 0  # upstreams that were usable; none of them had capacity
+    place: int = 0  # position in the queue, from 0
+    queue: int = 0  # length of the queue when the wait began
+    usable: int = 0  # usable upstreams, none of which had capacity
     end: str = ""  # a WaitEnd, a decision_notes.RejectionReason, or the final outcome
 
 
@@ -103,67 +104,68 @@
     """One request at one balancer, from its acceptance to the end of its last attempt."""
 
     id: str
-    parent: str  # the id of the request that this one was made for, where ids tell
+    parent: str  # id of the request that caused this one, derived from ``id``; empty if none
     grade: str  # its service class
     customer: str  # its tenant
-    taken: int  # when it was accepted: nanoseconds of the balancer's clock, Unix time at its start
-    limit: int  # microseconds to its deadline
-    goal: int  # microseconds of its latency objective
+    # When it was accepted, in nanoseconds of the balancer's clock, which starts from Unix time.
+    taken: int
+    limit: int  # microseconds from acceptance to the deadline
+    goal: int  # latency objective in microseconds
     worth: float  # its value to the policy
     final: str  # a RequestOutcome other than LATE
-    answered: int  # microseconds from acceptance to the final response
-    late: bool = False  # served, but past its latency objective
+    answered: int  # microseconds from acceptance to the final outcome; UNKNOWN_US before it
+    late: bool = False  # served, but after its latency objective
     reason: str = ""  # why it was rejected or failed
     waits: list[QueueWait] = []
-    sent: list[AttemptTrace] = []
-    share: tuple[float, float] | None = None  # the tenant's rate and quota, where it was over quota
-    cut: int = 0  # attempts and waits that were left out, as there were too many
-    root: str = ""  # the id of the first request in the chain of parents; empty: its own
+    sent: list[AttemptTrace] = []  # the attempts in the order in which they were sent
+    share: tuple[float, float] | None = None  # the tenant's rate and quota, if it was over quota
+    cut: int = 0  # attempts and waits that are omitted because there were too many
+    root: str = ""  # id of the first request in the chain of parents; empty if that is ``id``
 
     @property
-    def over(self) -> int:
-        """When nothing of the request was left, in nanoseconds of the balancer's clock."""
+    def end_ns(self) -> int:
+        """When the request and all attempts had ended, in nanoseconds of the balancer's clock."""
         return self.taken + NS_PER_US * max([self.answered, *(sent.ended for sent in self.sent)])
 
     @property
     def outcome(self) -> str:
-        """The RequestOutcome, with LATE told apart."""
+        """The RequestOutcome: LATE for a request served late, else ``final``."""
         return RequestOutcome.LATE.value if self.late else self.final
 
     def time_ns(self, offset_us: int) -> int:
-        """Return a time of this record in nanoseconds of the balancer's clock."""
+        """Convert microseconds since acceptance to nanoseconds of the balancer's clock."""
         return self.taken + NS_PER_US * offset_us
 
     def attempt_end_us(self, attempt: AttemptTrace) -> int:
-        """Return when an attempt ended; when the request did, where that is not known."""
+        """Return when an attempt ended or, if that is unknown, when the request did."""
         return attempt.ended if attempt.ended >= 0 else max(self.answered, attempt.sent)
 
     def wait_end_us(self, wait: QueueWait) -> int:
-        """Return when a wait ended; when the request did, where that is not known."""
+        """Return when a wait ended or, if that is unknown, when the request did."""
         return wait.until if wait.until >= 0 else self.answered
 
 
 class SourcedTrace(NamedTuple):
-    """A record with the metadata of the file it was read from."""
+    """A record and the metadata of the file that it was read from."""
 
     metadata: FileMetadata
     trace: RequestTrace
 
 
 def encode(trace: RequestTrace) -> bytes:
-    """Return a record as it is appended to a container."""
+    """Encode a record for appending to a container."""
     return frame_record(_ENCODER.encode(trace))
 
 
 def id_checksum(request_id: str) -> int:
-    """Return what an id is indexed and sampled by."""
+    """Return the checksum by which an id is indexed and sampled."""
     return crc32(request_id.encode())
 
 
 def index_keys(trace: RequestTrace) -> dict[str, IndexKey]:
-    """Return what a record is found by in an index.
+    """Return the keys by which an index finds a record.
 
-    Ids are indexed by checksum, as there are as many as records.
+    Ids are indexed by checksum because there are as many of them as records.
     """
     keys: dict[str, IndexKey] = {
         "grade": trace.grade,
--- a/pepperhook/tracing/report_page.py
+++ b/pepperhook/tracing/report_page.py
@@ -1,4 +1,4 @@
-"""A trace as one HTML page: its figures, and the outcomes of requests over time."""
+"""Renders a trace as one HTML page: its figures, and the outcomes of requests over time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from pepperhook.tracing.summary import Summary
 
 MAX_TENANTS = 20
-COLOURS = {
+OUTCOME_COLOURS = {
     RequestOutcome.SERVED: "#3a7d44",
     RequestOutcome.LATE: "#c7a500",
     RequestOutcome.REJECTED: "#c75000",
@@ -28,9 +28,9 @@
     "td,th{padding:.2em .6em;border-bottom:1px solid #ddd;text-align:right}"
     "td:first-child,th:first-child{text-align:left}</style>"
 )
-SERVICE_CLASS_HEAD = ("grade", "lives", *RequestOutcome, "dispatches each", "p50 ms", "p99 ms")
-UPSTREAM_HEAD = ("upstream", "dispatches", "outcomes", "p50 ms", "p99 ms")
-TENANT_HEAD = ("customer", "lives", "of them not served in time", "too high by at most")
+SERVICE_CLASS_HEADER = ("grade", "lives", *RequestOutcome, "dispatches each", "p50 ms", "p99 ms")
+UPSTREAM_HEADER = ("upstream", "dispatches", "outcomes", "p50 ms", "p99 ms")
+TENANT_HEADER = ("customer", "lives", "not served in time", "lives too high by at most")
 
 Row = Sequence[Any]
 
@@ -38,10 +38,10 @@
 def report_page(
     title: str, summary: Summary, timeline: Timeline, sampling_notes: Iterable[str]
 ) -> str:
-    """Return the page.
+    """Return the HTML page.
 
-    ``sampling_notes`` say what fraction of requests the trace has, as the counts of those that were
-    served depend on it.
+    ``sampling_notes`` state which fraction of the requests is in the trace, because the counts of
+    served requests depend on it.
     """
     figures = summary.to_dict(MAX_TENANTS)
     lines = [
@@ -49,17 +49,17 @@
         STYLE,
         f"<h1>{html.escape(title)}</h1>",
         *(f"<p>{html.escape(note)}</p>" for note in sampling_notes),
-        _picture(timeline) if figures["lives"] else "<p>No lives.</p>",
+        _outcome_chart(timeline) if figures["lives"] else "<p>No lives.</p>",
         "<h2>By grade</h2>",
-        _table(SERVICE_CLASS_HEAD, _service_class_rows(figures)),
-        "<h2>Why</h2>",
+        _table(SERVICE_CLASS_HEADER, _service_class_rows(figures)),
+        "<h2>Reasons</h2>",
         _table(("final and reason", "lives"), figures["reasons"].items()),
-        "<h2>Again</h2>",
+        "<h2>Retry decisions</h2>",
         _table(("verdict", "dispatches"), figures["again"].items()),
         "<h2>By upstream</h2>",
-        _table(UPSTREAM_HEAD, _upstream_rows(figures)),
-        "<h2>Customers with the most</h2>",
-        _table(TENANT_HEAD, _tenant_rows(figures)),
+        _table(UPSTREAM_HEADER, _upstream_rows(figures)),
+        "<h2>Customers with the most lives</h2>",
+        _table(TENANT_HEADER, _tenant_rows(figures)),
     ]
     return "\n".join(lines) + "\n"
 
@@ -87,9 +87,9 @@
     ]
 
 
-def _table(head: Row, rows: Iterable[Row]) -> str:
+def _table(header: Row, rows: Iterable[Row]) -> str:
     body = "".join(f"<tr>{_cells(row, 'td')}</tr>" for row in rows)
-    return f"<table><tr>{_cells(head, 'th')}</tr>{body}</table>"
+    return f"<table><tr>{_cells(header, 'th')}</tr>{body}</table>"
 
 
 def _cells(row: Row, tag: str) -> str:
@@ -102,28 +102,28 @@
     return f"{cell:g}" if isinstance(cell, float) else str(cell)
 
 
-def _picture(timeline: Timeline) -> str:
-    """Return a bar chart of outcomes over time as SVG."""
+def _outcome_chart(timeline: Timeline) -> str:
+    """Draw a bar chart of outcomes over time as SVG."""
     from matplotlib.figure import Figure
 
     figure = Figure((9, 3), layout="constrained")
     axes = figure.subplots()
     bins = timeline.bins()
-    begins_s = [each.begin_s for each in bins]
+    begins_s = [time_bin.begin_s for time_bin in bins]
     bottoms = [0.0] * len(bins)
     width_s = timeline.width_ns / NS_PER_S
-    for outcome, colour in COLOURS.items():
-        heights = [each.counts[outcome] / width_s for each in bins]
+    for outcome, colour in OUTCOME_COLOURS.items():
+        heights = [time_bin.counts[outcome] / width_s for time_bin in bins]
         if any(heights):
             axes.bar(begins_s, heights, width_s, bottoms, color=colour, label=outcome, align="edge")
             pairs = zip(bottoms, heights, strict=True)
             bottoms = [bottom + height for bottom, height in pairs]
     axes.set(xlabel="seconds", ylabel="lives a second")
     axes.legend(frameon=False, fontsize=8, ncols=3)
-    return _as_svg(figure)
+    return _to_svg(figure)
 
 
-def _as_svg(figure: Any) -> str:
+def _to_svg(figure: Any) -> str:
     out = io.StringIO()
     figure.savefig(out, format="svg", metadata={"Date": None})
     document = out.getvalue()
--- a/pepperhook/tracing/request_tree.py
+++ b/pepperhook/tracing/request_tree.py
@@ -1,4 +1,4 @@
-"""Arranges the records of one request across balancers as a tree, without I/O."""
+"""Arranges the records of a request and its descendants as a tree, without I/O."""
 
 from collections import defaultdict
 from collections.abc import Sequence
@@ -9,7 +9,7 @@
 
 
 class TreeRow(NamedTuple):
-    """A record, and how many of the records above it lead to the root."""
+    """A record with its depth in the tree; roots have depth 0."""
 
     depth: int
     metadata: FileMetadata
@@ -17,14 +17,14 @@
 
 
 class TimeSpan(NamedTuple):
-    """From the first acceptance to the last end, in nanoseconds; never empty."""
+    """The time from the first acceptance to the last end, in nanoseconds; never empty."""
 
     begin_ns: int
     end_ns: int
 
     @property
     def length_ns(self) -> int:
-        """How long it is."""
+        """The duration of the span."""
         return self.end_ns - self.begin_ns
 
     def fraction(self, time_ns: int) -> float:
@@ -33,7 +33,7 @@
 
 
 def build_tree(rows: Sequence[SourcedTrace]) -> list[TreeRow]:
-    """Return each record behind the one that it was made for, by time of acceptance."""
+    """Return each record followed by its descendants; siblings are sorted by acceptance."""
     ids = {row.trace.id for row in rows}
     children: defaultdict[str, list[SourcedTrace]] = defaultdict(list)
     roots: list[SourcedTrace] = []
@@ -41,22 +41,22 @@
         siblings = children[row.trace.parent] if row.trace.parent in ids else roots
         siblings.append(row)
     ordered: list[TreeRow] = []
-    seen: set[int] = set()
+    listed: set[int] = set()
     stack = [TreeRow(0, *row) for row in reversed(roots)]
     while stack:
         tree_row = stack.pop()
-        # Two records with one id have the same children, which are listed once.
-        if id(tree_row.trace) in seen:
+        # Records with the same id have the same children, which are listed only once.
+        if id(tree_row.trace) in listed:
             continue
-        seen.add(id(tree_row.trace))
+        listed.add(id(tree_row.trace))
         ordered.append(tree_row)
-        below = children.get(tree_row.trace.id, [])
-        stack += [TreeRow(tree_row.depth + 1, *row) for row in reversed(below)]
+        child_rows = children.get(tree_row.trace.id, [])
+        stack += [TreeRow(tree_row.depth + 1, *row) for row in reversed(child_rows)]
     return ordered
 
 
 def span_of(rows: Sequence[TreeRow]) -> TimeSpan:
-    """Return the time that records cover, of one record at least."""
+    """Return the time span of one or more records."""
     begin = min(row.trace.taken for row in rows)
-    end = max(row.trace.over for row in rows)
+    end = max(row.trace.end_ns for row in rows)
     return TimeSpan(begin, max(end, begin + 1))
--- a/pepperhook/tracing/retrace.py
+++ b/pepperhook/tracing/retrace.py
@@ -1,6 +1,7 @@
-"""Makes the traces of captures: a tracer stands in the policy's place while they are replayed.
+"""Creates traces from captures, which it replays to a policy that is wrapped in a tracer.
 
-As a replay is exact, the reasons are those that the captured balancer had, although it noted none.
+A replay is exact, so the reasons of the decisions are those of the captured balancer, although it
+did not record them.
 """
 
 from collections.abc import Sequence
@@ -26,13 +27,13 @@
 
 
 class RetraceResult(Struct):
-    """What was made, under the names of the output."""
+    """The result of tracing captures, with the field names of the output."""
 
     out: str
     lives: int = 0  # records that were written
-    calls: int = 0  # that were replayed
-    # The first call whose actions are not those of the capture: from there on the reasons are those
-    # of this build.
+    calls: int = 0  # calls that were replayed
+    # Number of the first call, from 1, whose actions differ from those in the capture; the reasons
+    # from there on are those of this build.
     differs_at: int | None = None
 
 
@@ -42,10 +43,10 @@
     parent_pattern: str | None = None,
     report_progress: ReportProgress = ignore_progress,
 ) -> RetraceResult:
-    """Write the traces of one balancer's captures, given in their order, to ``out``.
+    """Replay the captures of one balancer, in the given order, and write their traces to ``out``.
 
-    ``parent_pattern`` is a regular expression; its first group is the id of the request that a
-    request was made for. Raises UnreadableFileError and StateRefusedError.
+    ``parent_pattern`` is a regular expression that is matched with the id of a request; its first
+    group is the id of the parent request. Raises UnreadableFileError and StateRefusedError.
     """
     with open_capture(paths[0]) as first:
         captured = first.metadata
@@ -62,7 +63,7 @@
 
 
 def _metadata_of(captured: FileMetadata) -> FileMetadata:
-    """Return the metadata of the trace: no request is left out of it."""
+    """Return the metadata of the trace, which has all requests and not a sample."""
     return FileMetadata(
         CONTENT,
         CONTENT_VERSION,
@@ -75,7 +76,7 @@
 
 
 class _TracingPlayer:
-    """Replays records of captures with a tracer in the policy's place."""
+    """Replays records of captures to a policy that is wrapped in a tracer."""
 
     def __init__(
         self,
@@ -93,22 +94,22 @@
         self._tracer: Tracer | None = None
 
     def play(self, kind: str, fields: list[Any]) -> None:
-        """Take in one record of a capture."""
-        if kind == "new" or (kind == "state" and not self._has_come_to(fields)):
-            self._begin(kind, fields)
+        """Replay one record of a capture."""
+        if kind == "new" or (kind == "state" and not self._is_current_state(fields)):
+            self._start_policy(kind, fields)
         elif kind == "upstream":
             self._driver.upstream(*fields)
         elif kind == "operation":
             self._driver.request(*fields)
         elif kind == "call" and self._tracer is not None:
-            self._call(*fields)
+            self._replay_call(*fields)
 
     def stop(self) -> None:
-        """Write the requests that are open."""
+        """Write the traces of the requests that are still open."""
         if self._tracer is not None:
             self._tracer.stop()
 
-    def _begin(self, kind: str, fields: list[Any]) -> None:
+    def _start_policy(self, kind: str, fields: list[Any]) -> None:
         self.stop()
         driver = self._driver
         driver.module = None
@@ -125,30 +126,30 @@
         )
         driver.module = self._tracer
 
-    def _call(
+    def _replay_call(
         self, name: str, now: int, arguments: list[Any], recorded: list[Any], fault: str | None
     ) -> None:
         result = self._result
         replayed, raised = self._driver.call(name, now, arguments)
         result.calls += 1
-        is_same = raised == fault and ENCODER.encode(replayed) == ENCODER.encode(recorded)
-        if not is_same and result.differs_at is None:
+        is_equal = raised == fault and ENCODER.encode(replayed) == ENCODER.encode(recorded)
+        if not is_equal and result.differs_at is None:
             result.differs_at = result.calls
 
-    def _has_come_to(self, fields: list[Any]) -> bool:
-        """Return whether a stored state is the one that was replayed up to here.
+    def _is_current_state(self, fields: list[Any]) -> bool:
+        """Return whether a stored state equals that of the replayed policy.
 
-        Otherwise there is a gap before it.
+        If it does not, calls before it are missing from the capture.
         """
         if self._tracer is None:
             return False
         stored = Driver(Balancer)
         stored.thaw(*fields)
-        # A stored state is of a policy that takes no notes.
+        # A stored state has no list of notes, so the comparison is made without the tracer's.
         self._tracer.module.notes = None
         ignored = legacy_state.attributes_not_kept(fields[0])
-        found = state.differences(self._tracer.module, stored.module, ignored=ignored)
-        return not found
+        differences = state.differences(self._tracer.module, stored.module, ignored=ignored)
+        return not differences
 
     def _write(self, trace: RequestTrace) -> None:
         append_trace(self._writer, trace)
--- a/pepperhook/tracing/strip.py
+++ b/pepperhook/tracing/strip.py
@@ -1,4 +1,4 @@
-"""Writes traces again with pseudonyms, so that they can be handed on."""
+"""Copies traces with names replaced by pseudonyms, so that the copies can be shared."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 class StrippedFile(NamedTuple):
-    """A file that was written, and how many records are in it."""
+    """A file that was written, and the number of its records."""
 
     path: str
     records: int
@@ -31,9 +31,9 @@
     key: bytes,
     report_progress: ReportProgress = ignore_progress,
 ) -> list[StrippedFile]:
-    """Write each file again to ``folder``, with pseudonyms for tenants and ids.
+    """Copy each file to ``folder``, with pseudonyms in place of tenants and request ids.
 
-    All else stays as it is, and so do counts by service class, outcome and reason. Raises
+    Everything else is unchanged, and so are counts by service class, outcome and reason. Raises
     KeyTooShortError, OverwritesInputError and UnreadableFileError.
     """
     pseudonyms = Pseudonyms(key)
--- a/pepperhook/tracing/summary.py
+++ b/pepperhook/tracing/summary.py
@@ -1,7 +1,8 @@
-"""Figures of traces by service class, tenant, upstream and reason.
+"""Computes figures of traces by service class, tenant, upstream and reason.
 
-Memory does not grow with the number of records: times are HdrHistograms, one for each service class
-and upstream; of tenants, of which there may be a million, only the most frequent are held.
+Memory does not grow with the number of records: latencies are counted in HdrHistograms, one for
+each service class and upstream, and of the tenants, of which there may be a million, only the most
+frequent ones are kept.
 """
 
 from collections import Counter
@@ -17,8 +18,8 @@
 
 MAX_LATENCY_US = 3_600_000_000
 SIGNIFICANT_DIGITS = 2
-MAX_KEYS = 2000  # upstreams, and reasons, that are told apart; more are counted as OTHERS
-MAX_TENANTS = 1000  # that are held at once
+MAX_KEYS = 2000  # names of one kind that are counted separately; the rest are counted as OTHERS
+MAX_TENANTS = 1000  # tenants that are counted at the same time
 DEFAULT_TENANTS = 10
 US_PER_MS = 1000
 OTHERS = "others"
@@ -27,18 +28,18 @@
 
 
 class Latencies:
-    """A histogram of times in bounded memory."""
+    """A latency histogram in bounded memory."""
 
     def __init__(self) -> None:
-        """Begin with an empty one."""
+        """Create an empty histogram."""
         self._histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
     def record(self, latency_us: int) -> None:
-        """Add a time; those beyond the range count as its ends."""
+        """Add a latency; one outside the histogram's range counts as the nearest limit."""
         self._histogram.record_value(max(1, min(MAX_LATENCY_US, latency_us)))
 
     def percentile_ms(self, percentile: float) -> float | None:
-        """Return a percentile (0 to 100) in milliseconds; None if there is no time."""
+        """Return a percentile (0 to 100) in milliseconds; None if there is no latency."""
         if not self._histogram.get_total_count():
             return None
         latency_us: int = self._histogram.get_value_at_percentile(percentile)
@@ -46,7 +47,10 @@
 
 
 class RequestRow(Struct):
-    """The figures of some requests, under the names of the output. Times are in milliseconds."""
+    """The figures of some requests, with the field names of the output.
+
+    Percentiles are those of the latency, in milliseconds.
+    """
 
     lives: int  # requests
     finals: dict[str, int]  # requests by RequestOutcome
@@ -54,29 +58,32 @@
     p50: float | None
     p90: float | None
     p99: float | None
-    waited: int  # requests that were held in the admission queue
+    waited: int  # requests that waited in the admission queue
 
 
 class AttemptRow(Struct):
-    """The figures of attempts at one upstream, under the names of the output."""
+    """The figures of attempts at one upstream, with the field names of the output.
+
+    Percentiles are those of the latency, in milliseconds.
+    """
 
     dispatches: int  # attempts
-    outcomes: dict[str, int]
+    outcomes: dict[str, int]  # attempts by outcome
     p50: float | None
     p99: float | None
 
 
 class TenantRow(Struct):
-    """The figures of one tenant, under the names of the output."""
+    """The figures of one tenant, with the field names of the output."""
 
     customer: str  # the tenant
     lives: int  # requests
-    too_high_by: int  # at most, of ``lives``
-    not_served: int  # or late
+    too_high_by: int  # at most this much of ``lives`` is in excess
+    not_served: int  # requests that were not served, or late
 
 
 class RequestFigures:
-    """Counts requests."""
+    """Counts requests by outcome, with their attempts and latencies."""
 
     def __init__(self) -> None:
         """Begin at zero."""
@@ -109,7 +116,7 @@
 
 
 class AttemptFigures:
-    """Counts the attempts at one upstream."""
+    """Counts the attempts at one upstream by outcome, with their latencies."""
 
     def __init__(self) -> None:
         """Begin at zero."""
@@ -135,32 +142,32 @@
 
 
 class Summary:
-    """Takes records one by one."""
+    """Accumulates figures over records."""
 
     def __init__(self) -> None:
-        """Begin without any."""
+        """Begin without records."""
         self.total = RequestFigures()
         self._service_classes: dict[str, RequestFigures] = {}
         self._upstreams: dict[str, AttemptFigures] = {}
         self._tenants = SpaceSaving(MAX_TENANTS)
         self._reasons: Counter[str] = Counter()
         self._retry_verdicts: Counter[str] = Counter()
-        self._not_told_apart = 0
+        self._counted_as_others = 0
         self._first_ns: int | None = None
         self._last_ns: int | None = None
 
     def add(self, trace: RequestTrace) -> None:
-        """Take a record."""
+        """Add a record to all figures."""
         accepted = trace.taken
         self._first_ns = accepted if self._first_ns is None else min(self._first_ns, accepted)
         self._last_ns = accepted if self._last_ns is None else max(self._last_ns, accepted)
         self.total.add(trace)
-        self._figures(self._service_classes, trace.grade, RequestFigures).add(trace)
+        self._figures_for(self._service_classes, trace.grade, RequestFigures).add(trace)
         self._tenants.add(trace.customer, trace.outcome != RequestOutcome.SERVED)
         if trace.reason:
             _count(self._reasons, f"{trace.final}: {trace.reason}")
         for attempt in trace.sent:
-            self._figures(self._upstreams, attempt.upstream, AttemptFigures).add(attempt)
+            self._figures_for(self._upstreams, attempt.upstream, AttemptFigures).add(attempt)
             if attempt.again is not None:
                 _count(self._retry_verdicts, attempt.again.verdict)
 
@@ -181,7 +188,7 @@
                 "customers": self._tenant_rows(max_tenants),
                 "reasons": dict(self._reasons.most_common()),
                 "again": dict(self._retry_verdicts.most_common()),
-                "keys_not_told_apart": self._not_told_apart,
+                "keys_not_told_apart": self._counted_as_others,
             }
         )
         return figures
@@ -192,14 +199,15 @@
             for hitter in self._tenants.most_frequent(limit)
         ]
 
-    def _figures(
-        self, by_name: dict[str, FiguresT], name: str, new: Callable[[], FiguresT]
+    def _figures_for(
+        self, by_name: dict[str, FiguresT], name: str, create: Callable[[], FiguresT]
     ) -> FiguresT:
+        """Return the figures for a name, or those of OTHERS if there are too many names."""
         if name not in by_name and len(by_name) >= MAX_KEYS:
-            self._not_told_apart += 1
+            self._counted_as_others += 1
             name = OTHERS
         if name not in by_name:
-            by_name[name] = new()
+            by_name[name] = create()
         return by_name[name]
 
 
--- a/pepperhook/tracing/trace_file.py
+++ b/pepperhook/tracing/trace_file.py
@@ -1,4 +1,4 @@
-"""Writes files of traces that are whole, or not there at all."""
+"""Writes trace files, which get their name only when they are complete."""
 
 import os
 from collections.abc import Callable, Iterator
@@ -10,7 +10,7 @@
 from pepperhook.tracing.reader import StrPath
 from pepperhook.tracing.records import RequestTrace, encode, index_keys
 
-ReportProgress: TypeAlias = Callable[[str, float], None]  # what is done, and the fraction done
+ReportProgress: TypeAlias = Callable[[str, float], None]  # gets the step and the fraction done
 
 
 def ignore_progress(_step: str, _fraction: float) -> None:
@@ -19,9 +19,9 @@
 
 @contextmanager
 def replacing_trace_file(path: StrPath, metadata: FileMetadata) -> Iterator[ContainerWriter]:
-    """Yield a writer, whose file takes the name ``path`` once it is complete.
+    """Yield a writer whose file is renamed to ``path`` once it is complete.
 
-    A file that had this name is then replaced; it is left as it was if anything fails.
+    An existing file of that name is then replaced. If anything fails, it remains unchanged.
     """
     final_path = Path(path)
     temporary = final_path.with_name(f".{final_path.name}.{os.getpid()}")
--- a/pepperhook/tracing/tracer.py
+++ b/pepperhook/tracing/tracer.py
@@ -1,29 +1,29 @@
-"""Stands in a policy's place and traces its requests."""
+"""Wraps a policy to trace its requests."""
 
 from collections.abc import Sequence
 from typing import Any
 
 from pepperhook.actions import Action
 from pepperhook.policy_proxy import PolicyProxy, route_calls
-from pepperhook.tracing.collector import TraceCollector, Write
+from pepperhook.tracing.collector import TraceCollector, WriteTrace
 from pepperhook.tracing.sampling import RequestSampler
 
 
 class Tracer(PolicyProxy):
-    """Passes each call on to the policy; its collector gets the reasons that the policy notes."""
+    """Passes each call on to the policy, and the policy's notes and actions to a collector."""
 
     def __init__(
         self,
         module: Any,
-        write: Write,
+        write: WriteTrace,
         service_classes: Sequence[str] = (),
         tenants: Sequence[str] = (),
         sampled_fraction: float = 1.0,
         parent_pattern: str | None = None,
     ) -> None:
-        """Trace the requests of ``module``; ``write`` gets each trace that is kept, once.
+        """Wrap the policy ``module``, and pass each trace that is to be stored to ``write``, once.
 
-        ``service_classes`` and ``tenants`` are the names behind the policy's numbers.
+        ``service_classes`` and ``tenants`` are names, indexed by the numbers that the policy uses.
         """
         sampler = RequestSampler(sampled_fraction, parent_pattern)
         collector = TraceCollector(write, service_classes, tenants, sampler)
@@ -31,23 +31,23 @@
         module.notes = []
 
     def stop(self) -> Any:
-        """Return the policy, which takes no notes any more; open requests are written as open."""
+        """Stop the policy's notes, write open requests as open, and return the policy."""
         self.module.notes = None
         self.collector.close_all()
         return self.module
 
     def call(self, name: str, now: int, *arguments: Any) -> list[Action]:
-        """Pass one call on, and trace what came of it, also where it fails."""
+        """Pass a call on to the policy, and trace its notes and actions, even if it raises."""
         collector, module = self.collector, self.module
         if name == "accept":
             collector.accept(now, arguments[0])
-        # A policy that was copied or thawed under the tracer takes no notes yet.
+        # A policy that was copied or restored from a stored state has no list of notes.
         if module.notes is None:
             module.notes = []
         try:
             actions: list[Action] = getattr(module, name)(now, *arguments)
         except Exception:
-            # The host keeps what had been decided before the failure, and so does the trace.
+            # The host still performs the actions decided before the failure, so they are traced.
             collector.collect(now, name, arguments, self._take_notes(), module.actions)
             raise
         collector.collect(now, name, arguments, self._take_notes(), actions)
--- a/pepperhook/tracing/waterfall.py
+++ b/pepperhook/tracing/waterfall.py
@@ -1,4 +1,4 @@
-"""Shows one request across balancers as lines for a terminal."""
+"""Renders one request across balancers as lines of text for a terminal."""
 
 from collections.abc import Sequence
 
@@ -22,7 +22,7 @@
 REQUEST_MARK = "-"
 WAIT_MARK = "."
 OPEN_MARK = "?"
-UNKNOWN_MARK = "#"  # an outcome of a later version
+UNKNOWN_MARK = "#"  # for an outcome that only a later version knows
 OUTCOME_MARKS = {
     OUTCOMES[Outcome.SERVED]: "=",
     OUTCOMES[Outcome.ERROR]: "x",
@@ -38,7 +38,7 @@
 
 
 def waterfall_lines(rows: Sequence[TreeRow]) -> list[str]:
-    """Return the lines: each request with its waits and attempts along a common time line."""
+    """Return a line for each request, wait and attempt, with bars along a common timeline."""
     if not rows:
         return []
     span = span_of(rows)
@@ -54,7 +54,7 @@
 
 
 def describe_attempt(attempt: AttemptTrace) -> str:
-    """Return an attempt with its outcome and its reasons in one line."""
+    """Describe an attempt with its outcome, selection and retry decision in one line."""
     text = f"to {attempt.upstream}, {attempt.outcome or OPEN_ATTEMPT}"
     if attempt.ended >= 0:
         text += f" after {(attempt.ended - attempt.sent) / US_PER_MS:.1f} ms"
@@ -112,7 +112,7 @@
 
 
 def _bar(trace: RequestTrace, begin_us: int, end_us: int, mark: str, span: TimeSpan) -> str:
-    """Return the time line with marks from one time of a record to another, one at least."""
+    """Return the timeline with marks between two times of a record, at least one mark."""
     scale = TIMELINE_COLUMNS / span.length_ns
     first = int((trace.time_ns(begin_us) - span.begin_ns) * scale)
     end = int((trace.time_ns(end_us) - span.begin_ns) * scale)
--- a/pepperhook/tracing/waterfall_svg.py
+++ b/pepperhook/tracing/waterfall_svg.py
@@ -1,4 +1,4 @@
-"""Draws one request across balancers as SVG, with the reasons as titles of its bars."""
+"""Draws one request across balancers as SVG; the title of each bar states the reasons."""
 
 from collections.abc import Sequence
 from xml.sax.saxutils import escape
@@ -10,7 +10,7 @@
 from pepperhook.tracing.waterfall import NS_PER_MS, describe_attempt
 
 WIDTH = 900
-LEFT_MARGIN = 230  # for the names
+LEFT_MARGIN = 230  # space for the names
 RIGHT_MARGIN = 20
 TOP_MARGIN = 30
 BOTTOM_MARGIN = 12
@@ -19,7 +19,7 @@
 MIN_BAR_WIDTH = 1.5
 REQUEST_COLOUR = "#cfd8dc"
 WAIT_COLOUR = "#f4b400"
-UNKNOWN_COLOUR = "#000"  # an outcome of a later version
+UNKNOWN_COLOUR = "#000"  # for an outcome that only a later version knows
 OUTCOME_COLOURS = {
     OUTCOMES[Outcome.SERVED]: "#3a7d44",
     OUTCOMES[Outcome.ERROR]: "#b3261e",
@@ -35,7 +35,7 @@
 
 
 def waterfall_svg(rows: Sequence[TreeRow]) -> str:
-    """Return the picture of a tree of one record at least."""
+    """Return an SVG document for a tree of one or more records."""
     return _Drawing(rows).draw()
 
 
@@ -43,11 +43,11 @@
     def __init__(self, rows: Sequence[TreeRow]) -> None:
         self._rows = rows
         self._span = span_of(rows)
-        self._top = TOP_MARGIN  # of the row that is drawn next
+        self._top = TOP_MARGIN  # y coordinate of the row that is drawn next
         self._elements: list[str] = []
 
     def draw(self) -> str:
-        """Return the whole document."""
+        """Return the SVG document."""
         for row in self._rows:
             self._draw_request(row)
             for attempt in row.trace.sent:
--- a/tests/tracing/test_clock_offsets.py
+++ b/tests/tracing/test_clock_offsets.py
@@ -1,4 +1,4 @@
-"""Clock offsets from pairs of attempts and calls."""
+"""Estimates of clock offsets from attempts and the calls that they made."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 def random_bounds(chance, offsets, pairs=30):
-    """Bounds by random calls between balancers with these clock offsets."""
+    """Return the bounds given by random calls between balancers with these clock offsets."""
     bounds = {}
     for caller, callee in CALLS:
         bounds[caller, callee] = OffsetBounds()
@@ -31,20 +31,20 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_offsets_are_within_their_error(seed):
+def test_estimated_offsets_are_within_their_reported_error(seed):
     chance = random.Random(seed)
-    true = {name: chance.randrange(-2 * S, 2 * S) for name in (*CONNECTED, "alone")}
-    true["b0"] = 0
+    actual = {name: chance.randrange(-2 * S, 2 * S) for name in (*CONNECTED, "alone")}
+    actual["b0"] = 0
 
-    found = estimate_offsets(list(true), random_bounds(chance, true))
+    estimated = estimate_offsets(list(actual), random_bounds(chance, actual))
 
     for name in CONNECTED:
-        assert abs(found[name].ahead - true[name]) <= found[name].error
-        assert not found[name].contradicts
-    assert found["b0"].error == 0
+        assert abs(estimated[name].ahead - actual[name]) <= estimated[name].error
+        assert not estimated[name].contradicts
+    assert estimated["b0"].error == 0
 
 
-def test_clock_that_no_call_connects_has_no_error():
+def test_clock_without_calls_has_no_known_error():
     bounds = random_bounds(random.Random(0), dict.fromkeys(CONNECTED, 0))
 
     alone = estimate_offsets([*CONNECTED, "alone"], bounds)["alone"]
@@ -52,7 +52,7 @@
     assert (alone.ahead, alone.error) == (0, None)
 
 
-def test_bounds_that_exclude_each_other_are_reported():
+def test_contradicting_bounds_are_reported():
     bounds = OffsetBounds()
     bounds.add_pair(sent=0, ended=10 * MS, accepted=MS, answered=9 * MS)
     bounds.add_pair(sent=0, ended=10, accepted=5 * S, answered=5 * S + 1)
--- a/tests/tracing/test_commands.py
+++ b/tests/tracing/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands for traces, and asking a balancer to keep what its rings hold."""
+"""The ``trace`` commands, and ``record keep``, which has a balancer preserve its rings."""
 
 import json
 import os
@@ -12,22 +12,22 @@
 from tests.tracing.traces import two_tiers
 from tests.world import S
 
-WAITS_FOR_SIGUSR2 = (
+EXIT_ON_SIGUSR2 = (
     "import signal, sys; signal.signal(signal.SIGUSR2, lambda *_: sys.exit(7)); "
     "print(1, flush=True); signal.pause()"
 )
 
 
-def run(*words, exit_code=0):
-    """Run a command, and return its output."""
-    result = CliRunner().invoke(main, [str(word) for word in words])
+def run(*arguments, exit_code=0):
+    """Run a command, check its exit code, and return its output."""
+    result = CliRunner().invoke(main, [str(argument) for argument in arguments])
     assert result.exit_code == exit_code, result.output
     return result.output
 
 
 @pytest.fixture
 def tiers(tmp_path):
-    """Two tiers whose clocks are a second apart, and files that commands refuse."""
+    """Traces of two tiers whose clocks are a second apart, a key, and files that are rejected."""
     (tmp_path / "key").write_text("a key of the installation\n")
     (tmp_path / "short").write_text("x")
     (tmp_path / "text.trc").write_text("no trace")
@@ -50,12 +50,12 @@
     assert json.loads(run("trace", "summary", front, "--json"))["lives"] == 60
 
 
-def test_grep_prints_what_matches_and_fails_where_nothing_does(front, request_id):
+def test_grep_prints_matching_requests_and_fails_without_a_match(front, request_id):
     assert request_id in run("trace", "grep", front, "--id", request_id)
     assert run("trace", "grep", front, "--id", "no", exit_code=1) == ""
 
 
-def test_merge_prints_the_clocks(tiers, tmp_path):
+def test_merge_prints_the_clock_offsets(tiers, tmp_path):
     assert "back: +999.0" in run("trace", "merge", *tiers[:2], "-o", tmp_path / "m.trc")
 
 
@@ -72,7 +72,7 @@
     assert "1 lives" in cut
 
 
-def test_show_prints_the_request_and_draws_it(front, request_id, tmp_path):
+def test_show_prints_the_request_and_writes_an_svg(front, request_id, tmp_path):
     output = run("trace", "show", request_id, front, "--svg", tmp_path / "s.svg")
 
     assert request_id in output
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "problem"),
+    ("command", "problem"),
     [
         ("info DIR/none.trc", "none.trc"),
         ("summary DIR/text.trc", "is no record"),
@@ -95,11 +95,12 @@
         ("make FRONT -o DIR/x --parent (", "--parent"),
     ],
 )
-def test_bad_input_is_reported_in_one_line(front, tmp_path, words, problem):
-    words = words.replace("DIR", str(tmp_path)).replace("FRONT", str(front))
+def test_bad_input_is_reported_in_one_line(front, tmp_path, command, problem):
+    command = command.replace("DIR", str(tmp_path)).replace("FRONT", str(front))
 
-    output = run("trace", *words.split(), exit_code=2)
+    output = run("trace", *command.split(), exit_code=2)
 
+    # Lines with a percentage show progress.
     lines = [line for line in output.splitlines() if "%" not in line]
     assert len(lines) == 1
     assert problem in lines[0]
@@ -108,12 +109,12 @@
 @pytest.mark.parametrize(
     ("pid", "problem"), [(os.getpid(), "is no balancer"), (2**22 + 1, "no such process")]
 )
-def test_process_that_is_no_balancer_is_not_asked_to_keep(pid, problem):
+def test_record_keep_refuses_a_process_that_is_no_balancer(pid, problem):
     assert problem in run("record", "keep", pid, exit_code=2)
 
 
-def test_balancer_with_a_ring_is_asked_to_keep():
-    command = [sys.executable, "-c", WAITS_FOR_SIGUSR2, "pepperhook"]
+def test_record_keep_sends_sigusr2_to_the_balancer():
+    command = [sys.executable, "-c", EXIT_ON_SIGUSR2, "pepperhook"]
     with subprocess.Popen(command, stdout=subprocess.PIPE) as process:
         process.stdout.readline()
 
--- a/tests/tracing/test_cut.py
+++ b/tests/tracing/test_cut.py
@@ -1,4 +1,4 @@
-"""Cutting traces."""
+"""Copying the matching records of traces to a new file."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     return write_file(tmp_path / "a.trc", [request_trace(number) for number in range(40)])
 
 
-def test_cut_has_the_requests_of_a_time_window(path, tmp_path):
+def test_cut_copies_the_requests_of_a_time_window(path, tmp_path):
     window = TraceFilter(begin=BASE + 100 * MS, end=BASE + 200 * MS)
 
     count = cut([path], tmp_path / "c.trc", window)
@@ -25,7 +25,7 @@
     assert ids == [f"id{number:05d}" for number in range(10, 20)]
 
 
-def test_cut_of_several_files_names_no_balancer(path, tmp_path):
+def test_cut_of_several_files_has_no_balancer_name(path, tmp_path):
     count = cut([path, path], tmp_path / "c.trc", TraceFilter(ids=frozenset(["id00007"])))
 
     with open_trace_file(tmp_path / "c.trc") as reader:
@@ -34,15 +34,15 @@
     assert (metadata.name, metadata.extra) == ("", {"cut_of": 2})
 
 
-def test_cut_that_fails_leaves_the_file_that_was_there(path, tmp_path, monkeypatch):
+def test_failed_cut_leaves_an_existing_file_unchanged(path, tmp_path, monkeypatch):
     (tmp_path / "c.trc").write_bytes(b"before")
 
-    def refuse(_):
+    def fail_on_full_disk(_):
         raise OSError(28, "No space left on device", "x")
 
-    monkeypatch.setattr(ContainerWriter, "flush", refuse)
+    monkeypatch.setattr(ContainerWriter, "flush", fail_on_full_disk)
     with pytest.raises(OSError):
         cut([path], tmp_path / "c.trc", TraceFilter())
 
     assert (tmp_path / "c.trc").read_bytes() == b"before"
-    assert sorted(each.name for each in tmp_path.iterdir()) == ["a.trc", "c.trc"]
+    assert sorted(file.name for file in tmp_path.iterdir()) == ["a.trc", "c.trc"]
--- a/tests/tracing/test_export.py
+++ b/tests/tracing/test_export.py
@@ -1,4 +1,4 @@
-"""Traces in the formats of other programs."""
+"""Exports of traces in formats of other programs."""
 
 import csv
 import io
@@ -25,15 +25,15 @@
 
 @pytest.fixture
 def run():
-    """Runs `pepperhook trace export`, and returns its result."""
+    """Return a function that runs `pepperhook trace export` and returns its result."""
 
-    def run_export(*words):
-        return CliRunner().invoke(main, ["trace", "export", *map(str, words)])
+    def run_export(*arguments):
+        return CliRunner().invoke(main, ["trace", "export", *map(str, arguments)])
 
     return run_export
 
 
-def test_json_lines_have_records_with_all_their_fields(tiers, run):
+def test_json_lines_export_has_all_fields_of_each_record(tiers, run):
     _, back, _, calls = tiers
 
     lines = run(back, "--format", "jsonl").output.splitlines()
@@ -57,7 +57,7 @@
 
 @pytest.fixture
 def spans(tiers):
-    """All spans of both tiers by their ids."""
+    """All OpenTelemetry spans of both tiers, by id."""
     front, back, _, _ = tiers
     out = io.StringIO()
     export.write_opentelemetry(read_files([front, back]), out)
@@ -75,7 +75,7 @@
     assert {span["kind"] for span in spans.values()} == {SERVER, CLIENT}
 
 
-def test_opentelemetry_spans_are_well_formed(spans):
+def test_opentelemetry_spans_are_valid_and_in_the_trace_of_their_parent(spans):
     for span in spans.values():
         assert re.fullmatch("[0-9a-f]{32}", span["traceId"])
         assert re.fullmatch("[0-9a-f]{16}", span["spanId"])
@@ -84,7 +84,7 @@
         assert parent is None or spans[parent]["traceId"] == span["traceId"]
 
 
-def test_command_writes_opentelemetry_of_several_files(tiers, run):
+def test_command_exports_several_files_to_opentelemetry(tiers, run):
     front, back, _, _ = tiers
 
     output = run(back, front, "--format", "otlp").output
@@ -94,7 +94,7 @@
     assert output == out.getvalue()
 
 
-def test_parquet_without_pyarrow_is_refused(tiers, run, tmp_path, monkeypatch):
+def test_parquet_export_fails_without_pyarrow(tiers, run, tmp_path, monkeypatch):
     monkeypatch.setitem(sys.modules, "pyarrow", None)
     with pytest.raises(ParquetUnavailableError):
         export.write_parquet(iter(()), tmp_path / "x.parquet")
--- a/tests/tracing/test_extension.py
+++ b/tests/tracing/test_extension.py
@@ -1,4 +1,4 @@
-"""The tracing extension of a balancer on loopback, and its table in the operator's file."""
+"""The tracing extension in a balancer on loopback, and its table in the operator file."""
 
 import logging
 import tempfile
@@ -21,7 +21,7 @@
 
 
 async def send_requests(balancer, count=20):
-    """Send payments and every third time a look; return the statuses."""
+    """Send ``count`` requests, every third to /look and the others to /pay; return the statuses."""
     statuses = []
     for number in range(count):
         path, method, body = ("/pay", b"POST", b"1") if number % 3 else ("/look", b"GET", b"")
@@ -32,15 +32,17 @@
 
 
 @loopback
-async def test_balancer_traces_into_its_ring_beside_a_capture(tmp_path):
+async def test_balancer_writes_traces_that_match_those_made_from_its_capture(tmp_path):
     capture_table = CaptureTable(folder=str(tmp_path / "r"), segment_s=60.0)
     trace_table = TraceTable(folder=str(tmp_path / "t"), sampled_fraction=1.0)
     capture, tracing = Capture(capture_table, told(), LOG), Tracing(trace_table, told(), LOG)
-    turns = iter([answer(), answer(500), None] * 20)
+    responses = iter([answer(), answer(500), None] * 20)
     async with (
-        Peer(lambda *_: next(turns)) as peer,
-        Peer(lambda *_: answer()) as other,
-        Running([peer.dial, other.dial], parts=Extensions([capture, tracing])) as balancer,
+        Peer(lambda *_: next(responses)) as unreliable_peer,
+        Peer(lambda *_: answer()) as healthy_peer,
+        Running(
+            [unreliable_peer.dial, healthy_peer.dial], parts=Extensions([capture, tracing])
+        ) as balancer,
     ):
         statuses = await send_requests(balancer)
         tracing.preserve()
@@ -53,7 +55,9 @@
     assert len(files) == 2
     assert len(traces) == 21
     assert tracing.ring.dropped == 0
-    assert [trace.final for trace in traces[:20]] == [FINAL_OF_STATUS[each] for each in statuses]
+    assert [trace.final for trace in traces[:20]] == [
+        FINAL_OF_STATUS[status] for status in statuses
+    ]
     assert {trace.customer for trace in traces[:20]} == {"acme"}
 
     result = trace_captures(sorted((tmp_path / "r").glob("*.rec")), tmp_path / "x.trc")
@@ -67,7 +71,7 @@
     return tomlfile.decode(document, OperatorFile).trace
 
 
-def test_sampled_fraction_is_a_hundredth_by_default():
+def test_sampled_fraction_is_one_percent_by_default():
     assert decode_table('parent = "^(.+)-[0-9]+[a-z]$"').sampled_fraction == 0.01
 
 
@@ -79,12 +83,12 @@
         ('parent = "a"', "one group"),
     ],
 )
-def test_fault_in_the_table_names_the_key(line, problem):
+def test_error_in_the_table_names_the_key(line, problem):
     with pytest.raises(tomlfile.TomlFileError, match=problem):
         decode_table(line)
 
 
-def test_folder_that_cannot_be_made_names_the_key(tmp_path):
+def test_error_of_a_folder_that_cannot_be_created_names_the_key(tmp_path):
     with tempfile.NamedTemporaryFile() as file:
         path = tmp_path / "op.toml"
         path.write_text(f'version = 1\n[trace]\nfolder = "{file.name}/x"\n')
--- a/tests/tracing/test_merge.py
+++ b/tests/tracing/test_merge.py
@@ -11,12 +11,12 @@
 
 
 @pytest.mark.parametrize("ahead_ns", OFFSETS)
-def test_clock_that_is_ahead_is_estimated_from_the_calls(tmp_path, ahead_ns):
+def test_clock_offset_is_estimated_from_calls(tmp_path, ahead_ns):
     front, back, _, _ = two_tiers(tmp_path, ahead_ns)
 
     merged = merge([back, front], tmp_path / "m.trc")
 
-    clock = {each.name: each for each in merged.clocks}["back"]
+    clock = {offset.name: offset for offset in merged.clocks}["back"]
     assert abs(clock.ahead - ahead_ns) <= clock.error < 5 * MS
     assert clock.pairs == 60
     assert not clock.contradicts
@@ -42,7 +42,9 @@
 
 
 @pytest.mark.parametrize(("ahead_ns", "early"), [(S, 0), (-S, 60)])
-def test_without_correction_calls_come_before_their_attempts(tmp_path, ahead_ns, early):
+def test_calls_that_precede_their_attempts_are_counted_without_correction(
+    tmp_path, ahead_ns, early
+):
     _, _, requests, calls = two_tiers(tmp_path, ahead_ns)
     by_time = sorted(requests + calls, key=lambda trace: trace.taken)
 
@@ -51,11 +53,11 @@
     assert count_early_calls(path) == early
 
 
-def test_file_that_is_given_twice_counts_once_and_its_records_are_sorted(tmp_path):
+def test_file_given_twice_is_merged_once_and_sorted_by_acceptance(tmp_path):
     traces = [request_trace(number) for number in range(40)]
     slow = [replace(traces[3].sent[0], ended=300_000)]
     traces[3] = replace(traces[3], answered=300_000, sent=slow)
-    by_end = sorted(traces, key=lambda trace: trace.over)
+    by_end = sorted(traces, key=lambda trace: trace.end_ns)
     assert by_end != traces
     path = write_file(tmp_path / "a.trc", by_end)
 
--- a/tests/tracing/test_reader.py
+++ b/tests/tracing/test_reader.py
@@ -1,4 +1,4 @@
-"""Files of traces: cut short, with and without an index, of other versions."""
+"""Reading trace files: truncated, with and without an index, and of other versions."""
 
 import random
 
@@ -29,11 +29,11 @@
     TraceFilter(customers=frozenset(["c7"]), reason="chance"),
     TraceFilter(upstreams=frozenset(["u1"]), outcomes=frozenset(["shed"])),
 ]
-FIELDS_OF_0_1 = ["a", "", "look", "", BASE, 10, 5, 1.0, "shed", 3]
+FIELDS_OF_VERSION_0_1 = ["a", "", "look", "", BASE, 10, 5, 1.0, "shed", 3]
 
 
 def random_traces():
-    """Requests of two service classes and forty tenants; of those served a fifth is late."""
+    """Return requests of two service classes and forty tenants; a fifth of the served are late."""
     chance = random.Random(4)
     traces = [
         request_trace(
@@ -50,7 +50,7 @@
     ]
 
 
-def test_file_cut_at_any_byte_gives_every_complete_block(tmp_path):
+def test_file_truncated_at_any_byte_yields_every_complete_block(tmp_path):
     traces = [
         request_trace(number, final="shed" if number % 4 == 0 else "fulfilled")
         for number in range(20)
@@ -75,40 +75,40 @@
 
 @pytest.fixture(scope="module")
 def files(tmp_path_factory):
-    """The same traces with an index and without one, and the traces."""
+    """A file with an index, the same file without one, and the traces in them."""
     folder = tmp_path_factory.mktemp("files")
     traces = random_traces()
     indexed = write_file(folder / "a.trc", traces)
-    torn = folder / "b.trc"
-    # The footer is torn, without which the index is not found.
-    torn.write_bytes(indexed.read_bytes()[:-9])
-    return indexed, torn, traces
+    unindexed = folder / "b.trc"
+    # The index is found by means of the footer, whose end is cut off here.
+    unindexed.write_bytes(indexed.read_bytes()[:-9])
+    return indexed, unindexed, traces
 
 
-def test_torn_file_has_no_index(files):
-    indexed, torn, _ = files
+def test_file_without_a_complete_footer_has_no_index(files):
+    indexed, unindexed, _ = files
 
     with open_trace_file(indexed) as reader:
         assert len(reader.index()) == 60
-    with open_trace_file(torn) as reader:
+    with open_trace_file(unindexed) as reader:
         assert reader.index() is None
 
 
-@pytest.mark.parametrize("wanted", FILTERS)
-def test_index_does_not_change_what_a_filter_finds(files, wanted):
-    indexed, torn, traces = files
-    expected = [trace for trace in traces if wanted.matches(trace)]
+@pytest.mark.parametrize("trace_filter", FILTERS)
+def test_filter_returns_the_same_records_with_and_without_an_index(files, trace_filter):
+    indexed, unindexed, traces = files
+    expected = [trace for trace in traces if trace_filter.matches(trace)]
 
     assert expected
-    assert read_file(indexed, wanted) == expected
-    assert read_file(torn, wanted) == expected
+    assert read_file(indexed, trace_filter) == expected
+    assert read_file(unindexed, trace_filter) == expected
 
 
-def test_filter_for_an_unknown_id_finds_nothing(files):
-    indexed, torn, _ = files
-    wanted = TraceFilter(ids=frozenset(["nobody"]))
+def test_filter_for_an_unknown_id_returns_nothing(files):
+    indexed, unindexed, _ = files
+    trace_filter = TraceFilter(ids=frozenset(["nobody"]))
 
-    assert read_file(indexed, wanted) == read_file(torn, wanted) == []
+    assert read_file(indexed, trace_filter) == read_file(unindexed, trace_filter) == []
 
 
 def test_only_blocks_that_may_match_are_read(files):
@@ -118,24 +118,24 @@
         reader.read_block = lambda offset: offsets.append(offset) or read_block(offset)
         assert len(list(read_traces(reader, ONE_ID))) == 1
 
-    # The footer, the index and the block, of sixty blocks.
+    # The file has sixty blocks of records; needed are the footer, the index and one of them.
     assert len(offsets) <= 4
 
 
-def encoded(fields):
+def encode_record(fields):
     return frame_record(msgspec.msgpack.encode(fields))
 
 
 def test_records_with_fewer_and_more_fields_are_read(tmp_path):
-    later = [*FIELDS_OF_0_1, False, "why", [], [], None, 0, "", "of a later version", 7]
+    later = [*FIELDS_OF_VERSION_0_1, False, "why", [], [], None, 0, "", "of a later version", 7]
     writer = ContainerWriter(tmp_path / "old.trc", FileMetadata("trace", 1, "b0"))
-    writer.append(encoded(FIELDS_OF_0_1), BASE)
-    writer.append(encoded(later), BASE)
+    writer.append(encode_record(FIELDS_OF_VERSION_0_1), BASE)
+    writer.append(encode_record(later), BASE)
     writer.close()
 
     first, second = read_file(tmp_path / "old.trc")
 
-    assert first == RequestTrace(*FIELDS_OF_0_1)
+    assert first == RequestTrace(*FIELDS_OF_VERSION_0_1)
     assert (second.reason, second.root) == ("why", "")
 
 
@@ -146,7 +146,7 @@
         (FileMetadata("capture", 1, "b0"), "no trace"),
     ],
 )
-def test_file_of_a_later_version_or_another_content_is_refused(tmp_path, metadata, problem):
+def test_file_of_a_later_version_or_with_other_content_is_rejected(tmp_path, metadata, problem):
     ContainerWriter(tmp_path / "x.trc", metadata).close()
 
     with pytest.raises(UnreadableFileError, match=problem):
--- a/tests/tracing/test_report_page.py
+++ b/tests/tracing/test_report_page.py
@@ -1,4 +1,4 @@
-"""The page of a trace, and its time line."""
+"""The HTML page of a trace, and its timeline."""
 
 from msgspec.structs import replace
 
@@ -16,7 +16,7 @@
     return timeline
 
 
-def test_timeline_of_any_length_has_few_bins_and_every_request():
+def test_long_timeline_has_at_most_max_bins_and_counts_every_request():
     traces = [
         request_trace(number, taken=BASE + (number * 37 % 5000) * S) for number in range(5000)
     ]
@@ -24,10 +24,10 @@
     bins = timeline_of(traces).bins()
 
     assert len(bins) <= MAX_BINS
-    assert sum(sum(each.counts.values()) for each in bins) == 5000
+    assert sum(sum(time_bin.counts.values()) for time_bin in bins) == 5000
 
 
-def test_page_has_a_picture_and_escapes_names():
+def test_page_has_a_chart_and_escapes_names():
     traces = [replace(request_trace(number), customer="<script>") for number in range(50)]
     summary = Summary()
     for trace in traces:
@@ -42,7 +42,7 @@
     assert "x &lt; y" in page
 
 
-def test_page_without_requests_has_no_picture():
+def test_page_without_requests_has_no_chart():
     page = report_page("Empty", Summary(), Timeline(), [])
 
     assert "<svg" not in page
--- a/tests/tracing/test_strip.py
+++ b/tests/tracing/test_strip.py
@@ -1,4 +1,4 @@
-"""Traces with pseudonyms."""
+"""Copies of traces with pseudonyms in place of names."""
 
 import pytest
 from msgspec.structs import replace
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def front_traces(tmp_path):
-    """The requests of a front with seven tenants."""
+    """The requests of seven tenants at the first tier."""
     _, _, requests, _ = two_tiers(tmp_path, S)
     return [
         replace(trace, customer=f"customer-{number % 7}") for number, trace in enumerate(requests)
@@ -39,7 +39,7 @@
         return path.read_bytes() + b"".join(block.content for block in reader.blocks())
 
 
-def test_stripped_files_hold_no_original_name(paths, tmp_path, front_traces, back_traces):
+def test_stripped_files_contain_no_original_name(paths, tmp_path, front_traces, back_traces):
     files = strip(paths, tmp_path / "out", KEY)
 
     assert [file.records for file in files] == [60, 60]
@@ -69,27 +69,27 @@
     assert merged.clocks[1].pairs == 60
 
 
-def test_pseudonyms_are_the_same_under_one_key_and_others_under_another(paths, tmp_path):
-    first, again, other = (
+def test_same_key_gives_the_same_pseudonyms_and_another_key_gives_others(paths, tmp_path):
+    first, repeated, other = (
         {trace.id for trace in read_file(strip(paths[:1], tmp_path / name, key)[0].path)}
-        for name, key in (("first", KEY), ("again", KEY), ("other", KEY + b"!"))
+        for name, key in (("first", KEY), ("repeated", KEY), ("other", KEY + b"!"))
     )
 
-    assert first == again
+    assert first == repeated
     assert not first & other
 
 
-def test_short_key_is_refused():
+def test_short_key_is_rejected():
     with pytest.raises(KeyTooShortError, match="at least 16 bytes"):
         Pseudonyms(b"short")
 
 
-def test_file_is_not_written_over_itself(paths, tmp_path):
+def test_strip_does_not_overwrite_its_input(paths, tmp_path):
     with pytest.raises(OverwritesInputError, match="over itself"):
         strip(paths, tmp_path, KEY)
 
 
-def test_id_and_tenant_of_one_name_have_different_pseudonyms():
+def test_id_and_tenant_with_equal_names_have_different_pseudonyms():
     pseudonyms = Pseudonyms(KEY)
 
     as_id, as_tenant = (pseudonyms.pseudonym(kind, "x") for kind in NameKind)
--- a/tests/tracing/test_summary.py
+++ b/tests/tracing/test_summary.py
@@ -1,4 +1,4 @@
-"""Figures of traces, and the memory that they take."""
+"""Figures of traces, and the memory needed to compute them."""
 
 import random
 import tracemalloc
@@ -33,30 +33,30 @@
     assert [row["customer"] for row in figures["customers"]] == ["acme"]
 
 
-def test_most_frequent_of_a_hundred_thousand_names_is_found_in_little_memory():
+def test_most_frequent_of_100_000_names_is_found_in_bounded_memory():
     names = SpaceSaving(100)
     tracemalloc.start()
     for number in range(100_000):
-        names.add("often" if number % 10 == 0 else f"c{number}", number % 20 == 0)
+        names.add("frequent" if number % 10 == 0 else f"c{number}", number % 20 == 0)
     used_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
 
     (first,) = names.most_frequent(1)
 
-    assert first.name == "often"
-    # A count is never too low, and it is known by how much it may be too high.
+    assert first.name == "frequent"
+    # The count is never too low, and too high by at most ``overcount``.
     assert 10_000 <= first.count <= 10_000 + first.overcount
     assert used_bytes < 200_000
 
 
-def test_measurement_of_a_summary_counts_every_record(tmp_path):
+def test_trace_size_measurement_counts_every_record(tmp_path):
     figures = tracesize.measure(0.3, 4, tmp_path)
 
     assert figures["lives"] == figures["summed"] >= 2000
     assert figures["peak_mb"] > 10
 
 
-def test_measurement_of_too_small_a_trace_is_refused():
+def test_trace_size_measurement_rejects_too_small_a_size():
     result = CliRunner().invoke(main, ["lab", "trace-size", "--mb", "0.01"])
 
     assert result.exit_code == 2
--- a/tests/tracing/test_tracer.py
+++ b/tests/tracing/test_tracer.py
@@ -1,4 +1,4 @@
-"""What a tracer makes of the calls of a policy, in random worlds."""
+"""Traces that a tracer records of a policy in random simulations."""
 
 from types import SimpleNamespace
 
@@ -18,14 +18,14 @@
 
 @pytest.fixture(scope="module")
 def worlds():
-    """Worlds in which requests end in all ways, and the retry budget is spent at the end."""
+    """Simulations with various outcomes of requests, and without a retry budget at the end."""
     return [world_of_failures(seed) for seed in range(4)]
 
 
 def world_of_failures(seed):
     world = TracedWorld(seed, slow_start_capacity=1.0, slow_start_ns=0)
-    fates = [Outcome.SERVED] * 3 + [Outcome.ERROR] * 2 + [Outcome.TIMED_OUT]
-    world.fate = lambda _: world.random.choice(fates)
+    outcomes = [Outcome.SERVED] * 3 + [Outcome.ERROR] * 2 + [Outcome.TIMED_OUT]
+    world.fate = lambda _: world.random.choice(outcomes)
     world.span = lambda _: world.random.randrange(100 * MS, 900 * MS)
     world.run(2500, chance=0.6)
     world.balancer.retry_budget.B = 0.0
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_traces_are_what_happened_and_tracing_changes_nothing(seed):
+def test_traces_match_the_simulation_and_tracing_does_not_change_it(seed):
     world = TracedWorld(seed, may_cancel=False)
     untraced = World(seed, may_cancel=False)
     world.run(1500, chance=0.5)
@@ -49,20 +49,22 @@
         trace = by_id[str(request.id)]
         assert trace.final == world.answered.get(request, "open")
         assert trace.grade == SERVICE_CLASSES[request.service_class.number]
-        assert_attempts_are_those_of(trace, request)
-        assert_each_attempt_has_its_reasons(trace)
+        assert_attempts_match(trace, request)
+        assert_decisions_are_recorded(trace)
 
 
-def assert_attempts_are_those_of(trace, request):
-    outcomes = [OUTCOMES[each.outcome] if each.outcome else "" for each in request.attempts]
+def assert_attempts_match(trace, request):
+    outcomes = [
+        OUTCOMES[attempt.outcome] if attempt.outcome else "" for attempt in request.attempts
+    ]
     assert [sent.outcome for sent in trace.sent] == outcomes
-    sent_at = [each.sent_at for each in request.attempts]
+    sent_at = [attempt.sent_at for attempt in request.attempts]
     assert [trace.time_ns(sent.sent) for sent in trace.sent] == sent_at
 
 
-def assert_each_attempt_has_its_reasons(trace):
+def assert_decisions_are_recorded(trace):
     for sent in trace.sent:
-        # The upstream is one of those that were compared, and the least loaded of them.
+        # The upstream is the least loaded one of the candidates.
         loads = {candidate.upstream: candidate.load for candidate in sent.drawn.pair}
         assert loads[sent.upstream] == min(loads.values())
         assert sent.drawn.fit >= len(sent.drawn.pair)
@@ -83,7 +85,7 @@
     }
 
 
-def test_reasons_of_rejection_and_failure_are_told_apart(worlds):
+def test_traces_distinguish_the_reasons_of_rejections_and_failures(worlds):
     reasons = {reason for _, reason in traces_by_reason(worlds)}
 
     assert reasons >= {
@@ -95,7 +97,7 @@
     }
 
 
-def test_request_that_waited_too_long_has_its_wait(worlds):
+def test_trace_of_a_request_that_waited_too_long_has_the_wait(worlds):
     trace = traces_by_reason(worlds)["shed", "waited in vain, no room"]
 
     wait = trace.waits[-1]
@@ -103,14 +105,14 @@
     assert wait.until - wait.begun >= 0.2 * trace.goal - 1
 
 
-def test_unsafe_request_that_failed_was_not_sent_again_for_its_effect(worlds):
+def test_trace_of_a_failed_unsafe_request_names_the_effect_as_the_reason(worlds):
     trace = traces_by_reason(worlds)["broken off", "not again: effect"]
 
     assert trace.sent[-1].outcome in ("error", "timed out")
     assert trace.grade != "look"
 
 
-def test_sample_is_kept_of_requests_served_in_time_and_all_others_are_kept():
+def test_requests_served_in_time_are_sampled_and_all_others_are_written():
     world = TracedWorld(3, sampled_fraction=0.2)
     world.run(3000, chance=0.4)
 
@@ -122,7 +124,7 @@
     assert len(others) >= unserved - 5
 
 
-def test_parent_and_root_are_found_in_ids():
+def test_parent_and_root_are_derived_from_the_id():
     sampler = RequestSampler(0.5, r"^(.+)-\d+[a-z]$")
 
     assert sampler.root_of("9b1f-1a-2b") == "9b1f"
@@ -130,7 +132,7 @@
     assert sampler.parent_of("9b1f") == ""
 
 
-def test_id_that_is_its_own_parent_is_its_own_root():
+def test_pattern_that_returns_the_id_itself_makes_it_the_root():
     assert RequestSampler(1.0, "^(.*)$").root_of("x") == "x"
 
 
@@ -144,7 +146,7 @@
         assert sampler.includes(call_root) == (number in sampled)
 
 
-def test_tracer_passes_its_sampling_on():
+def test_tracer_passes_sampled_fraction_and_parent_pattern_to_the_sampler():
     tracer = Tracer(SimpleNamespace(notes=None), None, (), (), 0.5, r"^(.+)-\d+[a-z]$")
 
     sampler = tracer.collector.sampler
@@ -152,7 +154,7 @@
     assert {sampler.includes(str(number)) for number in range(64)} == {True, False}
 
 
-def test_failure_of_the_policy_in_a_call_loses_no_trace():
+def test_trace_is_written_although_the_policy_raised_in_a_call():
     policy = Balancer(settings(), 1, 9 * S)
     traces = []
     tracer = Tracer(policy, traces.append)
@@ -171,10 +173,10 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.SERVED, Outcome.ERROR])
-def test_a_request_with_more_attempts_than_are_kept_is_written_when_it_ends(outcome):
-    """The end of an attempt beyond those that are kept was taken for one of another request.
+def test_request_with_more_attempts_than_recorded_is_written_when_it_ends(outcome):
+    """Guards against traces that stay open, and keep their objects, until the process ends.
 
-    So the trace of such a request stayed open for the life of the process, and held its objects.
+    The end of an attempt beyond MAX_STEPS used to be ignored as one of an unknown request.
     """
     traces = []
     collector = TraceCollector(traces.append, ["look"], ["acme"], RequestSampler(1.0, None))
--- a/tests/tracing/test_waterfall.py
+++ b/tests/tracing/test_waterfall.py
@@ -1,4 +1,4 @@
-"""One request across balancers, as text and as a picture."""
+"""One request across balancers, as text and as SVG."""
 
 import pytest
 from msgspec.structs import replace
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def rows(tmp_path):
-    """A request that waited and failed, and the call that it made."""
+    """The tree of a request that waited and failed, with the call that it made."""
     front, back, requests, _ = two_tiers(tmp_path, 0)
     refused = RetryDecision("chance", 0.9, 0.2, 0.2, 0.1)
     requests[2] = replace(
@@ -27,11 +27,11 @@
     return build_tree(find_descendants([back, front], requests[2].id))
 
 
-def test_call_stands_below_the_request_that_it_was_made_for(rows):
+def test_call_is_a_child_of_the_request_that_made_it(rows):
     assert [(row.depth, row.metadata.name) for row in rows] == [(0, "front"), (1, "back")]
 
 
-def test_lines_have_every_wait_attempt_and_reason(rows):
+def test_lines_describe_each_wait_attempt_and_reason(rows):
     text = "\n".join(waterfall_lines(rows))
 
     assert "broken off" in text
@@ -40,14 +40,14 @@
     assert rows[1].trace.id in text
 
 
-def test_picture_has_a_bar_for_each_request_wait_and_attempt(rows):
-    picture = waterfall_svg(rows)
+def test_svg_has_a_bar_for_each_request_wait_and_attempt(rows):
+    svg = waterfall_svg(rows)
 
-    assert picture.startswith("<svg")
+    assert svg.startswith("<svg")
     # The background, two requests, one wait and two attempts.
-    assert picture.count("<rect") == 6
-    assert "not again: chance" in picture
+    assert svg.count("<rect") == 6
+    assert "not again: chance" in svg
 
 
-def test_no_record_makes_no_lines():
+def test_waterfall_without_records_has_no_lines():
     assert waterfall_lines([]) == []
--- a/tests/tracing/traces.py
+++ b/tests/tracing/traces.py
@@ -1,4 +1,4 @@
-"""Records and files of traces for tests, and a random world whose policy is traced."""
+"""Records and files of traces for tests, and a random simulation whose policy is traced."""
 
 import random
 
@@ -26,14 +26,14 @@
 
 
 class TracedWorld(World):
-    """A random world whose policy is traced."""
+    """A random simulation whose policy is traced."""
 
-    def __init__(self, seed, sampled_fraction=1.0, **more):
+    def __init__(self, seed, sampled_fraction=1.0, **options):
         self.traces = []
         self.sampled_fraction = sampled_fraction
-        super().__init__(seed, make=self.trace, **more)
+        super().__init__(seed, make=self.make_traced_policy, **options)
 
-    def trace(self, settings, seed, now):
+    def make_traced_policy(self, settings, seed, now):
         policy = Balancer(settings, seed, now)
         self.tracer = Tracer(
             policy, self.traces.append, SERVICE_CLASSES, TENANTS, self.sampled_fraction
@@ -42,9 +42,12 @@
 
 
 def request_trace(
-    number, final="fulfilled", attempts=1, grade="look", customer="acme", **more
+    number, final="fulfilled", attempts=1, grade="look", customer="acme", **overrides
 ) -> RequestTrace:
-    """A request accepted 10 ms after the one before, sent to upstreams u0 to u2 in turn."""
+    """Return a request that was accepted ``number`` times 10 ms after BASE.
+
+    Its attempts go to the upstreams u0 to u2 in turn. ``overrides`` are fields to set.
+    """
     fields = {
         "id": f"id{number:05d}",
         "parent": "",
@@ -54,20 +57,20 @@
         "worth": 1.0,
         "answered": 5100 * max(1, attempts),
         "reason": "" if final == "fulfilled" else "not again: chance",
-        "sent": [attempt(number, at, attempts, final) for at in range(attempts)],
-        **more,
+        "sent": [attempt_trace(number, index, attempts, final) for index in range(attempts)],
+        **overrides,
     }
     return RequestTrace(final=final, grade=grade, customer=customer, **fields)
 
 
-def attempt(number, at, attempts, final):
-    """Attempt ``at`` of a request; all but the last one fail."""
-    upstream = f"u{(number + at) % 3}"
-    is_last = at == attempts - 1
+def attempt_trace(number, index, attempts, final):
+    """Return the attempt ``index`` of a request; all but the last one fail."""
+    upstream = f"u{(number + index) % 3}"
+    is_last = index == attempts - 1
     return AttemptTrace(
         upstream,
-        sent=100 + 5000 * at,
-        ended=5000 + 5000 * at,
+        sent=100 + 5000 * index,
+        ended=5000 + 5000 * index,
         outcome="fulfilled" if is_last and final == "fulfilled" else "error",
         drawn=Selection("slice", 3, 2, [Candidate(upstream, 1.0, 0.0, 1.0)]),
         again=None if is_last else RetryDecision("granted", 0.1, 0.2, 0.2, 0.0),
@@ -75,7 +78,7 @@
 
 
 def write_file(path, traces, name="b0", tier=0, records_per_block=5):
-    """Write a file of traces, and return its path."""
+    """Write a trace file, and return its path."""
     path.unlink(missing_ok=True)
     created_ns = traces[0].taken if traces else 0
     metadata = FileMetadata("trace", 1, name, tier, created_ns=created_ns)
@@ -88,16 +91,16 @@
     return path
 
 
-def read_file(path, wanted=None):
-    """All records of a file that match."""
+def read_file(path, trace_filter=None):
+    """Return the matching records of a file."""
     with open_trace_file(path) as reader:
-        return list(read_traces(reader, wanted))
+        return list(read_traces(reader, trace_filter))
 
 
 def two_tiers(tmp_path, ahead_ns, count=60):
-    """Files of a front, and of a back whose clock is ahead: each attempt makes one call.
+    """Write the traces of two balancers, front and back; each attempt of the front calls the back.
 
-    Returns both paths and both lists of records.
+    The clock of the back is ahead by ``ahead_ns``. Returns both paths and both lists of records.
     """
     chance = random.Random(5)
     requests = [request_trace(number) for number in range(count)]
@@ -108,7 +111,7 @@
 
 
 def call_for(request, chance, ahead_ns):
-    """The call that the request's attempt makes at the next tier."""
+    """Return the call that the request's attempt makes to the next tier."""
     number = int(request.id.removeprefix("id"))
     call = request_trace(
         number,
@@ -122,7 +125,7 @@
 
 
 def summary_of(traces):
-    """The figures of records."""
+    """Return the figures of records."""
     summary = Summary()
     for trace in traces:
         summary.add(trace)
