--- a/pepperhook/tracing/clock_matching.py
+++ b/pepperhook/tracing/clock_matching.py
@@ -1,4 +1,8 @@
-"""Matches calls with the attempts that they were made for, to bound the offsets of clocks."""
+"""Matches calls with the attempts that they were made for, to bound the offsets of clocks.
+
+A call is a request with a parent: the upstream of an attempt of the parent sent it to another
+balancer.
+"""
 
 from collections import defaultdict
 from collections.abc import Iterable, Iterator, Sequence
@@ -15,6 +19,7 @@
 from pepperhook.tracing.trace_file import ReportProgress
 
 MAX_BUFFERED_REQUESTS = 200_000  # whose attempts are buffered for matching with calls
+# Outcomes of attempts that ended with a response, served or an error.
 ANSWERED_OUTCOMES = (OUTCOMES[Outcome.SERVED], OUTCOMES[Outcome.ERROR])
 
 
@@ -122,6 +127,6 @@
     after the caller abandoned its attempt.
     """
     first = trace.sent[0]
-    is_bound = len(trace.sent) == 1 and first.ended >= 0 and first.outcome in ANSWERED_OUTCOMES
-    ended_ns = trace.time_ns(first.ended) if is_bound else None
+    bounds_answer = len(trace.sent) == 1 and first.ended >= 0 and first.outcome in ANSWERED_OUTCOMES
+    ended_ns = trace.time_ns(first.ended) if bounds_answer else None
     return _SentAttempt(caller, trace.time_ns(first.sent), ended_ns)
--- a/pepperhook/tracing/merge.py
+++ b/pepperhook/tracing/merge.py
@@ -42,8 +42,8 @@
 
     accepted_ns: int  # on the corrected clock
     tier: int
-    source: int
-    number: int
+    source: int  # index in the list of sources
+    number: int  # of the record within its source
     trace: RequestTrace
 
 
@@ -117,7 +117,7 @@
         self._names = [source.name for source in sources]
         longest_ns = max((source.longest_ns for source in sources), default=0)
         self._window_ns = 2 * longest_ns + NS_PER_S
-        # By balancer, request id and original time of acceptance.
+        # By name of the balancer, request id and corrected time of acceptance.
         self._accepted: dict[tuple[str, str, int], int] = {}
 
     def is_duplicate(self, row: _Row) -> bool:
--- a/pepperhook/tracing/open_trace.py
+++ b/pepperhook/tracing/open_trace.py
@@ -41,7 +41,7 @@
         self.attempts: dict[domain.Attempt, AttemptTrace] = {}
         self.selection: SelectionNote | None = None  # for the attempt that is sent next
         self.usable = 0  # usable upstreams at the last selection
-        self.reason = ""  # why the request fails, if it fails next
+        self.reason = ""  # why the request would fail if it failed now
         self.last_ended: AttemptTrace | None = None
 
     @property
--- a/pepperhook/tracing/records.py
+++ b/pepperhook/tracing/records.py
@@ -46,8 +46,8 @@
 class WaitEnd(StrEnum):
     """How a wait in the admission queue ended, if the policy gave no reason of its own."""
 
-    SENT = "sent"
-    TIME_UP = "time up"
+    SENT = "sent"  # an attempt was sent
+    TIME_UP = "time up"  # the request was rejected or failed
 
 
 class Candidate(NamedTuple):
--- a/pepperhook/tracing/retrace.py
+++ b/pepperhook/tracing/retrace.py
@@ -49,10 +49,10 @@
     group is the id of the parent request. Raises UnreadableFileError and StateRefusedError.
     """
     with open_capture(paths[0]) as first:
-        captured = first.metadata
+        capture_metadata = first.metadata
     result = RetraceResult(str(out))
-    with replacing_trace_file(out, _metadata_of(captured)) as writer:
-        player = _TracingPlayer(writer, captured, parent_pattern, result)
+    with replacing_trace_file(out, _metadata_of(capture_metadata)) as writer:
+        player = _TracingPlayer(writer, capture_metadata, parent_pattern, result)
         for number, path in enumerate(paths):
             report_progress(str(path), number / len(paths))
             with open_capture(path) as reader:
@@ -62,15 +62,15 @@
     return result
 
 
-def _metadata_of(captured: FileMetadata) -> FileMetadata:
+def _metadata_of(capture_metadata: FileMetadata) -> FileMetadata:
     """Return the metadata of the trace, which has all requests and not a sample."""
     return FileMetadata(
         CONTENT,
         CONTENT_VERSION,
-        captured.name,
-        captured.tier,
-        captured.created_unix_ns,
-        captured.created_ns,
+        capture_metadata.name,
+        capture_metadata.tier,
+        capture_metadata.created_unix_ns,
+        capture_metadata.created_ns,
         {"share": 1.0},
     )
 
@@ -81,13 +81,13 @@
     def __init__(
         self,
         writer: ContainerWriter,
-        captured: FileMetadata,
+        capture_metadata: FileMetadata,
         parent_pattern: str | None,
         result: RetraceResult,
     ) -> None:
         self._writer = writer
-        self._service_classes = captured.extra.get("grades", ())
-        self._tenants = captured.extra.get("customers", ())
+        self._service_classes = capture_metadata.extra.get("grades", ())
+        self._tenants = capture_metadata.extra.get("customers", ())
         self._parent_pattern = parent_pattern
         self._result = result
         self._driver = Driver(Balancer)
--- a/pepperhook/tracing/summary.py
+++ b/pepperhook/tracing/summary.py
@@ -54,7 +54,7 @@
 
     lives: int  # requests
     finals: dict[str, int]  # requests by RequestOutcome
-    tries: float  # attempts for each request
+    tries: float  # mean number of attempts per request
     p50: float | None
     p90: float | None
     p99: float | None
