--- a/pepperhook/tracing/export.py
+++ b/pepperhook/tracing/export.py
@@ -124,11 +124,13 @@
         "waits": len(trace.waits),
         "waited": sum(max(0, wait.until - wait.begun) for wait in trace.waits),
         "tries": len(trace.sent),
-        "upstreams": " ".join(sent.upstream for sent in trace.sent),
+        "upstreams": " ".join(attempt.upstream for attempt in trace.sent),
         "outcomes": " ".join(
-            (sent.outcome or OPEN_ATTEMPT).replace(" ", "-") for sent in trace.sent
+            (attempt.outcome or OPEN_ATTEMPT).replace(" ", "-") for attempt in trace.sent
+        ),
+        "again": " ".join(
+            attempt.again.verdict for attempt in trace.sent if attempt.again is not None
         ),
-        "again": " ".join(sent.again.verdict for sent in trace.sent if sent.again is not None),
     }
 
 
--- a/pepperhook/tracing/filter.py
+++ b/pepperhook/tracing/filter.py
@@ -30,7 +30,10 @@
             and (not self.grades or trace.grade in self.grades)
             and (not self.customers or trace.customer in self.customers)
             and (not self.outcomes or not self.outcomes.isdisjoint((trace.final, trace.outcome)))
-            and (not self.upstreams or any(sent.upstream in self.upstreams for sent in trace.sent))
+            and (
+                not self.upstreams
+                or any(attempt.upstream in self.upstreams for attempt in trace.sent)
+            )
             and self.reason in trace.reason
             and self._matches_id(trace)
         )
--- a/pepperhook/tracing/records.py
+++ b/pepperhook/tracing/records.py
@@ -125,7 +125,9 @@
     @property
     def end_ns(self) -> int:
         """When the request and all attempts had ended, in nanoseconds of the balancer's clock."""
-        return self.taken + NS_PER_US * max([self.answered, *(sent.ended for sent in self.sent)])
+        return self.taken + NS_PER_US * max(
+            [self.answered, *(attempt.ended for attempt in self.sent)]
+        )
 
     @property
     def outcome(self) -> str:
--- a/tests/tracing/test_tracer.py
+++ b/tests/tracing/test_tracer.py
@@ -42,7 +42,7 @@
     world.tracer.stop()
 
     assert list(world.answered.values()) == list(untraced.answered.values())
-    assert [at for at, _ in world.sends] == [at for at, _ in untraced.sends]
+    assert [sent_at for sent_at, _ in world.sends] == [sent_at for sent_at, _ in untraced.sends]
     by_id = {trace.id: trace for trace in world.traces}
     assert len(by_id) == len(world.traces) == len(world.taken)
     for request in world.taken:
@@ -57,17 +57,17 @@
     outcomes = [
         OUTCOMES[attempt.outcome] if attempt.outcome else "" for attempt in request.attempts
     ]
-    assert [sent.outcome for sent in trace.sent] == outcomes
+    assert [attempt.outcome for attempt in trace.sent] == outcomes
     sent_at = [attempt.sent_at for attempt in request.attempts]
-    assert [trace.time_ns(sent.sent) for sent in trace.sent] == sent_at
+    assert [trace.time_ns(attempt.sent) for attempt in trace.sent] == sent_at
 
 
 def assert_decisions_are_recorded(trace):
-    for sent in trace.sent:
+    for attempt in trace.sent:
         # The upstream is the least loaded one of the candidates.
-        loads = {candidate.upstream: candidate.load for candidate in sent.drawn.pair}
-        assert loads[sent.upstream] == min(loads.values())
-        assert sent.drawn.fit >= len(sent.drawn.pair)
+        loads = {candidate.upstream: candidate.load for candidate in attempt.drawn.pair}
+        assert loads[attempt.upstream] == min(loads.values())
+        assert attempt.drawn.fit >= len(attempt.drawn.pair)
     for before, after in zip(trace.sent, trace.sent[1:], strict=False):
         assert before.again.verdict == "granted"
         assert before.again.drawn < before.again.most
@@ -102,6 +102,7 @@
 
     wait = trace.waits[-1]
     assert wait.end == "waited in vain"
+    # A wait ends after a fifth of the latency objective; times are rounded down to microseconds.
     assert wait.until - wait.begun >= 0.2 * trace.goal - 1
 
 
@@ -176,7 +177,8 @@
 def test_request_with_more_attempts_than_recorded_is_written_when_it_ends(outcome):
     """Guards against traces that stay open, and keep their objects, until the process ends.
 
-    The end of an attempt beyond MAX_STEPS used to be ignored as one of an unknown request.
+    This happened because the end of an attempt beyond MAX_STEPS was taken for that of an attempt
+    of another request, and ignored.
     """
     traces = []
     collector = TraceCollector(traces.append, ["look"], ["acme"], RequestSampler(1.0, None))
