--- a/pepperhook/tracing/clock_matching.py
+++ b/pepperhook/tracing/clock_matching.py
@@ -42,7 +42,7 @@
 
     caller: str
     sent_ns: int
-    ended_ns: int | None  # None if the call may have been answered after this attempt ended
+    ended_ns: int | None  # None if it bounds no call's answer, see _first_attempt
 
 
 def group_by_balancer(paths: Iterable[StrPath]) -> list[Source]:
@@ -69,7 +69,7 @@
     def __init__(self, sources: Sequence[Source], report_progress: ReportProgress) -> None:
         """Match the calls and attempts in the files of ``sources``."""
         self.bounds: dict[ClockPair, OffsetBounds] = {}
-        # Calls that bound no offset: they have no answer, or their attempt is in no file, is
+        # Calls that could not be used: they have no answer, or their attempt is in no file, is
         # ambiguous or ended without an answer.
         self.unmatched = 0
         self._sources = sources
@@ -121,12 +121,13 @@
 
 
 def _first_attempt(caller: str, trace: RequestTrace) -> _SentAttempt:
-    """Return the first attempt of a request, with its end if the call was answered before that.
+    """Return the first attempt of a request.
 
-    With several attempts it is ambiguous for which one a call was made, and a call may continue
-    after the caller abandoned its attempt.
+    Its end is given only if the call was certainly answered before it: the attempt was the only one
+    and ended with a response. Among several attempts it is ambiguous which one a call was made for,
+    and a call may continue after the caller abandoned its attempt.
     """
     first = trace.sent[0]
-    bounds_answer = len(trace.sent) == 1 and first.ended >= 0 and first.outcome in ANSWERED_OUTCOMES
-    ended_ns = trace.time_ns(first.ended) if bounds_answer else None
+    is_end_usable = len(trace.sent) == 1 and first.ended >= 0 and first.outcome in ANSWERED_OUTCOMES
+    ended_ns = trace.time_ns(first.ended) if is_end_usable else None
     return _SentAttempt(caller, trace.time_ns(first.sent), ended_ns)
--- a/pepperhook/tracing/clock_offsets.py
+++ b/pepperhook/tracing/clock_offsets.py
@@ -50,7 +50,7 @@
 
 
 class _Edge(NamedTuple):
-    """A connection to the clock ``name``, which is ahead by ``ahead``; times in nanoseconds."""
+    """An edge to the clock ``name``, which is ``ahead`` nanoseconds ahead of the other clock."""
 
     name: str
     ahead: int
@@ -65,7 +65,7 @@
     error: int
     number: int  # in the order of discovery
     name: str
-    ahead: int
+    ahead: int  # of the reference, in nanoseconds
     pairs: int  # of the last edge
     contradicts: bool
 
@@ -75,16 +75,16 @@
 ) -> dict[str, Offset]:
     """Return how far each clock is ahead of the clock of the first balancer in ``names``.
 
-    Balancers that no calls connect with the first one are measured against the first of their own
-    group, and the error of their offsets is None.
+    Balancers that no calls connect with the first one, directly or through others, are measured
+    against the first balancer that they are connected with, and their error is None.
     """
     edges = _edges(names, bounds)
     offsets: dict[str, Offset] = {}
-    for root in names:
-        if root in offsets:
+    for reference in names:
+        if reference in offsets:
             continue
-        for path in _shortest_paths(root, edges, offsets):
-            error = path.error if root == names[0] else None
+        for path in _shortest_paths(reference, edges, offsets):
+            error = path.error if reference == names[0] else None
             offsets[path.name] = Offset(path.name, path.ahead, error, path.pairs, path.contradicts)
     return offsets
 
@@ -97,6 +97,7 @@
         if bound.low is None or bound.high is None or not {caller, callee} <= edges.keys():
             continue
         ahead = (bound.low + bound.high) // 2
+        # Half the width, rounded up; contradicting bounds have a negative width.
         error = abs(bound.high - bound.low + 1) // 2
         contradicts = bound.low > bound.high
         edges[caller].append(_Edge(callee, ahead, error, bound.pairs, contradicts))
@@ -105,13 +106,14 @@
 
 
 def _shortest_paths(
-    root: str, edges: Mapping[str, list[_Edge]], known: Mapping[str, Offset]
+    reference: str, edges: Mapping[str, list[_Edge]], known: Mapping[str, Offset]
 ) -> Iterable[_Path]:
-    """Yield the best path to each clock connected with ``root``, by increasing error.
+    """Yield the best path to each clock connected with ``reference``, by increasing error.
 
-    The caller must add each clock to ``known`` before it requests the next path.
+    The code that iterates must add each yielded clock to ``known`` before it takes the next path;
+    clocks in ``known`` are skipped.
     """
-    queue = [_Path(0, 0, root, 0, 0, False)]
+    queue = [_Path(0, 0, reference, 0, 0, False)]
     count = 0
     while queue:
         path = heappop(queue)
--- a/pepperhook/tracing/collector.py
+++ b/pepperhook/tracing/collector.py
@@ -54,23 +54,28 @@
     def collect(
         self,
         now: int,
-        call: str,
+        call_name: str,
         arguments: Sequence[Any],
         notes: Notes,
         actions: Iterable[Action],
     ) -> None:
-        """Process one call of the policy with the notes and actions that it produced."""
-        changed: list[domain.Request] = []
-        if call == "attempt_ended":
-            self._end_attempt(now, arguments[0], arguments[1], changed)
+        """Process one call of the policy with the notes and actions that it produced.
+
+        ``call_name`` and ``arguments`` are the policy's method and its arguments.
+        """
+        possibly_complete: list[domain.Request] = []
+        # Before the notes, as a retry decision among them is about the attempt that ended.
+        if call_name == "attempt_ended":
+            self._end_attempt(now, arguments[0], arguments[1], possibly_complete)
         for request, note in notes:
             if (open_trace := self.open_traces.get(request)) is not None:
                 self.add_note(now, open_trace, note)
         for action in actions:
-            self._apply_action(now, action, changed)
-        if call == "client_left":
-            self._record_client_left(now, arguments[0], changed)
-        for request in changed:
+            self._apply_action(now, action, possibly_complete)
+        # After the actions, so that a final response among them takes precedence.
+        if call_name == "client_left":
+            self._record_client_left(now, arguments[0], possibly_complete)
+        for request in possibly_complete:
             self._close_if_complete(request)
 
     def add_note(self, now: int, open_trace: OpenTrace, note: DecisionNote) -> None:
@@ -107,13 +112,15 @@
         now: int,
         attempt: domain.Attempt,
         outcome: domain.Outcome,
-        changed: list[domain.Request],
+        possibly_complete: list[domain.Request],
     ) -> None:
         open_trace = self.open_traces.get(attempt.request)
         if open_trace is not None and open_trace.end_attempt(now, attempt, outcome):
-            changed.append(attempt.request)
+            possibly_complete.append(attempt.request)
 
-    def _apply_action(self, now: int, action: Action, changed: list[domain.Request]) -> None:
+    def _apply_action(
+        self, now: int, action: Action, possibly_complete: list[domain.Request]
+    ) -> None:
         if isinstance(action, StartAttempt):
             open_trace = self.open_traces.get(action.attempt.request)
             if open_trace is not None:
@@ -124,17 +131,17 @@
                 is_rejection = isinstance(action, RejectRequest)
                 outcome = RequestOutcome.REJECTED if is_rejection else RequestOutcome.FAILED
                 open_trace.finish(now, outcome)
-                changed.append(action.request)
+                possibly_complete.append(action.request)
 
     def _record_client_left(
-        self, now: int, request: domain.Request, changed: list[domain.Request]
+        self, now: int, request: domain.Request, possibly_complete: list[domain.Request]
     ) -> None:
         open_trace = self.open_traces.get(request)
         if open_trace is None:
             return
-        if not open_trace.is_answered:
+        if not open_trace.has_final_outcome:
             open_trace.finish(now, RequestOutcome.CLIENT_LEFT)
-        changed.append(request)
+        possibly_complete.append(request)
 
     def _close_if_complete(self, request: domain.Request) -> None:
         if not request.finished or request.open_attempts:
@@ -152,4 +159,5 @@
 
 
 def _name_of(names: Sequence[str], number: int) -> str:
+    """Return the name at an index, or ``#number`` if there is none."""
     return names[number] if 0 <= number < len(names) else f"#{number}"
--- a/pepperhook/tracing/export.py
+++ b/pepperhook/tracing/export.py
@@ -103,8 +103,9 @@
 def to_flat_dict(metadata: FileMetadata, trace: RequestTrace) -> dict[str, Any]:
     """Return a record as one row of COLUMNS.
 
-    Several values in one column are separated by spaces. Times are in microseconds, except
-    ``taken``, which is in nanoseconds.
+    ``waits`` and ``tries`` are counts, ``waited`` is the total time in the admission queue. Several
+    values in one column are separated by spaces, so spaces within an outcome become hyphens. Times
+    are in microseconds, except ``taken``, which is in nanoseconds.
     """
     return {
         "balancer": metadata.name,
--- a/pepperhook/tracing/extension.py
+++ b/pepperhook/tracing/extension.py
@@ -1,6 +1,6 @@
 """The extension that writes traces of a balancer's requests to a ring of segments on disk.
 
-SIGUSR2 preserves the segments of the ring.
+On SIGUSR2 the segments are moved to a folder where the ring does not delete them.
 """
 
 import time
@@ -50,6 +50,7 @@
     def born(self, app: BalancerApp, policy: Any, now: int) -> Tracer:
         """Wrap the policy in a tracer, and open the first segment."""
         self.app = app
+        # Only __main__ runs the ``hold`` hooks before; otherwise the folder may be missing.
         self.hold()
         self.ring.start()
         names = self.config.names
@@ -65,7 +66,7 @@
         return self.tracer
 
     def started(self, app: BalancerApp) -> None:
-        """Register for SIGUSR2, by which an operator has the ring preserved."""
+        """Register for SIGUSR2, with which an operator preserves the ring's segments."""
         add_preserve_callback(app.runtime, self.preserve)
 
     async def left(self) -> None:
--- a/pepperhook/tracing/filter.py
+++ b/pepperhook/tracing/filter.py
@@ -52,8 +52,8 @@
         )
 
     def _matches_time(self, trace: RequestTrace) -> bool:
-        is_late_enough = self.begin is None or trace.taken >= self.begin
-        return is_late_enough and (self.end is None or trace.taken < self.end)
+        is_after_begin = self.begin is None or trace.taken >= self.begin
+        return is_after_begin and (self.end is None or trace.taken < self.end)
 
     def _matches_id(self, trace: RequestTrace) -> bool:
         accepts_any_id = not self.ids and not self.parents
--- a/pepperhook/tracing/heavy_hitters.py
+++ b/pepperhook/tracing/heavy_hitters.py
@@ -16,8 +16,8 @@
 
     name: str
     count: int
-    marked: int  # marked occurrences since the name was last added
-    overcount: int  # at most this much of ``count`` is in excess
+    marked: int  # occurrences passed to ``add`` as marked since the name was last inserted
+    overcount: int  # upper bound of the error: ``count`` may be too high by this much
 
 
 class SpaceSaving:
--- a/pepperhook/tracing/merge.py
+++ b/pepperhook/tracing/merge.py
@@ -1,4 +1,7 @@
-"""Merges the traces of several balancers into one file, and corrects their clocks."""
+"""Merges the traces of several balancers into one file, and corrects their clocks.
+
+A call is a request with a parent, see ``clock_matching``.
+"""
 
 import heapq
 from collections.abc import Iterable, Iterator, Mapping, Sequence
@@ -19,8 +22,8 @@
     replacing_trace_file,
 )
 
-MAX_TRACKED_REQUESTS = 200_000  # remembered to find calls that precede their attempts
-MAX_RECENT_RECORDS = 4096  # beyond this, records too old to have a duplicate are forgotten
+MAX_TRACKED_REQUESTS = 200_000  # kept in memory to find calls that precede their attempts
+MAX_RECENT_RECORDS = 4096  # above this, entries too old to have a duplicate are removed
 NS_PER_S = 10**9
 MERGED_TIER = -1  # stored as the tier of a file with records of several tiers
 
@@ -31,7 +34,7 @@
     lives: int  # records that were written
     doubled: int  # duplicate records that were omitted
     clocks: list[Offset]
-    unmatched: int  # calls that bound no clock offset
+    unmatched: int  # calls that could not be used to bound a clock offset
     # Calls that precede their attempt even on the corrected clocks, because bounds of the offsets
     # contradict each other or a clock drifted.
     before_their_dispatch: int
@@ -52,9 +55,9 @@
 ) -> Merged:
     """Write the records of several balancers to ``out``, sorted by time of acceptance.
 
-    Times are converted to the clock of the first balancer. The offsets of the other clocks are
-    estimated from calls and the attempts that they were made for. Duplicate records are written
-    once. Raises UnreadableFileError.
+    Times are converted to the clock of the first balancer by tier and name. The offsets of the
+    other clocks are estimated from calls and the attempts that they were made for. Duplicate
+    records are written once. Raises UnreadableFileError.
     """
     sources = group_by_balancer(paths)
     matcher = ClockMatcher(sources, report_progress)
@@ -76,8 +79,8 @@
 
 def count_early_calls(path: StrPath) -> int:
     """Count the calls in a merged file that were accepted before their parent sent any attempt."""
-    first_sent: dict[str, int] = {}  # by request id, when its first attempt was sent, nanoseconds
-    # By parent id, when calls were accepted whose parent has not been read yet, in nanoseconds.
+    first_sent: dict[str, int] = {}  # time of the first attempt in nanoseconds, by request id
+    # Acceptance times of the calls whose parent has not been read yet, by the parent's id.
     pending_calls: dict[str, list[int]] = {}
     count = 0
     with open_trace_file(path) as reader:
@@ -110,18 +113,19 @@
 
 
 class _RecentRecords:
-    """Remembers the records written recently, to detect duplicates."""
+    """The records that were written recently, to detect duplicates."""
 
     def __init__(self, sources: Sequence[Source]) -> None:
-        """Remember each record for as long as a duplicate of it may follow."""
+        """Keep each record for as long as a duplicate of it may follow."""
         self._names = [source.name for source in sources]
         longest_ns = max((source.longest_ns for source in sources), default=0)
         self._window_ns = 2 * longest_ns + NS_PER_S
-        # By name of the balancer, request id and corrected time of acceptance.
+        # Time of acceptance, by which old entries are removed. The keys are the balancer's name,
+        # the request id and that time; all times are on the corrected clock.
         self._accepted: dict[tuple[str, str, int], int] = {}
 
     def is_duplicate(self, row: _Row) -> bool:
-        """Return whether a record was written before; remember it if not."""
+        """Return whether a record was written before; add it if not."""
         key = (self._names[row.source], row.trace.id, row.trace.taken)
         if key in self._accepted:
             return True
--- a/pepperhook/tracing/open_trace.py
+++ b/pepperhook/tracing/open_trace.py
@@ -25,7 +25,10 @@
     WaitEnd,
 )
 
-MAX_STEPS = 64  # limit per request, for waits and for attempts; further ones are only counted
+MAX_RECORDED_STEPS = (
+    64  # most waits, and most attempts, recorded of a request; others count in ``cut``
+)
+# These texts, and those that are composed below, are stored in the reasons of traces.
 NO_CAPACITY = "no room"
 NONE_USABLE = "none usable"
 
@@ -45,8 +48,8 @@
         self.last_ended: AttemptTrace | None = None
 
     @property
-    def is_answered(self) -> bool:
-        """Whether the request has its final response, or its client has left."""
+    def has_final_outcome(self) -> bool:
+        """Whether the request has its final outcome: a response, or its client has left."""
         return self.trace.answered >= 0
 
     def add_note(self, now: int, note: DecisionNote) -> None:
@@ -66,7 +69,7 @@
     def start_attempt(self, now: int, attempt: domain.Attempt) -> None:
         """Record that an attempt was sent."""
         self._end_wait(now, WaitEnd.SENT)
-        if len(self.trace.sent) >= MAX_STEPS:
+        if len(self.trace.sent) >= MAX_RECORDED_STEPS:
             self.trace.cut += 1
             return
         record = AttemptTrace(_decode_address(attempt.upstream.address), self._offset_us(now))
@@ -81,19 +84,19 @@
         """Record the outcome of an attempt; return False if it had ended before."""
         record = self.attempts.get(attempt)
         if record is None:
-            # Omitted because of MAX_STEPS, but its response may still be that of the request.
+            # Not recorded because of the limit, but it may be the attempt that served the request.
             return self._end_unrecorded_attempt(now, outcome)
         if record.ended >= 0:
             return False
         record.ended = self._offset_us(now)
         record.outcome = OUTCOMES[outcome]
         self.last_ended = record
-        if outcome == domain.Outcome.SERVED and not self.is_answered:
+        if outcome == domain.Outcome.SERVED and not self.has_final_outcome:
             self.finish(now, RequestOutcome.SERVED)
         return True
 
     def _end_unrecorded_attempt(self, now: int, outcome: domain.Outcome) -> bool:
-        if outcome == domain.Outcome.SERVED and not self.is_answered:
+        if outcome == domain.Outcome.SERVED and not self.has_final_outcome:
             self.finish(now, RequestOutcome.SERVED)
         return True
 
@@ -123,7 +126,7 @@
             self.reason = NO_CAPACITY if note.usable else NONE_USABLE
 
     def _begin_wait(self, now: int, position: int, length: int) -> None:
-        if len(self.trace.waits) >= MAX_STEPS:
+        if len(self.trace.waits) >= MAX_RECORDED_STEPS:
             self.trace.cut += 1
             return
         wait = QueueWait(self._offset_us(now), place=position, queue=length, usable=self.usable)
@@ -139,7 +142,7 @@
         if self.last_ended is not None:
             self.last_ended.again = RetryDecision(
                 verdict=note.verdict,
-                drawn=note.drawn and round(note.drawn, 4),
+                drawn=note.drawn and round(note.drawn, 4),  # None and 0.0 stay as they are
                 most=round(note.allowed, 4),
                 B=round(note.budget, 4),
                 f=round(note.failure_fraction, 4),
--- a/pepperhook/tracing/pseudonyms.py
+++ b/pepperhook/tracing/pseudonyms.py
@@ -1,4 +1,4 @@
-"""Keyed pseudonyms: without the key, a name cannot be found by trying candidates.
+"""Keyed pseudonyms, which cannot be reversed without the key by trying likely names.
 
 The same name has the same pseudonym under one key, so records of different files still match. A
 pseudonym is a keyed BLAKE2b digest (RFC 7693, section 2.9) of 80 bits: among a million names, the
--- a/pepperhook/tracing/reader.py
+++ b/pepperhook/tracing/reader.py
@@ -15,7 +15,7 @@
     SourcedTrace,
 )
 
-MAX_GENERATIONS = 16  # levels of descendants that find_descendants returns
+MAX_GENERATIONS = 16  # of descendants that find_descendants returns
 StrPath: TypeAlias = str | os.PathLike[str]
 
 _DECODER = msgspec.msgpack.Decoder(RequestTrace)
@@ -66,15 +66,16 @@
 
 
 def find_descendants(paths: Iterable[StrPath], request_id: str) -> list[SourcedTrace]:
-    """Return the records of a request and of all its descendants, tier by tier.
+    """Return the records of a request and of its descendants, generation by generation.
 
+    At most MAX_GENERATIONS generations are returned.
     Raises UnreadableFileError.
     """
     files = list(paths)
     rows: list[SourcedTrace] = []
     seen_keys: set[tuple[str, int, str, int]] = set()
-    parents = frozenset([request_id])
-    trace_filter = TraceFilter(ids=parents, parents=parents)
+    request_ids = frozenset([request_id])
+    trace_filter = TraceFilter(ids=request_ids, parents=request_ids)
     for _ in range(MAX_GENERATIONS):
         children: set[str] = set()
         for row in read_files(files, trace_filter):
--- a/pepperhook/tracing/records.py
+++ b/pepperhook/tracing/records.py
@@ -1,4 +1,6 @@
-"""The record types of a trace: one record per request and balancer.
+"""The record types of a trace file: one record per request and balancer.
+
+A single record, a RequestTrace, is also called a trace.
 
 Records are encoded as MessagePack arrays, so a field is identified by its position. New fields may
 only be added at the end: a reader fills those that an older record lacks with their defaults, and
@@ -19,7 +21,7 @@
 CONTENT = "trace"
 CONTENT_VERSION = 1
 NS_PER_US = 1000
-UNKNOWN_US = -1  # stands for a time that is unknown or not reached yet
+UNKNOWN_US = -1  # in place of a time that is not known, or not known yet
 OPEN_ATTEMPT = "open"  # printed and exported for an attempt without an outcome
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -54,9 +56,9 @@
     """One of the upstreams that a selection compared."""
 
     upstream: str
-    weight: float
-    load: float
-    latency_score: float
+    weight: float  # its weight times its proximity
+    load: float  # attempts in flight or reported load, relative to the operator's weight
+    latency_score: float  # relative; higher for a slow or failing upstream
 
 
 class Selection(Struct, array_like=True, omit_defaults=True):
@@ -107,11 +109,12 @@
     parent: str  # id of the request that caused this one, derived from ``id``; empty if none
     grade: str  # its service class
     customer: str  # its tenant
-    # When it was accepted, in nanoseconds of the balancer's clock, which starts from Unix time.
+    # When it was accepted, in nanoseconds of the balancer's clock, a monotonic clock that is set to
+    # Unix time once.
     taken: int
     limit: int  # microseconds from acceptance to the deadline
     goal: int  # latency objective in microseconds
-    worth: float  # its value to the policy
+    worth: float  # its value to the policy, see policy/priority.py
     final: str  # a RequestOutcome other than LATE
     answered: int  # microseconds from acceptance to the final outcome; UNKNOWN_US before it
     late: bool = False  # served, but after its latency objective
@@ -124,7 +127,10 @@
 
     @property
     def end_ns(self) -> int:
-        """When the request and all attempts had ended, in nanoseconds of the balancer's clock."""
+        """The last known end of the request or an attempt, in nanoseconds of the balancer's clock.
+
+        If no end is known, this is a microsecond before acceptance.
+        """
         return self.taken + NS_PER_US * max(
             [self.answered, *(attempt.ended for attempt in self.sent)]
         )
--- a/pepperhook/tracing/report_page.py
+++ b/pepperhook/tracing/report_page.py
@@ -28,9 +28,10 @@
     "td,th{padding:.2em .6em;border-bottom:1px solid #ddd;text-align:right}"
     "td:first-child,th:first-child{text-align:left}</style>"
 )
+# Column names are those of the summary's output; a life is a request, a dispatch an attempt.
 SERVICE_CLASS_HEADER = ("grade", "lives", *RequestOutcome, "dispatches each", "p50 ms", "p99 ms")
 UPSTREAM_HEADER = ("upstream", "dispatches", "outcomes", "p50 ms", "p99 ms")
-TENANT_HEADER = ("customer", "lives", "not served in time", "lives too high by at most")
+TENANT_HEADER = ("customer", "lives", "not served in time", "too high by")
 
 Row = Sequence[Any]
 
@@ -49,8 +50,8 @@
         STYLE,
         f"<h1>{html.escape(title)}</h1>",
         *(f"<p>{html.escape(note)}</p>" for note in sampling_notes),
-        _outcome_chart(timeline) if figures["lives"] else "<p>No lives.</p>",
-        "<h2>By grade</h2>",
+        _outcome_chart(timeline) if figures["lives"] else "<p>No requests.</p>",
+        "<h2>By service class</h2>",
         _table(SERVICE_CLASS_HEADER, _service_class_rows(figures)),
         "<h2>Reasons</h2>",
         _table(("final and reason", "lives"), figures["reasons"].items()),
@@ -58,7 +59,7 @@
         _table(("verdict", "dispatches"), figures["again"].items()),
         "<h2>By upstream</h2>",
         _table(UPSTREAM_HEADER, _upstream_rows(figures)),
-        "<h2>Customers with the most lives</h2>",
+        "<h2>Tenants with the most requests</h2>",
         _table(TENANT_HEADER, _tenant_rows(figures)),
     ]
     return "\n".join(lines) + "\n"
@@ -118,7 +119,7 @@
             axes.bar(begins_s, heights, width_s, bottoms, color=colour, label=outcome, align="edge")
             pairs = zip(bottoms, heights, strict=True)
             bottoms = [bottom + height for bottom, height in pairs]
-    axes.set(xlabel="seconds", ylabel="lives a second")
+    axes.set(xlabel="seconds", ylabel="requests per second")
     axes.legend(frameon=False, fontsize=8, ncols=3)
     return _to_svg(figure)
 
--- a/pepperhook/tracing/retrace.py
+++ b/pepperhook/tracing/retrace.py
@@ -52,13 +52,13 @@
         capture_metadata = first.metadata
     result = RetraceResult(str(out))
     with replacing_trace_file(out, _metadata_of(capture_metadata)) as writer:
-        player = _TracingPlayer(writer, capture_metadata, parent_pattern, result)
+        replayer = _TracingReplayer(writer, capture_metadata, parent_pattern, result)
         for number, path in enumerate(paths):
             report_progress(str(path), number / len(paths))
             with open_capture(path) as reader:
                 for kind, *fields in read_records(reader):
-                    player.play(kind, fields)
-        player.stop()
+                    replayer.replay_record(kind, fields)
+        replayer.stop()
     return result
 
 
@@ -75,7 +75,7 @@
     )
 
 
-class _TracingPlayer:
+class _TracingReplayer:
     """Replays records of captures to a policy that is wrapped in a tracer."""
 
     def __init__(
@@ -93,8 +93,9 @@
         self._driver = Driver(Balancer)
         self._tracer: Tracer | None = None
 
-    def play(self, kind: str, fields: list[Any]) -> None:
+    def replay_record(self, kind: str, fields: list[Any]) -> None:
         """Replay one record of a capture."""
+        # A state inside a capture normally equals the replayed policy, and is then skipped.
         if kind == "new" or (kind == "state" and not self._is_current_state(fields)):
             self._start_policy(kind, fields)
         elif kind == "upstream":
@@ -127,12 +128,19 @@
         driver.module = self._tracer
 
     def _replay_call(
-        self, name: str, now: int, arguments: list[Any], recorded: list[Any], fault: str | None
+        self,
+        name: str,
+        now: int,
+        arguments: list[Any],
+        recorded_actions: list[Any],
+        recorded_fault: str | None,
     ) -> None:
         result = self._result
-        replayed, raised = self._driver.call(name, now, arguments)
+        replayed_actions, replayed_fault = self._driver.call(name, now, arguments)
         result.calls += 1
-        is_equal = raised == fault and ENCODER.encode(replayed) == ENCODER.encode(recorded)
+        is_equal = replayed_fault == recorded_fault and ENCODER.encode(
+            replayed_actions
+        ) == ENCODER.encode(recorded_actions)
         if not is_equal and result.differs_at is None:
             result.differs_at = result.calls
 
@@ -143,12 +151,12 @@
         """
         if self._tracer is None:
             return False
-        stored = Driver(Balancer)
-        stored.thaw(*fields)
+        stored_driver = Driver(Balancer)
+        stored_driver.thaw(*fields)
         # A stored state has no list of notes, so the comparison is made without the tracer's.
         self._tracer.module.notes = None
         ignored = legacy_state.attributes_not_kept(fields[0])
-        differences = state.differences(self._tracer.module, stored.module, ignored=ignored)
+        differences = state.differences(self._tracer.module, stored_driver.module, ignored=ignored)
         return not differences
 
     def _write(self, trace: RequestTrace) -> None:
--- a/pepperhook/tracing/summary.py
+++ b/pepperhook/tracing/summary.py
@@ -78,7 +78,7 @@
 
     customer: str  # the tenant
     lives: int  # requests
-    too_high_by: int  # at most this much of ``lives`` is in excess
+    too_high_by: int  # upper bound of the error: ``lives`` may be too high by this much
     not_served: int  # requests that were not served, or late
 
 
@@ -86,7 +86,7 @@
     """Counts requests by outcome, with their attempts and latencies."""
 
     def __init__(self) -> None:
-        """Begin at zero."""
+        """Create figures of no requests."""
         self.requests = 0
         self._attempts = 0
         self._queued = 0
@@ -119,7 +119,7 @@
     """Counts the attempts at one upstream by outcome, with their latencies."""
 
     def __init__(self) -> None:
-        """Begin at zero."""
+        """Create figures of no attempts."""
         self._attempts = 0
         self._outcomes: Counter[str] = Counter()
         self._latencies = Latencies()
@@ -145,14 +145,14 @@
     """Accumulates figures over records."""
 
     def __init__(self) -> None:
-        """Begin without records."""
+        """Create an empty summary."""
         self.total = RequestFigures()
         self._service_classes: dict[str, RequestFigures] = {}
         self._upstreams: dict[str, AttemptFigures] = {}
         self._tenants = SpaceSaving(MAX_TENANTS)
         self._reasons: Counter[str] = Counter()
         self._retry_verdicts: Counter[str] = Counter()
-        self._counted_as_others = 0
+        self._counted_as_others = 0  # additions to the OTHERS of service classes and upstreams
         self._first_ns: int | None = None
         self._last_ns: int | None = None
 
@@ -163,6 +163,7 @@
         self._last_ns = accepted if self._last_ns is None else max(self._last_ns, accepted)
         self.total.add(trace)
         self._figures_for(self._service_classes, trace.grade, RequestFigures).add(trace)
+        # Requests that were not served, or late, are marked.
         self._tenants.add(trace.customer, trace.outcome != RequestOutcome.SERVED)
         if trace.reason:
             _count(self._reasons, f"{trace.final}: {trace.reason}")
--- a/pepperhook/tracing/timeline.py
+++ b/pepperhook/tracing/timeline.py
@@ -20,7 +20,7 @@
     """Counts requests in bins of equal width, and doubles the width beyond MAX_BINS bins."""
 
     def __init__(self, width_ns: int = INITIAL_WIDTH_NS) -> None:
-        """Begin with bins of ``width_ns``."""
+        """Create a timeline whose bins are ``width_ns`` wide at first."""
         self.width_ns = width_ns
         self._begin_ns: int | None = None
         self._bins: dict[int, dict[str, int]] = {}
--- a/pepperhook/tracing/trace_file.py
+++ b/pepperhook/tracing/trace_file.py
@@ -10,7 +10,8 @@
 from pepperhook.tracing.reader import StrPath
 from pepperhook.tracing.records import RequestTrace, encode, index_keys
 
-ReportProgress: TypeAlias = Callable[[str, float], None]  # gets the step and the fraction done
+# Called with the name of the current step and the fraction of the work that is done.
+ReportProgress: TypeAlias = Callable[[str, float], None]
 
 
 def ignore_progress(_step: str, _fraction: float) -> None:
--- a/pepperhook/tracing/waterfall.py
+++ b/pepperhook/tracing/waterfall.py
@@ -23,6 +23,7 @@
 WAIT_MARK = "."
 OPEN_MARK = "?"
 UNKNOWN_MARK = "#"  # for an outcome that only a later version knows
+# Letters are initials of the outcome's name here or of its word in stored traces.
 OUTCOME_MARKS = {
     OUTCOMES[Outcome.SERVED]: "=",
     OUTCOMES[Outcome.ERROR]: "x",
@@ -30,9 +31,9 @@
     OUTCOMES[Outcome.TIMED_OUT]: "t",
     OUTCOMES[Outcome.CONNECT_FAILED]: "!",
     OUTCOMES[Outcome.RESET]: "r",
-    OUTCOMES[Outcome.MALFORMED_RESPONSE]: "s",
+    OUTCOMES[Outcome.MALFORMED_RESPONSE]: "s",  # spoilt
     OUTCOMES[Outcome.CANCELLED]: "c",
-    OUTCOMES[Outcome.NOT_SENT]: "m",
+    OUTCOMES[Outcome.NOT_SENT]: "m",  # moot
     "": OPEN_MARK,
 }
 
@@ -66,6 +67,7 @@
 
 
 def _describe_selection(selection: Selection) -> str:
+    """Describe the candidates: "out" is the load, "slow" the latency score, "room" capacity."""
     candidates = ", ".join(
         f"{name} (weight {weight:g}, out {load:g}, slow {latency_score:g})"
         for name, weight, load, latency_score in selection.pair
--- a/pepperhook/tracing/waterfall_svg.py
+++ b/pepperhook/tracing/waterfall_svg.py
@@ -40,6 +40,8 @@
 
 
 class _Drawing:
+    """Collects the SVG elements of one drawing, row by row from the top."""
+
     def __init__(self, rows: Sequence[TreeRow]) -> None:
         self._rows = rows
         self._span = span_of(rows)
--- a/tests/tracing/test_clock_offsets.py
+++ b/tests/tracing/test_clock_offsets.py
@@ -1,4 +1,4 @@
-"""Estimates of clock offsets from attempts and the calls that they made."""
+"""Estimates of clock offsets from calls and the attempts that they were made for."""
 
 import random
 
@@ -8,19 +8,19 @@
 from tests.world import MS, S
 
 CONNECTED = ("b0", "b1", "b2", "b3")
-CALLS = (("b0", "b1"), ("b1", "b2"), ("b0", "b3"), ("b3", "b2"))
+CALLER_CALLEE_PAIRS = (("b0", "b1"), ("b1", "b2"), ("b0", "b3"), ("b3", "b2"))
 
 
-def random_bounds(chance, offsets, pairs=30):
+def random_bounds(rng, offsets, pairs=30):
     """Return the bounds given by random calls between balancers with these clock offsets."""
     bounds = {}
-    for caller, callee in CALLS:
+    for caller, callee in CALLER_CALLEE_PAIRS:
         bounds[caller, callee] = OffsetBounds()
         for _ in range(pairs):
-            sent = chance.randrange(0, 60 * S)
-            accepted = sent + chance.randrange(100, 9 * MS)
-            answered = accepted + chance.randrange(MS, 50 * MS)
-            ended = answered + chance.randrange(100, 9 * MS)
+            sent = rng.randrange(0, 60 * S)
+            accepted = sent + rng.randrange(100, 9 * MS)
+            answered = accepted + rng.randrange(MS, 50 * MS)
+            ended = answered + rng.randrange(100, 9 * MS)
             bounds[caller, callee].add_pair(
                 sent + offsets[caller],
                 ended + offsets[caller],
@@ -32,11 +32,11 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_estimated_offsets_are_within_their_reported_error(seed):
-    chance = random.Random(seed)
-    actual = {name: chance.randrange(-2 * S, 2 * S) for name in (*CONNECTED, "alone")}
+    rng = random.Random(seed)
+    actual = {name: rng.randrange(-2 * S, 2 * S) for name in (*CONNECTED, "unconnected")}
     actual["b0"] = 0
 
-    estimated = estimate_offsets(list(actual), random_bounds(chance, actual))
+    estimated = estimate_offsets(list(actual), random_bounds(rng, actual))
 
     for name in CONNECTED:
         assert abs(estimated[name].ahead - actual[name]) <= estimated[name].error
@@ -44,12 +44,12 @@
     assert estimated["b0"].error == 0
 
 
-def test_clock_without_calls_has_no_known_error():
+def test_offset_of_an_unconnected_clock_is_zero_with_unknown_error():
     bounds = random_bounds(random.Random(0), dict.fromkeys(CONNECTED, 0))
 
-    alone = estimate_offsets([*CONNECTED, "alone"], bounds)["alone"]
+    offset = estimate_offsets([*CONNECTED, "unconnected"], bounds)["unconnected"]
 
-    assert (alone.ahead, alone.error) == (0, None)
+    assert (offset.ahead, offset.error) == (0, None)
 
 
 def test_contradicting_bounds_are_reported():
--- a/tests/tracing/test_commands.py
+++ b/tests/tracing/test_commands.py
@@ -12,6 +12,7 @@
 from tests.tracing.traces import two_tiers
 from tests.world import S
 
+# Prints a line once its signal handler is installed.
 EXIT_ON_SIGUSR2 = (
     "import signal, sys; signal.signal(signal.SIGUSR2, lambda *_: sys.exit(7)); "
     "print(1, flush=True); signal.pause()"
@@ -56,6 +57,7 @@
 
 
 def test_merge_prints_the_clock_offsets(tiers, tmp_path):
+    # The clock is 1000 ms ahead; the estimate is the middle of its bounds.
     assert "back: +999.0" in run("trace", "merge", *tiers[:2], "-o", tmp_path / "m.trc")
 
 
@@ -80,7 +82,7 @@
 
 
 def test_show_of_an_unknown_request_fails(front):
-    assert "is in none of 1 files" in run("trace", "show", "nobody", front, exit_code=1)
+    assert "is in none of 1 files" in run("trace", "show", "unknown", front, exit_code=1)
 
 
 @pytest.mark.parametrize(
@@ -107,17 +109,20 @@
 
 
 @pytest.mark.parametrize(
-    ("pid", "problem"), [(os.getpid(), "is no balancer"), (2**22 + 1, "no such process")]
+    ("pid", "problem"),
+    # The second one is above the largest process id of Linux.
+    [(os.getpid(), "is no balancer"), (2**22 + 1, "no such process")],
 )
-def test_record_keep_refuses_a_process_that_is_no_balancer(pid, problem):
+def test_record_keep_rejects_a_pid_that_is_not_of_a_balancer(pid, problem):
     assert problem in run("record", "keep", pid, exit_code=2)
 
 
 def test_record_keep_sends_sigusr2_to_the_balancer():
+    # The last argument makes the process pass for a balancer.
     command = [sys.executable, "-c", EXIT_ON_SIGUSR2, "pepperhook"]
     with subprocess.Popen(command, stdout=subprocess.PIPE) as process:
         process.stdout.readline()
 
         run("record", "keep", process.pid)
 
-        assert process.wait(30) == 7
+        assert process.wait(30) == 7  # the exit code of the signal handler
--- a/tests/tracing/test_export.py
+++ b/tests/tracing/test_export.py
@@ -70,6 +70,7 @@
 
 
 def test_opentelemetry_has_a_span_for_each_request_and_attempt(spans):
+    # Four requests and four calls with an attempt each; a call is in the trace of its request.
     assert len(spans) == 16
     assert len({span["traceId"] for span in spans.values()}) == 4
     assert {span["kind"] for span in spans.values()} == {SERVER, CLIENT}
@@ -90,7 +91,9 @@
     output = run(back, front, "--format", "otlp").output
 
     out = io.StringIO()
-    assert export.write_opentelemetry(read_files([back, front]), out) == 8
+    assert (
+        export.write_opentelemetry(read_files([back, front]), out) == 8
+    )  # four requests and four calls
     assert output == out.getvalue()
 
 
--- a/tests/tracing/test_merge.py
+++ b/tests/tracing/test_merge.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("ahead_ns", OFFSETS)
-def test_clock_offset_is_estimated_from_calls(tmp_path, ahead_ns):
+def test_estimated_clock_offset_is_within_its_reported_error(tmp_path, ahead_ns):
     front, back, _, _ = two_tiers(tmp_path, ahead_ns)
 
     merged = merge([back, front], tmp_path / "m.trc")
@@ -42,9 +42,7 @@
 
 
 @pytest.mark.parametrize(("ahead_ns", "early"), [(S, 0), (-S, 60)])
-def test_calls_that_precede_their_attempts_are_counted_without_correction(
-    tmp_path, ahead_ns, early
-):
+def test_early_calls_are_counted_in_a_file_with_uncorrected_clocks(tmp_path, ahead_ns, early):
     _, _, requests, calls = two_tiers(tmp_path, ahead_ns)
     by_time = sorted(requests + calls, key=lambda trace: trace.taken)
 
--- a/tests/tracing/test_reader.py
+++ b/tests/tracing/test_reader.py
@@ -34,13 +34,13 @@
 
 def random_traces():
     """Return requests of two service classes and forty tenants; a fifth of the served are late."""
-    chance = random.Random(4)
+    rng = random.Random(4)
     traces = [
         request_trace(
             number,
-            final=chance.choice(["fulfilled", "shed", "broken off"]),
-            grade=chance.choice(["look", "sale"]),
-            customer=f"c{chance.randrange(40)}",
+            final=rng.choice(["fulfilled", "shed", "broken off"]),
+            grade=rng.choice(["look", "sale"]),
+            customer=f"c{rng.randrange(40)}",
         )
         for number in range(300)
     ]
@@ -69,8 +69,9 @@
             with pytest.raises(UnreadableFileError):
                 open_trace_file(tmp_path / "cut")
         else:
-            complete = sum(end <= length for end in record_ends)
-            assert read_file(tmp_path / "cut") == traces[: 5 * complete]
+            complete_blocks = sum(end <= length for end in record_ends)
+            # write_file puts five records into each block.
+            assert read_file(tmp_path / "cut") == traces[: 5 * complete_blocks]
 
 
 @pytest.fixture(scope="module")
@@ -106,7 +107,7 @@
 
 def test_filter_for_an_unknown_id_returns_nothing(files):
     indexed, unindexed, _ = files
-    trace_filter = TraceFilter(ids=frozenset(["nobody"]))
+    trace_filter = TraceFilter(ids=frozenset(["unknown"]))
 
     assert read_file(indexed, trace_filter) == read_file(unindexed, trace_filter) == []
 
@@ -118,7 +119,7 @@
         reader.read_block = lambda offset: offsets.append(offset) or read_block(offset)
         assert len(list(read_traces(reader, ONE_ID))) == 1
 
-    # The file has sixty blocks of records; needed are the footer, the index and one of them.
+    # Only one of the sixty record blocks has the id; the footer and the index are also read.
     assert len(offsets) <= 4
 
 
@@ -159,4 +160,4 @@
     rows = find_descendants([back, front], requests[2].id)
 
     assert {row.trace.id for row in rows} == {requests[2].id, f"{requests[2].id}-1a"}
-    assert find_descendants([front], "nobody") == []
+    assert find_descendants([front], "unknown") == []
--- a/tests/tracing/test_report_page.py
+++ b/tests/tracing/test_report_page.py
@@ -17,6 +17,7 @@
 
 
 def test_long_timeline_has_at_most_max_bins_and_counts_every_request():
+    # The multiplication mixes the order of the times.
     traces = [
         request_trace(number, taken=BASE + (number * 37 % 5000) * S) for number in range(5000)
     ]
@@ -46,4 +47,4 @@
     page = report_page("Empty", Summary(), Timeline(), [])
 
     assert "<svg" not in page
-    assert "No lives." in page
+    assert "No requests." in page
--- a/tests/tracing/test_retrace.py
+++ b/tests/tracing/test_retrace.py
@@ -24,7 +24,7 @@
     world.run(1500, chance=0.4)
     tracer.stop()
     world.writer.close()
-    assert policy.notes is None
+    assert policy.notes is None  # disabled by Tracer.stop
 
     result = trace_captures([tmp_path / "a"], tmp_path / "t.trc")
 
--- a/tests/tracing/test_strip.py
+++ b/tests/tracing/test_strip.py
@@ -35,6 +35,7 @@
 
 
 def content_of(path):
+    """Return the raw bytes of a file, followed by its decompressed blocks."""
     with open_trace_file(path) as reader:
         return path.read_bytes() + b"".join(block.content for block in reader.blocks())
 
@@ -60,7 +61,7 @@
     assert len({trace.id for trace in stripped}) == 60
 
 
-def test_stripped_calls_belong_to_their_requests(paths, tmp_path):
+def test_stripped_calls_still_refer_to_their_parents(paths, tmp_path):
     files = strip(paths, tmp_path / "out", KEY)
 
     requests, calls = (read_file(file.path) for file in files)
@@ -97,5 +98,5 @@
     assert as_id != as_tenant
 
 
-def test_empty_name_stays_empty():
+def test_pseudonym_of_an_empty_name_is_empty():
     assert Pseudonyms(KEY).pseudonym(NameKind.ID, "") == ""
--- a/tests/tracing/test_summary.py
+++ b/tests/tracing/test_summary.py
@@ -13,11 +13,9 @@
 
 
 def test_summary_counts_requests_attempts_and_reasons():
-    chance = random.Random(1)
+    rng = random.Random(1)
     traces = [
-        request_trace(
-            number, final=chance.choice(["fulfilled", "shed"]), attempts=chance.choice([1, 2])
-        )
+        request_trace(number, final=rng.choice(["fulfilled", "shed"]), attempts=rng.choice([1, 2]))
         for number in range(400)
     ]
 
@@ -49,9 +47,10 @@
     assert used_bytes < 200_000
 
 
-def test_trace_size_measurement_counts_every_record(tmp_path):
+def test_trace_size_measurement_summarizes_every_record_written(tmp_path):
     figures = tracesize.measure(0.3, 4, tmp_path)
 
+    # Records are written in batches of 2000.
     assert figures["lives"] == figures["summed"] >= 2000
     assert figures["peak_mb"] > 10
 
--- a/tests/tracing/test_tracer.py
+++ b/tests/tracing/test_tracer.py
@@ -9,21 +9,21 @@
 from pepperhook.domain import Outcome, Request, Upstream, UpstreamState
 from pepperhook.stored_words import OUTCOMES
 from pepperhook.tracing.collector import TraceCollector
-from pepperhook.tracing.open_trace import MAX_STEPS
+from pepperhook.tracing.open_trace import MAX_RECORDED_STEPS
 from pepperhook.tracing.sampling import RequestSampler
 from pepperhook.tracing.tracer import Tracer
-from tests.tracing.traces import SERVICE_CLASSES, TracedWorld
+from tests.tracing.traces import SERVICE_CLASSES, TracedSimulation
 from tests.world import MS, S, World, settings
 
 
 @pytest.fixture(scope="module")
-def worlds():
+def simulations():
     """Simulations with various outcomes of requests, and without a retry budget at the end."""
-    return [world_of_failures(seed) for seed in range(4)]
+    return [simulation_with_failures(seed) for seed in range(4)]
 
 
-def world_of_failures(seed):
-    world = TracedWorld(seed, slow_start_capacity=1.0, slow_start_ns=0)
+def simulation_with_failures(seed):
+    world = TracedSimulation(seed, slow_start_capacity=1.0, slow_start_ns=0)
     outcomes = [Outcome.SERVED] * 3 + [Outcome.ERROR] * 2 + [Outcome.TIMED_OUT]
     world.fate = lambda _: world.random.choice(outcomes)
     world.span = lambda _: world.random.randrange(100 * MS, 900 * MS)
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_traces_match_the_simulation_and_tracing_does_not_change_it(seed):
-    world = TracedWorld(seed, may_cancel=False)
+    world = TracedSimulation(seed, may_cancel=False)
     untraced = World(seed, may_cancel=False)
     world.run(1500, chance=0.5)
     untraced.run(1500, chance=0.5)
@@ -77,16 +77,16 @@
     assert all(0 <= wait.begun <= wait.until for wait in trace.waits if wait.end)
 
 
-def traces_by_reason(worlds):
+def traces_by_reason(simulations):
     return {
         (trace.final, trace.reason): trace
-        for world in reversed(worlds)
+        for world in reversed(simulations)
         for trace in reversed(world.traces)
     }
 
 
-def test_traces_distinguish_the_reasons_of_rejections_and_failures(worlds):
-    reasons = {reason for _, reason in traces_by_reason(worlds)}
+def test_traces_distinguish_the_reasons_of_rejections_and_failures(simulations):
+    reasons = {reason for _, reason in traces_by_reason(simulations)}
 
     assert reasons >= {
         "waited in vain, no room",
@@ -97,8 +97,8 @@
     }
 
 
-def test_trace_of_a_request_that_waited_too_long_has_the_wait(worlds):
-    trace = traces_by_reason(worlds)["shed", "waited in vain, no room"]
+def test_trace_of_a_request_that_waited_too_long_has_the_wait(simulations):
+    trace = traces_by_reason(simulations)["shed", "waited in vain, no room"]
 
     wait = trace.waits[-1]
     assert wait.end == "waited in vain"
@@ -106,15 +106,15 @@
     assert wait.until - wait.begun >= 0.2 * trace.goal - 1
 
 
-def test_trace_of_a_failed_unsafe_request_names_the_effect_as_the_reason(worlds):
-    trace = traces_by_reason(worlds)["broken off", "not again: effect"]
+def test_trace_of_a_failed_unsafe_request_names_the_effect_as_the_reason(simulations):
+    trace = traces_by_reason(simulations)["broken off", "not again: effect"]
 
     assert trace.sent[-1].outcome in ("error", "timed out")
-    assert trace.grade != "look"
+    assert trace.grade != "look"  # the safe class
 
 
 def test_requests_served_in_time_are_sampled_and_all_others_are_written():
-    world = TracedWorld(3, sampled_fraction=0.2)
+    world = TracedSimulation(3, sampled_fraction=0.2)
     world.run(3000, chance=0.4)
 
     served = list(world.answered.values()).count("fulfilled")
@@ -133,7 +133,7 @@
     assert sampler.parent_of("9b1f") == ""
 
 
-def test_pattern_that_returns_the_id_itself_makes_it_the_root():
+def test_request_is_its_own_root_if_the_pattern_matches_its_whole_id():
     assert RequestSampler(1.0, "^(.*)$").root_of("x") == "x"
 
 
@@ -175,10 +175,10 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.SERVED, Outcome.ERROR])
 def test_request_with_more_attempts_than_recorded_is_written_when_it_ends(outcome):
-    """Guards against traces that stay open, and keep their objects, until the process ends.
+    """Guards against a memory leak by traces that are never closed.
 
-    This happened because the end of an attempt beyond MAX_STEPS was taken for that of an attempt
-    of another request, and ignored.
+    The end of an attempt beyond MAX_RECORDED_STEPS was mistaken for that of another request's
+    attempt, so the trace and its objects stayed in memory for the life of the process.
     """
     traces = []
     collector = TraceCollector(traces.append, ["look"], ["acme"], RequestSampler(1.0, None))
@@ -186,10 +186,11 @@
     request = Request("r1", service_class, None, None, 60 * S)
     upstream = Upstream(b"u0")
     collector.accept(0, request)
-    for number in range(MAX_STEPS + 1):
+    for number in range(MAX_RECORDED_STEPS + 1):
         attempt = request.start_attempt(upstream, number)
+        # The name stands for any call that starts an attempt.
         collector.collect(number, "accept", (request,), (), [StartAttempt(attempt, S)])
-        is_last = number == MAX_STEPS
+        is_last = number == MAX_RECORDED_STEPS
         attempt.outcome = outcome if is_last else Outcome.ERROR
         attempt.close()
         request.finished = is_last
--- a/tests/tracing/test_waterfall.py
+++ b/tests/tracing/test_waterfall.py
@@ -15,11 +15,13 @@
 def rows(tmp_path):
     """The tree of a request that waited and failed, with the call that it made."""
     front, back, requests, _ = two_tiers(tmp_path, 0)
-    refused = RetryDecision("chance", 0.9, 0.2, 0.2, 0.1)
+    # The verdict, the drawn number, its limit, the retry budget and the fraction of failures.
+    denied = RetryDecision("chance", 0.9, 0.2, 0.2, 0.1)
     requests[2] = replace(
         requests[2],
+        # Begin, end, position, queue length, usable upstreams and what ended the wait.
         waits=[QueueWait(0, 90, 1, 3, 2, "sent")],
-        sent=[replace(requests[2].sent[0], outcome="error", again=refused)],
+        sent=[replace(requests[2].sent[0], outcome="error", again=denied)],
         final="broken off",
         reason="not again: chance",
     )
--- a/tests/tracing/traces.py
+++ b/tests/tracing/traces.py
@@ -20,12 +20,11 @@
 from tests.world import MS, S, World
 
 BASE = 1_700_000_000 * S
-SERVICE_CLASSES = ["look", "pay", "hold"]
+SERVICE_CLASSES = ["look", "pay", "hold"]  # names of the safe, unsafe and keyed classes of World
 TENANTS = ["acme"]
-NEVER = 10**9
 
 
-class TracedWorld(World):
+class TracedSimulation(World):
     """A random simulation whose policy is traced."""
 
     def __init__(self, seed, sampled_fraction=1.0, **options):
@@ -98,25 +97,25 @@
 
 
 def two_tiers(tmp_path, ahead_ns, count=60):
-    """Write the traces of two balancers, front and back; each attempt of the front calls the back.
+    """Write the traces of two balancers; the back gets a call for each attempt of the front.
 
     The clock of the back is ahead by ``ahead_ns``. Returns both paths and both lists of records.
     """
-    chance = random.Random(5)
+    rng = random.Random(5)
     requests = [request_trace(number) for number in range(count)]
-    calls = [call_for(request, chance, ahead_ns) for request in requests]
+    calls = [call_for(request, rng, ahead_ns) for request in requests]
     front = write_file(tmp_path / "f.trc", requests, "front")
     back = write_file(tmp_path / "b.trc", calls, "back", 1)
     return front, back, requests, calls
 
 
-def call_for(request, chance, ahead_ns):
-    """Return the call that the request's attempt makes to the next tier."""
+def call_for(request, rng, ahead_ns):
+    """Return the call to the next tier that was made for the request's attempt."""
     number = int(request.id.removeprefix("id"))
     call = request_trace(
         number,
-        taken=request.taken + 100_000 + chance.randrange(50_000, 900_000) + ahead_ns,
-        id=f"{request.id}-1a",
+        taken=request.taken + 100_000 + rng.randrange(50_000, 900_000) + ahead_ns,
+        id=f"{request.id}-1a",  # parent's id, number of the attempt, letter of the call
         parent=request.id,
         root=request.id,
         answered=2000,
