--- a/pepperhook/tracing/clock_offsets.py
+++ b/pepperhook/tracing/clock_offsets.py
@@ -50,7 +50,7 @@
 
 
 class _Edge(NamedTuple):
-    """An edge to the clock ``name``, which is ``ahead`` nanoseconds ahead of the other clock."""
+    """An edge to the clock ``name``, which is ``ahead`` ns ahead of the clock at the other end."""
 
     name: str
     ahead: int
--- a/pepperhook/tracing/filter.py
+++ b/pepperhook/tracing/filter.py
@@ -17,7 +17,7 @@
     grades: frozenset[str] = frozenset()  # service classes
     customers: frozenset[str] = frozenset()  # tenants
     outcomes: frozenset[str] = frozenset()  # values of RequestOutcome; SERVED also matches LATE
-    upstreams: frozenset[str] = frozenset()  # that any attempt was sent to
+    upstreams: frozenset[str] = frozenset()  # one of them got an attempt
     reason: str = ""  # substring of the reason
     # A record matches if its own id is in ``ids`` or its parent's id is in ``parents``.
     ids: frozenset[str] = frozenset()
--- a/pepperhook/tracing/reader.py
+++ b/pepperhook/tracing/reader.py
@@ -68,8 +68,7 @@
 def find_descendants(paths: Iterable[StrPath], request_id: str) -> list[SourcedTrace]:
     """Return the records of a request and of its descendants, generation by generation.
 
-    At most MAX_GENERATIONS generations are returned.
-    Raises UnreadableFileError.
+    At most MAX_GENERATIONS generations are returned. Raises UnreadableFileError.
     """
     files = list(paths)
     rows: list[SourcedTrace] = []
--- a/tests/tracing/test_export.py
+++ b/tests/tracing/test_export.py
@@ -91,9 +91,8 @@
     output = run(back, front, "--format", "otlp").output
 
     out = io.StringIO()
-    assert (
-        export.write_opentelemetry(read_files([back, front]), out) == 8
-    )  # four requests and four calls
+    # Four requests and four calls.
+    assert export.write_opentelemetry(read_files([back, front]), out) == 8
     assert output == out.getvalue()
 
 
--- a/tests/tracing/test_waterfall.py
+++ b/tests/tracing/test_waterfall.py
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def rows(tmp_path):
-    """The tree of a request that waited and failed, with the call that it made."""
+    """The tree of a request that waited and failed, and of the call that was made for it."""
     front, back, requests, _ = two_tiers(tmp_path, 0)
     # The verdict, the drawn number, its limit, the retry budget and the fraction of failures.
     denied = RetryDecision("chance", 0.9, 0.2, 0.2, 0.1)
@@ -29,7 +29,7 @@
     return build_tree(find_descendants([back, front], requests[2].id))
 
 
-def test_call_is_a_child_of_the_request_that_made_it(rows):
+def test_call_is_a_child_of_its_parent_request(rows):
     assert [(row.depth, row.metadata.name) for row in rows] == [(0, "front"), (1, "back")]
 
 
