--- a/pepperhook/tracing/clock_offsets.py
+++ b/pepperhook/tracing/clock_offsets.py
@@ -8,9 +8,10 @@
     answered - ended <= offset <= accepted - sent
 
 The bounds of many pairs are intersected (Marzullo's algorithm, as in NTP: RFC 5905, section
-11.2.1); the estimate is the middle, its error half the width. Offsets along a path add up, and so
-do their errors, so each balancer's offset comes by the path with the least error from the reference
-(Dijkstra's algorithm). Bounds that contradict each other mean that a clock drifted or stepped.
+11.2.1); the estimate is the middle of the intersection, its error half the width. Offsets along a
+path of balancers add up, and so do their errors, so each offset is computed along the path from the
+reference that has the smallest error (Dijkstra's algorithm). Bounds that contradict each other mean
+that a clock drifted or stepped.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -21,14 +22,14 @@
 
 
 class OffsetBounds(Struct):
-    """The least and the most that the callee's clock is ahead of the caller's, in nanoseconds."""
+    """Bounds of how far the callee's clock is ahead of the caller's, in nanoseconds."""
 
     low: int | None = None
     high: int | None = None
-    pairs: int = 0  # that the bounds rest on
+    pairs: int = 0  # attempts with their calls that the bounds are computed from
 
     def add_pair(self, sent: int, ended: int, accepted: int, answered: int) -> None:
-        """Narrow the bounds: the attempt by the caller's clock, the call by the callee's."""
+        """Narrow the bounds by an attempt (caller's clock) and its call (callee's clock)."""
         low, high = answered - ended, accepted - sent
         self.low = low if self.low is None else max(self.low, low)
         self.high = high if self.high is None else min(self.high, high)
@@ -40,16 +41,16 @@
 
     name: str
     ahead: int = 0
-    error: int | None = None  # at most; None: no call connects it with the reference
-    pairs: int = 0
-    contradicts: bool = False
+    error: int | None = None  # largest error; None if no call connects it with the reference
+    pairs: int = 0  # attempts with calls between this clock and the previous one on the path
+    contradicts: bool = False  # whether any bounds on the path contradict each other
 
 
 ClockPair: TypeAlias = tuple[str, str]  # names of the caller and of the callee
 
 
 class _Edge(NamedTuple):
-    """From one clock to another: how far the other is ahead."""
+    """An edge to the clock ``name``, which is ``ahead`` ns ahead of the clock at the other end."""
 
     name: str
     ahead: int
@@ -58,33 +59,33 @@
     contradicts: bool
 
 
-class _Step(NamedTuple):
-    """A path from a reference to a clock; sorts by error, then by age."""
+class _Path(NamedTuple):
+    """A path from a reference to the clock ``name``; sorts by error, then by ``number``."""
 
     error: int
-    number: int
+    number: int  # in the order of discovery
     name: str
-    ahead: int
-    pairs: int
+    ahead: int  # of the reference, in nanoseconds
+    pairs: int  # of the last edge
     contradicts: bool
 
 
 def estimate_offsets(
     names: Sequence[str], bounds: Mapping[ClockPair, OffsetBounds]
 ) -> dict[str, Offset]:
-    """Return the offsets from the first of ``names``.
+    """Return how far each clock is ahead of the clock of the first balancer in ``names``.
 
-    Where nothing connects balancers with it, the first of these is a reference of its own, and all
-    that are connected with that one have no error.
+    Balancers that no calls connect with the first one, directly or through others, are measured
+    against the first balancer that they are connected with, and their error is None.
     """
     edges = _edges(names, bounds)
     offsets: dict[str, Offset] = {}
-    for root in names:
-        if root in offsets:
+    for reference in names:
+        if reference in offsets:
             continue
-        for step in _shortest_paths(root, edges, offsets):
-            error = step.error if root == names[0] else None
-            offsets[step.name] = Offset(step.name, step.ahead, error, step.pairs, step.contradicts)
+        for path in _shortest_paths(reference, edges, offsets):
+            error = path.error if reference == names[0] else None
+            offsets[path.name] = Offset(path.name, path.ahead, error, path.pairs, path.contradicts)
     return offsets
 
 
@@ -96,6 +97,7 @@
         if bound.low is None or bound.high is None or not {caller, callee} <= edges.keys():
             continue
         ahead = (bound.low + bound.high) // 2
+        # Half the width, rounded up; contradicting bounds have a negative width.
         error = abs(bound.high - bound.low + 1) // 2
         contradicts = bound.low > bound.high
         edges[caller].append(_Edge(callee, ahead, error, bound.pairs, contradicts))
@@ -104,30 +106,31 @@
 
 
 def _shortest_paths(
-    root: str, edges: Mapping[str, list[_Edge]], known: Mapping[str, Offset]
-) -> Iterable[_Step]:
-    """Yield the path to each clock that is connected with ``root``, the least error first.
+    reference: str, edges: Mapping[str, list[_Edge]], known: Mapping[str, Offset]
+) -> Iterable[_Path]:
+    """Yield the best path to each clock connected with ``reference``, by increasing error.
 
-    The caller adds to ``known`` what it gets.
+    The code that iterates must add each yielded clock to ``known`` before it takes the next path;
+    clocks in ``known`` are skipped.
     """
-    queue = [_Step(0, 0, root, 0, 0, False)]
+    queue = [_Path(0, 0, reference, 0, 0, False)]
     count = 0
     while queue:
-        step = heappop(queue)
-        if step.name in known:
+        path = heappop(queue)
+        if path.name in known:
             continue
-        yield step
-        for edge in edges[step.name]:
+        yield path
+        for edge in edges[path.name]:
             if edge.name not in known:
                 count += 1
                 heappush(
                     queue,
-                    _Step(
-                        step.error + edge.error,
+                    _Path(
+                        path.error + edge.error,
                         count,
                         edge.name,
-                        step.ahead + edge.ahead,
+                        path.ahead + edge.ahead,
                         edge.pairs,
-                        step.contradicts or edge.contradicts,
+                        path.contradicts or edge.contradicts,
                     ),
                 )
--- a/pepperhook/tracing/tracer.py
+++ b/pepperhook/tracing/tracer.py
@@ -1,54 +1,57 @@
-"""Stands in a policy's place and traces its requests."""
+"""Wraps a policy to trace its requests."""
 
 from collections.abc import Sequence
 from typing import Any
 
 from pepperhook.actions import Action
 from pepperhook.policy_proxy import PolicyProxy, route_calls
-from pepperhook.tracing.collector import TraceCollector, Write
+from pepperhook.tracing.collector import TraceCollector, WriteTrace
 from pepperhook.tracing.sampling import RequestSampler
 
 
 class Tracer(PolicyProxy):
-    """Passes each call on to the policy; its collector gets the reasons that the policy notes."""
+    """Passes each call on to the policy, and the policy's notes and actions to a collector.
+
+    The attribute ``module`` is the policy, as in every PolicyProxy.
+    """
 
     def __init__(
         self,
-        module: Any,
-        write: Write,
+        policy: Any,
+        write: WriteTrace,
         service_classes: Sequence[str] = (),
         tenants: Sequence[str] = (),
         sampled_fraction: float = 1.0,
         parent_pattern: str | None = None,
     ) -> None:
-        """Trace the requests of ``module``; ``write`` gets each trace that is kept, once.
+        """Wrap a policy, and pass each trace that is to be stored to ``write``, once.
 
-        ``service_classes`` and ``tenants`` are the names behind the policy's numbers.
+        ``service_classes`` and ``tenants`` are names, indexed by the numbers that the policy uses.
         """
         sampler = RequestSampler(sampled_fraction, parent_pattern)
         collector = TraceCollector(write, service_classes, tenants, sampler)
-        super().__init__(module, collector=collector)
-        module.notes = []
+        super().__init__(policy, collector=collector)
+        policy.notes = []
 
     def stop(self) -> Any:
-        """Return the policy, which takes no notes any more; open requests are written as open."""
+        """Disable the policy's notes, write the traces of open requests, and return the policy."""
         self.module.notes = None
         self.collector.close_all()
         return self.module
 
     def call(self, name: str, now: int, *arguments: Any) -> list[Action]:
-        """Pass one call on, and trace what came of it, also where it fails."""
-        collector, module = self.collector, self.module
+        """Pass a call on to the policy, and trace its notes and actions, even if it raises."""
+        collector, policy = self.collector, self.module
         if name == "accept":
             collector.accept(now, arguments[0])
-        # A policy that was copied or thawed under the tracer takes no notes yet.
-        if module.notes is None:
-            module.notes = []
+        # A policy that was copied or restored from a stored state has no list of notes.
+        if policy.notes is None:
+            policy.notes = []
         try:
-            actions: list[Action] = getattr(module, name)(now, *arguments)
+            actions: list[Action] = getattr(policy, name)(now, *arguments)
         except Exception:
-            # The host keeps what had been decided before the failure, and so does the trace.
-            collector.collect(now, name, arguments, self._take_notes(), module.actions)
+            # The host still performs the actions decided before the failure, so they are traced.
+            collector.collect(now, name, arguments, self._take_notes(), policy.actions)
             raise
         collector.collect(now, name, arguments, self._take_notes(), actions)
         return actions
@@ -59,4 +62,5 @@
         return notes or []
 
 
+# Defines the entry points of a policy on Tracer; each of them goes through Tracer.call.
 route_calls(Tracer)
