--- a/pepperhook/rate_limit/__init__.py
+++ b/pepperhook/rate_limit/__init__.py
@@ -1,1 +1,1 @@
-"""Limits on the requests per second of each tenant: one tenant's burst costs that tenant alone."""
+"""Rate limits per tenant, so that a burst of one tenant does not affect the others."""
--- a/pepperhook/rate_limit/errors.py
+++ b/pepperhook/rate_limit/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the rate limit."""
+"""Errors of the rate limits."""
 
 from collections.abc import Iterable
 
@@ -8,11 +8,11 @@
 
 
 class UnknownTenantError(PepperhookError, ValueError):
-    """The operator's file limits a tenant that the settings do not have."""
+    """The rate limits name a tenant that the settings do not define."""
 
-    def __init__(self, name: str, known: Iterable[str]) -> None:
-        """Name the key of the operator's file, and some of the tenants that there are."""
-        shown = ", ".join(sorted(known)[:MAX_NAMES_SHOWN]) or "none"
+    def __init__(self, name: str, known_names: Iterable[str]) -> None:
+        """Report the table's key for ``name`` and up to MAX_NAMES_SHOWN known tenants."""
+        known_list = ", ".join(sorted(known_names)[:MAX_NAMES_SHOWN]) or "none"
         super().__init__(
-            f"customers.each.{name}: the settings know no such customer; they know: {shown}"
+            f"customers.each.{name}: the settings know no such customer; they know: {known_list}"
         )
--- a/pepperhook/rate_limit/limiter.py
+++ b/pepperhook/rate_limit/limiter.py
@@ -1,9 +1,10 @@
-"""Token buckets, one for each tenant, as plain decisions without I/O and without a clock.
+"""Token buckets, one for each tenant, without I/O; callers pass the time in nanoseconds.
 
-A bucket holds up to ``burst`` tokens and gains ``per_second`` of them; a request takes one or is
-rejected. That is the token bucket of RFC 2698 and RFC 3290 with requests in place of bytes. Its
-state is a single instant, the one at which the bucket was or will be empty, as in the generic cell
-rate algorithm of ITU-T I.371: nothing is added up between requests, so no rounding accumulates.
+A bucket stores up to ``burst`` tokens and gains ``per_second`` of them each second; a request takes
+one or is rejected. This is the token bucket of RFC 2698 and RFC 3290, counting requests instead of
+bytes. As in the generic cell rate algorithm of ITU-T I.371, the only state is the time at which the
+bucket was or will be empty: nothing is added up between requests, so rounding errors do not
+accumulate.
 """
 
 from collections.abc import Sequence
@@ -14,19 +15,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """How many requests are admitted per second, and how many at once."""
+    """The number of requests admitted per second, and the number admitted at once."""
 
     per_second: float
-    burst: float | None = None  # None: as many as in a second; always at least one
+    burst: float | None = None  # None: one second's worth; at least 1 is enforced
 
     def scaled(self, fraction: float) -> "RateLimit":
-        """Return the part of the limit that one of several balancers enforces."""
+        """Return the limit times ``fraction``, for one of the balancers that share it."""
         burst = None if self.burst is None else self.burst * fraction
         return RateLimit(self.per_second * fraction, burst)
 
 
 class TokenBucket:
-    """Admits requests by one limit, and counts what it admitted and rejected."""
+    """Enforces one limit, and counts the requests that it admitted and rejected."""
 
     __slots__ = ("admitted", "capacity_ns", "empty_at", "rejected", "token_interval_ns")
 
@@ -35,13 +36,13 @@
         burst = limit.per_second if limit.burst is None else limit.burst
         self.token_interval_ns = max(1, round(SECOND / limit.per_second))
         self.capacity_ns = round(max(1.0, burst) * self.token_interval_ns)
-        self.empty_at: int | None = None
+        self.empty_at: int | None = None  # None: full, as no token was taken yet
         self.admitted = 0
         self.rejected = 0
 
     def admit(self, now: int) -> int:
-        """Take a token: return 0, or without one the nanoseconds until there is one."""
-        earliest_empty_at = now - self.capacity_ns  # of a bucket that is full now
+        """Take a token and return 0, or return the nanoseconds until one is available."""
+        earliest_empty_at = now - self.capacity_ns  # for a bucket that is full now
         if self.empty_at is None:
             empty_at = earliest_empty_at
         else:
@@ -56,9 +57,9 @@
 
 
 class RateLimiter:
-    """One bucket for each tenant of the settings, and one that all unknown tenants share.
+    """Stores one bucket for each tenant in the settings, and one that all unknown tenants share.
 
-    Nothing grows with traffic. A bucket is None where there is no limit.
+    Its memory does not grow with traffic. A bucket is None where there is no limit.
     """
 
     def __init__(
@@ -67,16 +68,19 @@
         unknown_limit: RateLimit | None,
         fraction: float = 1.0,
     ) -> None:
-        """Make full buckets.
+        """Create full buckets.
 
-        ``tenant_limits`` is indexed by a tenant's number; ``fraction`` is this balancer's part of
-        every limit.
+        ``tenant_limits`` is indexed by tenant number; ``fraction`` is the part of each limit that
+        this balancer enforces.
         """
         self.buckets = [_make_bucket(limit, fraction) for limit in tenant_limits]
         self.unknown = _make_bucket(unknown_limit, fraction)
 
     def admit(self, now: int, tenant: int | None) -> int:
-        """Return 0 for a request that is admitted, else the nanoseconds until one would be."""
+        """Admit a request and return 0, or return the nanoseconds until one is admitted.
+
+        ``tenant`` is None for a tenant that the settings do not define.
+        """
         bucket = self.unknown if tenant is None else self.buckets[tenant]
         return 0 if bucket is None else bucket.admit(now)
 
--- a/pepperhook/sim_adapter/__main__.py
+++ b/pepperhook/sim_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Hosts any number of balancers; each batch on standard input gets one reply on standard output."""
+"""Runs any number of balancers; writes one reply to standard output per batch on standard input."""
 
 import gc
 import sys
@@ -12,8 +12,8 @@
 
 
 def main() -> int:
-    """Answer batches until the input ends. Returns the exit code."""
-    # Collection pauses would be billed to whichever instance is being answered.
+    """Answer batches until the input ends, and return the exit code."""
+    # Make collections rare: the simulator charges a pause to the instance whose event is handled.
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     host = Host()
--- a/pepperhook/sim_adapter/encoder.py
+++ b/pepperhook/sim_adapter/encoder.py
@@ -1,4 +1,4 @@
-"""Encodes actions of a policy as records of the simulator's wire."""
+"""Encodes actions of a policy as records of the simulator's protocol."""
 
 from pepperhook.actions import (
     Action,
@@ -19,12 +19,12 @@
 
 
 def encode_action(action: Action) -> bytes:
-    """Return the record of an action."""
+    """Return the encoded record of an action. Raises TypeError for any other object."""
     match action:
         case StartAttempt(attempt, timeout_ns):
             return _encode_send(attempt, timeout_ns)
         case WakeAt(at_ns):
-            at_us = -(-at_ns // MICROSECOND)  # rounded up: never too early
+            at_us = -(-at_ns // MICROSECOND)  # rounded up, so that the wake-up is never too early
             return encode_record(protocol.WAKE, protocol.WAKE_FIELDS.pack(at_us, 0))
         case CancelAttempt(attempt):
             fields = protocol.CANCEL_FIELDS.pack(attempt.request.id, attempt.number)
@@ -35,7 +35,7 @@
             return encode_record(protocol.REJECT, fields)
         case FailRequest(request):
             return encode_record(protocol.FAIL, protocol.FAIL_FIELDS.pack(request.id))
-    return _encode_other(action)
+    return _encode_without_request(action)
 
 
 def _encode_send(attempt: Attempt, timeout_ns: int) -> bytes:
@@ -44,8 +44,8 @@
     return encode_record(protocol.SEND, fields)
 
 
-def _encode_other(action: Action) -> bytes:
-    """Return the record of an action that is about no request."""
+def _encode_without_request(action: Action) -> bytes:
+    """Return the encoded record of an action that concerns no single request."""
     match action:
         case HealthCheck(upstream):
             return encode_record(protocol.HEALTH_CHECK, upstream.address)
@@ -55,4 +55,4 @@
             return encode_record(protocol.FETCH)
         case OperatorNote(text):
             return encode_text_record(protocol.NOTE, text)
-    raise TypeError(f"{type(action).__name__} is no action of this wire")
+    raise TypeError(f"{type(action).__name__} is not an action of the simulator's protocol")
--- a/pepperhook/sim_adapter/host.py
+++ b/pepperhook/sim_adapter/host.py
@@ -1,4 +1,4 @@
-"""Answers batches of events for any number of instances in one process."""
+"""Answers batches of events for any number of balancer instances in one process."""
 
 import traceback
 from collections.abc import Sequence
@@ -10,17 +10,17 @@
 
 
 class Host:
-    """Owns the instances by their numbers, and the endpoint lists that the simulator has sent."""
+    """Stores the instances and the endpoint lists from the simulator, each by number."""
 
     def __init__(self) -> None:
-        """Start without any; instances are made as events name them."""
+        """Start empty; an instance is created by the first event for its number."""
         self.instances: dict[int, Instance] = {}
         self.endpoint_lists: EndpointLists = {}
 
     def answer(self, batch: Batch) -> list[bytes]:
-        """Return the records of the reply; actions keep the order of the events they come from.
+        """Return the records of the reply, in the order of the events that caused them.
 
-        Raises MalformedInputError. Any other error of an event becomes a record of the reply.
+        Raises MalformedInputError. Any other error in an event becomes an INTERNAL_ERROR record.
         """
         now = batch.clock_us * MICROSECOND
         number: int | None = None
@@ -29,10 +29,10 @@
             if record.code == protocol.ABOUT:
                 (number,) = codec.unpack(protocol.ABOUT_FIELDS, record.fields, "ABOUT")
             elif record.code == protocol.TABLE:
-                listed = codec.read_endpoint_list(record.fields)
-                self.endpoint_lists[listed.number] = listed.entries
+                endpoint_list = codec.read_endpoint_list(record.fields)
+                self.endpoint_lists[endpoint_list.number] = endpoint_list.entries
             elif number is None:
-                raise MalformedInputError(f"an event of code {record.code} before any ABOUT")
+                raise MalformedInputError(f"event code {record.code} precedes the first ABOUT")
             else:
                 reply.extend(number, self._answer_event(now, number, record))
         return reply.records
@@ -49,27 +49,27 @@
 
 
 class ReplyRecords:
-    """The records of one reply; a change of the instance has a record of its own."""
+    """The records of one reply; a CONTEXT record announces each change of instance."""
 
     def __init__(self) -> None:
         """Start empty."""
         self.records: list[bytes] = []
-        self._current: int | None = None
+        self._current_number: int | None = None
 
     def extend(self, number: int, records: Sequence[bytes]) -> None:
-        """Add the actions of an instance."""
+        """Add the encoded actions of instance ``number``."""
         if not records:
             return
-        if number != self._current:
+        if number != self._current_number:
             fields = protocol.CONTEXT_FIELDS.pack(number)
             self.records.append(codec.encode_record(protocol.CONTEXT, fields))
-            self._current = number
+            self._current_number = number
         self.records.extend(records)
 
 
 def _encode_internal_error(error: Exception) -> bytes:
-    """Print the traceback, and return a record with the error and its place."""
-    where = traceback.extract_tb(error.__traceback__)[-1]
+    """Print the traceback, and return a record with the error and where it was raised."""
+    frame = traceback.extract_tb(error.__traceback__)[-1]
     traceback.print_exception(error)
-    text = f"{type(error).__name__}: {error} ({where.name}, line {where.lineno})"
+    text = f"{type(error).__name__}: {error} ({frame.name}, line {frame.lineno})"
     return codec.encode_text_record(protocol.INTERNAL_ERROR, text)
--- a/pepperhook/sim_adapter/instance.py
+++ b/pepperhook/sim_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One balancer on the simulator's wire: ids on the outside, objects on the inside, no decisions."""
+"""Translates between the simulator's records with ids and one balancer's calls with objects."""
 
 import json
 from collections.abc import Callable, Sequence
@@ -14,26 +14,26 @@
 from pepperhook.sim_adapter.encoder import encode_action
 from pepperhook.units import MICROSECOND
 
-EndpointLists: TypeAlias = dict[int, list[ListEntry]]  # by their numbers
+EndpointLists: TypeAlias = dict[int, list[ListEntry]]  # by number
 Handler: TypeAlias = Callable[["Instance", Balancer, int, bytes, EndpointLists], Sequence[Action]]
 
 
 class Instance:
-    """Owns one balancer and the maps between its objects and the wire's ids."""
+    """Owns one balancer, and maps the protocol's ids to its objects."""
 
     def __init__(self) -> None:
         """Start without a balancer."""
         self.balancer: Balancer | None = None
         self.settings = Settings()
         self.upstreams: dict[bytes, Upstream] = {}
-        self.requests: dict[object, Request] = {}  # by their ids
+        self.requests: dict[object, Request] = {}  # by id
 
     def handle(
         self, now: int, code: int, fields: bytes, endpoint_lists: EndpointLists
     ) -> Sequence[Action]:
-        """Return the actions of one event; none while no balancer is started.
+        """Handle one event and return the actions; none while no balancer runs.
 
-        Raises MalformedInputError, and whatever a policy raises.
+        Raises MalformedInputError, and any exception of the policy.
         """
         if code == protocol.ATTACH:
             return self._start(now, fields)
@@ -46,9 +46,9 @@
         return handler(self, self.balancer, now, fields, endpoint_lists)
 
     def encode(self, action: Action) -> bytes:
-        """Return the record of an action, and drop the request that it ends."""
+        """Return the encoded record of an action; drop the request if the action ends it."""
         if isinstance(action, (RejectRequest, FailRequest)):
-            self._forget(action.request)
+            self._drop_if_ended(action.request)
         return encode_action(action)
 
     def _start(self, now: int, fields: bytes) -> Sequence[Action]:
@@ -67,24 +67,24 @@
         return self.upstreams[address]
 
     def _attempt(self, request_id: int, number: int) -> Attempt | None:
-        """Return an attempt by its request's id and its own number, while it is known."""
+        """Return an attempt by its request's id and its number; None if it is unknown."""
         request = self.requests.get(request_id)
         if request is None or number >= len(request.attempts):
             return None
         return request.attempts[number]
 
-    def _forget(self, request: Request) -> None:
-        """Drop a request that no later event names."""
+    def _drop_if_ended(self, request: Request) -> None:
+        """Drop a request that is finished and has no open attempt, as no later event names it."""
         if request.finished and not request.open_attempts:
             self.requests.pop(request.id, None)
 
-    def _load_report(self, fields: bytes, start: int, what: str) -> LoadReport | None:
-        """Read a load report, by the names that the policy has for its figures."""
-        values = codec.read_load_report(fields, start, what)
+    def _load_report(self, fields: bytes, start: int, record_name: str) -> LoadReport | None:
+        """Return the load report at ``start``, with the settings' names for its figures."""
+        values = codec.read_load_report(fields, start, record_name)
         return dict(zip(self.settings.report_figures, values, strict=False)) if values else None
 
-    def _update(self, entry: ListEntry) -> EndpointUpdate:
-        """Return the update of an upstream for the policy, and note what else is listed of it."""
+    def _endpoint_update(self, entry: ListEntry) -> EndpointUpdate:
+        """Store the listed properties of an upstream, and return its update for the policy."""
         upstream = self._upstream(entry.address)
         upstream.kind = entry.kind
         upstream.units = entry.units
@@ -93,7 +93,7 @@
         state = protocol.STATES.get(entry.state, protocol.UNKNOWN_STATE)
         return EndpointUpdate(upstream, state, entry.started_us * MICROSECOND)
 
-    # Handlers of events, by HANDLERS.
+    # Event handlers; HANDLERS maps the codes to them.
 
     def _endpoints_changed(
         self, balancer: Balancer, now: int, fields: bytes, endpoint_lists: EndpointLists
@@ -102,8 +102,8 @@
         if scope == protocol.FAILED:
             return balancer.endpoint_poll_failed(now)
         if number not in endpoint_lists:
-            raise MalformedInputError(f"FLEET: no list has the number {number}")
-        updates = [self._update(entry) for entry in endpoint_lists[number]]
+            raise MalformedInputError(f"FLEET: no endpoint list has the number {number}")
+        updates = [self._endpoint_update(entry) for entry in endpoint_lists[number]]
         return balancer.endpoints_changed(now, scope in protocol.WHOLE_LISTS, updates)
 
     def _request_arrived(
@@ -130,7 +130,9 @@
         self, balancer: Balancer, now: int, fields: bytes, _: EndpointLists
     ) -> Sequence[Action]:
         layout = protocol.REPLY_FIELDS
-        request_id, number, _, outcome, took_us, is_final = codec.unpack(layout, fields, "REPLY")
+        request_id, number, _, outcome, duration_us, is_final = codec.unpack(
+            layout, fields, "REPLY"
+        )
         attempt = self._attempt(request_id, number)
         if attempt is None:
             return ()
@@ -138,11 +140,11 @@
             now,
             attempt,
             protocol.OUTCOMES.get(outcome, protocol.UNKNOWN_OUTCOME),
-            took_us * MICROSECOND,
+            duration_us * MICROSECOND,
             bool(is_final),
             self._load_report(fields, layout.size, "REPLY"),
         )
-        self._forget(attempt.request)
+        self._drop_if_ended(attempt.request)
         return actions
 
     def _response_started(
@@ -160,19 +162,19 @@
         if request is None:
             return ()
         actions = balancer.client_left(now, request)
-        self._forget(request)
+        self._drop_if_ended(request)
         return actions
 
     def _health_check_ended(
         self, balancer: Balancer, now: int, fields: bytes, _: EndpointLists
     ) -> Sequence[Action]:
         layout = protocol.SAMPLED_FIELDS
-        address, outcome, took_us = codec.unpack(layout, fields, "SAMPLED")
+        address, outcome, duration_us = codec.unpack(layout, fields, "SAMPLED")
         return balancer.health_check_ended(
             now,
             self._upstream(address),
             protocol.OUTCOMES.get(outcome, protocol.UNKNOWN_OUTCOME),
-            took_us * MICROSECOND,
+            duration_us * MICROSECOND,
             self._load_report(fields, layout.size, "SAMPLED"),
         )
 
--- a/pepperhook/sim_adapter/protocol.py
+++ b/pepperhook/sim_adapter/protocol.py
@@ -1,27 +1,27 @@
 """Codes and layouts of the simulator's records, big-endian; times in microseconds.
 
-Names in capitals that stand for an event are those of the simulator's protocol note.
+Events have the names that the simulator's protocol specification gives them.
 """
 
 import struct
 
 from pepperhook.domain import Outcome, UpstreamState
 
-# Events, by their codes.
-FLEET = 0  # an endpoint list, or that a poll of it failed
-STOP = 1
-ALARM = 2
-TABLE = 3  # the entries of an endpoint list, for FLEET to name
+# Codes of events.
+FLEET = 0  # an endpoint list was received, or a poll of it failed
+STOP = 1  # a balancer stops
+ALARM = 2  # a wake-up
+TABLE = 3  # the entries of an endpoint list, to which FLEET refers by number
 STARTED = 4  # a response has begun
-ATTACH = 5  # a balancer begins
-ABANDONED = 6  # a client has left
+ATTACH = 5  # a balancer starts
+ABANDONED = 6  # a client has disconnected
 QUERY = 7  # a client's request
-MEMO = 8  # a message of a peer
-ABOUT = 9  # which instance the records that follow are for
+MEMO = 8  # a message from a peer
+ABOUT = 9  # number of the instance that the following events are for
 REPLY = 10  # an attempt has ended
 SAMPLED = 11  # a health check has ended
 
-# Actions, by their codes.
+# Codes of actions.
 REJECT = 0
 NOTE = 1
 CANCEL = 2
@@ -31,10 +31,10 @@
 FAIL = 7
 WATCH = 8
 FETCH = 9
-CONTEXT = 10  # which instance the actions that follow are of
+CONTEXT = 10  # number of the instance that the following actions come from
 HEALTH_CHECK = 12
 
-# Scopes of FLEET. A list of the scope DELTA (0) has changes only.
+# Scopes of FLEET. A list with the scope DELTA (0) contains changes only.
 FULL, CACHED, FAILED = 1, 2, 3
 WHOLE_LISTS = (FULL, CACHED)
 
@@ -56,15 +56,15 @@
 }
 UNKNOWN_OUTCOME = Outcome.ERROR
 
-# Fields of events; what follows them is of a length of its own.
+# Fixed-size fields of events; data of variable size may follow them.
 ABOUT_FIELDS = struct.Struct(">H")
 ABANDONED_FIELDS = struct.Struct(">Q")
 ATTACH_FIELDS = struct.Struct(">QI")  # seed, size of the settings
 FLEET_FIELDS = struct.Struct(">IBB")  # version, scope, number of the list
 MEMO_FIELDS = struct.Struct(">IH")  # peer, size of the message
-# Request, class, tenant, key, deadline, cost, flags.
+# Request, service class, tenant, idempotency key, deadline, cost, flags.
 QUERY_FIELDS = struct.Struct(">QHIQQIB")
-# Request, attempt, upstream, outcome, duration, whether nothing comes after it.
+# Request, attempt, upstream, outcome, duration, whether the client has its response.
 REPLY_FIELDS = struct.Struct(">QH6sBIB")
 SAMPLED_FIELDS = struct.Struct(">6sBI")  # upstream, outcome, duration
 STARTED_FIELDS = struct.Struct(">Q6sHI")  # request, upstream, attempt, duration
@@ -78,6 +78,6 @@
 CANCEL_FIELDS = struct.Struct(">QH")  # request, attempt
 REJECT_FIELDS = struct.Struct(">QI")  # request, advised delay
 FAIL_FIELDS = struct.Struct(">Q")
-WAKE_FIELDS = struct.Struct(">QI")  # time, a tag that comes back in ALARM
+WAKE_FIELDS = struct.Struct(">QI")  # time, tag that ALARM returns
 WATCH_FIELDS = b"\x01"
 MAX_U32 = 2**32 - 1
--- a/tests/rate_limit/__init__.py
+++ b/tests/rate_limit/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the token buckets and of the rate limit's extension."""
+"""Tests of the token buckets and of the rate limit extension."""
--- a/tests/sim_adapter/test_encoder.py
+++ b/tests/sim_adapter/test_encoder.py
@@ -1,4 +1,4 @@
-"""Actions on the simulator's wire, byte for byte as in the protocol note."""
+"""Tests that actions are encoded byte for byte as the simulator's protocol specifies."""
 
 import pytest
 
@@ -38,18 +38,18 @@
         (FetchEndpoints(), "09 00000000"),
     ],
 )
-def test_an_action_has_the_bytes_of_the_note(action, encoded):
+def test_action_is_encoded_as_specified(action, encoded):
     assert encode_action(action) == bytes.fromhex(encoded)
 
 
-def test_times_are_rounded_so_that_nothing_is_early_or_never():
-    shortest = encode_action(StartAttempt(ATTEMPT, 1))
+def test_wake_time_is_rounded_up_and_timeout_is_at_least_one_microsecond():
+    shortest_timeout = encode_action(StartAttempt(ATTEMPT, 1))
     wake = encode_action(WakeAt(1001))
 
-    assert shortest.endswith(bytes.fromhex("00000001"))
+    assert shortest_timeout.endswith(bytes.fromhex("00000001"))
     assert wake == bytes.fromhex("05 0000000c 0000000000000002 00000000")
 
 
-def test_what_is_no_action_is_a_wrong_argument():
-    with pytest.raises(TypeError, match="int is no action"):
+def test_object_that_is_not_an_action_is_a_type_error():
+    with pytest.raises(TypeError, match="int is not an action"):
         encode_action(3)
--- a/tests/sim_adapter/test_host.py
+++ b/tests/sim_adapter/test_host.py
@@ -1,4 +1,4 @@
-"""Batches of events, answered for the instances that they name."""
+"""Tests that the host answers batches of events for the instances that they name."""
 
 import io
 import json
@@ -9,8 +9,8 @@
 from pepperhook.sim_adapter import codec, protocol
 from pepperhook.sim_adapter.codec import Batch, MalformedInputError, Record
 from pepperhook.sim_adapter.host import Host
+from tests.server.balancers import ENVIRONMENT
 from tests.sim_adapter.test_codec import EXAMPLE_BATCH
-from tests.world import ENV
 
 UPSTREAM = b"abcdef"
 
@@ -19,8 +19,9 @@
     return Record(protocol.ABOUT, protocol.ABOUT_FIELDS.pack(number))
 
 
-def attach(text):
-    return Record(protocol.ATTACH, protocol.ATTACH_FIELDS.pack(1, len(text)) + text.encode())
+def attach(settings):
+    fields = protocol.ATTACH_FIELDS.pack(1, len(settings)) + settings.encode()
+    return Record(protocol.ATTACH, fields)
 
 
 def endpoint_list():
@@ -37,8 +38,8 @@
     return Record(protocol.QUERY, fields)
 
 
-def answered(host, clock_us, *records):
-    """The records of the reply."""
+def reply_records(host, clock_us, *records):
+    """Return the decoded records of the reply to a batch."""
     return [decode(encoded) for encoded in host.answer(Batch(clock_us, list(records)))]
 
 
@@ -51,27 +52,29 @@
 
 @pytest.fixture
 def host():
-    """A host with one instance, numbered 3, that knows one upstream."""
+    """A host with instance 3, whose endpoint list has one upstream."""
     host = Host()
-    host.answer(Batch(0, [about(3), attach(json.dumps(ENV)), endpoint_list(), about(3), fleet()]))
+    host.answer(
+        Batch(0, [about(3), attach(json.dumps(ENVIRONMENT)), endpoint_list(), about(3), fleet()])
+    )
     return host
 
 
-def test_instances_that_are_not_started_stay_silent():
+def test_events_for_instances_that_are_not_started_cause_no_actions():
     batch = codec.read_batch(io.BytesIO(EXAMPLE_BATCH))
 
     assert Host().answer(batch) == []
 
 
-def test_a_request_is_sent_in_the_context_of_its_instance(host):
-    context, *actions = answered(host, 1000, about(3), query(77))
+def test_actions_for_a_request_follow_the_context_of_its_instance(host):
+    context, *actions = reply_records(host, 1000, about(3), query(77))
 
     assert context == (protocol.CONTEXT, struct.pack(">H", 3))
-    sent = [fields for code, fields in actions if code == protocol.SEND]
-    assert sent[0][:14] == struct.pack(">Q6s", 77, UPSTREAM)
+    send_fields = [fields for code, fields in actions if code == protocol.SEND]
+    assert send_fields[0][:14] == struct.pack(">Q6s", 77, UPSTREAM)
 
 
-def test_a_request_is_forgotten_once_its_last_attempt_has_ended(host):
+def test_request_is_dropped_when_its_last_attempt_has_ended(host):
     host.answer(Batch(1000, [about(3), query(77)]))
     reply = protocol.REPLY_FIELDS.pack(77, 0, UPSTREAM, 10, 500, 1)
 
@@ -81,12 +84,12 @@
     assert not host.instances[3].requests
 
 
-def test_an_event_of_an_unknown_code_is_ignored(host):
-    assert answered(host, 1000, about(3), Record(99, b"new")) == []
+def test_event_with_an_unknown_code_is_ignored(host):
+    assert reply_records(host, 1000, about(3), Record(99, b"new")) == []
 
 
-def test_an_error_of_an_event_is_a_record_and_the_next_event_is_handled(host, capsys):
-    records = answered(host, 1000, about(3), attach("{x}"), query(77))
+def test_error_in_an_event_becomes_a_record_and_the_next_event_is_handled(host, capsys):
+    records = reply_records(host, 1000, about(3), attach("{x}"), query(77))
 
     assert [record.code for record in records[:2]] == [protocol.CONTEXT, protocol.INTERNAL_ERROR]
     assert b"JSONDecodeError" in records[1].fields
@@ -95,13 +98,13 @@
 
 
 @pytest.mark.parametrize(
-    "records, reported",
+    "records, message",
     [
-        ([query(1)], "an event of code 7 before any ABOUT"),
-        ([Record(protocol.ABOUT, b"a")], "ABOUT: 1 bytes of fields, at least 2 wanted"),
-        ([about(3), fleet(number=9)], "FLEET: no list has the number 9"),
+        ([query(1)], "event code 7 precedes the first ABOUT"),
+        ([Record(protocol.ABOUT, b"a")], "ABOUT: 1 bytes of fields, at least 2 are needed"),
+        ([about(3), fleet(number=9)], "FLEET: no endpoint list has the number 9"),
     ],
 )
-def test_input_that_makes_no_sense_is_malformed(host, records, reported):
-    with pytest.raises(MalformedInputError, match=reported):
+def test_invalid_sequence_or_reference_is_malformed_input(host, records, message):
+    with pytest.raises(MalformedInputError, match=message):
         host.answer(Batch(1000, records))
