--- a/pepperhook/operator_config/__init__.py
+++ b/pepperhook/operator_config/__init__.py
@@ -1,7 +1,7 @@
-"""The operator's file: what the platform's configuration does not hold.
+"""The operator's file: options that the platform's configuration does not contain.
 
-An extension is off unless its table is in the file. ``schema`` has the records of the tables,
-``builder`` makes the extensions from them.
+An extension is off unless the file has its table. ``schema`` defines the tables, and ``builder``
+creates the extensions from them.
 """
 
 from pepperhook.operator_config.builder import build, read
--- a/pepperhook/operator_config/builder.py
+++ b/pepperhook/operator_config/builder.py
@@ -1,7 +1,7 @@
 """Reads the operator's file and builds the extensions that it turns on.
 
-The order of the extensions is the order in which the server calls their hooks. Only those that are
-on are imported: a balancer's memory counts.
+The order of the extensions is the order in which the server calls their hooks. Only extensions that
+are on are imported, to save the memory of a balancer.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from pepperhook.server.extensions import Extensions, listed_name
 from pepperhook.server.structured_logging import Log
 
-RATE_LIMIT_KEY = "customers"  # of the extension in documents of the control plane
+RATE_LIMIT_KEY = "customers"  # key of the extension in the control plane's documents
 
 
 def read(path: str | Path) -> schema.OperatorFile:
-    """Read the file. Raises ConfigError, whose text names file, line and key."""
+    """Read the file. Raises ConfigError, whose message names file, line and key."""
     try:
         return tomlfile.read(path, schema.OperatorFile)
     except tomlfile.TomlFileError as error:
@@ -27,9 +27,9 @@
 
 
 def build(path: str, config: Config, log: Log) -> Extensions:
-    """Build what the file at ``path`` turns on, for the balancer of ``config``.
+    """Build the extensions that the file at ``path`` turns on, for the balancer of ``config``.
 
-    Raises ConfigError, whose text is one line with file and key.
+    Raises ConfigError, whose message is one line with file and key.
     """
     operator_file = read(path)
     try:
@@ -44,17 +44,18 @@
 
 
 def _build_all(operator_file: schema.OperatorFile, config: Config, log: Log) -> list[Any]:
-    """Build the extensions in the order of their calls."""
+    """Build the extensions, in the order in which their hooks are called."""
     rate_limit = _rate_limit(operator_file.rate_limit, config)
     extensions = [
         rate_limit,
         _request_context(operator_file.request_context, config, log),
-        # Behind the request context: a loop would else wait for itself.
+        # After the request context, which ends call loops: a looping request would otherwise wait
+        # for the response to itself.
         _idempotency(operator_file.idempotency, config, log),
         _capture(operator_file.capture, config, log),
-        # Round the capture: what is captured is what the policy itself is called with.
+        # Wraps the capture, so that the capture records the calls as the policy itself gets them.
         _trace(operator_file.trace, config, log),
-        # Round both: its copies of the policy are neither captured nor traced.
+        # Wraps both, so that the calls of its policy copies are neither captured nor traced.
         _shadow(operator_file.shadow, config, log),
     ]
     _check_fleet_position(operator_file)
@@ -69,7 +70,9 @@
     if membership is None or control_plane is None:
         return
     if membership.sets_fleet_position and control_plane.sets_fleet_position:
-        raise ConfigError("gossip.place: control.place is on, too; a balancer has one place")
+        raise ConfigError(
+            "gossip.place: control.place is on, too; only one of them may set the fleet position"
+        )
 
 
 def _rate_limit(table: schema.RateLimitTable | None, config: Config) -> Any:
@@ -137,10 +140,10 @@
     rate_limit: Any,
     membership: Any,
 ) -> Any:
-    """Build the control plane's extension, and give it those that its documents concern."""
+    """Build the control plane's extension, with the extensions that its documents configure."""
     if table is None:
         return None
     from pepperhook.control_plane.extension import Control
 
-    reconfigured = [] if rate_limit is None else [(RATE_LIMIT_KEY, rate_limit)]
-    return Control(table, config, log, reconfigured, membership)
+    configurable = [] if rate_limit is None else [(RATE_LIMIT_KEY, rate_limit)]
+    return Control(table, config, log, configurable, membership)
--- a/pepperhook/operator_config/schema.py
+++ b/pepperhook/operator_config/schema.py
@@ -1,10 +1,10 @@
-"""The schema of the operator's file: a record for each table, with every default.
+"""The schema of the operator's file: a struct for each table, with every default.
 
-A table that is absent leaves its extension off. The keys are part of the users' interface and do
-not change; where a key is not the field's term, the attribute has that and names its key.
+An extension is off if its table is absent. The keys are part of the user interface and do not
+change; an attribute with a clearer name gives its key with ``field(name=...)``.
 
-Only what runs with an operator's file imports this module: msgspec takes memory that a balancer
-without extensions saves.
+Import this module only where an operator's file is in use: a balancer without extensions saves the
+memory of msgspec.
 """
 
 import re
@@ -14,8 +14,8 @@
 
 from pepperhook.errors import PepperhookError
 
-# Bounds are what a key can mean: times fit into 64 bits of nanoseconds beside a date, as journals
-# store them, and amounts into what a machine has. Infinity and NaN are outside of all.
+# The bounds keep values usable: a time added to the current date fits into 64 bits of nanoseconds,
+# as journals store it, and an amount fits on a machine. All exclude infinity and NaN.
 Share = Annotated[float, Meta(ge=0, le=1)]
 RatePerSecond = Annotated[float, Meta(ge=1e-9, le=1e9)]
 Burst = Annotated[float, Meta(ge=1, le=1e9)]
@@ -27,18 +27,18 @@
 
 
 class ParentPatternError(PepperhookError, ValueError):
-    """The regular expression of ``trace.parent`` can't be used; the text names the key."""
+    """The regular expression of ``trace.parent`` can't be used; the message names the key."""
 
 
 def check_parent_pattern(pattern: str) -> None:
-    """Check a regular expression that must have one group. Raises ParentPatternError."""
+    """Check that a regular expression is valid and has one group. Raises ParentPatternError."""
     try:
         groups = re.compile(pattern).groups
     except re.error as error:
         raise ParentPatternError(f"trace.parent: {error}") from error
     if groups != 1:
         raise ParentPatternError(
-            "trace.parent: one group is wanted, the id that an id was made for"
+            "trace.parent: needs exactly one group, which captures the id of the parent request"
         )
 
 
@@ -46,132 +46,138 @@
     """The rate limit of one tenant."""
 
     per_second: RatePerSecond
-    # Requests at once; None: a second's worth, at least one.
+    # Requests admitted at once; None: one second's worth, but at least one.
     burst: Burst | None = None
 
 
 class RateLimitTable(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The rate limits of tenants, in requests a second."""
+    """The rate limits of tenants, in requests per second."""
 
-    default: TenantLimit | None = None  # of each tenant that ``each`` does not name; None: no limit
-    unknown: TenantLimit | None = None  # of all together that the settings do not know
-    each: dict[str, TenantLimit] = {}
-    of: Literal["fleet", "balancer"] = "fleet"  # "fleet": split evenly over the fleet's balancers
-    spread: Share = 0.5  # of the advised delay, added at random against synchronised retries
+    default: TenantLimit | None = None  # for each tenant not in ``each``; None: no limit
+    unknown: TenantLimit | None = None  # shared by tenants not in the settings
+    each: dict[str, TenantLimit] = {}  # by tenant name
+    of: Literal["fleet", "balancer"] = "fleet"  # "fleet": split evenly among all balancers
+    spread: Share = 0.5  # maximum random part added to Retry-After, against synchronised retries
 
 
 class SigningKey(Struct, frozen=True, forbid_unknown_fields=True):
-    """A key of the installation, for MACs."""
+    """A secret key that the installation's processes share, for MACs."""
 
     id: Annotated[str, Meta(min_length=1, max_length=16, pattern="^[A-Za-z0-9_-]+$")]
     secret: Annotated[str, Meta(min_length=16)]
 
 
 class RequestContextTable(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Deadlines, attempts and priority that are carried down the tiers."""
+    """Request contexts: deadline, attempts and priority, propagated from tier to tier."""
 
-    service: Annotated[str, Meta(min_length=1, max_length=64)]  # the same at the tier's balancers
-    entry: bool = False  # requests come in here from outside: nothing that they carry is believed
-    trust: list[str] = []  # networks of callers and upstreams whose values need no MAC
-    keys: list[SigningKey] = []  # the first signs, all are believed
-    hop_secret: str | None = None  # hashes names in hops; the same in the whole installation
-    worth: bool = True  # whether the carried priority decides what is rejected first
+    service: Annotated[str, Meta(min_length=1, max_length=64)]  # same for all balancers of a tier
+    entry: bool = False  # whether requests come from outside, so that their contexts are ignored
+    trust: list[str] = []  # networks of callers and upstreams whose contexts need no MAC
+    keys: list[SigningKey] = []  # the first one signs, every one verifies
+    hop_secret: str | None = None  # for hashing names in hops; the same in the whole installation
+    worth: bool = True  # whether the propagated priority decides which requests are rejected first
 
 
 class Http2Table(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """HTTP/2 beside HTTP/1.1."""
+    """HTTP/2 in addition to HTTP/1.1."""
 
-    clients: bool = True  # accepted on the listener, told from HTTP/1.1 by the first bytes
-    # Where the endpoint list names no protocol of an upstream.
+    clients: bool = True  # whether to accept it from clients, detected by the first bytes sent
+    # Protocol for upstreams for which the endpoint list names none.
     upstreams: Literal["http/1.1", "h2"] = "http/1.1"
-    streams: Annotated[int, Meta(ge=1, le=1000)] = 100  # at once on a connection, either side
+    # Concurrent streams per connection, of clients and to upstreams.
+    streams: Annotated[int, Meta(ge=1, le=1000)] = 100
 
 
 class IdempotencyTable(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Idempotency keys: a repeated request is answered from the result of the first."""
+    """Idempotency keys: a repeated request gets the response to the first one."""
 
     max_entries: Count = field(default=100_000, name="entries")
-    max_mb: Megabytes = field(default=64.0, name="mb")  # of entries with their stored responses
+    max_mb: Megabytes = field(default=64.0, name="mb")  # memory of the entries and stored responses
     max_waiters_per_key: Count = field(default=1000, name="waiters")
-    # Of a response; a larger one is not stored.
+    # A response with a larger body is not stored.
     max_body_kb: Annotated[int, Meta(ge=0, le=64)] = field(default=64, name="body_kb")
-    # For how long a key of an unsafe class counts; 0: keys are ignored.
+    # How long a key of an unsafe service class is remembered; 0: keys are ignored.
     unsafe_window_s: Seconds = field(default=600.0, name="binding_s")
-    # The same of safe classes; keyed ones have that of the settings.
+    # The same for safe service classes; keyed ones use the window in the settings.
     safe_window_s: Seconds = field(default=10.0, name="retriable_s")
+    # Overrides these windows for service classes by name.
     window_by_class_s: dict[str, Seconds] = field(default_factory=dict, name="window_s")
+    # Names of the service classes whose requests must have a key.
     classes_with_required_key: list[str] = field(default_factory=list, name="require")
-    # Cancel an unsafe attempt that no client waits for; else it may still answer a repeat.
+    # Whether to cancel an unsafe attempt that no client waits for; if not, its response may still
+    # answer a repeated request.
     cancels_unsafe: bool = field(default=False, name="call_off_binding")
-    journal: str | None = None  # folder for what must survive a restart; one process each
-    peers: str | None = None  # file with the edge balancers among which a key has one owner
+    journal: str | None = None  # folder of state that survives a restart; one process per folder
+    peers: str | None = None  # file listing the edge balancers, one of which owns each key
 
 
 class CaptureTable(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Captures of all calls of the policy and their results, for exact replay."""
+    """Captures of all calls to the policy and their results, for exact replay."""
 
-    folder: str  # of the ring's segments, and of those that were kept
-    minutes: Minutes = 10.0  # that the ring holds
-    segment_s: SegmentSeconds = 60.0  # each begins with a state to replay from
-    mb: Megabytes = 256.0  # that the ring takes on disk
+    folder: str  # for the ring's segments and for preserved segments
+    minutes: Minutes = 10.0  # time span of the ring
+    segment_s: SegmentSeconds = 60.0  # length of a segment; each begins with a state to replay from
+    mb: Megabytes = 256.0  # maximum size of the ring on disk
 
 
 class TraceTable(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Lifecycles of requests with the reasons of decisions.
+    """Traces of request lifecycles, with the reasons for decisions.
 
-    Of requests that were rejected, failed or late all are written, of the rest a sample.
+    All rejected, failed or late requests are written, and a sample of the others.
     """
 
-    folder: str  # of the ring's files, and of those that were kept
-    sampled_fraction: Share = field(default=0.01, name="share")  # of requests served in time, by id
-    minutes: Minutes = 60.0  # that the ring holds
-    segment_s: SegmentSeconds = 300.0  # a file each
-    mb: Megabytes = 256.0  # that the ring takes on disk
-    # Regular expression; its group is the id of the request that a call was made for.
+    folder: str  # for the ring's files and for preserved files
+    # Fraction of the requests served in time that is written, selected by id.
+    sampled_fraction: Share = field(default=0.01, name="share")
+    minutes: Minutes = 60.0  # time span of the ring
+    segment_s: SegmentSeconds = 300.0  # time span of one file
+    mb: Megabytes = 256.0  # maximum size of the ring on disk
+    # Regular expression for request ids, whose group captures the id of the parent request.
     parent_pattern: str | None = field(default=None, name="parent")
 
     def __post_init__(self) -> None:
-        """Check what the types cannot say. Raises ParentPatternError."""
+        """Check the constraints that types cannot express. Raises ParentPatternError."""
         if self.parent_pattern is not None:
             check_parent_pattern(self.parent_pattern)
 
 
 class ControlPlaneTable(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Versions of the configuration, streamed from a control service."""
+    """Control plane: configuration versions, streamed from a control service."""
 
-    address: Annotated[str, Meta(pattern="^[^:/ ]+:[0-9]+$")]  # HOST:PORT of the service
-    keys: Annotated[list[SigningKey], Meta(min_length=1)]  # the first signs, all are believed
-    # File for the last good version; without it a restart waits for the service.
+    address: Annotated[str, Meta(pattern="^[^:/ ]+:[0-9]+$")]  # HOST:PORT of the control service
+    keys: Annotated[list[SigningKey], Meta(min_length=1)]  # the first one signs, every one verifies
+    # File for the last good version; without it, a restarted balancer waits for the service.
     last_good_file: str | None = field(default=None, name="state")
-    # Whether fleet size and index follow the balancers of the tier that hold leases.
+    # Whether fleet size and index are derived from the tier's balancers with a valid lease.
     sets_fleet_position: bool = field(default=False, name="place")
 
 
 class MembershipTable(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Membership by gossip among balancers over UDP."""
 
-    listen: Annotated[str, Meta(pattern="^[^ ]+:[0-9]+$")]  # HOST:PORT, as the others reach it
-    seeds: Annotated[list[str], Meta(min_length=1)]  # some members, through which it finds all
-    keys: Annotated[list[SigningKey], Meta(min_length=1)]  # the first signs, all are believed
-    # Whether fleet size and index follow the members that are seen.
+    listen: Annotated[str, Meta(pattern="^[^ ]+:[0-9]+$")]  # HOST:PORT, reachable by the others
+    seeds: Annotated[list[str], Meta(min_length=1)]  # HOST:PORT of some members to join through
+    keys: Annotated[list[SigningKey], Meta(min_length=1)]  # the first one signs, every one verifies
+    # Whether fleet size and index are derived from the known members.
     sets_fleet_position: bool = field(default=False, name="place")
     probe_period_ms: Annotated[float, Meta(ge=50, le=60_000)] = field(
         default=1000.0, name="period_ms"
     )
-    # Times log10 of the number of members, in periods: the shortest time until one is dead.
+    # Shortest suspicion before a member is declared dead, in probe periods: this times log10 of
+    # the number of members.
     suspicion_multiplier: Annotated[float, Meta(ge=1, le=20)] = field(default=3.0, name="suspicion")
 
 
 class ShadowTable(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Other settings by which a sample of calls is decided too, to count differences."""
+    """Candidate settings: a sample of calls is decided with them too, to count differences."""
 
-    settings_file: str = field(name="settings")  # JSON: settings, or a configuration with them
-    # Of the calls; each that is decided twice costs some milliseconds of core.
+    settings_file: str = field(name="settings")  # JSON, settings alone or a configuration
+    # Fraction of the calls; deciding one twice costs some milliseconds of CPU time.
     sampled_fraction: Share = field(default=0.02, name="share")
 
 
 class OperatorFile(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The whole file."""
+    """The whole operator's file; each table turns on its extension."""
 
     version: Literal[1]
     rate_limit: RateLimitTable | None = field(default=None, name="customers")
--- a/pepperhook/shadow/__init__.py
+++ b/pepperhook/shadow/__init__.py
@@ -1,5 +1,5 @@
-"""Compares other settings with those in force before a switch, by kinds of different decisions.
+"""Compares candidate settings with the live ones, and counts the decisions that would differ.
 
-``twin`` decides a call a second time, ``comparison`` says what differs, and ``extension`` takes a
-sample of the calls and counts.
+``twin`` decides a call a second time, ``comparison`` classifies the differences, and ``extension``
+samples the calls and counts the differences by kind.
 """
--- a/pepperhook/shadow/comparison.py
+++ b/pepperhook/shadow/comparison.py
@@ -1,6 +1,7 @@
-"""Compares the actions of two policies on one call. Without I/O.
+"""Compares the actions of the live policy and of a shadow policy on one call, without I/O.
 
-What counts is what becomes of each request; the order of actions and the times of attempts do not.
+The comparison covers the final decision on each request, health checks and the next wake-up. It
+ignores the order of actions and the time limits of attempts.
 """
 
 from __future__ import annotations
@@ -22,18 +23,18 @@
 
 
 class Difference(StrEnum):
-    """What the twin would have done and the policy in force did not; as the log counts it."""
+    """How a shadow policy's decision differs from the live one; the values are the log's keys."""
 
     ANOTHER_UPSTREAM = "another_upstream"
-    ENDED = "shed"  # rejected or failed in place of a first attempt
-    SENT = "sent"  # in place of an end without any attempt
+    ENDED = "shed"  # rejected or failed instead of sending a first attempt
+    SENT = "sent"  # instead of rejecting or failing the request without an attempt
     NOT_RETRIED = "not_again"
     RETRIED = "again"
     ENDED_LATER = "later"
     ENDED_SOONER = "sooner"
     QUEUED = "held"
     NOT_QUEUED = "not_held"
-    ANOTHER_RESPONSE = "another_answer"  # rejected for failed, or the reverse
+    ANOTHER_RESPONSE = "another_answer"  # rejected instead of failed, or vice versa
     CANCELLED = "called_off"
     NOT_CANCELLED = "not_called_off"
     CHECKED = "asked"  # load queries and health checks
@@ -42,135 +43,151 @@
     ANOTHER_SUBSET = "another_slice"
 
 
-class FateKind(Enum):
-    """The last that the actions of a call say of a request."""
+class DecisionKind(Enum):
+    """The kinds of final decision on a request in the actions of a call."""
 
-    SENT = auto()
-    CANCELLED = auto()  # an attempt, and nothing after it
+    SENT = auto()  # an attempt is started
+    CANCELLED = auto()  # an attempt is cancelled and no other action concerns the request
     REJECTED = auto()
     FAILED = auto()
 
 
-FINAL = (FateKind.REJECTED, FateKind.FAILED)
+FINAL_KINDS = (DecisionKind.REJECTED, DecisionKind.FAILED)
 
 
 @dataclass(frozen=True, slots=True)
-class Fate:
-    """What becomes of one request by the actions of a call."""
+class RequestDecision:
+    """The final decision on one request in the actions of a call."""
 
-    kind: FateKind
-    upstream: bytes | None = None  # address, where it is sent
-    was_tried: bool = False  # whether an earlier attempt was made, or for an end: has ended
+    kind: DecisionKind
+    upstream: bytes | None = None  # address, for SENT
+    # For SENT whether an earlier attempt was made, for a final response whether one has ended.
+    was_attempted: bool = False
 
     @property
     def is_sent(self) -> bool:
-        """Whether an attempt starts."""
-        return self.kind is FateKind.SENT
+        """Return whether an attempt is started."""
+        return self.kind is DecisionKind.SENT
 
     @property
     def is_final(self) -> bool:
-        """Whether the request ends unserved."""
-        return self.kind in FINAL
+        """Return whether the request is rejected or failed."""
+        return self.kind in FINAL_KINDS
 
 
 @dataclass(slots=True)
-class Decisions:
-    """The actions of a call, in the form that is compared."""
+class CallDecisions:
+    """The decisions in the actions of one call, in comparable form."""
 
-    fates: dict[object, Fate] = field(default_factory=dict)  # by the ids of requests
-    checked: set[bytes] = field(default_factory=set)  # addresses of upstreams
+    by_request: dict[object, RequestDecision] = field(default_factory=dict)  # keyed by request id
+    checked: set[bytes] = field(default_factory=set)  # addresses of checked upstreams
     wake_at: int | None = None
 
     def add(self, action: Action) -> None:
-        """Take in the next action."""
+        """Add the next action; for a request, any but a cancellation replaces earlier decisions."""
         match action:
             case StartAttempt(attempt):
                 request = attempt.request
                 is_retry = len(request.attempts) > 1
-                self.fates[request.id] = Fate(FateKind.SENT, attempt.upstream.address, is_retry)
+                self.by_request[request.id] = RequestDecision(
+                    DecisionKind.SENT, attempt.upstream.address, is_retry
+                )
             case CancelAttempt(attempt):
-                self.fates.setdefault(attempt.request.id, Fate(FateKind.CANCELLED))
+                self.by_request.setdefault(
+                    attempt.request.id, RequestDecision(DecisionKind.CANCELLED)
+                )
             case RejectRequest(request):
-                self._end(request, FateKind.REJECTED)
+                self._add_final_response(request, DecisionKind.REJECTED)
             case FailRequest(request):
-                self._end(request, FateKind.FAILED)
+                self._add_final_response(request, DecisionKind.FAILED)
             case HealthCheck(upstream):
                 self.checked.add(upstream.address)
             case WakeAt(at_ns):
                 self.wake_at = at_ns
 
-    def _end(self, request: Request, kind: FateKind) -> None:
-        was_tried = any(attempt.outcome is not None for attempt in request.attempts)
-        self.fates[request.id] = Fate(kind, None, was_tried)
+    def _add_final_response(self, request: Request, kind: DecisionKind) -> None:
+        was_attempted = any(attempt.outcome is not None for attempt in request.attempts)
+        self.by_request[request.id] = RequestDecision(kind, None, was_attempted)
 
 
-def decisions_of(actions: Iterable[Action]) -> Decisions:
-    """Return what the actions of one call decide."""
-    decisions = Decisions()
+def decisions_of(actions: Iterable[Action]) -> CallDecisions:
+    """Return the decisions in the actions of one call."""
+    decisions = CallDecisions()
     for action in actions:
         decisions.add(action)
     return decisions
 
 
-def compare_fates(real: Fate | None, twin: Fate | None) -> Difference | None:
-    """Return how two fates of one request differ; None: an action says nothing of it, or alike."""
-    if real == twin:
+def compare_request_decisions(
+    live: RequestDecision | None, shadow: RequestDecision | None
+) -> Difference | None:
+    """Return how two decisions on one request differ, or None if they do not.
+
+    A decision of None stands for a call without an action for the request.
+    """
+    if live == shadow:
         return None
-    if twin is not None and twin.is_final:
-        return _twin_ends(real, twin)
-    if real is not None and real.is_final:
-        return _twin_goes_on(twin)
-    return _neither_ends(real, twin)
+    if shadow is not None and shadow.is_final:
+        return _compare_shadow_end(live, shadow)
+    if live is not None and live.is_final:
+        return _compare_live_end(shadow)
+    return _compare_without_end(live, shadow)
 
 
-def _twin_ends(real: Fate | None, twin: Fate) -> Difference | None:
-    if real is None or real.kind is FateKind.CANCELLED:
+def _compare_shadow_end(live: RequestDecision | None, shadow: RequestDecision) -> Difference | None:
+    """Compare when the shadow policy rejects or fails the request."""
+    if live is None or live.kind is DecisionKind.CANCELLED:
         return Difference.ENDED_SOONER
-    if real.is_sent:
-        return Difference.NOT_RETRIED if real.was_tried else Difference.ENDED
-    return Difference.ANOTHER_RESPONSE if real.kind is not twin.kind else None
+    if live.is_sent:
+        return Difference.NOT_RETRIED if live.was_attempted else Difference.ENDED
+    return Difference.ANOTHER_RESPONSE if live.kind is not shadow.kind else None
 
 
-def _twin_goes_on(twin: Fate | None) -> Difference:
-    """Return the difference where the policy in force ends the request."""
-    if twin is None or not twin.is_sent:
+def _compare_live_end(shadow: RequestDecision | None) -> Difference:
+    """Compare when only the live policy rejects or fails the request."""
+    if shadow is None or not shadow.is_sent:
         return Difference.ENDED_LATER
-    return Difference.RETRIED if twin.was_tried else Difference.SENT
+    return Difference.RETRIED if shadow.was_attempted else Difference.SENT
 
 
-def _neither_ends(real: Fate | None, twin: Fate | None) -> Difference | None:
-    if twin is not None and twin.kind is FateKind.CANCELLED:
+def _compare_without_end(
+    live: RequestDecision | None, shadow: RequestDecision | None
+) -> Difference | None:
+    """Compare when neither policy rejects or fails the request."""
+    if shadow is not None and shadow.kind is DecisionKind.CANCELLED:
         return Difference.CANCELLED
-    if real is not None and real.kind is FateKind.CANCELLED:
+    if live is not None and live.kind is DecisionKind.CANCELLED:
         return Difference.NOT_CANCELLED
-    if real is None:
+    if live is None:
         return Difference.NOT_QUEUED
-    if twin is None:
+    if shadow is None:
         return Difference.QUEUED
-    return Difference.ANOTHER_UPSTREAM if real.upstream != twin.upstream else None
+    return Difference.ANOTHER_UPSTREAM if live.upstream != shadow.upstream else None
 
 
 def compare(
-    real_actions: Iterable[Action],
-    twin_actions: Iterable[Action],
-    real_objective_at: int | None = None,
-    twin_objective_at: int | None = None,
+    live_actions: Iterable[Action],
+    shadow_actions: Iterable[Action],
+    live_objective_at: int | None = None,
+    shadow_objective_at: int | None = None,
 ) -> list[Difference]:
-    """Return how the twin's actions differ from the real ones; nothing where they are alike.
+    """Return how the shadow policy's actions differ from the live ones; empty if they do not.
 
-    The objectives are until when both work for a request that arrived. Giving it up is seldom the
-    next wake-up, so the actions do not show a difference in that.
+    The objectives are the times until which each policy works on a newly arrived request. Their
+    timers are seldom the next wake-up, so the actions alone do not show that they differ.
     """
-    real, twin = decisions_of(real_actions), decisions_of(twin_actions)
-    found: list[Difference] = []
-    for request_id in {**real.fates, **twin.fates}:
-        difference = compare_fates(real.fates.get(request_id), twin.fates.get(request_id))
+    live, shadow = decisions_of(live_actions), decisions_of(shadow_actions)
+    differences: list[Difference] = []
+    for request_id in {**live.by_request, **shadow.by_request}:
+        difference = compare_request_decisions(
+            live.by_request.get(request_id), shadow.by_request.get(request_id)
+        )
         if difference is not None:
-            found.append(difference)
-    if twin.checked - real.checked:
-        found.append(Difference.CHECKED)
-    if real.checked - twin.checked:
-        found.append(Difference.NOT_CHECKED)
-    if real.wake_at != twin.wake_at or real_objective_at != twin_objective_at:
-        found.append(Difference.ANOTHER_WAKE_TIME)
-    return found
+            differences.append(difference)
+    if shadow.checked - live.checked:
+        differences.append(Difference.CHECKED)
+    if live.checked - shadow.checked:
+        differences.append(Difference.NOT_CHECKED)
+    if live.wake_at != shadow.wake_at or live_objective_at != shadow_objective_at:
+        differences.append(Difference.ANOTHER_WAKE_TIME)
+    return differences
--- a/pepperhook/shadow/extension.py
+++ b/pepperhook/shadow/extension.py
@@ -1,4 +1,4 @@
-"""Has a sample of the policy's calls decided by other settings too, and counts what differs."""
+"""Decides a sample of the policy's calls with candidate settings too, and counts differences."""
 
 import json
 from collections import Counter
@@ -18,51 +18,51 @@
 from pepperhook.server.structured_logging import Log
 from pepperhook.settings import Settings
 from pepperhook.shadow.comparison import Difference, compare
-from pepperhook.shadow.twin import ACCEPT, Twin, check_comparable, subset_of
+from pepperhook.shadow.twin import ACCEPT, PolicyCopy, check_comparable, subset_of
 
-MAX_FAULTS = 20  # after which it stops: what goes wrong will go on doing so
+MAX_FAULTS = 20  # comparing stops after these, as a fault that repeats is likely to persist
 
 
 class ShadowSettingsError(PepperhookError, ValueError):
-    """The other settings can't be used; the text names the file and the key."""
+    """The candidate settings can't be used; the message names the file and the key."""
 
 
-def read_other_settings(path: str, config: Config) -> Settings:
-    """Read the settings to compare with those of ``config``. Raises ShadowSettingsError."""
+def read_candidate_settings(path: str, config: Config) -> Settings:
+    """Read the settings to be compared with those of ``config``. Raises ShadowSettingsError."""
     try:
         document = json.loads(Path(path).read_text(encoding="utf-8"))
-        # A whole configuration serves as well as the settings alone.
+        # The file may contain the settings alone, or a whole configuration.
         if isinstance(document, dict):
             document = document.get("settings", document)
         polls_endpoints = config.settings.polls_endpoints
-        other = replace(settings.read(document), polls_endpoints=polls_endpoints)
-        check_comparable(config.settings, other)
+        candidate = replace(settings.read(document), polls_endpoints=polls_endpoints)
+        check_comparable(config.settings, candidate)
     except (OSError, ValueError) as error:
         reason = getattr(error, "strerror", None) or error
         raise ShadowSettingsError(f"shadow.settings: {path}: {reason}") from error
-    return other
+    return candidate
 
 
 class Shadow:
-    """The extension; it holds counts, and one twin at a time for the length of a call."""
+    """The extension: counts the differences. A copy of the policy exists only during a call."""
 
     def __init__(self, table: ShadowTable, config: Config, log: Log) -> None:
-        """Read the other settings. Raises ShadowSettingsError."""
+        """Read the candidate settings. Raises ShadowSettingsError."""
         self.sampled_fraction = table.sampled_fraction
         self.log = log
         self.seed = config.seed
-        self.other_settings = read_other_settings(table.settings_file, config)
+        self.candidate_settings = read_candidate_settings(table.settings_file, config)
         self.differences: Counter[Difference] = Counter()
         self.calls = 0
         self.compared = 0
         self.faults = 0
 
     def born(self, _app: Any, policy: Any, _now: int) -> "ShadowedPolicy":
-        """Stand in the policy's place."""
+        """Return a proxy that wraps the policy."""
         return ShadowedPolicy(policy, self)
 
     def told(self) -> dict[str, Any]:
-        """Return the counts for the log; differences without any are absent."""
+        """Return the counts for the log, without the kinds of differences that did not occur."""
         counts = {kind.value: self.differences[kind] for kind in Difference}
         return {
             "name": "shadow",
@@ -73,9 +73,9 @@
         }
 
     def samples_next_call(self) -> bool:
-        """Count a call, and return whether it is one to compare.
+        """Count a call, and return whether to compare it.
 
-        The draw is this extension's own: the policy's draws are not touched.
+        The random sequence is separate from the policy's, so that the policy's draws stay the same.
         """
         self.calls += 1
         if self.faults >= MAX_FAULTS:
@@ -84,7 +84,7 @@
         return draw < self.sampled_fraction
 
     def count_fault(self, call: str, error: Exception) -> None:
-        """Log that a comparison failed; the call itself is not affected."""
+        """Count and log a failed comparison; the call itself is not affected."""
         self.faults += 1
         self.log.warning(
             "shadow_fault",
@@ -95,56 +95,56 @@
 
 
 @dataclass(slots=True)
-class SecondDecision:
-    """A call as it was decided by the other settings."""
+class ShadowDecision:
+    """A copied policy, and the actions with which it answered a call."""
 
-    twin: Twin
+    policy_copy: PolicyCopy
     actions: Sequence[Action]
 
 
 class ShadowedPolicy(PolicyProxy):
-    """Stands in the policy's place; all that is not a call to compare is the policy's own."""
+    """A proxy of the policy that compares some calls and passes on everything else."""
 
     def __init__(self, module: Any, shadow: Shadow) -> None:
-        """Stand before ``module``: a policy, or another proxy as of a recorder."""
+        """Wrap ``module``: the policy, or another proxy of it, such as a recorder's."""
         policy = module
         while isinstance(policy, PolicyProxy):
             policy = policy.module
         super().__init__(module, policy=policy, shadow=shadow)
 
     def accept(self, now: int, request: Request) -> Any:
-        """Take a request."""
-        return self._call("accept", now, request)
+        """Accept a request, and compare the decision."""
+        return self._call_and_compare("accept", now, request)
 
     def attempt_ended(self, now: int, *arguments: Any) -> Any:
-        """Take the end of an attempt."""
-        return self._call("attempt_ended", now, *arguments)
+        """Report the end of an attempt, and compare the decision."""
+        return self._call_and_compare("attempt_ended", now, *arguments)
 
     def endpoints_changed(self, now: int, *arguments: Any) -> Any:
-        """Take an endpoint list."""
-        return self._call("endpoints_changed", now, *arguments)
+        """Report changed endpoints, and compare the decision."""
+        return self._call_and_compare("endpoints_changed", now, *arguments)
 
     def wake(self, now: int) -> Any:
-        """Take a wake-up."""
-        return self._call("wake", now)
+        """Wake the policy, and compare the decision."""
+        return self._call_and_compare("wake", now)
 
-    def _call(self, name: str, now: int, *arguments: Any) -> Any:
-        """Return the policy's actions, whatever goes wrong in the comparison."""
-        second = self._decide_again(name, now, arguments)
+    def _call_and_compare(self, name: str, now: int, *arguments: Any) -> Any:
+        """Return the live policy's actions; errors in the comparison do not affect them."""
+        shadow_decision = self._decide_with_candidate_settings(name, now, arguments)
         actions = getattr(self.module, name)(now, *arguments)
-        if second is not None:
-            self._count_differences(name, arguments, actions, second)
+        if shadow_decision is not None:
+            self._count_differences(name, arguments, actions, shadow_decision)
         return actions
 
-    def _decide_again(
+    def _decide_with_candidate_settings(
         self, name: str, now: int, arguments: tuple[Any, ...]
-    ) -> SecondDecision | None:
-        """Decide a call by the other settings, before the policy changes its state by it."""
+    ) -> ShadowDecision | None:
+        """Decide a sampled call with the candidate settings, before it changes the live state."""
         if not self.shadow.samples_next_call():
             return None
         try:
-            twin = Twin(self.policy, self.shadow.other_settings, arguments)
-            return SecondDecision(twin, twin.call(name, now))
+            policy_copy = PolicyCopy(self.policy, self.shadow.candidate_settings, arguments)
+            return ShadowDecision(policy_copy, policy_copy.call(name, now))
         except Exception as error:
             self.shadow.count_fault(name, error)
             return None
@@ -154,14 +154,17 @@
         name: str,
         arguments: tuple[Any, ...],
         actions: Sequence[Action],
-        second: SecondDecision,
+        shadow_decision: ShadowDecision,
     ) -> None:
         try:
             objectives = (None, None)
             if name == ACCEPT:
-                objectives = arguments[0].objective_at, second.twin.arguments[0].objective_at
-            differences = compare(actions, second.actions, *objectives)
-            if subset_of(self.policy) != second.twin.subset():
+                objectives = (
+                    arguments[0].objective_at,
+                    shadow_decision.policy_copy.arguments[0].objective_at,
+                )
+            differences = compare(actions, shadow_decision.actions, *objectives)
+            if subset_of(self.policy) != shadow_decision.policy_copy.subset():
                 differences.append(Difference.ANOTHER_SUBSET)
             self.shadow.differences.update(differences)
             self.shadow.compared += 1
--- a/pepperhook/shadow/twin.py
+++ b/pepperhook/shadow/twin.py
@@ -1,8 +1,8 @@
-"""Decides one call a second time, by other settings, from the same state and random draws.
+"""Decides one call a second time, with candidate settings, from the same state and random draws.
 
-The twin is a copy of the policy's whole state, made before the call and discarded after it. A twin
-that lived on would drift away, and after minutes every decision would differ for reasons that no
-setting has.
+The policy's whole state is copied before the call, and the copy is discarded after it. A copy that
+was kept would diverge, and after minutes every decision would differ for reasons other than the
+settings.
 """
 
 from typing import Any
@@ -11,57 +11,61 @@
 from pepperhook.errors import PepperhookError
 from pepperhook.settings import Settings
 
-ACCEPT = "accept"  # the call that brings a new request
+ACCEPT = "accept"  # the policy call for a new request
 
 
 class IncomparableSettingsError(PepperhookError, ValueError):
-    """The other settings are of another service; the text names the key."""
+    """The candidate settings are for another service; the message names the key."""
 
 
-def check_comparable(settings: Settings, other: Settings) -> None:
-    """Check that requests in flight and learnt figures fit both. Raises IncomparableSettingsError.
+def check_comparable(settings: Settings, candidate: Settings) -> None:
+    """Check that both settings have the same service classes and tenants.
 
-    They belong to service classes and tenants by number.
+    Requests in flight and learned statistics refer to them by number, so a copy of the live state
+    is usable with the candidate settings only then. Raises IncomparableSettingsError.
     """
-    _check_counts("serviceGrades", len(settings.service_classes), len(other.service_classes))
-    _check_counts("orgs", len(settings.tenants), len(other.tenants))
-    pairs = zip(settings.service_classes, other.service_classes, strict=True)
-    for index, (own, others) in enumerate(pairs):
-        if own.effect != others.effect:
+    _check_counts("serviceGrades", len(settings.service_classes), len(candidate.service_classes))
+    _check_counts("orgs", len(settings.tenants), len(candidate.tenants))
+    pairs = zip(settings.service_classes, candidate.service_classes, strict=True)
+    for index, (live_class, candidate_class) in enumerate(pairs):
+        if live_class.effect != candidate_class.effect:
             raise IncomparableSettingsError(
-                f"serviceGrades[{index}].effect: {others.effect}, {own.effect} is in force"
+                f"serviceGrades[{index}].effect: is {candidate_class.effect}, "
+                f"but {live_class.effect} in the settings in force"
             )
 
 
-def _check_counts(key: str, in_force: int, other: int) -> None:
-    if in_force != other:
-        raise IncomparableSettingsError(f"{key}: {other} of them, {in_force} are in force")
+def _check_counts(key: str, live_count: int, candidate_count: int) -> None:
+    if live_count != candidate_count:
+        raise IncomparableSettingsError(
+            f"{key}: has {candidate_count} entries, but {live_count} in the settings in force"
+        )
 
 
-class Twin:
-    """A copy of a policy that goes by other settings, with the arguments of one call."""
+class PolicyCopy:
+    """A copy of a policy with candidate settings, and of the arguments of one call."""
 
     def __init__(self, policy: Any, settings: Settings, arguments: tuple[Any, ...]) -> None:
-        """Copy ``policy`` and the arguments that refer to its objects."""
+        """Copy ``policy`` and the arguments, which refer to its objects, and apply ``settings``."""
         self.policy, self.arguments = state.clone(policy, arguments)
         self.policy.configure(settings)
 
     def call(self, name: str, now: int) -> Any:
-        """Return the actions of the call ``name``."""
+        """Make the call ``name`` on the copy, and return its actions."""
         if name == ACCEPT:
-            self._use_own_service_class(self.arguments[0])
+            self._use_candidate_service_class(self.arguments[0])
         return getattr(self.policy, name)(now, *self.arguments)
 
-    def _use_own_service_class(self, request: Any) -> None:
-        """Have a new request go by the other settings; those in flight do since the copy."""
+    def _use_candidate_service_class(self, request: Any) -> None:
+        """Give a new request its candidate service class, as configuring did for older ones."""
         classes = self.policy.settings.service_classes
         request.service_class = classes[request.service_class.number]
 
     def subset(self) -> list[bytes]:
-        """Return the addresses of the upstreams that the twin uses."""
+        """Return the addresses of the upstreams in the copy's subset."""
         return subset_of(self.policy)
 
 
 def subset_of(policy: Any) -> list[bytes]:
-    """Return the addresses of the upstreams that a policy uses."""
+    """Return the addresses of the upstreams in a policy's subset."""
     return [upstream.address for upstream in policy.subset.members]
--- a/tests/shadow/test_comparison.py
+++ b/tests/shadow/test_comparison.py
@@ -1,4 +1,4 @@
-"""Kinds of differences between two decisions on one call."""
+"""Tests of the kinds of differences between a live and a shadow decision on one call."""
 
 import pytest
 
@@ -12,45 +12,45 @@
 )
 from pepperhook.domain import Attempt, Outcome, Request, Upstream
 from pepperhook.shadow.comparison import (
+    DecisionKind,
     Difference,
-    Fate,
-    FateKind,
+    RequestDecision,
     compare,
-    compare_fates,
+    compare_request_decisions,
     decisions_of,
 )
-from tests.world import grade
-
-HERE = Fate(FateKind.SENT, b"a")
-THERE = Fate(FateKind.SENT, b"b")
-RETRY = Fate(FateKind.SENT, b"a", was_tried=True)
-REJECTED = Fate(FateKind.REJECTED)
-REJECTED_AFTER_ATTEMPT = Fate(FateKind.REJECTED, was_tried=True)
-FAILED = Fate(FateKind.FAILED)
-CANCELLED = Fate(FateKind.CANCELLED)
-
-FATES = [
-    (HERE, THERE, Difference.ANOTHER_UPSTREAM),
-    (HERE, REJECTED, Difference.ENDED),
-    (REJECTED, HERE, Difference.SENT),
-    (RETRY, REJECTED_AFTER_ATTEMPT, Difference.NOT_RETRIED),
-    (REJECTED_AFTER_ATTEMPT, RETRY, Difference.RETRIED),
+from tests.policy.simulation import make_service_class
+
+SENT_TO_A = RequestDecision(DecisionKind.SENT, b"a")
+SENT_TO_B = RequestDecision(DecisionKind.SENT, b"b")
+RETRIED_AT_A = RequestDecision(DecisionKind.SENT, b"a", was_attempted=True)
+REJECTED = RequestDecision(DecisionKind.REJECTED)
+REJECTED_AFTER_AN_ATTEMPT = RequestDecision(DecisionKind.REJECTED, was_attempted=True)
+FAILED = RequestDecision(DecisionKind.FAILED)
+CANCELLED = RequestDecision(DecisionKind.CANCELLED)
+
+REQUEST_CASES = [
+    (SENT_TO_A, SENT_TO_B, Difference.ANOTHER_UPSTREAM),
+    (SENT_TO_A, REJECTED, Difference.ENDED),
+    (REJECTED, SENT_TO_A, Difference.SENT),
+    (RETRIED_AT_A, REJECTED_AFTER_AN_ATTEMPT, Difference.NOT_RETRIED),
+    (REJECTED_AFTER_AN_ATTEMPT, RETRIED_AT_A, Difference.RETRIED),
     (REJECTED, None, Difference.ENDED_LATER),
     (None, REJECTED, Difference.ENDED_SOONER),
-    (HERE, None, Difference.QUEUED),
-    (None, HERE, Difference.NOT_QUEUED),
+    (SENT_TO_A, None, Difference.QUEUED),
+    (None, SENT_TO_A, Difference.NOT_QUEUED),
     (REJECTED, FAILED, Difference.ANOTHER_RESPONSE),
     (CANCELLED, None, Difference.NOT_CANCELLED),
     (None, CANCELLED, Difference.CANCELLED),
-    (HERE, CANCELLED, Difference.CANCELLED),
-    (CANCELLED, HERE, Difference.NOT_CANCELLED),
+    (SENT_TO_A, CANCELLED, Difference.CANCELLED),
+    (CANCELLED, SENT_TO_A, Difference.NOT_CANCELLED),
     (CANCELLED, REJECTED, Difference.ENDED_SOONER),
     (REJECTED, CANCELLED, Difference.ENDED_LATER),
-    (HERE, RETRY, None),
-    (REJECTED, REJECTED_AFTER_ATTEMPT, None),
+    (SENT_TO_A, RETRIED_AT_A, None),
+    (REJECTED, REJECTED_AFTER_AN_ATTEMPT, None),
 ]
-# Told from actions that are about no request, or by the extension.
-OTHER_DIFFERENCES = {
+# Found in actions without a request or in the objectives, or by the extension.
+CALL_DIFFERENCES = {
     Difference.CHECKED,
     Difference.NOT_CHECKED,
     Difference.ANOTHER_WAKE_TIME,
@@ -58,48 +58,48 @@
 }
 
 
-@pytest.mark.parametrize("real, twin, difference", FATES)
-def test_fates_differ_by_kind_and_not_from_themselves(real, twin, difference):
-    assert compare_fates(real, twin) is difference
-    assert compare_fates(real, real) is None
-    assert compare_fates(twin, twin) is None
+@pytest.mark.parametrize("live, shadow, difference", REQUEST_CASES)
+def test_request_decisions_differ_by_kind_and_not_from_themselves(live, shadow, difference):
+    assert compare_request_decisions(live, shadow) is difference
+    assert compare_request_decisions(live, live) is None
+    assert compare_request_decisions(shadow, shadow) is None
 
 
-def test_each_kind_of_difference_is_among_the_cases():
-    found = {difference for _, _, difference in FATES if difference is not None}
+def test_cases_cover_each_kind_of_difference():
+    covered = {difference for _, _, difference in REQUEST_CASES if difference is not None}
 
-    assert found | OTHER_DIFFERENCES == set(Difference)
+    assert covered | CALL_DIFFERENCES == set(Difference)
 
 
 @pytest.mark.parametrize(
-    "real, twin, difference",
+    "live, shadow, difference",
     [
         ([], [HealthCheck(Upstream(b"a"))], Difference.CHECKED),
         ([HealthCheck(Upstream(b"a"))], [], Difference.NOT_CHECKED),
         ([WakeAt(5)], [WakeAt(6)], Difference.ANOTHER_WAKE_TIME),
     ],
 )
-def test_actions_about_no_request_are_compared(real, twin, difference):
-    assert compare(real, twin) == [difference]
-    assert compare(real, real) == compare(twin, twin) == []
+def test_health_checks_and_wake_up_times_are_compared(live, shadow, difference):
+    assert compare(live, shadow) == [difference]
+    assert compare(live, live) == compare(shadow, shadow) == []
 
 
-def test_another_latency_objective_is_another_wake_time():
+def test_different_latency_objective_counts_as_another_wake_time():
     assert compare([], [], 5, 6) == [Difference.ANOTHER_WAKE_TIME]
     assert compare([], [], 5, 5) == []
 
 
 @pytest.fixture
 def request_with_attempts():
-    """A request whose first attempt ended without a response, and a second one."""
-    request = Request("r", grade(0), None, None, 0)
+    """A request whose first attempt ended without a response and whose second is open."""
+    request = Request("r", make_service_class(0), None, None, 0)
     first, second = Attempt(request, Upstream(b"a"), 0), Attempt(request, Upstream(b"b"), 1)
     first.outcome = Outcome.RESET
     request.attempts = [first, second]
     return request
 
 
-def test_the_last_action_is_the_fate_of_a_request(request_with_attempts):
+def test_last_action_for_a_request_is_its_decision(request_with_attempts):
     first, second = request_with_attempts.attempts
 
     cancelled = decisions_of([CancelAttempt(first)])
@@ -108,7 +108,11 @@
     rejected = decisions_of([RejectRequest(request_with_attempts, 0), CancelAttempt(second)])
     failed = decisions_of([FailRequest(request_with_attempts)])
 
-    assert cancelled.fates == {"r": Fate(FateKind.CANCELLED)}
-    assert retried.fates == sent.fates == {"r": Fate(FateKind.SENT, b"b", was_tried=True)}
-    assert rejected.fates == {"r": Fate(FateKind.REJECTED, was_tried=True)}
-    assert failed.fates == {"r": Fate(FateKind.FAILED, was_tried=True)}
+    assert cancelled.by_request == {"r": RequestDecision(DecisionKind.CANCELLED)}
+    assert (
+        retried.by_request
+        == sent.by_request
+        == {"r": RequestDecision(DecisionKind.SENT, b"b", was_attempted=True)}
+    )
+    assert rejected.by_request == {"r": RequestDecision(DecisionKind.REJECTED, was_attempted=True)}
+    assert failed.by_request == {"r": RequestDecision(DecisionKind.FAILED, was_attempted=True)}
--- a/tests/shadow/test_extension.py
+++ b/tests/shadow/test_extension.py
@@ -1,4 +1,8 @@
-"""The extension: real decisions stay, differences are counted by kind, a fault costs nothing."""
+"""Tests of the shadow extension.
+
+The live decisions stay the same, differences are counted by kind, and a failed comparison does not
+affect the requests.
+"""
 
 import json
 import logging
@@ -15,54 +19,57 @@
 from pepperhook.settings import ReportSource
 from pepperhook.shadow.comparison import Difference
 from pepperhook.shadow.extension import MAX_FAULTS, Shadow, ShadowedPolicy, ShadowSettingsError
-from pepperhook.shadow.twin import Twin
-from tests.world import ENV, Peer, Running, World, answer, grade, loopback, told
+from pepperhook.shadow.twin import PolicyCopy
+from tests.policy.simulation import PolicySimulation, make_service_class
+from tests.server.balancers import ENVIRONMENT, RunningBalancer, make_config
+from tests.server.peers import ScriptedPeer, make_response
+from tests.world import loopback
 
 STEPS = 1500
 CLASSES_WITHOUT_OBJECTIVE = [
-    grade(number, effect, objective_ns=0)
+    make_service_class(number, effect, objective_ns=0)
     for number, effect in enumerate((Effect.SAFE, Effect.UNSAFE, Effect.KEYED))
 ]
 
 
-def make_shadow(directory, env=ENV):
-    """The extension, which compares every call with the settings of ``env``."""
-    path = directory / "other.json"
-    path.write_text(json.dumps(env))
+def make_shadow(directory, environment=ENVIRONMENT):
+    """Return an extension that compares every call, with the settings of ``environment``."""
+    path = directory / "candidate.json"
+    path.write_text(json.dumps(environment))
     table = ShadowTable(settings_file=str(path), sampled_fraction=1.0)
-    return Shadow(table, told(), structured_logging.Log(logging.getLogger("test")))
+    return Shadow(table, make_config(), structured_logging.Log(logging.getLogger("test")))
 
 
-def play(seed, shadow=None, **replaced):
-    """Play a random run, and return what was sent and answered.
+def simulate(seed, shadow=None, **replaced):
+    """Run a random simulation; return the sent attempts, the responses and the factor f.
 
-    With a ``shadow`` it compares settings with the ``replaced`` values.
+    With a ``shadow`` extension, the candidate settings are the live ones with ``replaced`` values.
     """
 
-    def make(*arguments):
+    def make_policy(*arguments):
         policy = Balancer(*arguments)
         return policy if shadow is None else ShadowedPolicy(policy, shadow)
 
-    world = World(seed, make=make)
-    world.generous = True
+    simulation = PolicySimulation(seed, make_policy=make_policy)
+    simulation.keeps_retry_budget_full = True
     if shadow is not None:
-        shadow.other_settings = replace(world.settings, **replaced)
-        # Those of the first list, which the settings of the file were compared on.
+        shadow.candidate_settings = replace(simulation.settings, **replaced)
+        # Discard the differences that the settings of the file caused for the first list.
         shadow.differences.clear()
-    world.run(STEPS, chance=0.1)
+    simulation.run(STEPS, arrival_probability=0.1)
     sent = [
         (at, attempt.request.id, attempt.upstream.address, attempt.number)
-        for at, attempt in world.sends
+        for at, attempt in simulation.sent_attempts
     ]
-    answered = {request.id: what for request, what in world.answered.items()}
-    return sent, answered, world.balancer.retry_budget.f
+    responses = {request.id: response for request, response in simulation.responses.items()}
+    return sent, responses, simulation.balancer.retry_budget.f
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_real_decisions_are_the_same_with_and_without_it(seed, tmp_path):
+def test_live_decisions_are_the_same_with_and_without_the_extension(seed, tmp_path):
     shadow = make_shadow(tmp_path)
 
-    assert play(seed, shadow, fleet_size=8, index=5, may_cancel=False) == play(seed)
+    assert simulate(seed, shadow, fleet_size=8, index=5, may_cancel=False) == simulate(seed)
 
     assert shadow.compared > 400
     assert not shadow.faults
@@ -70,28 +77,30 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_the_same_settings_never_differ(seed, tmp_path):
+def test_identical_settings_cause_no_differences(seed, tmp_path):
     shadow = make_shadow(tmp_path)
 
-    assert play(seed, shadow) == play(seed)
+    assert simulate(seed, shadow) == simulate(seed)
 
     assert shadow.compared > 400
     assert not shadow.differences
 
 
-def test_the_policy_itself_is_copied_from_behind_other_proxies(tmp_path):
-    policy = Balancer(told().settings, 1, 0)
+def test_policy_is_found_behind_other_proxies(tmp_path):
+    policy = Balancer(make_config().settings, 1, 0)
 
     shadowed = ShadowedPolicy(PolicyProxy(policy), make_shadow(tmp_path))
 
     assert shadowed.policy is policy
 
 
-def test_a_fault_affects_no_request_and_after_some_it_stops(tmp_path, monkeypatch, caplog):
-    monkeypatch.setattr(Twin, "call", lambda *_: 1 / 0)
+def test_failed_comparisons_affect_no_request_and_end_after_the_maximum(
+    tmp_path, monkeypatch, caplog
+):
+    monkeypatch.setattr(PolicyCopy, "call", lambda *_: 1 / 0)
     shadow = make_shadow(tmp_path)
 
-    assert play(7, shadow) == play(7)
+    assert simulate(7, shadow) == simulate(7)
 
     logged = sum("shadow_fault" in line for line in caplog.messages)
     assert logged == shadow.faults == MAX_FAULTS
@@ -124,10 +133,10 @@
         ),
     ],
 )
-def test_settings_chosen_to_differ_are_counted_by_kind(replaced, present, absent, tmp_path):
+def test_differences_caused_by_settings_are_counted_by_kind(replaced, present, absent, tmp_path):
     shadow = make_shadow(tmp_path)
 
-    play(5, shadow, **replaced)
+    simulate(5, shadow, **replaced)
 
     assert not shadow.faults
     assert set(shadow.differences) <= set(Difference)
@@ -138,36 +147,40 @@
 @pytest.mark.parametrize(
     "replaced, key",
     [
-        ({"serviceGrades": ENV["serviceGrades"][:2]}, "serviceGrades"),
+        ({"serviceGrades": ENVIRONMENT["serviceGrades"][:2]}, "serviceGrades"),
         ({"prices": {"crossZone": "x"}}, "prices.crossZone"),
         (
-            {"serviceGrades": [row | {"effect": "at_most_once"} for row in ENV["serviceGrades"]]},
+            {
+                "serviceGrades": [
+                    row | {"effect": "at_most_once"} for row in ENVIRONMENT["serviceGrades"]
+                ]
+            },
             r"serviceGrades\[0\]",
         ),
-        ({"orgs": []}, "orgs: 0 of them, 1 are in force"),
+        ({"orgs": []}, "orgs: has 0 entries, but 1 in the settings in force"),
     ],
 )
-def test_settings_that_cannot_be_compared_are_refused_by_their_key(replaced, key, tmp_path):
+def test_error_for_settings_that_cannot_be_compared_names_the_key(replaced, key, tmp_path):
     with pytest.raises(ShadowSettingsError, match=f"shadow.settings: .*{key}"):
-        make_shadow(tmp_path, ENV | replaced)
+        make_shadow(tmp_path, ENVIRONMENT | replaced)
 
 
 @loopback
-async def test_on_sockets_it_counts_and_responses_stay_the_same(tmp_path):
-    other = ENV | {
-        "serviceGrades": [row | {"goalTimeUs": 0} for row in ENV["serviceGrades"]],
-        "permissions": ENV["permissions"] | {"cancel": True},
+async def test_running_balancer_counts_differences_and_responses_stay_the_same(tmp_path):
+    candidate = ENVIRONMENT | {
+        "serviceGrades": [row | {"goalTimeUs": 0} for row in ENVIRONMENT["serviceGrades"]],
+        "permissions": ENVIRONMENT["permissions"] | {"cancel": True},
     }
-    shadow = make_shadow(tmp_path, other)
+    shadow = make_shadow(tmp_path, candidate)
     async with (
-        Peer(lambda *_: answer(body=b"same")) as upstream,
-        Running([upstream.dial], parts=Extensions([shadow])) as balancer,
+        ScriptedPeer(lambda *_: make_response(body=b"same")) as upstream,
+        RunningBalancer([upstream.address], Extensions([shadow])) as balancer,
     ):
-        responses = [await balancer.ask() for _ in range(5)]
+        responses = [await balancer.request() for _ in range(5)]
         counts = shadow.told()
 
     assert responses == [(200, b"same")] * 5
-    assert len(upstream.seen) == 5
+    assert len(upstream.requests) == 5
     assert counts["name"] == "shadow"
     assert counts["shed"] >= 5
     assert counts["faults"] == 0
