--- a/pepperhook/key_ring.py
+++ b/pepperhook/key_ring.py
@@ -1,4 +1,4 @@
-"""The shared secrets of an installation, by which its processes authenticate what they send."""
+"""The shared secrets with which the processes of an installation authenticate their messages."""
 
 import hashlib
 import hmac
@@ -6,31 +6,37 @@
 
 
 class KeyRing:
-    """Holds HMAC-SHA256 keys by their ids: the first one signs, every one verifies.
+    """Stores HMAC-SHA256 keys by id: the first one signs, every one verifies.
 
-    All keys are accepted so that a key can be replaced without a moment at which two processes
-    have no key in common.
+    Accepting all keys makes it possible to replace a key while any two processes always have one in
+    common.
     """
 
     def __init__(self, keys: Iterable[tuple[str, str]]) -> None:
-        """Take pairs of key id and secret; an empty ring verifies nothing and cannot sign."""
+        """Store pairs of key id and secret; an empty ring verifies nothing and cannot sign."""
         self.secrets: dict[str, bytes] = {key_id: secret.encode() for key_id, secret in keys}
         self.signing_key_id: str = next(iter(self.secrets), "")
 
     def __contains__(self, key_id: object) -> bool:
-        """Tell whether the ring has a key of that id."""
+        """Return whether the ring has a key with this id."""
         return key_id in self.secrets
 
     def mac(self, data: bytes, key_id: str | None = None) -> str:
-        """Return the hexadecimal MAC of ``data``, by the signing key unless another is named."""
+        """Return the hexadecimal MAC of ``data`` by key ``key_id``, or else by the signing key.
+
+        Raises KeyError for an unknown key id.
+        """
         secret = self.secrets[key_id or self.signing_key_id]
         return hmac.new(secret, data, hashlib.sha256).hexdigest()
 
     def verify(self, key_id: str, data: bytes, mac: str) -> bool:
-        """Tell whether ``mac`` is the one that the named key gives ``data``, in constant time."""
+        """Return whether ``mac`` is the MAC of ``data`` by key ``key_id``, which may be unknown.
+
+        The comparison takes constant time.
+        """
         if key_id not in self.secrets:
             return False
-        # As bytes: of texts, those beyond ASCII raise TypeError.
+        # Compared as bytes: compare_digest raises TypeError for strings with non-ASCII characters.
         return hmac.compare_digest(
             self.mac(data, key_id).encode(), mac.encode(errors="surrogatepass")
         )
--- a/pepperhook/toml_lines.py
+++ b/pepperhook/toml_lines.py
@@ -1,7 +1,8 @@
-"""Finds the line of a TOML file on which a key stands, for messages to whoever wrote the file.
+"""Finds the line of a key in a TOML file, for error messages.
 
-The parser of the standard library keeps no positions. This reads headers and keys line by line,
-which is enough for files that people write; in multi-line values it may see keys that are none.
+The parser of the standard library does not report positions. This module reads headers and keys
+line by line, which suffices for hand-written files; it may take a part of a multi-line value for a
+key.
 """
 
 import re
@@ -12,22 +13,23 @@
 ARRAY_OF_TABLES = "[["
 
 Step = str | int  # a key, or an index in a list
-ArrayIndexes = dict[tuple[str, ...], int]  # of the last table of each array so far
+ArrayIndexes = dict[tuple[str, ...], int]  # index of the latest table in an array, by its path
 
 
 def line_of(text: str, path: Sequence[Step]) -> int | None:
-    """Return the number of the line with the key at ``path``, or with the nearest table round it.
+    """Return the number of the line with the key at ``path``, or of its innermost table's header.
 
-    None where neither is found.
+    Lines count from 1. Return None if neither is found.
     """
-    best, depth = None, 0
-    for number, found in _paths_by_line(text):
-        if found == list(path[: len(found)]) and len(found) > depth:
-            best, depth = number, len(found)
-    return best
+    best_line, best_depth = None, 0
+    for number, line_path in _paths_by_line(text):
+        if line_path == list(path[: len(line_path)]) and len(line_path) > best_depth:
+            best_line, best_depth = number, len(line_path)
+    return best_line
 
 
 def _paths_by_line(text: str) -> Iterator[tuple[int, list[Step]]]:
+    """Yield the number of each line with a header or key, and the path of its table or key."""
     table: list[Step] = []
     indexes: ArrayIndexes = {}
     for number, line in enumerate(text.splitlines(), 1):
@@ -40,7 +42,7 @@
 
 
 def _table_path(header: re.Match[str], indexes: ArrayIndexes) -> list[Step]:
-    """Return the path of a header's table; ``indexes`` is brought up to date."""
+    """Return the path of a header's table, and count the tables of arrays in ``indexes``."""
     names = _split_key(header["path"])
     if header["open"] == ARRAY_OF_TABLES:
         array = tuple(names)
--- a/pepperhook/tomlfile.py
+++ b/pepperhook/tomlfile.py
@@ -1,8 +1,8 @@
-"""Reads TOML files that people write into msgspec structs.
+"""Reads hand-written TOML files into msgspec structs.
 
-What is wrong with a file is told in one line with file, line and key. The library's own messages
-lack the line, the name of a key in a table with free keys, and a guess at what a misspelt key was
-meant to be; they are added here.
+An error is reported in one line with file, line and key. msgspec's own messages lack the line, the
+key within a table whose keys are arbitrary (a dict in the schema), and a suggestion for a misspelt
+key; this module adds them.
 """
 
 import difflib
@@ -17,24 +17,24 @@
 from pepperhook.errors import PepperhookError
 from pepperhook.toml_lines import Step, line_of
 
-# The forms of msgspec's messages.
+# The parts of msgspec's error messages.
 LOCATION = re.compile(r" - at `\$(.*)`$")
 STEP = re.compile(r"\.([^.\[\]]+)|\[(\d+)\]|\[\.\.\.\]")
 UNKNOWN_KEY = re.compile(r"Object contains unknown field `(.*?)`")
 MISSING_KEY = re.compile(r"Object missing required field `(.*?)`")
 
-SIMILARITY = 0.5  # that a known key must have to be named for an unknown one
+MIN_SIMILARITY = 0.5  # difflib ratio from which a known key is suggested for an unknown one
 
 Record = TypeVar("Record")
-LocatedStep = Step | None  # None: some key of a table with free keys; the library leaves it out
+LocatedStep = Step | None  # None: an arbitrary key, which msgspec's messages leave out
 
 
 class TomlFileError(PepperhookError, ValueError):
-    """The file can't be used; the text names the file, the line where there is one, and the key."""
+    """The file can't be used; the message names the file, the key, and the line if known."""
 
 
 def read(path: str | Path, kind: type[Record]) -> Record:
-    """Read the file at ``path`` as a ``kind``. Raises TomlFileError."""
+    """Read the file at ``path`` into a ``kind``, a struct type. Raises TomlFileError."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -44,7 +44,7 @@
 
 
 def decode(text: str, kind: type[Record], path: str | Path = "-") -> Record:
-    """Decode TOML as a ``kind``; ``path`` is for messages. Raises TomlFileError."""
+    """Decode TOML text into a ``kind``; ``path`` is for messages. Raises TomlFileError."""
     try:
         content = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -55,41 +55,48 @@
 def convert(
     content: dict[str, Any], kind: type[Record], path: str | Path = "-", text: str = ""
 ) -> Record:
-    """Convert decoded TOML or JSON to a ``kind``; ``text``: its source. Raises TomlFileError."""
+    """Convert decoded TOML or JSON into a ``kind``. Raises TomlFileError.
+
+    ``text`` is the TOML source, in which the line of an error is found.
+    """
     try:
         return msgspec.convert(content, kind)
     except msgspec.ValidationError as error:
-        message = _explain(str(error), content, kind, path, text)
+        message = _format_error(str(error), content, kind, path, text)
         raise TomlFileError(message) from error
 
 
 def format_problem(path: str | Path, text: str, steps: Sequence[Step], problem: str) -> str:
-    """Return one line for a problem of the key at ``steps`` of the file."""
+    """Return a one-line message for a problem with the key at ``steps``."""
     key = "".join(f"[{step}]" if isinstance(step, int) else f".{step}" for step in steps)
     key = key.lstrip(".")
     line = line_of(text, steps)
     return f"{path}: " + (f"line {line}: " if line else "") + (f"{key}: " if key else "") + problem
 
 
-def _explain(message: str, content: dict[str, Any], kind: type, path: str | Path, text: str) -> str:
-    """Return one line for a message of msgspec about ``content``."""
+def _format_error(
+    message: str, content: dict[str, Any], kind: type, path: str | Path, text: str
+) -> str:
+    """Return a one-line message for msgspec's ``message`` about ``content``."""
     problem, location = _split_message(message)
-    steps = _known_steps(_name_free_keys(problem, location, content, kind))
+    steps = _known_steps(_resolve_arbitrary_keys(problem, location, content, kind))
     if unknown := UNKNOWN_KEY.match(problem):
         steps.append(unknown[1])
-        near = difflib.get_close_matches(unknown[1], _known_keys(kind, steps[:-1]), 1, SIMILARITY)
-        problem = "is not known" + (f"; {near[0]!r} is the nearest that is" if near else "")
+        similar = difflib.get_close_matches(
+            unknown[1], _known_keys(kind, steps[:-1]), 1, MIN_SIMILARITY
+        )
+        problem = "is not known" + (f"; {similar[0]!r} is the nearest that is" if similar else "")
     elif missing := MISSING_KEY.match(problem):
         problem = f"{missing[1]!r} is missing"
     return format_problem(path, text, steps, problem[0].lower() + problem[1:])
 
 
 def _split_message(message: str) -> tuple[str, list[LocatedStep]]:
-    """Return what is wrong, and where."""
-    found = LOCATION.search(message)
-    if found is None:
+    """Return the problem and its location."""
+    location = LOCATION.search(message)
+    if location is None:
         return message, []
-    return message[: found.start()], _parse_location(found[1])
+    return message[: location.start()], _parse_location(location[1])
 
 
 def _parse_location(location: str) -> list[LocatedStep]:
@@ -99,7 +106,7 @@
 
 
 def _known_steps(location: list[LocatedStep]) -> list[Step]:
-    """Return the steps up to the first that is not known."""
+    """Return the steps before the first unknown one."""
     steps: list[Step] = []
     for step in location:
         if step is None:
@@ -108,12 +115,12 @@
     return steps
 
 
-def _name_free_keys(
+def _resolve_arbitrary_keys(
     problem: str, location: list[LocatedStep], content: dict[str, Any], kind: type
 ) -> list[LocatedStep]:
-    """Return the location with the free keys that msgspec leaves out, as far as they are found.
+    """Return the location with the arbitrary keys that msgspec leaves out, as far as possible.
 
-    Such a key is the first of its table that is wrong in the same way when it stands alone.
+    It is taken to be the first key that causes the same problem when its table has no other key.
     """
     if None not in location:
         return location
@@ -122,15 +129,15 @@
     if not isinstance(table, dict):
         return location
     for key, value in table.items():
-        alone = _replaced(content, steps, {key: value})
-        if _problem_of(alone, kind) == problem:
-            named = [*steps, *_parse_location(f".{key}"), *location[len(steps) + 1 :]]
-            return _name_free_keys(problem, named, content, kind)
+        reduced = _with_value_at(content, steps, {key: value})
+        if _problem_of(reduced, kind) == problem:
+            resolved = [*steps, *_parse_location(f".{key}"), *location[len(steps) + 1 :]]
+            return _resolve_arbitrary_keys(problem, resolved, content, kind)
     return location
 
 
 def _problem_of(content: Any, kind: type) -> str | None:
-    """Return what msgspec finds wrong, without its place; None: nothing."""
+    """Return the problem that msgspec reports, without its location; None if there is none."""
     try:
         msgspec.convert(content, kind)
     except msgspec.ValidationError as error:
@@ -139,7 +146,7 @@
 
 
 def _value_at(content: Any, steps: list[Step]) -> Any:
-    """Return the value at ``steps``; None where there is none, as of a key with dots."""
+    """Return the value at ``steps``; None if there is none, as for a key that contains dots."""
     for step in steps:
         try:
             content = content[step]
@@ -148,38 +155,38 @@
     return content
 
 
-def _replaced(content: Any, steps: list[Step], value: Any) -> Any:
-    """Return a copy of a tree in which ``value`` stands at ``steps``."""
+def _with_value_at(content: Any, steps: list[Step], value: Any) -> Any:
+    """Return a copy of ``content`` with ``value`` at ``steps``."""
     if not steps:
         return value
     step, *rest = steps
     copied = dict(content) if isinstance(content, dict) else list(content)
-    copied[step] = _replaced(content[step], rest, value)  # type: ignore[index]
+    copied[step] = _with_value_at(content[step], rest, value)  # type: ignore[index]
     return copied
 
 
 def _known_keys(kind: Any, steps: list[Step]) -> list[str]:
-    """Return the keys that the schema knows at a place."""
-    kind, has_free_keys = _unwrap(kind)
+    """Return the keys that the schema allows at ``steps``; none where keys are arbitrary."""
+    kind, has_arbitrary_keys = _unwrap(kind)
     for step in steps:
         if isinstance(step, int):
             continue
-        if not has_free_keys and _is_struct(kind):
+        if not has_arbitrary_keys and _is_struct(kind):
             kind = _types_by_key(kind).get(step)
-        kind, has_free_keys = _unwrap(kind)
+        kind, has_arbitrary_keys = _unwrap(kind)
     return list(_types_by_key(kind)) if _is_struct(kind) else []
 
 
 def _unwrap(kind: Any) -> tuple[Any, bool]:
-    """Return the type inside optional, list and dict types, and whether one was a dict."""
-    has_free_keys = False
+    """Return the type inside optional, list and dict types, and whether one of them is a dict."""
+    has_arbitrary_keys = False
     while get_args(kind):
-        has_free_keys = has_free_keys or get_origin(kind) is dict
+        has_arbitrary_keys = has_arbitrary_keys or get_origin(kind) is dict
         inner = [argument for argument in get_args(kind) if argument not in (type(None), str)]
         if not inner:
             break
         kind = inner[-1]
-    return kind, has_free_keys
+    return kind, has_arbitrary_keys
 
 
 def _is_struct(kind: Any) -> bool:
--- a/tests/operator_config/test_builder.py
+++ b/tests/operator_config/test_builder.py
@@ -1,4 +1,4 @@
-"""The operator's file, from its text to the extensions that are on."""
+"""Tests of reading the operator's file and building the extensions that it turns on."""
 
 import tomllib
 from pathlib import Path
@@ -12,10 +12,10 @@
 from pepperhook.operator_config import schema
 from pepperhook.server import config
 from tests.programs import write_config
-from tests.world import told
+from tests.server.balancers import make_config
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "operator.example.toml"
-FAULTS = [
+INVALID_FILES = [
     ("version = 3\n", "line 1: version:"),
     ("[customers]\n", "'version' is missing"),
     ("version = 1\n[custommers]\n", "line 2: custommers: is not known; 'customers' is the nearest"),
@@ -36,43 +36,43 @@
 ]
 
 
-@pytest.mark.parametrize("text, reported", FAULTS)
-def test_a_fault_is_one_line_with_key_and_line_and_exit_code_2(tmp_path, text, reported):
+@pytest.mark.parametrize("text, message", INVALID_FILES)
+def test_check_prints_one_line_for_an_invalid_file_and_exits_with_2(tmp_path, text, message):
     path = tmp_path / "operator.toml"
     path.write_text(text)
-    environ = write_config(tmp_path)
+    environment = write_config(tmp_path)
 
-    options = ["--config", environ["LB_CONFIG"], "--operator", str(path)]
+    options = ["--config", environment["LB_CONFIG"], "--operator", str(path)]
     result = CliRunner().invoke(main, ["check", *options])
 
     assert result.exit_code == 2
     assert len(result.stderr.splitlines()) == 1
-    assert reported in result.stderr
+    assert message in result.stderr
 
 
-def test_a_fault_at_a_start_is_a_configuration_error_with_the_path(tmp_path):
+def test_config_error_for_an_unknown_tenant_names_path_and_known_tenants(tmp_path):
     path = tmp_path / "operator.toml"
     path.write_text("version = 1\n[customers.each.nobody]\nper_second = 1\n")
 
-    with pytest.raises(config.ConfigError) as problem:
-        operator_config.build(str(path), told(), None)
+    with pytest.raises(config.ConfigError) as error:
+        operator_config.build(str(path), make_config(), None)
 
-    assert str(path) in str(problem.value)
-    assert "acme" in str(problem.value)
+    assert str(path) in str(error.value)
+    assert "acme" in str(error.value)
 
 
-def test_the_example_is_usable_and_has_every_table():
-    read = operator_config.read(EXAMPLE)
+def test_example_file_is_valid_and_has_every_table():
+    operator_file = operator_config.read(EXAMPLE)
 
-    assert set(tomllib.loads(EXAMPLE.read_text())) == set(read.__struct_encode_fields__)
+    assert set(tomllib.loads(EXAMPLE.read_text())) == set(operator_file.__struct_encode_fields__)
 
 
-def test_records_are_frozen():
-    records = [
+def test_structs_of_the_schema_are_frozen():
+    structs = [
         kind
         for kind in vars(schema).values()
         if isinstance(kind, type) and issubclass(kind, msgspec.Struct) and kind.__struct_fields__
     ]
 
-    assert len(records) == 12
-    assert all(kind.__struct_config__.frozen for kind in records)
+    assert len(structs) == 12
+    assert all(kind.__struct_config__.frozen for kind in structs)
--- a/tests/operator_config/test_odd_values.py
+++ b/tests/operator_config/test_odd_values.py
@@ -1,4 +1,4 @@
-"""Odd values at every key of the operator's file and of a document: used, or refused."""
+"""Tests that odd values at any key of the operator's file or a document are used or refused."""
 
 import copy
 import json
@@ -22,7 +22,7 @@
 from tests.server.balancers import ENVIRONMENT, make_config
 
 LOG = Log(logging.getLogger("test"))
-MAX_STORED = 2**63
+MAX_STORED_NS = 2**63  # a journal can store smaller times only
 ODD_VALUES = [
     True,
     "",
@@ -46,8 +46,8 @@
 KEYS = [{"id": "k1", "secret": "a long secret of the installation"}]
 
 
-def sound_file(folder):
-    """Return an operator's file with all tables."""
+def valid_file(folder):
+    """Return the content of a valid operator's file with all tables."""
     return {
         "version": 1,
         "customers": {
@@ -99,7 +99,7 @@
     }
 
 
-SOUND_DOCUMENT = {
+VALID_DOCUMENT = {
     "version": 1,
     "grades": {
         "look": {
@@ -122,20 +122,20 @@
     },
     "parts": {"customers": {"default": {"per_second": 5.0, "burst": 2.0}, "spread": 0.5}},
 }
-# Keys that the sound file leaves out: a folder or file of their own, which starts something.
-LEFT_OUT = {"repeats": {"journal", "peers"}, "control": {"state"}}
+# Keys absent from the valid file: each names a folder or file that turns on a further function.
+ABSENT_KEYS = {"repeats": {"journal", "peers"}, "control": {"state"}}
 
 
-def paths_of(content, before=()):
-    """Yield the path of each key of a tree."""
+def paths_of(content, parent_path=()):
+    """Yield the path of each key in nested tables."""
     for key, value in content.items():
-        yield (*before, key)
+        yield (*parent_path, key)
         if isinstance(value, dict):
-            yield from paths_of(value, (*before, key))
+            yield from paths_of(value, (*parent_path, key))
 
 
 def with_value(content, path, value):
-    """Return a copy of a tree with a value at a path."""
+    """Return a copy of nested tables with ``value`` at ``path``."""
     changed = copy.deepcopy(content)
     table = changed
     for key in path[:-1]:
@@ -144,20 +144,22 @@
     return changed
 
 
-def test_the_sound_file_and_document_have_every_key(tmp_path):
-    tables = sound_file(tmp_path)
+def test_valid_file_and_document_have_every_key(tmp_path):
+    tables = valid_file(tmp_path)
     for field in msgspec.structs.fields(OperatorFile):
         if field.encode_name == "version":
             continue
-        kind = next(one for one in field.type.__args__ if one is not type(None))
-        keys = {row.encode_name for row in msgspec.structs.fields(kind)}
+        struct_type = next(kind for kind in field.type.__args__ if kind is not type(None))
+        keys = {struct_field.encode_name for struct_field in msgspec.structs.fields(struct_type)}
         absent = keys - set(tables[field.encode_name])
-        assert absent == LEFT_OUT.get(field.encode_name, set())
-    assert {row.encode_name for row in msgspec.structs.fields(Document)} == set(SOUND_DOCUMENT)
+        assert absent == ABSENT_KEYS.get(field.encode_name, set())
+    assert {struct_field.encode_name for struct_field in msgspec.structs.fields(Document)} == set(
+        VALID_DOCUMENT
+    )
 
 
 def build(folder, content):
-    """Build what a file turns on; None where it is refused in one line with file and key."""
+    """Build the extensions; return None for a file refused with a one-line error naming it."""
     path = folder / "operator.toml"
     path.write_text(tomli_w.dumps(content))
     try:
@@ -168,42 +170,47 @@
         return None
 
 
-@pytest.mark.parametrize("path", paths_of(sound_file(Path("/"))), ids=".".join)
+@pytest.mark.parametrize("path", paths_of(valid_file(Path("/"))), ids=".".join)
 def test_odd_value_in_the_operators_file_is_used_or_refused_in_one_line(path, tmp_path):
-    # Against a start that ends in a traceback, and numbers that a journal cannot store.
+    # Guards against a traceback at the start, and against times that a journal cannot store.
     (tmp_path / "settings.json").write_text(json.dumps({"settings": ENVIRONMENT}))
-    sound = sound_file(tmp_path)
-    assert build(tmp_path, sound) is not None
+    content = valid_file(tmp_path)
+    assert build(tmp_path, content) is not None
     for value in ODD_VALUES:
-        extensions = build(tmp_path, with_value(sound, path, value))
+        extensions = build(tmp_path, with_value(content, path, value))
         if extensions is not None:
             check_windows(extensions)
 
 
 def check_windows(extensions):
-    """Check that the journal can store the end of each window."""
+    """Check that the journal can store the end of each idempotency window."""
     for extension in extensions.all:
         if isinstance(extension, Idempotency):
             longest_ns = max(policy.window_ns for policy in extension.policies)
-            assert longest_ns + time.time_ns() < MAX_STORED
+            assert longest_ns + time.time_ns() < MAX_STORED_NS
 
 
-@pytest.mark.parametrize("path", paths_of(SOUND_DOCUMENT), ids=".".join)
+@pytest.mark.parametrize("path", paths_of(VALID_DOCUMENT), ids=".".join)
 def test_odd_value_in_a_document_is_used_or_refused(path):
-    # Against a version that is in force by half.
+    # Guards against a version that is only partly applied.
     config = make_config()
     for value in [None, *ODD_VALUES]:
         try:
-            document = parse_document(with_value(SOUND_DOCUMENT, path, value))
+            document = parse_document(with_value(VALID_DOCUMENT, path, value))
         except InvalidDocumentError as error:
             assert "\n" not in str(error)
             continue
         if not set(document.service_classes) <= {"look"} or set(document.tenants) > {"acme"}:
-            continue  # unknown names are the safety checks' matter
+            continue  # the safety checks report unknown names
         changed = build_settings(document, config.settings, config.names)
-        for known in changed.service_classes:
-            assert max(known.time_limit_ns, known.objective_ns, known.key_window_ns) < MAX_STORED
-        assert changed.max_retry_after_ns < MAX_STORED
-        limits = RateLimitExtension(RateLimitTable(), config)
+        for service_class in changed.service_classes:
+            times_ns = (
+                service_class.time_limit_ns,
+                service_class.objective_ns,
+                service_class.key_window_ns,
+            )
+            assert max(times_ns) < MAX_STORED_NS
+        assert changed.max_retry_after_ns < MAX_STORED_NS
+        extension = RateLimitExtension(RateLimitTable(), config)
         if document.extensions.rate_limits is not None:
-            limits.prepare(document.extensions.rate_limits)
+            extension.prepare(document.extensions.rate_limits)
--- a/tests/test_tomlfile.py
+++ b/tests/test_tomlfile.py
@@ -1,4 +1,4 @@
-"""What is wrong with a file that people write: one line with file, line and key."""
+"""Tests that errors in a TOML file are reported in one line with file, line and key."""
 
 from typing import Annotated
 
@@ -23,7 +23,7 @@
     rows: list[Row] = []
 
 
-PROBLEMS = [
+ERRORS = [
     ("[each]\n", "f.toml: 'version' is missing"),
     ("version = 'x'\n", "f.toml: line 1: version: expected `int`, got `str`"),
     (
@@ -63,22 +63,22 @@
 ]
 
 
-@pytest.mark.parametrize("text, wanted", PROBLEMS)
-def test_a_faulty_file_is_reported_in_one_line_with_line_and_key(text, wanted):
-    with pytest.raises(tomlfile.TomlFileError) as problem:
+@pytest.mark.parametrize("text, message", ERRORS)
+def test_error_in_a_file_is_one_line_with_file_line_and_key(text, message):
+    with pytest.raises(tomlfile.TomlFileError) as error:
         tomlfile.decode(text, Content, "f.toml")
 
-    assert str(problem.value) == wanted
+    assert str(error.value) == message
 
 
-def test_text_that_is_no_toml_is_reported_with_its_place():
-    with pytest.raises(tomlfile.TomlFileError, match=r"^f\.toml: .*line 1") as problem:
+def test_error_for_invalid_toml_names_the_line():
+    with pytest.raises(tomlfile.TomlFileError, match=r"^f\.toml: .*line 1") as error:
         tomlfile.decode("version = \n", Content, "f.toml")
 
-    assert isinstance(problem.value, PepperhookError)
+    assert isinstance(error.value, PepperhookError)
 
 
-def test_files_that_cannot_be_read_are_reported_by_their_path(tmp_path):
+def test_error_for_an_unreadable_file_names_its_path(tmp_path):
     binary = tmp_path / "binary.toml"
     binary.write_bytes(b"\xff")
 
@@ -88,7 +88,7 @@
         tomlfile.read(binary, Content)
 
 
-def test_a_sound_file_is_read_with_defaults(tmp_path):
+def test_valid_file_is_read_with_defaults(tmp_path):
     path = tmp_path / "good.toml"
     path.write_text("version = 3\n[each.a]\nrate = 2\n")
 
@@ -109,7 +109,7 @@
         (["nowhere"], None),
     ],
 )
-def test_the_line_of_a_key_is_its_own_or_that_of_the_nearest_table(path, line):
+def test_line_of_a_key_or_else_of_its_innermost_table_is_found(path, line):
     text = (
         "version = 1\n[table]\nkey = 1\n[[list]]\nkey = 1\n\n[[ list ]]  # the second\nkey = 2\n"
         '[list.inner]\nkey = 3\n["quoted"]\n'
