--- a/pepperhook/operator_config/schema.py
+++ b/pepperhook/operator_config/schema.py
@@ -107,8 +107,8 @@
     # Whether to cancel an unsafe attempt that no client waits for; if not, its response may still
     # answer a repeated request.
     cancels_unsafe: bool = field(default=False, name="call_off_binding")
-    journal: str | None = None  # folder of state that survives a restart; one process per folder
-    peers: str | None = None  # file listing the edge balancers, one of which owns each key
+    journal: str | None = None  # folder for state that must survive a restart; one per process
+    peers: str | None = None  # file with the edge balancers, among which each key has one owner
 
 
 class CaptureTable(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
--- a/pepperhook/rate_limit/limiter.py
+++ b/pepperhook/rate_limit/limiter.py
@@ -35,7 +35,7 @@
         """Start with a full bucket."""
         burst = limit.per_second if limit.burst is None else limit.burst
         self.token_interval_ns = max(1, round(SECOND / limit.per_second))
-        self.capacity_ns = round(max(1.0, burst) * self.token_interval_ns)
+        self.capacity_ns = round(max(1.0, burst) * self.token_interval_ns)  # time to fill it
         self.empty_at: int | None = None  # None: full, as no token was taken yet
         self.admitted = 0
         self.rejected = 0
--- a/pepperhook/shadow/extension.py
+++ b/pepperhook/shadow/extension.py
@@ -20,7 +20,7 @@
 from pepperhook.shadow.comparison import Difference, compare
 from pepperhook.shadow.twin import ACCEPT, PolicyCopy, check_comparable, subset_of
 
-MAX_FAULTS = 20  # comparing stops after these, as a fault that repeats is likely to persist
+MAX_FAULTS = 20  # comparing stops after this many, as a persistent fault would recur
 
 
 class ShadowSettingsError(PepperhookError, ValueError):
--- a/pepperhook/sim_adapter/host.py
+++ b/pepperhook/sim_adapter/host.py
@@ -10,7 +10,7 @@
 
 
 class Host:
-    """Stores the instances and the endpoint lists from the simulator, each by number."""
+    """Stores the instances and the simulator's endpoint lists, each by number."""
 
     def __init__(self) -> None:
         """Start empty; an instance is created by the first event for its number."""
@@ -23,22 +23,22 @@
         Raises MalformedInputError. Any other error in an event becomes an INTERNAL_ERROR record.
         """
         now = batch.clock_us * MICROSECOND
-        number: int | None = None
+        instance_number: int | None = None
         reply = ReplyRecords()
         for record in batch.records:
             if record.code == protocol.ABOUT:
-                (number,) = codec.unpack(protocol.ABOUT_FIELDS, record.fields, "ABOUT")
+                (instance_number,) = codec.unpack(protocol.ABOUT_FIELDS, record.fields, "ABOUT")
             elif record.code == protocol.TABLE:
                 endpoint_list = codec.read_endpoint_list(record.fields)
                 self.endpoint_lists[endpoint_list.number] = endpoint_list.entries
-            elif number is None:
+            elif instance_number is None:
                 raise MalformedInputError(f"event code {record.code} precedes the first ABOUT")
             else:
-                reply.extend(number, self._answer_event(now, number, record))
+                reply.extend(instance_number, self._answer_event(now, instance_number, record))
         return reply.records
 
-    def _answer_event(self, now: int, number: int, event: Record) -> list[bytes]:
-        instance = self.instances.setdefault(number, Instance())
+    def _answer_event(self, now: int, instance_number: int, event: Record) -> list[bytes]:
+        instance = self.instances.setdefault(instance_number, Instance())
         try:
             actions = instance.handle(now, event.code, event.fields, self.endpoint_lists)
             return [instance.encode(action) for action in actions]
@@ -54,16 +54,16 @@
     def __init__(self) -> None:
         """Start empty."""
         self.records: list[bytes] = []
-        self._current_number: int | None = None
+        self._current_instance_number: int | None = None
 
-    def extend(self, number: int, records: Sequence[bytes]) -> None:
-        """Add the encoded actions of instance ``number``."""
+    def extend(self, instance_number: int, records: Sequence[bytes]) -> None:
+        """Add the encoded actions of an instance."""
         if not records:
             return
-        if number != self._current_number:
-            fields = protocol.CONTEXT_FIELDS.pack(number)
+        if instance_number != self._current_instance_number:
+            fields = protocol.CONTEXT_FIELDS.pack(instance_number)
             self.records.append(codec.encode_record(protocol.CONTEXT, fields))
-            self._current_number = number
+            self._current_instance_number = instance_number
         self.records.extend(records)
 
 
--- a/pepperhook/sim_adapter/instance.py
+++ b/pepperhook/sim_adapter/instance.py
@@ -66,12 +66,12 @@
             self.upstreams[address] = Upstream(address)
         return self.upstreams[address]
 
-    def _attempt(self, request_id: int, number: int) -> Attempt | None:
+    def _attempt(self, request_id: int, attempt_number: int) -> Attempt | None:
         """Return an attempt by its request's id and its number; None if it is unknown."""
         request = self.requests.get(request_id)
-        if request is None or number >= len(request.attempts):
+        if request is None or attempt_number >= len(request.attempts):
             return None
-        return request.attempts[number]
+        return request.attempts[attempt_number]
 
     def _drop_if_ended(self, request: Request) -> None:
         """Drop a request that is finished and has no open attempt, as no later event names it."""
@@ -98,12 +98,12 @@
     def _endpoints_changed(
         self, balancer: Balancer, now: int, fields: bytes, endpoint_lists: EndpointLists
     ) -> Sequence[Action]:
-        _, scope, number = codec.unpack(protocol.FLEET_FIELDS, fields, "FLEET")
+        _, scope, list_number = codec.unpack(protocol.FLEET_FIELDS, fields, "FLEET")
         if scope == protocol.FAILED:
             return balancer.endpoint_poll_failed(now)
-        if number not in endpoint_lists:
-            raise MalformedInputError(f"FLEET: no endpoint list has the number {number}")
-        updates = [self._endpoint_update(entry) for entry in endpoint_lists[number]]
+        if list_number not in endpoint_lists:
+            raise MalformedInputError(f"FLEET: no endpoint list has the number {list_number}")
+        updates = [self._endpoint_update(entry) for entry in endpoint_lists[list_number]]
         return balancer.endpoints_changed(now, scope in protocol.WHOLE_LISTS, updates)
 
     def _request_arrived(
@@ -130,10 +130,10 @@
         self, balancer: Balancer, now: int, fields: bytes, _: EndpointLists
     ) -> Sequence[Action]:
         layout = protocol.REPLY_FIELDS
-        request_id, number, _, outcome, duration_us, is_final = codec.unpack(
+        request_id, attempt_number, _, outcome, duration_us, is_final = codec.unpack(
             layout, fields, "REPLY"
         )
-        attempt = self._attempt(request_id, number)
+        attempt = self._attempt(request_id, attempt_number)
         if attempt is None:
             return ()
         actions = balancer.attempt_ended(
@@ -150,8 +150,8 @@
     def _response_started(
         self, balancer: Balancer, now: int, fields: bytes, _: EndpointLists
     ) -> Sequence[Action]:
-        request_id, _, number, _ = codec.unpack(protocol.STARTED_FIELDS, fields, "STARTED")
-        attempt = self._attempt(request_id, number)
+        request_id, _, attempt_number, _ = codec.unpack(protocol.STARTED_FIELDS, fields, "STARTED")
+        attempt = self._attempt(request_id, attempt_number)
         return () if attempt is None else balancer.response_started(now, attempt)
 
     def _client_left(
--- a/pepperhook/sim_adapter/protocol.py
+++ b/pepperhook/sim_adapter/protocol.py
@@ -1,6 +1,6 @@
 """Codes and layouts of the simulator's records, big-endian; times in microseconds.
 
-Events have the names that the simulator's protocol specification gives them.
+The events have the names that the simulator's protocol specification uses.
 """
 
 import struct
--- a/pepperhook/tomlfile.py
+++ b/pepperhook/tomlfile.py
@@ -166,7 +166,7 @@
 
 
 def _known_keys(kind: Any, steps: list[Step]) -> list[str]:
-    """Return the keys that the schema allows at ``steps``; none where keys are arbitrary."""
+    """Return the keys of the struct that the schema has at ``steps``; none if it has no struct."""
     kind, has_arbitrary_keys = _unwrap(kind)
     for step in steps:
         if isinstance(step, int):
--- a/tests/operator_config/test_odd_values.py
+++ b/tests/operator_config/test_odd_values.py
@@ -204,12 +204,14 @@
             continue  # the safety checks report unknown names
         changed = build_settings(document, config.settings, config.names)
         for service_class in changed.service_classes:
-            times_ns = (
-                service_class.time_limit_ns,
-                service_class.objective_ns,
-                service_class.key_window_ns,
+            assert (
+                max(
+                    service_class.time_limit_ns,
+                    service_class.objective_ns,
+                    service_class.key_window_ns,
+                )
+                < MAX_STORED_NS
             )
-            assert max(times_ns) < MAX_STORED_NS
         assert changed.max_retry_after_ns < MAX_STORED_NS
         extension = RateLimitExtension(RateLimitTable(), config)
         if document.extensions.rate_limits is not None:
--- a/tests/rate_limit/test_extension.py
+++ b/tests/rate_limit/test_extension.py
@@ -28,7 +28,7 @@
     async with (
         ScriptedPeer(lambda *_: make_response()) as upstream,
         RunningBalancer(
-            [upstream.address], Extensions([extension]), env=ENVIRONMENT_WITH_TENANTS
+            [upstream.address], extensions=Extensions([extension]), env=ENVIRONMENT_WITH_TENANTS
         ) as balancer,
     ):
 
@@ -40,6 +40,7 @@
         other_tenants_statuses = await request_as("bell", "bell", "nobody", "nobody", "nobody")
 
     assert noisy_tenant_statuses == [200, 200, 503, 503]
+    # Up to 20 s until the next token, plus at most half of that as jitter.
     assert 18 < retry_after_s <= 30
     assert other_tenants_statuses == [200] * 5
     assert len(upstream.requests) == 7
--- a/tests/rate_limit/test_limiter.py
+++ b/tests/rate_limit/test_limiter.py
@@ -9,7 +9,7 @@
 
 ARRIVALS = 3000
 ROUNDING_TOLERANCE = 1e-3  # tokens
-ADMISSION_COUNTS = (1, 7, 60)  # an interval begins at the first of the latest 1, 7, 60
+ADMISSION_COUNTS = (1, 7, 60)  # each interval to check spans the latest 1, 7 or 60 admissions
 
 
 def assert_wait_is_exact(limit, bucket, now, wait):
--- a/tests/shadow/test_extension.py
+++ b/tests/shadow/test_extension.py
@@ -54,7 +54,7 @@
     simulation.keeps_retry_budget_full = True
     if shadow is not None:
         shadow.candidate_settings = replace(simulation.settings, **replaced)
-        # Discard the differences that the settings of the file caused for the first list.
+        # Discard the differences that the file's settings caused for the first endpoint list.
         shadow.differences.clear()
     simulation.run(STEPS, arrival_probability=0.1)
     sent = [
@@ -174,7 +174,7 @@
     shadow = make_shadow(tmp_path, candidate)
     async with (
         ScriptedPeer(lambda *_: make_response(body=b"same")) as upstream,
-        RunningBalancer([upstream.address], Extensions([shadow])) as balancer,
+        RunningBalancer([upstream.address], extensions=Extensions([shadow])) as balancer,
     ):
         responses = [await balancer.request() for _ in range(5)]
         counts = shadow.told()
--- a/tests/sim_adapter/test_host.py
+++ b/tests/sim_adapter/test_host.py
@@ -20,8 +20,9 @@
 
 
 def attach(settings):
-    fields = protocol.ATTACH_FIELDS.pack(1, len(settings)) + settings.encode()
-    return Record(protocol.ATTACH, fields)
+    return Record(
+        protocol.ATTACH, protocol.ATTACH_FIELDS.pack(1, len(settings)) + settings.encode()
+    )
 
 
 def endpoint_list():
