--- a/pepperhook/key_ring.py
+++ b/pepperhook/key_ring.py
@@ -6,10 +6,10 @@
 
 
 class KeyRing:
-    """Stores HMAC-SHA256 keys by id: the first one signs, every one verifies.
+    """Stores HMAC-SHA256 keys by id: the first one signs, any of them verifies.
 
-    Accepting all keys makes it possible to replace a key while any two processes always have one in
-    common.
+    To replace a key, add the new one to all processes, then move it to the front, then remove the
+    old one: at each step, any two processes can verify each other's messages.
     """
 
     def __init__(self, keys: Iterable[tuple[str, str]]) -> None:
--- a/pepperhook/operator_config/__init__.py
+++ b/pepperhook/operator_config/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's file: options that the platform's configuration does not contain.
+"""The operator's file: options that are not part of the balancer's configuration (LB_CONFIG).
 
 An extension is off unless the file has its table. ``schema`` defines the tables, and ``builder``
 creates the extensions from them.
--- a/pepperhook/operator_config/builder.py
+++ b/pepperhook/operator_config/builder.py
@@ -1,7 +1,7 @@
 """Reads the operator's file and builds the extensions that it turns on.
 
 The order of the extensions is the order in which the server calls their hooks. Only extensions that
-are on are imported, to save the memory of a balancer.
+are on are imported, so that a balancer uses no memory for the others.
 """
 
 from __future__ import annotations
@@ -38,29 +38,31 @@
         raise ConfigError(f"{path}: {error}") from error
     names = [listed_name(extension) for extension in extensions]
     if operator_file.http2 is not None:
-        names.append("h2")
+        names.append("h2")  # no extension, but listed with them
     log.info("operator_file", path=path, parts=",".join(names) or "none")
     return Extensions(extensions, operator_file.http2)
 
 
 def _build_all(operator_file: schema.OperatorFile, config: Config, log: Log) -> list[Any]:
     """Build the extensions, in the order in which their hooks are called."""
-    rate_limit = _rate_limit(operator_file.rate_limit, config)
+    rate_limit = _build_rate_limit(operator_file.rate_limit, config)
     extensions = [
         rate_limit,
-        _request_context(operator_file.request_context, config, log),
+        _build_request_context(operator_file.request_context, config, log),
         # After the request context, which ends call loops: a looping request would otherwise wait
         # for the response to itself.
-        _idempotency(operator_file.idempotency, config, log),
-        _capture(operator_file.capture, config, log),
+        _build_idempotency(operator_file.idempotency, config, log),
+        _build_capture(operator_file.capture, config, log),
         # Wraps the capture, so that the capture records the calls as the policy itself gets them.
-        _trace(operator_file.trace, config, log),
+        _build_trace(operator_file.trace, config, log),
         # Wraps both, so that the calls of its policy copies are neither captured nor traced.
-        _shadow(operator_file.shadow, config, log),
+        _build_shadow(operator_file.shadow, config, log),
     ]
     _check_fleet_position(operator_file)
-    membership = _membership(operator_file.membership, config, log)
-    control_plane = _control_plane(operator_file.control_plane, config, log, rate_limit, membership)
+    membership = _build_membership(operator_file.membership, config, log)
+    control_plane = _build_control_plane(
+        operator_file.control_plane, config, log, rate_limit, membership
+    )
     extensions += [membership, control_plane]
     return [extension for extension in extensions if extension is not None]
 
@@ -75,7 +77,7 @@
         )
 
 
-def _rate_limit(table: schema.RateLimitTable | None, config: Config) -> Any:
+def _build_rate_limit(table: schema.RateLimitTable | None, config: Config) -> Any:
     if table is None:
         return None
     from pepperhook.rate_limit.extension import RateLimitExtension
@@ -83,7 +85,9 @@
     return RateLimitExtension(table, config)
 
 
-def _request_context(table: schema.RequestContextTable | None, config: Config, log: Log) -> Any:
+def _build_request_context(
+    table: schema.RequestContextTable | None, config: Config, log: Log
+) -> Any:
     if table is None:
         return None
     from pepperhook.request_context.extension import RequestContextExtension
@@ -91,7 +95,7 @@
     return RequestContextExtension(table, config, log)
 
 
-def _idempotency(table: schema.IdempotencyTable | None, config: Config, log: Log) -> Any:
+def _build_idempotency(table: schema.IdempotencyTable | None, config: Config, log: Log) -> Any:
     if table is None:
         return None
     from pepperhook.idempotency.extension import Idempotency
@@ -101,7 +105,7 @@
     return Idempotency(table, config, log, peers)
 
 
-def _capture(table: schema.CaptureTable | None, config: Config, log: Log) -> Any:
+def _build_capture(table: schema.CaptureTable | None, config: Config, log: Log) -> Any:
     if table is None:
         return None
     from pepperhook.capture.extension import Capture
@@ -109,7 +113,7 @@
     return Capture(table, config, log)
 
 
-def _trace(table: schema.TraceTable | None, config: Config, log: Log) -> Any:
+def _build_trace(table: schema.TraceTable | None, config: Config, log: Log) -> Any:
     if table is None:
         return None
     from pepperhook.tracing.extension import Tracing
@@ -117,7 +121,7 @@
     return Tracing(table, config, log)
 
 
-def _shadow(table: schema.ShadowTable | None, config: Config, log: Log) -> Any:
+def _build_shadow(table: schema.ShadowTable | None, config: Config, log: Log) -> Any:
     if table is None:
         return None
     from pepperhook.shadow.extension import Shadow
@@ -125,7 +129,7 @@
     return Shadow(table, config, log)
 
 
-def _membership(table: schema.MembershipTable | None, config: Config, log: Log) -> Any:
+def _build_membership(table: schema.MembershipTable | None, config: Config, log: Log) -> Any:
     if table is None:
         return None
     from pepperhook.membership.extension import Gossip
@@ -133,7 +137,7 @@
     return Gossip(table, config, log)
 
 
-def _control_plane(
+def _build_control_plane(
     table: schema.ControlPlaneTable | None,
     config: Config,
     log: Log,
--- a/pepperhook/operator_config/schema.py
+++ b/pepperhook/operator_config/schema.py
@@ -1,10 +1,10 @@
 """The schema of the operator's file: a struct for each table, with every default.
 
 An extension is off if its table is absent. The keys are part of the user interface and do not
-change; an attribute with a clearer name gives its key with ``field(name=...)``.
+change; where an attribute has a clearer name, ``field(name=...)`` sets its key.
 
-Import this module only where an operator's file is in use: a balancer without extensions saves the
-memory of msgspec.
+Import this module only where an operator's file is in use: a balancer without extensions then does
+not load msgspec, which takes memory.
 """
 
 import re
@@ -15,7 +15,8 @@
 from pepperhook.errors import PepperhookError
 
 # The bounds keep values usable: a time added to the current date fits into 64 bits of nanoseconds,
-# as journals store it, and an amount fits on a machine. All exclude infinity and NaN.
+# as journals store it, and counts and sizes stay within what one machine can store. All exclude
+# infinity and NaN.
 Share = Annotated[float, Meta(ge=0, le=1)]
 RatePerSecond = Annotated[float, Meta(ge=1e-9, le=1e9)]
 Burst = Annotated[float, Meta(ge=1, le=1e9)]
@@ -46,7 +47,7 @@
     """The rate limit of one tenant."""
 
     per_second: RatePerSecond
-    # Requests admitted at once; None: one second's worth, but at least one.
+    # Requests admitted at once; None: as many as in one second, but at least one.
     burst: Burst | None = None
 
 
@@ -56,8 +57,11 @@
     default: TenantLimit | None = None  # for each tenant not in ``each``; None: no limit
     unknown: TenantLimit | None = None  # shared by tenants not in the settings
     each: dict[str, TenantLimit] = {}  # by tenant name
-    of: Literal["fleet", "balancer"] = "fleet"  # "fleet": split evenly among all balancers
-    spread: Share = 0.5  # maximum random part added to Retry-After, against synchronised retries
+    # "fleet": the limits are for all balancers together, and each enforces an equal part of them.
+    # "balancer": each balancer enforces the full limits.
+    of: Literal["fleet", "balancer"] = "fleet"
+    # Maximum random addition to Retry-After, as a fraction of it, against synchronised retries.
+    spread: Share = 0.5
 
 
 class SigningKey(Struct, frozen=True, forbid_unknown_fields=True):
@@ -73,18 +77,19 @@
     service: Annotated[str, Meta(min_length=1, max_length=64)]  # same for all balancers of a tier
     entry: bool = False  # whether requests come from outside, so that their contexts are ignored
     trust: list[str] = []  # networks of callers and upstreams whose contexts need no MAC
-    keys: list[SigningKey] = []  # the first one signs, every one verifies
-    hop_secret: str | None = None  # for hashing names in hops; the same in the whole installation
+    keys: list[SigningKey] = []  # the first signs, any of them verifies
+    # For hashing the names of services and balancers in contexts; same in the whole installation.
+    hop_secret: str | None = None
     worth: bool = True  # whether the propagated priority decides which requests are rejected first
 
 
 class Http2Table(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """HTTP/2 in addition to HTTP/1.1."""
 
-    clients: bool = True  # whether to accept it from clients, detected by the first bytes sent
+    clients: bool = True  # whether to accept it from clients, detected by its preface
     # Protocol for upstreams for which the endpoint list names none.
     upstreams: Literal["http/1.1", "h2"] = "http/1.1"
-    # Concurrent streams per connection, of clients and to upstreams.
+    # Maximum of concurrent streams on a connection from a client or to an upstream.
     streams: Annotated[int, Meta(ge=1, le=1000)] = 100
 
 
@@ -93,6 +98,7 @@
 
     max_entries: Count = field(default=100_000, name="entries")
     max_mb: Megabytes = field(default=64.0, name="mb")  # memory of the entries and stored responses
+    # Repeated requests that wait for the response to the first one with their key.
     max_waiters_per_key: Count = field(default=1000, name="waiters")
     # A response with a larger body is not stored.
     max_body_kb: Annotated[int, Meta(ge=0, le=64)] = field(default=64, name="body_kb")
@@ -107,12 +113,17 @@
     # Whether to cancel an unsafe attempt that no client waits for; if not, its response may still
     # answer a repeated request.
     cancels_unsafe: bool = field(default=False, name="call_off_binding")
-    journal: str | None = None  # folder for state that must survive a restart; one per process
-    peers: str | None = None  # file with the edge balancers, among which each key has one owner
+    # Folder for state that must survive a restart; each process needs its own.
+    journal: str | None = None
+    # File that lists the edge balancers, among which each key has one owner that handles it.
+    peers: str | None = None
 
 
 class CaptureTable(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Captures of all calls to the policy and their results, for exact replay."""
+    """Captures of all calls to the policy and their results, for exact replay.
+
+    They are written to a ring of segments on disk, of which the oldest are deleted.
+    """
 
     folder: str  # for the ring's segments and for preserved segments
     minutes: Minutes = 10.0  # time span of the ring
@@ -123,7 +134,8 @@
 class TraceTable(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Traces of request lifecycles, with the reasons for decisions.
 
-    All rejected, failed or late requests are written, and a sample of the others.
+    All rejected, failed or late requests are written, and a sample of the others, to a ring of
+    files on disk, of which the oldest are deleted.
     """
 
     folder: str  # for the ring's files and for preserved files
@@ -145,8 +157,9 @@
     """Control plane: configuration versions, streamed from a control service."""
 
     address: Annotated[str, Meta(pattern="^[^:/ ]+:[0-9]+$")]  # HOST:PORT of the control service
-    keys: Annotated[list[SigningKey], Meta(min_length=1)]  # the first one signs, every one verifies
-    # File for the last good version; without it, a restarted balancer waits for the service.
+    keys: Annotated[list[SigningKey], Meta(min_length=1)]  # the first signs, any of them verifies
+    # File for the last version known to be good; if not set, a restarted balancer waits for the
+    # control service.
     last_good_file: str | None = field(default=None, name="state")
     # Whether fleet size and index are derived from the tier's balancers with a valid lease.
     sets_fleet_position: bool = field(default=False, name="place")
@@ -157,14 +170,13 @@
 
     listen: Annotated[str, Meta(pattern="^[^ ]+:[0-9]+$")]  # HOST:PORT, reachable by the others
     seeds: Annotated[list[str], Meta(min_length=1)]  # HOST:PORT of some members to join through
-    keys: Annotated[list[SigningKey], Meta(min_length=1)]  # the first one signs, every one verifies
+    keys: Annotated[list[SigningKey], Meta(min_length=1)]  # the first signs, any of them verifies
     # Whether fleet size and index are derived from the known members.
     sets_fleet_position: bool = field(default=False, name="place")
     probe_period_ms: Annotated[float, Meta(ge=50, le=60_000)] = field(
         default=1000.0, name="period_ms"
     )
-    # Shortest suspicion before a member is declared dead, in probe periods: this times log10 of
-    # the number of members.
+    # Minimum suspicion timeout: this times max(1, log10(number of members)) probe periods.
     suspicion_multiplier: Annotated[float, Meta(ge=1, le=20)] = field(default=3.0, name="suspicion")
 
 
--- a/pepperhook/rate_limit/extension.py
+++ b/pepperhook/rate_limit/extension.py
@@ -45,6 +45,7 @@
         settings = config.settings
         self._initial_table = table
         self._tenant_names = sorted(tenants, key=tenants.__getitem__)
+        # As configured at the start: limits are not split anew when the fleet size changes.
         self._fleet_size = settings.fleet_size
         # The settings' permission and maximum for Retry-After delays apply here too.
         self._max_retry_after_ns = (
@@ -52,7 +53,7 @@
         )
         self._seed = config.seed
         self._draw_count = 0
-        self.limits = self.prepare(table)
+        self.limits = self.prepare(table)  # the control plane assigns other prepared limits
 
     def prepare(self, table: RateLimitTable | None) -> EnforcedLimits:
         """Build the limits of ``table``, with full buckets, but do not apply them yet.
@@ -68,7 +69,7 @@
         limiter = RateLimiter(
             [_to_rate_limit(limit) for limit in limits],
             _to_rate_limit(table.unknown),
-            1 / max(1, self._fleet_size) if table.of == "fleet" else 1.0,
+            fraction=1 / max(1, self._fleet_size) if table.of == "fleet" else 1.0,
         )
         return EnforcedLimits(limiter, table.spread)
 
@@ -89,13 +90,17 @@
 
     def _retry_after_ns(self, wait_ns: int) -> int:
         """Add random jitter to the wait, so that rejected clients do not all retry at once."""
-        # A random sequence of its own: sharing the policy's would change the policy's decisions.
+        # The random sequence is separate from the policy's, so that the policy's decisions do not
+        # change.
         self._draw_count += 1
         fraction = random_fraction(b"quotas %d %d" % (self._seed, self._draw_count))
         return min(int(wait_ns * (1 + self.limits.spread * fraction)), self._max_retry_after_ns)
 
     def told(self) -> dict[str, Any]:
-        """Return the counters for the log: requests admitted, and rejected by tenant."""
+        """Return the counters for the log.
+
+        ``let`` counts the admitted requests, and ``shed_NAME`` the rejected ones of a tenant.
+        """
         names = [*self._tenant_names, UNKNOWN_TENANT]
         buckets = [*self.limiter.buckets, self.limiter.unknown]
         named_buckets = [
--- a/pepperhook/rate_limit/limiter.py
+++ b/pepperhook/rate_limit/limiter.py
@@ -2,9 +2,9 @@
 
 A bucket stores up to ``burst`` tokens and gains ``per_second`` of them each second; a request takes
 one or is rejected. This is the token bucket of RFC 2698 and RFC 3290, counting requests instead of
-bytes. As in the generic cell rate algorithm of ITU-T I.371, the only state is the time at which the
-bucket was or will be empty: nothing is added up between requests, so rounding errors do not
-accumulate.
+bytes. As in the generic cell rate algorithm of ITU-T I.371, the only state is a time, ``empty_at``:
+a bucket that was empty then and has only gained tokens since would store what this one stores now.
+No token count is updated between requests, so rounding errors do not accumulate.
 """
 
 from collections.abc import Sequence
@@ -18,7 +18,7 @@
     """The number of requests admitted per second, and the number admitted at once."""
 
     per_second: float
-    burst: float | None = None  # None: one second's worth; at least 1 is enforced
+    burst: float | None = None  # None: as many as in one second; always at least 1
 
     def scaled(self, fraction: float) -> "RateLimit":
         """Return the limit times ``fraction``, for one of the balancers that share it."""
@@ -36,7 +36,7 @@
         burst = limit.per_second if limit.burst is None else limit.burst
         self.token_interval_ns = max(1, round(SECOND / limit.per_second))
         self.capacity_ns = round(max(1.0, burst) * self.token_interval_ns)  # time to fill it
-        self.empty_at: int | None = None  # None: full, as no token was taken yet
+        self.empty_at: int | None = None  # tokens gained since are available; None: full
         self.admitted = 0
         self.rejected = 0
 
--- a/pepperhook/shadow/comparison.py
+++ b/pepperhook/shadow/comparison.py
@@ -1,6 +1,6 @@
 """Compares the actions of the live policy and of a shadow policy on one call, without I/O.
 
-The comparison covers the final decision on each request, health checks and the next wake-up. It
+The comparison covers the resulting decision on each request, health checks and the next wake-up. It
 ignores the order of actions and the time limits of attempts.
 """
 
@@ -25,26 +25,42 @@
 class Difference(StrEnum):
     """How a shadow policy's decision differs from the live one; the values are the log's keys."""
 
+    # Both send the request, to different upstreams.
     ANOTHER_UPSTREAM = "another_upstream"
-    ENDED = "shed"  # rejected or failed instead of sending a first attempt
-    SENT = "sent"  # instead of rejecting or failing the request without an attempt
+    # Shadow: rejects or fails the request. Live: sends a first attempt.
+    ENDED = "shed"
+    # Shadow: sends a first attempt. Live: rejects or fails the request.
+    SENT = "sent"
+    # Shadow: rejects or fails the request. Live: sends a retry.
     NOT_RETRIED = "not_again"
+    # Shadow: sends a retry. Live: rejects or fails the request.
     RETRIED = "again"
+    # Shadow: no action, or only a cancellation. Live: rejects or fails the request.
     ENDED_LATER = "later"
+    # Shadow: rejects or fails the request. Live: no action, or only a cancellation.
     ENDED_SOONER = "sooner"
+    # Shadow: no action. Live: sends the request.
     QUEUED = "held"
+    # Shadow: sends the request. Live: no action.
     NOT_QUEUED = "not_held"
-    ANOTHER_RESPONSE = "another_answer"  # rejected instead of failed, or vice versa
+    # One rejects the request, the other fails it.
+    ANOTHER_RESPONSE = "another_answer"
+    # Shadow: only cancels an attempt. Live: sends the request, or no action.
     CANCELLED = "called_off"
+    # Shadow: sends the request, or no action. Live: only cancels an attempt.
     NOT_CANCELLED = "not_called_off"
-    CHECKED = "asked"  # load queries and health checks
+    # Shadow: sends a health check or load query to an upstream. Live: does not.
+    CHECKED = "asked"
+    # Shadow: does not. Live: sends a health check or load query to an upstream.
     NOT_CHECKED = "not_asked"
+    # The next wake-up or the latency objective of a new request differs.
     ANOTHER_WAKE_TIME = "another_time"
+    # The subset of upstreams in use after the call differs.
     ANOTHER_SUBSET = "another_slice"
 
 
 class DecisionKind(Enum):
-    """The kinds of final decision on a request in the actions of a call."""
+    """The kinds of resulting decision on a request in the actions of a call."""
 
     SENT = auto()  # an attempt is started
     CANCELLED = auto()  # an attempt is cancelled and no other action concerns the request
@@ -52,16 +68,16 @@
     FAILED = auto()
 
 
-FINAL_KINDS = (DecisionKind.REJECTED, DecisionKind.FAILED)
+FINAL_RESPONSE_KINDS = (DecisionKind.REJECTED, DecisionKind.FAILED)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestDecision:
-    """The final decision on one request in the actions of a call."""
+    """The resulting decision on one request in the actions of a call."""
 
     kind: DecisionKind
     upstream: bytes | None = None  # address, for SENT
-    # For SENT whether an earlier attempt was made, for a final response whether one has ended.
+    # SENT: whether this is a retry. REJECTED and FAILED: whether an attempt has already ended.
     was_attempted: bool = False
 
     @property
@@ -70,9 +86,9 @@
         return self.kind is DecisionKind.SENT
 
     @property
-    def is_final(self) -> bool:
+    def is_final_response(self) -> bool:
         """Return whether the request is rejected or failed."""
-        return self.kind in FINAL_KINDS
+        return self.kind in FINAL_RESPONSE_KINDS
 
 
 @dataclass(slots=True)
@@ -127,14 +143,16 @@
     """
     if live == shadow:
         return None
-    if shadow is not None and shadow.is_final:
-        return _compare_shadow_end(live, shadow)
-    if live is not None and live.is_final:
-        return _compare_live_end(shadow)
-    return _compare_without_end(live, shadow)
+    if shadow is not None and shadow.is_final_response:
+        return _compare_if_shadow_ends_request(live, shadow)
+    if live is not None and live.is_final_response:
+        return _compare_if_only_live_ends_request(shadow)
+    return _compare_if_neither_ends_request(live, shadow)
 
 
-def _compare_shadow_end(live: RequestDecision | None, shadow: RequestDecision) -> Difference | None:
+def _compare_if_shadow_ends_request(
+    live: RequestDecision | None, shadow: RequestDecision
+) -> Difference | None:
     """Compare when the shadow policy rejects or fails the request."""
     if live is None or live.kind is DecisionKind.CANCELLED:
         return Difference.ENDED_SOONER
@@ -143,14 +161,14 @@
     return Difference.ANOTHER_RESPONSE if live.kind is not shadow.kind else None
 
 
-def _compare_live_end(shadow: RequestDecision | None) -> Difference:
+def _compare_if_only_live_ends_request(shadow: RequestDecision | None) -> Difference:
     """Compare when only the live policy rejects or fails the request."""
     if shadow is None or not shadow.is_sent:
         return Difference.ENDED_LATER
     return Difference.RETRIED if shadow.was_attempted else Difference.SENT
 
 
-def _compare_without_end(
+def _compare_if_neither_ends_request(
     live: RequestDecision | None, shadow: RequestDecision | None
 ) -> Difference | None:
     """Compare when neither policy rejects or fails the request."""
@@ -173,8 +191,8 @@
 ) -> list[Difference]:
     """Return how the shadow policy's actions differ from the live ones; empty if they do not.
 
-    The objectives are the times until which each policy works on a newly arrived request. Their
-    timers are seldom the next wake-up, so the actions alone do not show that they differ.
+    The objectives are the times by which each policy is to answer a newly arrived request. A
+    different objective seldom changes the next wake-up, so it is compared separately.
     """
     live, shadow = decisions_of(live_actions), decisions_of(shadow_actions)
     differences: list[Difference] = []
--- a/pepperhook/shadow/extension.py
+++ b/pepperhook/shadow/extension.py
@@ -1,4 +1,4 @@
-"""Decides a sample of the policy's calls with candidate settings too, and counts differences."""
+"""Repeats a sample of the policy's calls with candidate settings, and counts differences."""
 
 import json
 from collections import Counter
@@ -20,7 +20,7 @@
 from pepperhook.shadow.comparison import Difference, compare
 from pepperhook.shadow.twin import ACCEPT, PolicyCopy, check_comparable, subset_of
 
-MAX_FAULTS = 20  # comparing stops after this many, as a persistent fault would recur
+MAX_FAULTS = 20  # comparisons stop after this many, as further ones would most likely fail, too
 
 
 class ShadowSettingsError(PepperhookError, ValueError):
@@ -34,6 +34,7 @@
         # The file may contain the settings alone, or a whole configuration.
         if isinstance(document, dict):
             document = document.get("settings", document)
+        # As in server.config, which sets this whatever the settings document says.
         polls_endpoints = config.settings.polls_endpoints
         candidate = replace(settings.read(document), polls_endpoints=polls_endpoints)
         check_comparable(config.settings, candidate)
@@ -72,7 +73,7 @@
             **{kind: count for kind, count in counts.items() if count},
         }
 
-    def samples_next_call(self) -> bool:
+    def count_and_sample_call(self) -> bool:
         """Count a call, and return whether to compare it.
 
         The random sequence is separate from the policy's, so that the policy's draws stay the same.
@@ -90,13 +91,13 @@
             "shadow_fault",
             call=call,
             error=f"{type(error).__name__}: {error}",
-            left_off=self.faults >= MAX_FAULTS,
+            left_off=self.faults >= MAX_FAULTS,  # whether comparisons stop
         )
 
 
 @dataclass(slots=True)
 class ShadowDecision:
-    """A copied policy, and the actions with which it answered a call."""
+    """A copy of the policy, and the actions that it returned for a call."""
 
     policy_copy: PolicyCopy
     actions: Sequence[Action]
@@ -106,7 +107,7 @@
     """A proxy of the policy that compares some calls and passes on everything else."""
 
     def __init__(self, module: Any, shadow: Shadow) -> None:
-        """Wrap ``module``: the policy, or another proxy of it, such as a recorder's."""
+        """Wrap ``module``: the policy, or another proxy of it, such as the capture's."""
         policy = module
         while isinstance(policy, PolicyProxy):
             policy = policy.module
@@ -130,17 +131,15 @@
 
     def _call_and_compare(self, name: str, now: int, *arguments: Any) -> Any:
         """Return the live policy's actions; errors in the comparison do not affect them."""
-        shadow_decision = self._decide_with_candidate_settings(name, now, arguments)
+        shadow_decision = self._call_copy(name, now, arguments)
         actions = getattr(self.module, name)(now, *arguments)
         if shadow_decision is not None:
             self._count_differences(name, arguments, actions, shadow_decision)
         return actions
 
-    def _decide_with_candidate_settings(
-        self, name: str, now: int, arguments: tuple[Any, ...]
-    ) -> ShadowDecision | None:
-        """Decide a sampled call with the candidate settings, before it changes the live state."""
-        if not self.shadow.samples_next_call():
+    def _call_copy(self, name: str, now: int, arguments: tuple[Any, ...]) -> ShadowDecision | None:
+        """Repeat a sampled call on a copy of the policy, before it changes the live state."""
+        if not self.shadow.count_and_sample_call():
             return None
         try:
             policy_copy = PolicyCopy(self.policy, self.shadow.candidate_settings, arguments)
--- a/pepperhook/shadow/twin.py
+++ b/pepperhook/shadow/twin.py
@@ -1,4 +1,4 @@
-"""Decides one call a second time, with candidate settings, from the same state and random draws.
+"""Repeats one call on a copy of the policy with candidate settings and the same random draws.
 
 The policy's whole state is copied before the call, and the copy is discarded after it. A copy that
 was kept would diverge, and after minutes every decision would differ for reasons other than the
@@ -15,11 +15,11 @@
 
 
 class IncomparableSettingsError(PepperhookError, ValueError):
-    """The candidate settings are for another service; the message names the key."""
+    """The candidate settings have other tenants or service classes; the message names the key."""
 
 
 def check_comparable(settings: Settings, candidate: Settings) -> None:
-    """Check that both settings have the same service classes and tenants.
+    """Check that both settings have as many tenants, and as many service classes of equal effects.
 
     Requests in flight and learned statistics refer to them by number, so a copy of the live state
     is usable with the candidate settings only then. Raises IncomparableSettingsError.
@@ -57,7 +57,7 @@
         return getattr(self.policy, name)(now, *self.arguments)
 
     def _use_candidate_service_class(self, request: Any) -> None:
-        """Give a new request its candidate service class, as configuring did for older ones."""
+        """Give a new request its candidate service class; requests in flight keep the live one."""
         classes = self.policy.settings.service_classes
         request.service_class = classes[request.service_class.number]
 
--- a/pepperhook/sim_adapter/__main__.py
+++ b/pepperhook/sim_adapter/__main__.py
@@ -13,7 +13,7 @@
 
 def main() -> int:
     """Answer batches until the input ends, and return the exit code."""
-    # Make collections rare: the simulator charges a pause to the instance whose event is handled.
+    # Rare collections: a pause counts as processing time of the instance whose event is handled.
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     host = Host()
--- a/pepperhook/sim_adapter/codec.py
+++ b/pepperhook/sim_adapter/codec.py
@@ -16,11 +16,11 @@
 
 
 class MalformedInputError(PepperhookError, ValueError):
-    """The input does not follow the simulator's protocol; the message names the place."""
+    """The input does not follow the simulator's protocol; the message names the malformed part."""
 
 
 class Record(NamedTuple):
-    """One record of a batch."""
+    """One record of a batch; ``fields`` is its payload, not decoded yet."""
 
     code: int
     fields: bytes
@@ -41,7 +41,7 @@
     units: float
     cell: int
     zone: int
-    state: int
+    state: int  # code in protocol.STATES
     started_us: int
 
 
@@ -58,11 +58,11 @@
     if not first:
         return None
     header = first + _read_exactly(stream, BATCH_HEADER.size - 1, "a batch header")
-    length, count, clock_us = BATCH_HEADER.unpack(header)
-    records = _split_records(_read_exactly(stream, length, "a batch"))
+    size, count, clock_us = BATCH_HEADER.unpack(header)
+    records = _split_records(_read_exactly(stream, size, "a batch"))
     if len(records) != count:
         raise MalformedInputError(
-            f"the header announces {count} records, but the batch contains {len(records)}"
+            f"the header specifies {count} records, but the batch contains {len(records)}"
         )
     return Batch(clock_us, records)
 
@@ -107,9 +107,10 @@
 
 
 def read_load_report(fields: bytes, start: int, record_name: str) -> Sequence[float]:
-    """Return the figures of the load report at ``start``; none where there is no report.
+    """Return the figures of the load report at byte ``start``; empty if there is no report.
 
-    Raises MalformedInputError, whose message begins with ``record_name``.
+    A report has a count of one byte, and as many 32-bit floats. Raises MalformedInputError, whose
+    message begins with ``record_name``.
     """
     count = fields[start] if start < len(fields) else 0
     if not count:
@@ -125,7 +126,8 @@
     entries_start = TABLE_FIELDS.size
     if len(fields) < entries_start + count * ENTRY_FIELDS.size:
         raise MalformedInputError(
-            f"TABLE: {count} entries announced, {len(fields) - entries_start} bytes left"
+            f"TABLE: {count} entries need {count * ENTRY_FIELDS.size} bytes, "
+            f"{len(fields) - entries_start} are left in the record"
         )
     entries = [
         ListEntry._make(ENTRY_FIELDS.unpack_from(fields, entries_start + index * ENTRY_FIELDS.size))
--- a/pepperhook/sim_adapter/encoder.py
+++ b/pepperhook/sim_adapter/encoder.py
@@ -25,6 +25,7 @@
             return _encode_send(attempt, timeout_ns)
         case WakeAt(at_ns):
             at_us = -(-at_ns // MICROSECOND)  # rounded up, so that the wake-up is never too early
+            # The tag is 0, as ALARM's handler does not read it.
             return encode_record(protocol.WAKE, protocol.WAKE_FIELDS.pack(at_us, 0))
         case CancelAttempt(attempt):
             fields = protocol.CANCEL_FIELDS.pack(attempt.request.id, attempt.number)
@@ -35,7 +36,7 @@
             return encode_record(protocol.REJECT, fields)
         case FailRequest(request):
             return encode_record(protocol.FAIL, protocol.FAIL_FIELDS.pack(request.id))
-    return _encode_without_request(action)
+    return _encode_other_action(action)
 
 
 def _encode_send(attempt: Attempt, timeout_ns: int) -> bytes:
@@ -44,8 +45,8 @@
     return encode_record(protocol.SEND, fields)
 
 
-def _encode_without_request(action: Action) -> bytes:
-    """Return the encoded record of an action that concerns no single request."""
+def _encode_other_action(action: Action) -> bytes:
+    """Return the encoded record of an action that refers to no request."""
     match action:
         case HealthCheck(upstream):
             return encode_record(protocol.HEALTH_CHECK, upstream.address)
--- a/pepperhook/sim_adapter/instance.py
+++ b/pepperhook/sim_adapter/instance.py
@@ -1,4 +1,7 @@
-"""Translates between the simulator's records with ids and one balancer's calls with objects."""
+"""Translates between the simulator's records and one balancer's calls and actions.
+
+Records refer to requests, attempts and upstreams by id, number or address; calls take objects.
+"""
 
 import json
 from collections.abc import Callable, Sequence
@@ -46,9 +49,9 @@
         return handler(self, self.balancer, now, fields, endpoint_lists)
 
     def encode(self, action: Action) -> bytes:
-        """Return the encoded record of an action; drop the request if the action ends it."""
+        """Return the encoded record of an action; remove the request that it finishes, if any."""
         if isinstance(action, (RejectRequest, FailRequest)):
-            self._drop_if_ended(action.request)
+            self._remove_if_finished(action.request)
         return encode_action(action)
 
     def _start(self, now: int, fields: bytes) -> Sequence[Action]:
@@ -73,8 +76,8 @@
             return None
         return request.attempts[attempt_number]
 
-    def _drop_if_ended(self, request: Request) -> None:
-        """Drop a request that is finished and has no open attempt, as no later event names it."""
+    def _remove_if_finished(self, request: Request) -> None:
+        """Remove a finished request without open attempts, as no later event refers to it."""
         if request.finished and not request.open_attempts:
             self.requests.pop(request.id, None)
 
@@ -90,7 +93,7 @@
         upstream.units = entry.units
         upstream.cell = entry.cell
         upstream.zone = entry.zone
-        state = protocol.STATES.get(entry.state, protocol.UNKNOWN_STATE)
+        state = protocol.STATES.get(entry.state, protocol.STATE_FOR_UNKNOWN_CODE)
         return EndpointUpdate(upstream, state, entry.started_us * MICROSECOND)
 
     # Event handlers; HANDLERS maps the codes to them.
@@ -104,7 +107,7 @@
         if list_number not in endpoint_lists:
             raise MalformedInputError(f"FLEET: no endpoint list has the number {list_number}")
         updates = [self._endpoint_update(entry) for entry in endpoint_lists[list_number]]
-        return balancer.endpoints_changed(now, scope in protocol.WHOLE_LISTS, updates)
+        return balancer.endpoints_changed(now, scope in protocol.WHOLE_LIST_SCOPES, updates)
 
     def _request_arrived(
         self, balancer: Balancer, now: int, fields: bytes, _: EndpointLists
@@ -114,6 +117,8 @@
         )
         classes = self.settings.service_classes
         has_cost = flags & protocol.HAS_COST and cost_us
+        # An unknown service class is treated as the last one, and an unknown tenant as none. Key 0
+        # is no key.
         request = Request(
             request_id,
             classes[min(class_number, len(classes) - 1)],
@@ -139,12 +144,12 @@
         actions = balancer.attempt_ended(
             now,
             attempt,
-            protocol.OUTCOMES.get(outcome, protocol.UNKNOWN_OUTCOME),
+            protocol.OUTCOMES.get(outcome, protocol.OUTCOME_FOR_UNKNOWN_CODE),
             duration_us * MICROSECOND,
             bool(is_final),
             self._load_report(fields, layout.size, "REPLY"),
         )
-        self._drop_if_ended(attempt.request)
+        self._remove_if_finished(attempt.request)
         return actions
 
     def _response_started(
@@ -162,7 +167,7 @@
         if request is None:
             return ()
         actions = balancer.client_left(now, request)
-        self._drop_if_ended(request)
+        self._remove_if_finished(request)
         return actions
 
     def _health_check_ended(
@@ -173,7 +178,7 @@
         return balancer.health_check_ended(
             now,
             self._upstream(address),
-            protocol.OUTCOMES.get(outcome, protocol.UNKNOWN_OUTCOME),
+            protocol.OUTCOMES.get(outcome, protocol.OUTCOME_FOR_UNKNOWN_CODE),
             duration_us * MICROSECOND,
             self._load_report(fields, layout.size, "SAMPLED"),
         )
--- a/pepperhook/sim_adapter/protocol.py
+++ b/pepperhook/sim_adapter/protocol.py
@@ -22,28 +22,28 @@
 SAMPLED = 11  # a health check has ended
 
 # Codes of actions.
-REJECT = 0
-NOTE = 1
-CANCEL = 2
-INTERNAL_ERROR = 3
-WAKE = 5
-SEND = 6
-FAIL = 7
-WATCH = 8
-FETCH = 9
+REJECT = 0  # final response: rejected, harmless to retry
+NOTE = 1  # a line for the operators' log
+CANCEL = 2  # cancel an attempt
+INTERNAL_ERROR = 3  # an exception in the handling of an event
+WAKE = 5  # request an ALARM at a time
+SEND = 6  # start an attempt
+FAIL = 7  # final response: failed, may have been executed
+WATCH = 8  # open a watch on the endpoint list
+FETCH = 9  # fetch the whole endpoint list once
 CONTEXT = 10  # number of the instance that the following actions come from
-HEALTH_CHECK = 12
+HEALTH_CHECK = 12  # check an upstream, and fetch its load report
 
-# Scopes of FLEET. A list with the scope DELTA (0) contains changes only.
+# Scopes of FLEET. FULL and CACHED: a whole list; DELTA (0): changes only; FAILED: the poll failed.
 FULL, CACHED, FAILED = 1, 2, 3
-WHOLE_LISTS = (FULL, CACHED)
+WHOLE_LIST_SCOPES = (FULL, CACHED)
 
 # Flags of QUERY.
 HAS_COST = 1
 IS_RETRY = 2
 
 STATES = {0: UpstreamState.GONE, 1: UpstreamState.READY, 2: UpstreamState.DRAINING}
-UNKNOWN_STATE = UpstreamState.DRAINING
+STATE_FOR_UNKNOWN_CODE = UpstreamState.DRAINING
 OUTCOMES = {
     10: Outcome.SERVED,
     20: Outcome.ERROR,
@@ -54,7 +54,7 @@
     70: Outcome.CANCELLED,
     80: Outcome.NOT_SENT,
 }
-UNKNOWN_OUTCOME = Outcome.ERROR
+OUTCOME_FOR_UNKNOWN_CODE = Outcome.ERROR
 
 # Fixed-size fields of events; data of variable size may follow them.
 ABOUT_FIELDS = struct.Struct(">H")
--- a/pepperhook/toml_lines.py
+++ b/pepperhook/toml_lines.py
@@ -1,8 +1,8 @@
 """Finds the line of a key in a TOML file, for error messages.
 
 The parser of the standard library does not report positions. This module reads headers and keys
-line by line, which suffices for hand-written files; it may take a part of a multi-line value for a
-key.
+line by line, which suffices for hand-written files; it may mistake a line of a multi-line value for
+a key.
 """
 
 import re
--- a/pepperhook/tomlfile.py
+++ b/pepperhook/tomlfile.py
@@ -25,44 +25,44 @@
 
 MIN_SIMILARITY = 0.5  # difflib ratio from which a known key is suggested for an unknown one
 
-Record = TypeVar("Record")
-LocatedStep = Step | None  # None: an arbitrary key, which msgspec's messages leave out
+StructT = TypeVar("StructT")
+LocationStep = Step | None  # None: an arbitrary key, which msgspec's messages leave out
 
 
 class TomlFileError(PepperhookError, ValueError):
     """The file can't be used; the message names the file, the key, and the line if known."""
 
 
-def read(path: str | Path, kind: type[Record]) -> Record:
-    """Read the file at ``path`` into a ``kind``, a struct type. Raises TomlFileError."""
+def read(path: str | Path, struct_type: type[StructT]) -> StructT:
+    """Read the file at ``path`` into a ``struct_type``. Raises TomlFileError."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         reason = getattr(error, "strerror", None) or error
         raise TomlFileError(f"{path}: {reason}") from error
-    return decode(text, kind, path)
+    return decode(text, struct_type, path)
 
 
-def decode(text: str, kind: type[Record], path: str | Path = "-") -> Record:
-    """Decode TOML text into a ``kind``; ``path`` is for messages. Raises TomlFileError."""
+def decode(text: str, struct_type: type[StructT], path: str | Path = "-") -> StructT:
+    """Decode TOML text into a ``struct_type``; ``path`` is for messages. Raises TomlFileError."""
     try:
         content = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise TomlFileError(f"{path}: {error}") from error
-    return convert(content, kind, path, text)
+    return convert(content, struct_type, path, text)
 
 
 def convert(
-    content: dict[str, Any], kind: type[Record], path: str | Path = "-", text: str = ""
-) -> Record:
-    """Convert decoded TOML or JSON into a ``kind``. Raises TomlFileError.
+    content: dict[str, Any], struct_type: type[StructT], path: str | Path = "-", text: str = ""
+) -> StructT:
+    """Convert decoded TOML or JSON into a ``struct_type``. Raises TomlFileError.
 
     ``text`` is the TOML source, in which the line of an error is found.
     """
     try:
-        return msgspec.convert(content, kind)
+        return msgspec.convert(content, struct_type)
     except msgspec.ValidationError as error:
-        message = _format_error(str(error), content, kind, path, text)
+        message = _format_error(str(error), content, struct_type, path, text)
         raise TomlFileError(message) from error
 
 
@@ -75,15 +75,17 @@
 
 
 def _format_error(
-    message: str, content: dict[str, Any], kind: type, path: str | Path, text: str
+    message: str, content: dict[str, Any], struct_type: type, path: str | Path, text: str
 ) -> str:
     """Return a one-line message for msgspec's ``message`` about ``content``."""
     problem, location = _split_message(message)
-    steps = _known_steps(_resolve_arbitrary_keys(problem, location, content, kind))
+    steps = _steps_before_arbitrary_key(
+        _resolve_arbitrary_keys(problem, location, content, struct_type)
+    )
     if unknown := UNKNOWN_KEY.match(problem):
         steps.append(unknown[1])
         similar = difflib.get_close_matches(
-            unknown[1], _known_keys(kind, steps[:-1]), 1, MIN_SIMILARITY
+            unknown[1], _known_keys(struct_type, steps[:-1]), 1, MIN_SIMILARITY
         )
         problem = "is not known" + (f"; {similar[0]!r} is the nearest that is" if similar else "")
     elif missing := MISSING_KEY.match(problem):
@@ -91,7 +93,7 @@
     return format_problem(path, text, steps, problem[0].lower() + problem[1:])
 
 
-def _split_message(message: str) -> tuple[str, list[LocatedStep]]:
+def _split_message(message: str) -> tuple[str, list[LocationStep]]:
     """Return the problem and its location."""
     location = LOCATION.search(message)
     if location is None:
@@ -99,14 +101,14 @@
     return message[: location.start()], _parse_location(location[1])
 
 
-def _parse_location(location: str) -> list[LocatedStep]:
+def _parse_location(location: str) -> list[LocationStep]:
     return [
         name if name else int(index) if index else None for name, index in STEP.findall(location)
     ]
 
 
-def _known_steps(location: list[LocatedStep]) -> list[Step]:
-    """Return the steps before the first unknown one."""
+def _steps_before_arbitrary_key(location: list[LocationStep]) -> list[Step]:
+    """Return the steps before the first key that msgspec left out."""
     steps: list[Step] = []
     for step in location:
         if step is None:
@@ -116,30 +118,31 @@
 
 
 def _resolve_arbitrary_keys(
-    problem: str, location: list[LocatedStep], content: dict[str, Any], kind: type
-) -> list[LocatedStep]:
+    problem: str, location: list[LocationStep], content: dict[str, Any], struct_type: type
+) -> list[LocationStep]:
     """Return the location with the arbitrary keys that msgspec leaves out, as far as possible.
 
-    It is taken to be the first key that causes the same problem when its table has no other key.
+    A key left out is taken to be the first one that causes the same problem as its table's only
+    key.
     """
     if None not in location:
         return location
-    steps = _known_steps(location)
+    steps = _steps_before_arbitrary_key(location)
     table = _value_at(content, steps)
     if not isinstance(table, dict):
         return location
     for key, value in table.items():
         reduced = _with_value_at(content, steps, {key: value})
-        if _problem_of(reduced, kind) == problem:
+        if _problem_of(reduced, struct_type) == problem:
             resolved = [*steps, *_parse_location(f".{key}"), *location[len(steps) + 1 :]]
-            return _resolve_arbitrary_keys(problem, resolved, content, kind)
+            return _resolve_arbitrary_keys(problem, resolved, content, struct_type)
     return location
 
 
-def _problem_of(content: Any, kind: type) -> str | None:
+def _problem_of(content: Any, struct_type: type) -> str | None:
     """Return the problem that msgspec reports, without its location; None if there is none."""
     try:
-        msgspec.convert(content, kind)
+        msgspec.convert(content, struct_type)
     except msgspec.ValidationError as error:
         return _split_message(str(error))[0]
     return None
@@ -165,33 +168,34 @@
     return copied
 
 
-def _known_keys(kind: Any, steps: list[Step]) -> list[str]:
+def _known_keys(annotation: Any, steps: list[Step]) -> list[str]:
     """Return the keys of the struct that the schema has at ``steps``; none if it has no struct."""
-    kind, has_arbitrary_keys = _unwrap(kind)
+    annotation, has_arbitrary_keys = _unwrap(annotation)
     for step in steps:
         if isinstance(step, int):
             continue
-        if not has_arbitrary_keys and _is_struct(kind):
-            kind = _types_by_key(kind).get(step)
-        kind, has_arbitrary_keys = _unwrap(kind)
-    return list(_types_by_key(kind)) if _is_struct(kind) else []
+        if not has_arbitrary_keys and _is_struct(annotation):
+            annotation = _types_by_key(annotation).get(step)
+        annotation, has_arbitrary_keys = _unwrap(annotation)
+    return list(_types_by_key(annotation)) if _is_struct(annotation) else []
 
 
-def _unwrap(kind: Any) -> tuple[Any, bool]:
+def _unwrap(annotation: Any) -> tuple[Any, bool]:
     """Return the type inside optional, list and dict types, and whether one of them is a dict."""
     has_arbitrary_keys = False
-    while get_args(kind):
-        has_arbitrary_keys = has_arbitrary_keys or get_origin(kind) is dict
-        inner = [argument for argument in get_args(kind) if argument not in (type(None), str)]
+    while get_args(annotation):
+        has_arbitrary_keys = has_arbitrary_keys or get_origin(annotation) is dict
+        # Without the None of an optional type, and the str of a dict's keys.
+        inner = [argument for argument in get_args(annotation) if argument not in (type(None), str)]
         if not inner:
             break
-        kind = inner[-1]
-    return kind, has_arbitrary_keys
+        annotation = inner[-1]
+    return annotation, has_arbitrary_keys
 
 
-def _is_struct(kind: Any) -> bool:
-    return isinstance(kind, type) and issubclass(kind, msgspec.Struct)
+def _is_struct(annotation: Any) -> bool:
+    return isinstance(annotation, type) and issubclass(annotation, msgspec.Struct)
 
 
-def _types_by_key(kind: Any) -> dict[str, Any]:
-    return {field.encode_name: field.type for field in msgspec.structs.fields(kind)}
+def _types_by_key(annotation: Any) -> dict[str, Any]:
+    return {field.encode_name: field.type for field in msgspec.structs.fields(annotation)}
--- a/tests/operator_config/test_builder.py
+++ b/tests/operator_config/test_builder.py
@@ -68,6 +68,7 @@
 
 
 def test_structs_of_the_schema_are_frozen():
+    # Every struct that the schema module defines; msgspec.Struct itself has no fields.
     structs = [
         kind
         for kind in vars(schema).values()
--- a/tests/operator_config/test_odd_values.py
+++ b/tests/operator_config/test_odd_values.py
@@ -1,4 +1,8 @@
-"""Tests that odd values at any key of the operator's file or a document are used or refused."""
+"""Tests of extreme values and values of wrong types in the operator's file and in documents.
+
+At any key of the file, or of a document of the control plane, such a value is accepted, or rejected
+with a one-line error.
+"""
 
 import copy
 import json
@@ -22,8 +26,8 @@
 from tests.server.balancers import ENVIRONMENT, make_config
 
 LOG = Log(logging.getLogger("test"))
-MAX_STORED_NS = 2**63  # a journal can store smaller times only
-ODD_VALUES = [
+STORED_NS_LIMIT = 2**63  # a journal stores smaller times only
+EXTREME_OR_WRONG_VALUES = [
     True,
     "",
     "x",
@@ -122,7 +126,7 @@
     },
     "parts": {"customers": {"default": {"per_second": 5.0, "burst": 2.0}, "spread": 0.5}},
 }
-# Keys absent from the valid file: each names a folder or file that turns on a further function.
+# Keys absent from the valid file: each is a folder or file that turns on another feature.
 ABSENT_KEYS = {"repeats": {"journal", "peers"}, "control": {"state"}}
 
 
@@ -159,7 +163,10 @@
 
 
 def build(folder, content):
-    """Build the extensions; return None for a file refused with a one-line error naming it."""
+    """Build the extensions of a file with ``content``; return None if it is rejected.
+
+    Check that the error is then one line that begins with the file's path.
+    """
     path = folder / "operator.toml"
     path.write_text(tomli_w.dumps(content))
     try:
@@ -171,12 +178,12 @@
 
 
 @pytest.mark.parametrize("path", paths_of(valid_file(Path("/"))), ids=".".join)
-def test_odd_value_in_the_operators_file_is_used_or_refused_in_one_line(path, tmp_path):
-    # Guards against a traceback at the start, and against times that a journal cannot store.
+def test_extreme_or_wrong_value_in_the_operators_file_is_accepted_or_rejected(path, tmp_path):
+    # Guards against a traceback when a balancer starts, and times that a journal cannot store.
     (tmp_path / "settings.json").write_text(json.dumps({"settings": ENVIRONMENT}))
     content = valid_file(tmp_path)
     assert build(tmp_path, content) is not None
-    for value in ODD_VALUES:
+    for value in EXTREME_OR_WRONG_VALUES:
         extensions = build(tmp_path, with_value(content, path, value))
         if extensions is not None:
             check_windows(extensions)
@@ -187,14 +194,14 @@
     for extension in extensions.all:
         if isinstance(extension, Idempotency):
             longest_ns = max(policy.window_ns for policy in extension.policies)
-            assert longest_ns + time.time_ns() < MAX_STORED_NS
+            assert longest_ns + time.time_ns() < STORED_NS_LIMIT
 
 
 @pytest.mark.parametrize("path", paths_of(VALID_DOCUMENT), ids=".".join)
-def test_odd_value_in_a_document_is_used_or_refused(path):
-    # Guards against a version that is only partly applied.
+def test_extreme_or_wrong_value_in_a_document_is_accepted_or_rejected(path):
+    # A value that passes parse_document and fails later would leave a version partly applied.
     config = make_config()
-    for value in [None, *ODD_VALUES]:
+    for value in [None, *EXTREME_OR_WRONG_VALUES]:
         try:
             document = parse_document(with_value(VALID_DOCUMENT, path, value))
         except InvalidDocumentError as error:
@@ -210,9 +217,9 @@
                     service_class.objective_ns,
                     service_class.key_window_ns,
                 )
-                < MAX_STORED_NS
+                < STORED_NS_LIMIT
             )
-        assert changed.max_retry_after_ns < MAX_STORED_NS
+        assert changed.max_retry_after_ns < STORED_NS_LIMIT
         extension = RateLimitExtension(RateLimitTable(), config)
         if document.extensions.rate_limits is not None:
             extension.prepare(document.extensions.rate_limits)
--- a/tests/rate_limit/test_extension.py
+++ b/tests/rate_limit/test_extension.py
@@ -14,9 +14,9 @@
 TENANTS = [{"name": "acme"}, {"name": "bell"}]
 MAX_RETRY_AFTER_US = 60_000_000
 RETRY_AFTER_PERMISSIONS = {"retryAfter": True, "maxRetryAfterUs": MAX_RETRY_AFTER_US}
-ENVIRONMENT_WITH_TENANTS = {**ENVIRONMENT, "orgs": TENANTS}
-ENVIRONMENT_WITH_RETRY_AFTER = {
-    **ENVIRONMENT_WITH_TENANTS,
+SETTINGS_WITH_TENANTS = {**ENVIRONMENT, "orgs": TENANTS}
+SETTINGS_WITH_RETRY_AFTER = {
+    **SETTINGS_WITH_TENANTS,
     "permissions": {**ENVIRONMENT["permissions"], **RETRY_AFTER_PERMISSIONS},
 }
 
@@ -24,11 +24,11 @@
 @loopback
 async def test_tenant_over_its_limit_gets_503_with_retry_after_and_others_are_served():
     limits = RateLimitTable(default=TenantLimit(per_second=0.05, burst=2.0))
-    extension = RateLimitExtension(limits, make_config(env=ENVIRONMENT_WITH_RETRY_AFTER))
+    extension = RateLimitExtension(limits, make_config(env=SETTINGS_WITH_RETRY_AFTER))
     async with (
         ScriptedPeer(lambda *_: make_response()) as upstream,
         RunningBalancer(
-            [upstream.address], extensions=Extensions([extension]), env=ENVIRONMENT_WITH_TENANTS
+            [upstream.address], extensions=Extensions([extension]), env=SETTINGS_WITH_TENANTS
         ) as balancer,
     ):
 
@@ -51,7 +51,7 @@
     limits = RateLimitTable(
         default=TenantLimit(per_second=1.0), unknown=TenantLimit(per_second=1.0)
     )
-    extension = RateLimitExtension(limits, make_config(env=ENVIRONMENT_WITH_TENANTS))
+    extension = RateLimitExtension(limits, make_config(env=SETTINGS_WITH_TENANTS))
 
     for tenant in (0, 0, 1, None, None, None):
         extension.limiter.admit(0, tenant)
@@ -63,7 +63,7 @@
     limits = RateLimitTable(each={"nobody": TenantLimit(per_second=1.0)})
 
     with pytest.raises(UnknownTenantError) as error:
-        RateLimitExtension(limits, make_config(env=ENVIRONMENT_WITH_TENANTS))
+        RateLimitExtension(limits, make_config(env=SETTINGS_WITH_TENANTS))
 
     assert str(error.value) == (
         "customers.each.nobody: the settings know no such customer; they know: acme, bell"
--- a/tests/rate_limit/test_limiter.py
+++ b/tests/rate_limit/test_limiter.py
@@ -21,7 +21,7 @@
 
 
 def assert_within_limit(limit, admitted, now):
-    """Check that each interval until now admitted at most the burst and the tokens gained."""
+    """Check that in intervals until now, at most burst plus gained tokens were admitted."""
     for count in ADMISSION_COUNTS:
         if len(admitted) < count:
             break
--- a/tests/shadow/test_comparison.py
+++ b/tests/shadow/test_comparison.py
@@ -49,7 +49,7 @@
     (SENT_TO_A, RETRIED_AT_A, None),
     (REJECTED, REJECTED_AFTER_AN_ATTEMPT, None),
 ]
-# Found in actions without a request or in the objectives, or by the extension.
+# Not returned by compare_request_decisions; compare and the extension add them.
 CALL_DIFFERENCES = {
     Difference.CHECKED,
     Difference.NOT_CHECKED,
@@ -59,7 +59,9 @@
 
 
 @pytest.mark.parametrize("live, shadow, difference", REQUEST_CASES)
-def test_request_decisions_differ_by_kind_and_not_from_themselves(live, shadow, difference):
+def test_different_decisions_give_the_expected_difference_and_equal_ones_none(
+    live, shadow, difference
+):
     assert compare_request_decisions(live, shadow) is difference
     assert compare_request_decisions(live, live) is None
     assert compare_request_decisions(shadow, shadow) is None
@@ -99,7 +101,7 @@
     return request
 
 
-def test_last_action_for_a_request_is_its_decision(request_with_attempts):
+def test_last_action_except_cancellations_is_the_decision_on_a_request(request_with_attempts):
     first, second = request_with_attempts.attempts
 
     cancelled = decisions_of([CancelAttempt(first)])
--- a/tests/shadow/test_extension.py
+++ b/tests/shadow/test_extension.py
@@ -32,18 +32,18 @@
 ]
 
 
-def make_shadow(directory, environment=ENVIRONMENT):
-    """Return an extension that compares every call, with the settings of ``environment``."""
+def make_shadow(directory, settings_document=ENVIRONMENT):
+    """Return an extension that compares every call, with the settings of ``settings_document``."""
     path = directory / "candidate.json"
-    path.write_text(json.dumps(environment))
+    path.write_text(json.dumps(settings_document))
     table = ShadowTable(settings_file=str(path), sampled_fraction=1.0)
     return Shadow(table, make_config(), structured_logging.Log(logging.getLogger("test")))
 
 
-def simulate(seed, shadow=None, **replaced):
+def simulate(seed, shadow=None, **overrides):
     """Run a random simulation; return the sent attempts, the responses and the factor f.
 
-    With a ``shadow`` extension, the candidate settings are the live ones with ``replaced`` values.
+    With a ``shadow`` extension, the candidate settings are the live ones with ``overrides``.
     """
 
     def make_policy(*arguments):
@@ -53,7 +53,7 @@
     simulation = PolicySimulation(seed, make_policy=make_policy)
     simulation.keeps_retry_budget_full = True
     if shadow is not None:
-        shadow.candidate_settings = replace(simulation.settings, **replaced)
+        shadow.candidate_settings = replace(simulation.settings, **overrides)
         # Discard the differences that the file's settings caused for the first endpoint list.
         shadow.differences.clear()
     simulation.run(STEPS, arrival_probability=0.1)
@@ -86,7 +86,7 @@
     assert not shadow.differences
 
 
-def test_policy_is_found_behind_other_proxies(tmp_path):
+def test_shadowed_policy_unwraps_other_proxies(tmp_path):
     policy = Balancer(make_config().settings, 1, 0)
 
     shadowed = ShadowedPolicy(PolicyProxy(policy), make_shadow(tmp_path))
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize(
-    "replaced, present, absent",
+    "overrides, present, absent",
     [
         (
             {"max_attempts": 1},
@@ -133,10 +133,10 @@
         ),
     ],
 )
-def test_differences_caused_by_settings_are_counted_by_kind(replaced, present, absent, tmp_path):
+def test_differences_caused_by_settings_are_counted_by_kind(overrides, present, absent, tmp_path):
     shadow = make_shadow(tmp_path)
 
-    simulate(5, shadow, **replaced)
+    simulate(5, shadow, **overrides)
 
     assert not shadow.faults
     assert set(shadow.differences) <= set(Difference)
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize(
-    "replaced, key",
+    "overrides, key",
     [
         ({"serviceGrades": ENVIRONMENT["serviceGrades"][:2]}, "serviceGrades"),
         ({"prices": {"crossZone": "x"}}, "prices.crossZone"),
@@ -160,13 +160,14 @@
         ({"orgs": []}, "orgs: has 0 entries, but 1 in the settings in force"),
     ],
 )
-def test_error_for_settings_that_cannot_be_compared_names_the_key(replaced, key, tmp_path):
+def test_error_for_settings_that_cannot_be_compared_names_the_key(overrides, key, tmp_path):
     with pytest.raises(ShadowSettingsError, match=f"shadow.settings: .*{key}"):
-        make_shadow(tmp_path, ENVIRONMENT | replaced)
+        make_shadow(tmp_path, ENVIRONMENT | overrides)
 
 
 @loopback
 async def test_running_balancer_counts_differences_and_responses_stay_the_same(tmp_path):
+    # With a latency objective of 0, the candidate settings have every request rejected.
     candidate = ENVIRONMENT | {
         "serviceGrades": [row | {"goalTimeUs": 0} for row in ENVIRONMENT["serviceGrades"]],
         "permissions": ENVIRONMENT["permissions"] | {"cancel": True},
--- a/tests/sim_adapter/test_codec.py
+++ b/tests/sim_adapter/test_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the frames of the simulator's protocol, byte for byte."""
+"""Tests of batches, records and replies in the simulator's protocol, byte for byte."""
 
 import io
 import struct
@@ -46,11 +46,11 @@
         ),
         (
             "00000005 00000002 0000000000000000 09 00000000",
-            "the header announces 2 records, but the batch contains 1",
+            "the header specifies 2 records, but the batch contains 1",
         ),
     ],
 )
-def test_error_for_a_malformed_frame_names_the_position(text, message):
+def test_error_for_a_malformed_batch_names_the_position(text, message):
     with pytest.raises(codec.MalformedInputError, match=message):
         read_hex(text)
 
@@ -64,7 +64,9 @@
 
 
 def test_truncated_endpoint_list_is_an_error():
-    with pytest.raises(codec.MalformedInputError, match="TABLE: 2 entries announced, 0 bytes left"):
+    with pytest.raises(
+        codec.MalformedInputError, match="TABLE: 2 entries need 48 bytes, 0 are left"
+    ):
         codec.read_endpoint_list(struct.pack(">BI", 7, 2))
 
 
@@ -85,4 +87,5 @@
 def test_long_text_is_truncated():
     record = codec.encode_text_record(1, "x" * 70_000)
 
+    # 5 bytes of record header, 2 of text size, and the text.
     assert len(record) == 5 + 2 + codec.MAX_TEXT_BYTES
--- a/tests/sim_adapter/test_host.py
+++ b/tests/sim_adapter/test_host.py
@@ -75,7 +75,7 @@
     assert send_fields[0][:14] == struct.pack(">Q6s", 77, UPSTREAM)
 
 
-def test_request_is_dropped_when_its_last_attempt_has_ended(host):
+def test_finished_request_is_removed_when_its_last_attempt_has_ended(host):
     host.answer(Batch(1000, [about(3), query(77)]))
     reply = protocol.REPLY_FIELDS.pack(77, 0, UPSTREAM, 10, 500, 1)
 
@@ -106,6 +106,6 @@
         ([about(3), fleet(number=9)], "FLEET: no endpoint list has the number 9"),
     ],
 )
-def test_invalid_sequence_or_reference_is_malformed_input(host, records, message):
+def test_invalid_event_raises_malformed_input_error(host, records, message):
     with pytest.raises(MalformedInputError, match=message):
         host.answer(Batch(1000, records))
--- a/tests/test_tomlfile.py
+++ b/tests/test_tomlfile.py
@@ -56,6 +56,7 @@
         'version = 1\n[each."a.b"]\nrate = 0\n',
         "f.toml: line 3: each.a.b.rate: expected `float` > 0.0",
     ),
+    # A key with dots in a table of tables is not resolved: line and full key are missing.
     (
         'version = 1\n[nested."a.b".c]\nrate = 0\n',
         "f.toml: nested.a.b: expected `float` > 0.0",
