--- a/pepperhook/control_plane/document.py
+++ b/pepperhook/control_plane/document.py
@@ -12,7 +12,7 @@
 
 from pepperhook import tomlfile
 from pepperhook.errors import PepperhookError
-from pepperhook.operator_config.schema import RateLimitTable, Share
+from pepperhook.operator_config.schema import Fraction, RateLimitTable
 
 # As far as a deployment's own settings go, whose unit is a microsecond.
 Milliseconds = Annotated[float, Meta(ge=0, le=4.6e12)]
@@ -51,7 +51,7 @@
 class TenantOverride(Struct, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
     """Overrides for one tenant."""
 
-    share: Share | None = None
+    share: Fraction | None = None
     quota_per_s: RatePerSecond | None = None
 
 
@@ -71,7 +71,7 @@
     may_send_retry_after: bool | None = field(default=None, name="advice")
     max_retry_after_ms: Milliseconds | None = field(default=None, name="longest_advice_ms")
     # Factor on the priority weight of what exceeds a tenant's share.
-    excess_priority_factor: Share | None = field(default=None, name="excess_earnings")
+    excess_priority_factor: Fraction | None = field(default=None, name="excess_earnings")
 
 
 class ExtensionOverrides(Struct, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
--- a/pepperhook/operator_config/schema.py
+++ b/pepperhook/operator_config/schema.py
@@ -17,7 +17,7 @@
 # The bounds keep values usable: a time added to the current date fits into 64 bits of nanoseconds,
 # as journals store it, and counts and sizes stay within what one machine can store. All exclude
 # infinity and NaN.
-Share = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 RatePerSecond = Annotated[float, Meta(ge=1e-9, le=1e9)]
 Burst = Annotated[float, Meta(ge=1, le=1e9)]
 Count = Annotated[int, Meta(ge=1, le=10**9)]
@@ -61,7 +61,7 @@
     # "balancer": each balancer enforces the full limits.
     of: Literal["fleet", "balancer"] = "fleet"
     # Maximum random addition to Retry-After, as a fraction of it, against synchronised retries.
-    spread: Share = 0.5
+    spread: Fraction = 0.5
 
 
 class SigningKey(Struct, frozen=True, forbid_unknown_fields=True):
@@ -140,7 +140,7 @@
 
     folder: str  # for the ring's files and for preserved files
     # Fraction of the requests served in time that is written, selected by id.
-    sampled_fraction: Share = field(default=0.01, name="share")
+    sampled_fraction: Fraction = field(default=0.01, name="share")
     minutes: Minutes = 60.0  # time span of the ring
     segment_s: SegmentSeconds = 300.0  # time span of one file
     mb: Megabytes = 256.0  # maximum size of the ring on disk
@@ -185,7 +185,7 @@
 
     settings_file: str = field(name="settings")  # JSON, settings alone or a configuration
     # Fraction of the calls; deciding one twice costs some milliseconds of CPU time.
-    sampled_fraction: Share = field(default=0.02, name="share")
+    sampled_fraction: Fraction = field(default=0.02, name="share")
 
 
 class OperatorFile(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
