--- a/pepperhook/operator_config/schema.py
+++ b/pepperhook/operator_config/schema.py
@@ -89,7 +89,7 @@
     clients: bool = True  # whether to accept it from clients, detected by its preface
     # Protocol for upstreams for which the endpoint list names none.
     upstreams: Literal["http/1.1", "h2"] = "http/1.1"
-    # Maximum of concurrent streams on a connection from a client or to an upstream.
+    # Maximum number of concurrent streams on a connection from a client or to an upstream.
     streams: Annotated[int, Meta(ge=1, le=1000)] = 100
 
 
@@ -181,10 +181,10 @@
 
 
 class ShadowTable(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Candidate settings: a sample of calls is decided with them too, to count differences."""
+    """Candidate settings: a sample of the policy's calls is repeated with them to find differences."""
 
     settings_file: str = field(name="settings")  # JSON, settings alone or a configuration
-    # Fraction of the calls; deciding one twice costs some milliseconds of CPU time.
+    # Fraction of the calls that is repeated; each costs some milliseconds of CPU time.
     sampled_fraction: Fraction = field(default=0.02, name="share")
 
 
