--- a/pepperhook/operator_config/schema.py
+++ b/pepperhook/operator_config/schema.py
@@ -181,7 +181,7 @@
 
 
 class ShadowTable(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Candidate settings: a sample of the policy's calls is repeated with them to find differences."""
+    """Candidate settings, with which a sample of the policy's calls is repeated and compared."""
 
     settings_file: str = field(name="settings")  # JSON, settings alone or a configuration
     # Fraction of the calls that is repeated; each costs some milliseconds of CPU time.
