--- a/pepperhook/operator_config/builder.py
+++ b/pepperhook/operator_config/builder.py
@@ -1,7 +1,7 @@
 """Reads the operator's file and builds the extensions that it turns on.
 
-The order of the extensions is the order in which the server calls their hooks. Only those that are
-on are imported: a balancer's memory counts.
+The order of the extensions is the order in which the server calls their hooks. Only extensions that
+are on are imported, so that a balancer uses no memory for the others.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from pepperhook.server.extensions import Extensions, listed_name
 from pepperhook.server.structured_logging import Log
 
-RATE_LIMIT_KEY = "customers"  # of the extension in documents of the control plane
+RATE_LIMIT_KEY = "customers"  # key of the extension in the control plane's documents
 
 
 def read(path: str | Path) -> schema.OperatorFile:
-    """Read the file. Raises ConfigError, whose text names file, line and key."""
+    """Read the file. Raises ConfigError, whose message names file, line and key."""
     try:
         return tomlfile.read(path, schema.OperatorFile)
     except tomlfile.TomlFileError as error:
@@ -27,9 +27,9 @@
 
 
 def build(path: str, config: Config, log: Log) -> Extensions:
-    """Build what the file at ``path`` turns on, for the balancer of ``config``.
+    """Build the extensions that the file at ``path`` turns on, for the balancer of ``config``.
 
-    Raises ConfigError, whose text is one line with file and key.
+    Raises ConfigError, whose message is one line with file and key.
     """
     operator_file = read(path)
     try:
@@ -38,28 +38,31 @@
         raise ConfigError(f"{path}: {error}") from error
     names = [listed_name(extension) for extension in extensions]
     if operator_file.http2 is not None:
-        names.append("h2")
+        names.append("h2")  # no extension, but listed with them
     log.info("operator_file", path=path, parts=",".join(names) or "none")
     return Extensions(extensions, operator_file.http2)
 
 
 def _build_all(operator_file: schema.OperatorFile, config: Config, log: Log) -> list[Any]:
-    """Build the extensions in the order of their calls."""
-    rate_limit = _rate_limit(operator_file.rate_limit, config)
+    """Build the extensions, in the order in which their hooks are called."""
+    rate_limit = _build_rate_limit(operator_file.rate_limit, config)
     extensions = [
         rate_limit,
-        _request_context(operator_file.request_context, config, log),
-        # Behind the request context: a loop would else wait for itself.
-        _idempotency(operator_file.idempotency, config, log),
-        _capture(operator_file.capture, config, log),
-        # Round the capture: what is captured is what the policy itself is called with.
-        _trace(operator_file.trace, config, log),
-        # Round both: its copies of the policy are neither captured nor traced.
-        _shadow(operator_file.shadow, config, log),
+        _build_request_context(operator_file.request_context, config, log),
+        # After the request context, which ends call loops: a looping request would otherwise wait
+        # for the response to itself.
+        _build_idempotency(operator_file.idempotency, config, log),
+        _build_capture(operator_file.capture, config, log),
+        # Wraps the capture, so that the capture records the calls as the policy itself gets them.
+        _build_trace(operator_file.trace, config, log),
+        # Wraps both, so that the calls of its policy copies are neither captured nor traced.
+        _build_shadow(operator_file.shadow, config, log),
     ]
     _check_fleet_position(operator_file)
-    membership = _membership(operator_file.membership, config, log)
-    control_plane = _control_plane(operator_file.control_plane, config, log, rate_limit, membership)
+    membership = _build_membership(operator_file.membership, config, log)
+    control_plane = _build_control_plane(
+        operator_file.control_plane, config, log, rate_limit, membership
+    )
     extensions += [membership, control_plane]
     return [extension for extension in extensions if extension is not None]
 
@@ -69,10 +72,12 @@
     if membership is None or control_plane is None:
         return
     if membership.sets_fleet_position and control_plane.sets_fleet_position:
-        raise ConfigError("gossip.place: control.place is on, too; a balancer has one place")
+        raise ConfigError(
+            "gossip.place: control.place is on, too; only one of them may set the fleet position"
+        )
 
 
-def _rate_limit(table: schema.RateLimitTable | None, config: Config) -> Any:
+def _build_rate_limit(table: schema.RateLimitTable | None, config: Config) -> Any:
     if table is None:
         return None
     from pepperhook.rate_limit.extension import RateLimitExtension
@@ -80,7 +85,9 @@
     return RateLimitExtension(table, config)
 
 
-def _request_context(table: schema.RequestContextTable | None, config: Config, log: Log) -> Any:
+def _build_request_context(
+    table: schema.RequestContextTable | None, config: Config, log: Log
+) -> Any:
     if table is None:
         return None
     from pepperhook.request_context.extension import RequestContextExtension
@@ -88,7 +95,7 @@
     return RequestContextExtension(table, config, log)
 
 
-def _idempotency(table: schema.IdempotencyTable | None, config: Config, log: Log) -> Any:
+def _build_idempotency(table: schema.IdempotencyTable | None, config: Config, log: Log) -> Any:
     if table is None:
         return None
     from pepperhook.idempotency.extension import Idempotency
@@ -98,7 +105,7 @@
     return Idempotency(table, config, log, peers)
 
 
-def _capture(table: schema.CaptureTable | None, config: Config, log: Log) -> Any:
+def _build_capture(table: schema.CaptureTable | None, config: Config, log: Log) -> Any:
     if table is None:
         return None
     from pepperhook.capture.extension import Capture
@@ -106,7 +113,7 @@
     return Capture(table, config, log)
 
 
-def _trace(table: schema.TraceTable | None, config: Config, log: Log) -> Any:
+def _build_trace(table: schema.TraceTable | None, config: Config, log: Log) -> Any:
     if table is None:
         return None
     from pepperhook.tracing.extension import Tracing
@@ -114,7 +121,7 @@
     return Tracing(table, config, log)
 
 
-def _shadow(table: schema.ShadowTable | None, config: Config, log: Log) -> Any:
+def _build_shadow(table: schema.ShadowTable | None, config: Config, log: Log) -> Any:
     if table is None:
         return None
     from pepperhook.shadow.extension import Shadow
@@ -122,7 +129,7 @@
     return Shadow(table, config, log)
 
 
-def _membership(table: schema.MembershipTable | None, config: Config, log: Log) -> Any:
+def _build_membership(table: schema.MembershipTable | None, config: Config, log: Log) -> Any:
     if table is None:
         return None
     from pepperhook.membership.extension import Gossip
@@ -130,17 +137,17 @@
     return Gossip(table, config, log)
 
 
-def _control_plane(
+def _build_control_plane(
     table: schema.ControlPlaneTable | None,
     config: Config,
     log: Log,
     rate_limit: Any,
     membership: Any,
 ) -> Any:
-    """Build the control plane's extension, and give it those that its documents concern."""
+    """Build the control plane's extension, with the extensions that its documents configure."""
     if table is None:
         return None
     from pepperhook.control_plane.extension import Control
 
-    reconfigured = [] if rate_limit is None else [(RATE_LIMIT_KEY, rate_limit)]
-    return Control(table, config, log, reconfigured, membership)
+    configurable = [] if rate_limit is None else [(RATE_LIMIT_KEY, rate_limit)]
+    return Control(table, config, log, configurable, membership)
--- a/pepperhook/sim_adapter/instance.py
+++ b/pepperhook/sim_adapter/instance.py
@@ -1,4 +1,7 @@
-"""One balancer on the simulator's wire: ids on the outside, objects on the inside, no decisions."""
+"""Translates between the simulator's records and one balancer's calls and actions.
+
+Records refer to requests, attempts and upstreams by id, number or address; calls take objects.
+"""
 
 import json
 from collections.abc import Callable, Sequence
@@ -14,26 +17,26 @@
 from pepperhook.sim_adapter.encoder import encode_action
 from pepperhook.units import MICROSECOND
 
-EndpointLists: TypeAlias = dict[int, list[ListEntry]]  # by their numbers
+EndpointLists: TypeAlias = dict[int, list[ListEntry]]  # by number
 Handler: TypeAlias = Callable[["Instance", Balancer, int, bytes, EndpointLists], Sequence[Action]]
 
 
 class Instance:
-    """Owns one balancer and the maps between its objects and the wire's ids."""
+    """Owns one balancer, and maps the protocol's ids to its objects."""
 
     def __init__(self) -> None:
         """Start without a balancer."""
         self.balancer: Balancer | None = None
         self.settings = Settings()
         self.upstreams: dict[bytes, Upstream] = {}
-        self.requests: dict[object, Request] = {}  # by their ids
+        self.requests: dict[object, Request] = {}  # by id
 
     def handle(
         self, now: int, code: int, fields: bytes, endpoint_lists: EndpointLists
     ) -> Sequence[Action]:
-        """Return the actions of one event; none while no balancer is started.
+        """Handle one event and return the actions; none while no balancer runs.
 
-        Raises MalformedInputError, and whatever a policy raises.
+        Raises MalformedInputError, and any exception of the policy.
         """
         if code == protocol.ATTACH:
             return self._start(now, fields)
@@ -46,9 +49,9 @@
         return handler(self, self.balancer, now, fields, endpoint_lists)
 
     def encode(self, action: Action) -> bytes:
-        """Return the record of an action, and drop the request that it ends."""
+        """Return the encoded record of an action; remove the request that it finishes, if any."""
         if isinstance(action, (RejectRequest, FailRequest)):
-            self._forget(action.request)
+            self._remove_if_finished(action.request)
         return encode_action(action)
 
     def _start(self, now: int, fields: bytes) -> Sequence[Action]:
@@ -66,45 +69,45 @@
             self.upstreams[address] = Upstream(address)
         return self.upstreams[address]
 
-    def _attempt(self, request_id: int, number: int) -> Attempt | None:
-        """Return an attempt by its request's id and its own number, while it is known."""
+    def _attempt(self, request_id: int, attempt_number: int) -> Attempt | None:
+        """Return an attempt by its request's id and its number; None if it is unknown."""
         request = self.requests.get(request_id)
-        if request is None or number >= len(request.attempts):
+        if request is None or attempt_number >= len(request.attempts):
             return None
-        return request.attempts[number]
+        return request.attempts[attempt_number]
 
-    def _forget(self, request: Request) -> None:
-        """Drop a request that no later event names."""
+    def _remove_if_finished(self, request: Request) -> None:
+        """Remove a finished request without open attempts, as no later event refers to it."""
         if request.finished and not request.open_attempts:
             self.requests.pop(request.id, None)
 
-    def _load_report(self, fields: bytes, start: int, what: str) -> LoadReport | None:
-        """Read a load report, by the names that the policy has for its figures."""
-        values = codec.read_load_report(fields, start, what)
+    def _load_report(self, fields: bytes, start: int, record_name: str) -> LoadReport | None:
+        """Return the load report at ``start``, with the settings' names for its figures."""
+        values = codec.read_load_report(fields, start, record_name)
         return dict(zip(self.settings.report_figures, values, strict=False)) if values else None
 
-    def _update(self, entry: ListEntry) -> EndpointUpdate:
-        """Return the update of an upstream for the policy, and note what else is listed of it."""
+    def _endpoint_update(self, entry: ListEntry) -> EndpointUpdate:
+        """Store the listed properties of an upstream, and return its update for the policy."""
         upstream = self._upstream(entry.address)
         upstream.kind = entry.kind
         upstream.units = entry.units
         upstream.cell = entry.cell
         upstream.zone = entry.zone
-        state = protocol.STATES.get(entry.state, protocol.UNKNOWN_STATE)
+        state = protocol.STATES.get(entry.state, protocol.STATE_FOR_UNKNOWN_CODE)
         return EndpointUpdate(upstream, state, entry.started_us * MICROSECOND)
 
-    # Handlers of events, by HANDLERS.
+    # Event handlers; HANDLERS maps the codes to them.
 
     def _endpoints_changed(
         self, balancer: Balancer, now: int, fields: bytes, endpoint_lists: EndpointLists
     ) -> Sequence[Action]:
-        _, scope, number = codec.unpack(protocol.FLEET_FIELDS, fields, "FLEET")
+        _, scope, list_number = codec.unpack(protocol.FLEET_FIELDS, fields, "FLEET")
         if scope == protocol.FAILED:
             return balancer.endpoint_poll_failed(now)
-        if number not in endpoint_lists:
-            raise MalformedInputError(f"FLEET: no list has the number {number}")
-        updates = [self._update(entry) for entry in endpoint_lists[number]]
-        return balancer.endpoints_changed(now, scope in protocol.WHOLE_LISTS, updates)
+        if list_number not in endpoint_lists:
+            raise MalformedInputError(f"FLEET: no endpoint list has the number {list_number}")
+        updates = [self._endpoint_update(entry) for entry in endpoint_lists[list_number]]
+        return balancer.endpoints_changed(now, scope in protocol.WHOLE_LIST_SCOPES, updates)
 
     def _request_arrived(
         self, balancer: Balancer, now: int, fields: bytes, _: EndpointLists
@@ -114,6 +117,8 @@
         )
         classes = self.settings.service_classes
         has_cost = flags & protocol.HAS_COST and cost_us
+        # An unknown service class is treated as the last one, and an unknown tenant as none. Key 0
+        # is no key.
         request = Request(
             request_id,
             classes[min(class_number, len(classes) - 1)],
@@ -130,26 +135,28 @@
         self, balancer: Balancer, now: int, fields: bytes, _: EndpointLists
     ) -> Sequence[Action]:
         layout = protocol.REPLY_FIELDS
-        request_id, number, _, outcome, took_us, is_final = codec.unpack(layout, fields, "REPLY")
-        attempt = self._attempt(request_id, number)
+        request_id, attempt_number, _, outcome, duration_us, is_final = codec.unpack(
+            layout, fields, "REPLY"
+        )
+        attempt = self._attempt(request_id, attempt_number)
         if attempt is None:
             return ()
         actions = balancer.attempt_ended(
             now,
             attempt,
-            protocol.OUTCOMES.get(outcome, protocol.UNKNOWN_OUTCOME),
-            took_us * MICROSECOND,
+            protocol.OUTCOMES.get(outcome, protocol.OUTCOME_FOR_UNKNOWN_CODE),
+            duration_us * MICROSECOND,
             bool(is_final),
             self._load_report(fields, layout.size, "REPLY"),
         )
-        self._forget(attempt.request)
+        self._remove_if_finished(attempt.request)
         return actions
 
     def _response_started(
         self, balancer: Balancer, now: int, fields: bytes, _: EndpointLists
     ) -> Sequence[Action]:
-        request_id, _, number, _ = codec.unpack(protocol.STARTED_FIELDS, fields, "STARTED")
-        attempt = self._attempt(request_id, number)
+        request_id, _, attempt_number, _ = codec.unpack(protocol.STARTED_FIELDS, fields, "STARTED")
+        attempt = self._attempt(request_id, attempt_number)
         return () if attempt is None else balancer.response_started(now, attempt)
 
     def _client_left(
@@ -160,19 +167,19 @@
         if request is None:
             return ()
         actions = balancer.client_left(now, request)
-        self._forget(request)
+        self._remove_if_finished(request)
         return actions
 
     def _health_check_ended(
         self, balancer: Balancer, now: int, fields: bytes, _: EndpointLists
     ) -> Sequence[Action]:
         layout = protocol.SAMPLED_FIELDS
-        address, outcome, took_us = codec.unpack(layout, fields, "SAMPLED")
+        address, outcome, duration_us = codec.unpack(layout, fields, "SAMPLED")
         return balancer.health_check_ended(
             now,
             self._upstream(address),
-            protocol.OUTCOMES.get(outcome, protocol.UNKNOWN_OUTCOME),
-            took_us * MICROSECOND,
+            protocol.OUTCOMES.get(outcome, protocol.OUTCOME_FOR_UNKNOWN_CODE),
+            duration_us * MICROSECOND,
             self._load_report(fields, layout.size, "SAMPLED"),
         )
 
