--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -32,7 +32,7 @@
 from tests.idempotency import balancers
 from tests.server.balancers import RunningBalancer
 from tests.server.peers import ScriptedPeer, make_response
-from tests.world import loopback
+from tests.world import Peer, loopback
 
 STORED = Path(__file__).parent / "data" / "stored-0.2"
 SECRET = "a long secret of the installation"
@@ -418,7 +418,7 @@
         journal=str(copy_journal(tmp_path)), window_s={"hold": 60.0}
     )
     async with (
-        ScriptedPeer(lambda _, body: make_response(body=b"again " + body)) as peer,
+        Peer(lambda _, body: make_response(body=b"again " + body)) as peer,
         balancers.running(peer, extension) as balancer,
     ):
         assert extension.told()["keys"] == 7, "a key that was not executed is dropped"
