--- a/pepperhook/operator_config/schema.py
+++ b/pepperhook/operator_config/schema.py
@@ -39,7 +39,7 @@
         raise ParentPatternError(f"trace.parent: {error}") from error
     if groups != 1:
         raise ParentPatternError(
-            "trace.parent: needs exactly one group, which captures the id of the parent request"
+            "trace.parent: one group is wanted, the id that an id was made for"
         )
 
 
