--- a/pepperhook/membership/addresses.py
+++ b/pepperhook/membership/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of members: IP literals on the wire, names at most in the operator's file."""
+"""Addresses of members: IP literals on the wire; only the operator's file may have host names."""
 
 import socket
 
@@ -8,7 +8,7 @@
 
 
 def family_of(host: str) -> socket.AddressFamily:
-    """Return the family of an IP literal."""
+    """Return the address family of an IP literal."""
     return socket.AF_INET6 if ":" in host else socket.AF_INET
 
 
@@ -22,15 +22,15 @@
 
 
 def is_valid_address(address: Address) -> bool:
-    """Return whether a datagram may be sent there without a look at any resolver."""
+    """Return whether the host is an IP literal, which needs no resolver, and the port is valid."""
     host, port = address
     return 0 < port <= MAX_PORT and is_ip_literal(host)
 
 
 def resolve(address: Address) -> Address:
-    """Return an address with a literal in place of a name; blocks. Raises OSError, ValueError."""
+    """Return the address with its host as an IP literal; blocks. Raises OSError, ValueError."""
     host, port = address
     if is_ip_literal(host):
         return address
-    row = socket.getaddrinfo(host, port, type=socket.SOCK_DGRAM)[0]
-    return str(row[4][0]), port
+    first_result = socket.getaddrinfo(host, port, type=socket.SOCK_DGRAM)[0]
+    return str(first_result[4][0]), port
--- a/pepperhook/membership/anti_entropy.py
+++ b/pepperhook/membership/anti_entropy.py
@@ -1,8 +1,8 @@
-"""Exchange of records that two members see differently.
+"""Anti-entropy: exchange of the records in which the tables of two members differ.
 
-Updates are passed on for a while only; whoever misses one, joins, or was on the other side of a
-split network gets it here. Pages of records in datagrams replace the whole table over TCP that
-other implementations send.
+Each update is disseminated for a limited time only. A member that misses one, joins, or was on the
+other side of a split network gets it by this exchange. Other implementations send the whole table
+over TCP; this one sends pages of records in datagrams.
 """
 
 from pepperhook.membership.counters import ProtocolCounters
@@ -13,15 +13,15 @@
 from pepperhook.membership.seeded_random import SeededRandom
 from pepperhook.membership.settings import ProtocolSettings
 
-PAGE_RECORDS = 12  # that fit one datagram
-# Of one answer: or a thousand that join by one seed would have it send a thousand whole tables.
+PAGE_RECORDS = 12  # fit in one datagram
+# In one answer. Without the limit, a seed by which a thousand members join would send a thousand
+# whole tables.
 MAX_PAGES = 16
-# More pending updates than two or three datagrams carry.
-MANY_UPDATES = 40
+MANY_PENDING_UPDATES = 40  # more than two or three datagrams carry
 
 
 class AntiEntropy:
-    """Decides when tables are compared, and what is sent then."""
+    """Decides when to compare tables with another member, and which records to send."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         random: SeededRandom,
         counters: ProtocolCounters,
     ) -> None:
-        """Work on a member's own table, update buffer and counters."""
+        """Use the local member's table, update buffer and counters."""
         self._settings = settings
         self._table = table
         self._updates = updates
@@ -39,12 +39,13 @@
         self._counters = counters
 
     def should_sync(self, now: int, message: Message) -> bool:
-        """Return whether to compare tables with a sender whose digest differs, and note it."""
+        """Return whether to compare tables with the sender, and record the time if so."""
         if message.digest is None or self._table.digest.equals(message.digest):
             return False
-        if 0 < len(self._updates) < MANY_UPDATES:
-            # What differs is likely on its way. With more updates the tables are compared all the
-            # same: a thousand members that join at once would never stop having some.
+        if 0 < len(self._updates) < MANY_PENDING_UPDATES:
+            # The pending updates probably remove the difference. With many pending updates the
+            # tables are compared nevertheless: while a thousand members join at once, some updates
+            # are always pending.
             return False
         member = self._table.others.get(message.sender.name)
         if member is None or now - member.last_sync_ns < self._settings.rejoin_interval_ns:
@@ -55,8 +56,8 @@
     def pages(self, message: Message, request_records: bool) -> list[Outgoing]:
         """Return the records of buckets in which the sender's digest differs.
 
-        With ``request_records`` the last page bears this member's digest, which asks for the
-        sender's records in turn; those of buckets that are the same by then need not come.
+        With ``request_records`` the last page carries this member's digest, which requests the
+        sender's records in return, of those buckets alone that still differ after these pages.
         """
         digest = message.digest
         if digest is None or len(digest) != BUCKETS:
@@ -75,10 +76,10 @@
         ]
 
     def _records_in(self, buckets: set[int]) -> list[MemberRecord]:
-        """Return as many records as an answer bears, from a drawn bucket on."""
-        first = self._random.below(BUCKETS)
+        """Return at most one answer's records of these buckets, starting at a random bucket."""
+        first_bucket = self._random.below(BUCKETS)
         records = [record for record in self._table.records() if bucket_of(record.name) in buckets]
-        records.sort(key=lambda record: (bucket_of(record.name) - first) % BUCKETS)
+        records.sort(key=lambda record: (bucket_of(record.name) - first_bucket) % BUCKETS)
         return records[: PAGE_RECORDS * MAX_PAGES]
 
     def _page(self, message: Message, records: list[MemberRecord], with_digest: bool) -> Outgoing:
@@ -94,10 +95,10 @@
         return Outgoing(message.sender.address, page)
 
     def query_page(self, message: Message) -> Outgoing:
-        """Return the page of the table that an operator's tool asks for."""
+        """Return the page of the table that an operator's tool requests."""
         records = sorted(self._table.records(), key=lambda record: record.name)
-        asked = message.payload
-        number = asked if isinstance(asked, int) and asked >= 0 else 0
+        requested = message.payload
+        number = requested if isinstance(requested, int) and requested >= 0 else 0
         page = Message(
             MessageType.RECORDS,
             message.sequence,
--- a/pepperhook/membership/composer.py
+++ b/pepperhook/membership/composer.py
@@ -1,4 +1,4 @@
-"""Composes the messages of one member, each with piggybacked updates."""
+"""Composes the messages of the local member, each with piggybacked updates."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 class MessageComposer:
-    """Composes messages in the name of the local member."""
+    """Composes messages with the local member as their sender."""
 
     def __init__(self, table: MemberTable, updates: Dissemination) -> None:
         """Take the sender's record and digest from ``table``, and updates from ``updates``."""
@@ -20,7 +20,7 @@
         return self.to_member(MessageType.PING, sequence, target, self._table.digest.as_list())
 
     def sync(self, address: Address, name: str = "") -> Outgoing:
-        """Return a request to compare tables, to whoever is at the address if there is no name."""
+        """Return a request to compare tables; without a name, for any member at the address."""
         return self._compose(address, name, MessageType.SYNC, 0, self._table.digest.as_list())
 
     def to_member(
--- a/pepperhook/membership/datagram.py
+++ b/pepperhook/membership/datagram.py
@@ -2,12 +2,13 @@
 
     datagram = "PG1" key_length:u8 key_id mac:16 payload
 
-The payload is a MessagePack array; the MAC is HMAC-SHA256 (RFC 2104) truncated to 16 bytes, of the
-payload by a key of the installation. Replayed datagrams do no harm, so none is remembered: updates
-are ordered by incarnations, which only the members themselves raise; an answer counts for the one
-probe of its sequence number; and answers go to the address in the sender's record, not to a
-datagram's source, so nobody can be flooded in another's name by more than what the installation
-itself once sent.
+The payload is a MessagePack array. The MAC is the HMAC-SHA256 (RFC 2104) of the payload with a key
+of the installation, truncated to 16 bytes.
+
+Replayed datagrams do no harm, so there is no replay detection: updates are ordered by incarnation,
+which only the member itself raises; an answer counts only for the probe with its sequence number;
+and answers go to the address in the sender's record, not to the source address of the datagram, so
+replays can flood nobody with more than the installation itself once sent.
 """
 
 import hashlib
@@ -24,26 +25,26 @@
 KEY_LENGTH_BYTES = 1
 MAC_BYTES = 16
 HEADER_BYTES = len(MAGIC) + KEY_LENGTH_BYTES
-MAX_DATAGRAM_BYTES = 1400  # whole in one packet on any Ethernet
+MAX_DATAGRAM_BYTES = 1400  # fits in one packet on any Ethernet
 MAX_NAME_LENGTH = 64
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(Message)
 
 
 class DatagramError(PepperhookError, ValueError):
-    """A message or datagram that can't be exchanged."""
+    """A message that cannot be sent, or a datagram that cannot be received."""
 
 
 class InvalidDatagramError(DatagramError):
-    """Not a datagram of this installation; the text says why."""
+    """A received datagram that is not valid, with the reason as its text."""
 
 
 class DatagramTooLargeError(DatagramError):
-    """A message that does not fit one packet."""
+    """A message that does not fit in one packet."""
 
 
 def encode(message: Message, keys: KeyRing) -> bytes:
-    """Return the datagram of a message, signed by the first key.
+    """Return the datagram of a message, signed with the first key.
 
     Raises DatagramTooLargeError.
     """
@@ -53,13 +54,13 @@
     data = MAGIC + bytes([len(key_id)]) + key_id + mac + payload
     if len(data) > MAX_DATAGRAM_BYTES:
         raise DatagramTooLargeError(
-            f"a datagram of {len(data)} bytes; {MAX_DATAGRAM_BYTES} at the most"
+            f"a datagram of {len(data)} bytes exceeds the limit of {MAX_DATAGRAM_BYTES}"
         )
     return data
 
 
 def decode(data: bytes, keys: KeyRing) -> Message:
-    """Return the message of a datagram. Its MAC is verified before any of its payload is decoded.
+    """Return the message of a datagram, whose MAC is verified before the payload is decoded.
 
     Raises InvalidDatagramError.
     """
@@ -73,7 +74,7 @@
 
 
 def payload_mac(keys: KeyRing, key_id: str, payload: bytes) -> bytes:
-    """Return the truncated MAC of a payload by one key."""
+    """Return the truncated MAC of a payload with the given key."""
     return hmac.new(keys.secrets[key_id], payload, hashlib.sha256).digest()[:MAC_BYTES]
 
 
@@ -90,7 +91,7 @@
         raise InvalidDatagramError(f"no key has the id {key_id!r:.40}")
     payload = data[mac_end:]
     if not hmac.compare_digest(payload_mac(keys, key_id, payload), data[key_end:mac_end]):
-        raise InvalidDatagramError("the MAC does not fit")
+        raise InvalidDatagramError("the MAC does not match")
     return payload
 
 
@@ -100,10 +101,10 @@
         if message.type == MessageType.PING_REQ:
             message.payload = msgspec.convert(message.payload, MemberRecord)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise InvalidDatagramError(f"of another version: {error}") from error
+        raise InvalidDatagramError(f"the payload is of another version: {error}") from error
     return message
 
 
 def _is_valid(record: MemberRecord) -> bool:
-    # A datagram to what is no literal would close the socket, or wait for a resolver.
+    # Sending to a host that is no IP literal would close the socket or wait for a resolver.
     return 0 < len(record.name) <= MAX_NAME_LENGTH and is_valid_address(record.address)
--- a/pepperhook/membership/dissemination.py
+++ b/pepperhook/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""The update buffer: updates ride on probes and answers, each so often as reaches all members."""
+"""Dissemination: pending updates are piggybacked on messages until all members likely have them."""
 
 from dataclasses import dataclass, field
 from math import ceil, log2
@@ -8,22 +8,22 @@
 from pepperhook.membership.settings import ProtocolSettings
 from pepperhook.membership.suspicion import SuspicionTimers
 
-PIGGYBACK_BYTES = 900  # of a datagram, for updates
-# Of a record beside its strings, and of a string beside its characters, in MessagePack.
+PIGGYBACK_BYTES = 900  # of each datagram, for updates
+# MessagePack overhead: of a record beyond its strings, and of a string beyond its characters.
 RECORD_OVERHEAD_BYTES = 28
 STRING_OVERHEAD_BYTES = 2
 
 
 @dataclass(slots=True)
 class Piggyback:
-    """Updates that ride on one message, and one accuser for each suspect among them."""
+    """Updates to send with one message, and one accuser for each suspect among them."""
 
     updates: list[MemberRecord] = field(default_factory=list)
     accusers: list[str] = field(default_factory=list)
 
 
 class Dissemination:
-    """Members whose records are being passed on, with the number of transmissions of each."""
+    """Members whose records are being disseminated, with the number of transmissions of each."""
 
     def __init__(
         self, settings: ProtocolSettings, table: MemberTable, suspicions: SuspicionTimers
@@ -39,32 +39,32 @@
         return len(self.transmissions)
 
     def enqueue(self, name: str) -> None:
-        """Begin to pass on a member's record."""
+        """Begin to disseminate a member's record, or begin again."""
         self.transmissions[name] = 0
 
     def discard(self, name: str) -> None:
-        """Pass on a member's record no longer."""
+        """Stop disseminating a member's record."""
         self.transmissions.pop(name, None)
 
     def retransmit_limit(self) -> int:
-        """Return how often an update is sent before all members are likely to have it."""
+        """Return how many times to send an update, so that all members are likely to receive it."""
         return ceil(self._settings.retransmit_multiplier * log2(self._table.cluster_size + 1))
 
     def piggyback(self, recipient: str) -> Piggyback:
         """Choose the updates for a message, those sent least often first, and count them."""
         piggyback = Piggyback()
-        room = PIGGYBACK_BYTES
+        remaining_bytes = PIGGYBACK_BYTES
         limit = self.retransmit_limit()
         for name in self._by_urgency(recipient):
             record = self._table.record_of(name)
             accusers = self._suspicions.accusers_of(name)
             size = update_size(record, accusers)
-            if size > room:
+            if size > remaining_bytes:
                 break
-            room -= size
+            remaining_bytes -= size
             piggyback.updates.append(record)
             if accusers:
-                # In turn, so that each accuser is heard of as a confirmation.
+                # The accusers in turn, as each of them counts as a confirmation for the receiver.
                 turn = self.transmissions.get(name, 0)
                 piggyback.accusers.append(accusers[turn % len(accusers)])
             self._count_transmission(name, limit)
@@ -73,7 +73,7 @@
     def _by_urgency(self, recipient: str) -> list[str]:
         names = sorted(self.transmissions, key=self.transmissions.__getitem__)
         if recipient in self._suspicions:
-            # A suspect hears of its suspicion from all that talk to it, and can refute it
+            # Every message to a suspect informs it of its suspicion, so that it can refute it
             # (Lifeguard's buddy system).
             names = [recipient, *(name for name in names if name != recipient)]
         return names
@@ -87,7 +87,7 @@
 
 
 def update_size(record: MemberRecord, accusers: list[str]) -> int:
-    """Return an upper bound of an update's size in a datagram, in bytes."""
+    """Return an upper bound of the size of an update in a datagram, in bytes."""
     size = len(record.name) + len(record.address[0]) + RECORD_OVERHEAD_BYTES
     if accusers:
         size += len(accusers[0]) + STRING_OVERHEAD_BYTES
--- a/pepperhook/membership/extension.py
+++ b/pepperhook/membership/extension.py
@@ -1,4 +1,4 @@
-"""Runs the membership protocol in a balancer: one datagram socket, one timer, and log lines."""
+"""Runs the membership protocol in a balancer, with one datagram socket and one timer."""
 
 import asyncio
 import socket
@@ -25,29 +25,31 @@
 from pepperhook.operator_config.schema import MembershipTable
 from pepperhook.server import config
 
-PROBE_TIMEOUT_SHARE = 0.3  # of a probe period
-RESOLVE_INTERVAL_S = 10.0  # between looks for the addresses of seeds that have none yet
-LEAVE_DELAY_S = 0.05  # for the announcement to go out, before the socket is closed
+PROBE_TIMEOUT_FRACTION = 0.3  # of a probe period
+RESOLVE_INTERVAL_S = 10.0  # between attempts to resolve the host names of seeds
+LEAVE_DELAY_S = 0.05  # to send the announcement before the socket is closed
 MIN_TIMER_S = 0.001
-REJECTIONS_LOGGED = (1, 10, 100, 1000)  # or a flood of datagrams would be one of log lines
-# Longest suspicion of a member in bad local health, times that of one in good health.
+# Numbers of rejected datagrams at which to log a warning, so that a flood does not fill the log.
+REJECTIONS_LOGGED = (1, 10, 100, 1000)
+# Ratio of the longest suspicion held by a member in bad local health to that by a healthy one.
 SLOW_MEMBER_FACTOR = 3
 
 
 class SocketClosedError(PepperhookError):
-    """The socket was closed, though nobody here closed it."""
+    """The socket was closed by something other than this extension."""
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """The extension. The ``operator_file`` log line names it by its class.
+    """The membership extension. Its class name appears in the ``operator_file`` log line.
 
-    ``config_version`` returns what this balancer runs, and ``on_position_change`` is called when
-    its position in the fleet has changed; the control plane replaces both where it is on.
+    ``config_version`` returns the configuration version that this balancer runs, and
+    ``on_position_change`` is called when its position in the fleet has changed. The control plane
+    replaces both if it is enabled.
     """
 
-    # The server's node, platform and log are untyped as yet.
+    # The server's node, platform and log have no types yet.
     def __init__(self, settings: MembershipTable, platform: Any, log: Any) -> None:
-        """Prepare a member. Raises ValueError where an address of the settings is wrong."""
+        """Create a member. Raises ValueError if an address of the settings is invalid."""
         self.settings = settings
         self.platform = platform
         self.log = log
@@ -57,7 +59,7 @@
             config.parse_address(f"gossip.seeds[{index}]", seed)
             for index, seed in enumerate(settings.seeds)
         ]
-        # Resolved off the event loop, which a resolver would hold up.
+        # Host names are resolved later, off the event loop, which a resolver would block.
         self.named_seeds = [seed for seed in seeds if not is_valid_address(seed)]
         self.protocol = SwimProtocol(
             self._local_record(),
@@ -79,14 +81,14 @@
         self.transport: asyncio.DatagramTransport | None = None
         self.open_task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._closed: asyncio.Future[None] | None = None  # done when the socket is
+        self._closed: asyncio.Future[None] | None = None  # done when the socket is closed
         self._was_open = False
         self._is_leaving = False
         self._table_version = 0
 
     @staticmethod
     def now() -> int:
-        """Return the protocol's time, in nanoseconds."""
+        """Return the protocol's monotonic time, in nanoseconds."""
         return time.monotonic_ns()
 
     @property
@@ -95,20 +97,20 @@
         return tier
 
     def _local_record(self) -> MemberRecord:
-        # Unix time, so that a former lifecycle's incarnation is lower without one kept on disk; a
-        # clock that was set back is made up for by refutation.
+        # Unix time exceeds the incarnation of the previous lifecycle, which need not be stored on
+        # disk then. If the clock was set back, refutation raises the incarnation.
         incarnation = time.time_ns() // NS_PER_MS
         return MemberRecord(self.platform.name, self.listen, self._tier, incarnation)
 
     # Hook points of the server.
 
     def started(self, node: Any) -> None:
-        """Open the socket, as the balancer is up."""
+        """Start the task that opens the socket, once the balancer has started."""
         self.node = node
-        self.open_task = node.runtime.supervisor.start("gossip socket", self._keep_open)
+        self.open_task = node.runtime.supervisor.start("gossip socket", self._run_socket)
 
     async def left(self) -> None:
-        """Announce that this balancer leaves, and close the socket."""
+        """Announce this balancer's departure, and close the socket."""
         self._is_leaving = True
         if self._timer is not None:
             self._timer.cancel()
@@ -134,11 +136,11 @@
 
     # Datagrams.
 
-    async def _keep_open(self) -> None:
-        """Open the socket, and return when it is closed at the end of this balancer.
+    async def _run_socket(self) -> None:
+        """Open the socket, and return when it is closed as this balancer leaves.
 
-        Raises OSError where it cannot be opened again, and SocketClosedError where it was closed by
-        anything else: the supervisor begins this again then.
+        Raises OSError if it cannot be reopened, and SocketClosedError if it was closed for another
+        reason; the supervisor restarts this task in both cases.
         """
         await self._resolve_seeds()
         listen = "{}:{}".format(*self.listen)
@@ -147,7 +149,7 @@
         try:
             await loop.create_datagram_endpoint(lambda: self, local_addr=self.listen)
         except OSError as error:
-            # A balancer serves without a view of the others, too, by its settings' fleet size.
+            # Without gossip the balancer still serves, with the fleet size of its settings.
             self.log.error("gossip_disabled", listen=listen, error=error.strerror or error)
             if self._was_open:
                 raise
@@ -161,38 +163,38 @@
         await closed
 
     async def _resolve_seeds(self) -> None:
-        """Find the addresses of seeds that the operator's file has by names."""
+        """Resolve the seeds that the operator's file gives by host name."""
         loop = asyncio.get_running_loop()
         for seed in list(self.named_seeds):
             host, port = seed
             try:
-                rows = await loop.getaddrinfo(
+                results = await loop.getaddrinfo(
                     host, port, family=family_of(self.listen[0]), type=socket.SOCK_DGRAM
                 )
             except (OSError, ValueError) as error:
                 self.log.warning("gossip_seed_unknown", host=host, error=error)
                 continue
             self.named_seeds.remove(seed)
-            self.protocol.add_seed((str(rows[0][4][0]), port))
+            self.protocol.add_seed((str(results[0][4][0]), port))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket's transport."""
+        """Store the socket's transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Have the socket opened again, unless this balancer leaves."""
+        """End the socket's task, with an error to have it restarted unless this balancer leaves."""
         if self._closed is None or self._closed.done():
             return
         if self._is_leaving:
             self._closed.set_result(None)
         else:
-            self._closed.set_exception(SocketClosedError(f"closed by itself: {exc!r}"))
+            self._closed.set_exception(SocketClosedError(f"closed unexpectedly: {exc!r}"))
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that an earlier datagram reached nobody: its probe times out."""
+        """Ignore that an earlier datagram was not delivered: its probe times out."""
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Pass on a message to the protocol, and send what it answers."""
+        """Pass a valid message to the protocol, and send the protocol's answers."""
         now = self.now()
         self.counters.datagrams_in += 1
         if not self.rate_limiter.admit(now, addr):
@@ -229,27 +231,27 @@
         self.counters.bytes_out += len(data)
         self.transport.sendto(data, address)
 
-    # Time.
+    # Timer.
 
     def _run_due(self) -> None:
-        """Do what is due, act on a changed view, and set the timer for what is due next."""
+        """Process what is due, and set the timer for the next deadline."""
         if self.transport is None or self.transport.is_closing():
             return
         runtime = self.node.runtime
-        runtime.supervisor.guard("gossip", self._do_what_is_due)
+        runtime.supervisor.guard("gossip", self._process_due)
         if self._timer is not None:
             self._timer.cancel()
         delay_s = (self.protocol.next_deadline() - self.now()) / NS_PER_S
         self._timer = runtime.loop.call_later(max(MIN_TIMER_S, delay_s), self._run_due)
 
-    def _do_what_is_due(self) -> None:
+    def _process_due(self) -> None:
         now = self.now()
         self.protocol.view.announce_config_version(self.config_version())
         self._send(self.protocol.tick(now))
         self._update_position(now)
 
     def _update_position(self, now: int) -> None:
-        grown = self._take_view(now)
+        grown = self._update_from_view(now)
         shrunk = self.position.settle(now)
         if (grown or shrunk) and self.settings.sets_fleet_position:
             self.log.info(
@@ -260,27 +262,27 @@
             )
             self.on_position_change()
 
-    def _take_view(self, now: int) -> bool:
-        """Pass on a view that has changed; return whether the position changed by it."""
+    def _update_from_view(self, now: int) -> bool:
+        """Update the position if the view has changed; return whether the position changed."""
         table = self.protocol.table
         if table.version == self._table_version:
             return False
         self._table_version = table.version
-        before = self.position.present
+        previous = self.position.present
         present = table.present_names(self._tier)
         changed = self.position.update(now, present, table.departed_names(self._tier))
-        self._log_changes(before, frozenset(present))
+        self._log_changes(previous, frozenset(present))
         return changed
 
-    def _log_changes(self, before: frozenset[str], present: frozenset[str]) -> None:
-        for name in sorted(present - before - {self.platform.name}):
+    def _log_changes(self, previous: frozenset[str], present: frozenset[str]) -> None:
+        for name in sorted(present - previous - {self.platform.name}):
             self.log.info("member", name=name, state="joined")
-        for name in sorted(before - present):
+        for name in sorted(previous - present):
             state = "left" if name in self.position.departed else "lost"
             self.log.info("member", name=name, state=state)
 
     def _apply_position(self) -> None:
-        """Apply the settings of the start with this position, where no control plane is on."""
+        """Reconfigure the policy with this position; replaced if a control plane is enabled."""
         settings = replace(
             self.node.config.settings, index=self.position.index, fleet_size=self.position.count
         )
@@ -288,7 +290,7 @@
 
 
 def _resolved_listen(text: str) -> Address:
-    """Return this member's own address, as others are told it. Raises ConfigError."""
+    """Return this member's own address, as other members receive it. Raises ConfigError."""
     address = config.parse_address("gossip.listen", text)
     try:
         return resolve(address)
@@ -297,18 +299,18 @@
 
 
 def protocol_settings(settings: MembershipTable) -> ProtocolSettings:
-    """Return the protocol's timing by the operator's settings."""
+    """Return the protocol's settings for the operator's settings."""
     return ProtocolSettings(
         probe_period_ns=int(settings.probe_period_ms * NS_PER_MS),
-        probe_timeout_ns=int(settings.probe_period_ms * NS_PER_MS * PROBE_TIMEOUT_SHARE),
+        probe_timeout_ns=int(settings.probe_period_ms * NS_PER_MS * PROBE_TIMEOUT_FRACTION),
         suspicion_multiplier=settings.suspicion_multiplier,
     )
 
 
 def settle_time_ns(settings: ProtocolSettings) -> int:
-    """Return how long a view must be stable until all members know of a death.
+    """Return how long a view must be stable before all members know of a death, in nanoseconds.
 
-    It is the longest suspicion of a slow member, and as long again for the update to spread.
+    This is the longest suspicion held by a slow member, and as long again for the update to spread.
     """
     longest_suspicion_ns = int(
         settings.suspicion_multiplier
--- a/pepperhook/membership/local_health.py
+++ b/pepperhook/membership/local_health.py
@@ -1,32 +1,32 @@
-"""Lifeguard's local health: how much a member has reason to think that it is slow itself."""
+"""Lifeguard's local health: a score of the evidence that this member itself is slow."""
 
 MAX_SCORE = 8
 
 
 class LocalHealth:
-    """Score of 0 (healthy) to ``MAX_SCORE``; raises the member's own timeouts with it.
+    """Score from 0 (healthy) to ``MAX_SCORE``, with which the member's own timeouts grow.
 
-    Without it a member that is short of core suspects healthy ones. Dadgar, Phillips, Currey,
+    Without it a member that is short of CPU time suspects healthy ones. Dadgar, Phillips, Currey,
     "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (2017), section IV.A.
     """
 
     def __init__(self) -> None:
-        """Begin healthy."""
+        """Start with the score of a healthy member."""
         self.score = 0
 
     @property
     def multiplier(self) -> int:
-        """The local health multiplier, of probe timeout and period."""
+        """The local health multiplier of the probe timeout and the probe period."""
         return self.score + 1
 
     def degrade(self, by: int = 1) -> None:
-        """Note evidence that this member is slow."""
+        """Raise the score on evidence that this member is slow."""
         self.score = min(MAX_SCORE, self.score + by)
 
     def improve(self) -> None:
-        """Note that an answer came in time."""
+        """Lower the score, as an answer arrived in time."""
         self.score = max(0, self.score - 1)
 
     def set_worst(self) -> None:
-        """Take this member for as slow as can be."""
+        """Set the worst score."""
         self.score = MAX_SCORE
--- a/pepperhook/membership/members.py
+++ b/pepperhook/membership/members.py
@@ -1,4 +1,4 @@
-"""The member table: what this member knows of itself and of all others."""
+"""The member table: what the local member knows of itself and of all others."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -15,21 +15,21 @@
 
 @dataclass(slots=True)
 class Member:
-    """Another member, as this one knows it."""
+    """Another member, as the local one knows it."""
 
     record: MemberRecord
     state_since_ns: int
-    last_sync_ns: int = 0  # when its table was last compared with this one's
+    last_sync_ns: int = 0  # when a comparison of tables was last requested
 
 
 class MemberTable:
-    """Records of all known members, with what is derived from them.
+    """Records of all known members, with the probe order and the digest derived from them.
 
-    ``version`` grows with each change of who is present.
+    ``version`` increases with each change of the set of present members.
     """
 
     def __init__(self, local: MemberRecord, random: SeededRandom) -> None:
-        """Begin with this member alone."""
+        """Create a table of the local member alone."""
         self.local = local
         self.others: dict[str, Member] = {}
         self.probe_order = ProbeOrder(random)
@@ -40,7 +40,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no further member is taken in, which bounds memory under forged growth."""
+        """Whether the limit of members is reached, which bounds memory if members are forged."""
         return len(self.others) >= self.max_members
 
     @property
@@ -65,7 +65,7 @@
         )
 
     def departed_names(self, tier: int | None = None) -> list[str]:
-        """Return the names of members that said themselves that they leave, sorted."""
+        """Return the names of members that announced their departure, sorted."""
         return sorted(
             name
             for name, member in self.others.items()
@@ -85,12 +85,12 @@
         ]
 
     def add(self, record: MemberRecord, now: int) -> None:
-        """Take in a member that was not known, as one that is not present yet."""
+        """Add an unknown member, as one that is not present yet."""
         absent = msgspec.structs.replace(record, state=MemberState.LOST)
         self.others[record.name] = Member(absent, now)
 
     def replace(self, record: MemberRecord, now: int) -> None:
-        """Put a new record in the place of a known member's."""
+        """Replace the record of a known member."""
         member = self.others[record.name]
         previous = member.record
         member.record = record
@@ -111,7 +111,7 @@
         self.version += 1
 
     def update_local(self, **changes: Any) -> None:
-        """Change this member's own record, at a higher incarnation."""
+        """Change the local member's record and raise its incarnation."""
         self.digest.toggle(self.local)
         changes.setdefault("incarnation", self.local.incarnation + 1)
         self.local = msgspec.structs.replace(self.local, **changes)
--- a/pepperhook/membership/messages.py
+++ b/pepperhook/membership/messages.py
@@ -1,4 +1,4 @@
-"""Types that travel between members. Field order is the wire format: structs are arrays there."""
+"""Types of the wire protocol. Structs are encoded as arrays, so their field order is the format."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -20,7 +20,7 @@
 
     @property
     def label(self) -> str:
-        """The state's word in output and log lines."""
+        """The name of the state in output and log lines."""
         return self.name.lower()
 
 
@@ -29,15 +29,15 @@
 
     PING = 0
     ACK = 1
-    NACK = 2  # a helper heard nothing either (Lifeguard)
-    PING_REQ = 3  # probe somebody on the sender's behalf
+    NACK = 2  # the helper got no answer either (Lifeguard)
+    PING_REQ = 3  # probe a member on the sender's behalf
     SYNC = 4  # compare tables
     RECORDS = 5  # a page of a table
-    QUERY = 6  # an operator's tool asks for a page of the table
+    QUERY = 6  # an operator's tool requests a page of the table
 
 
 class MemberRecord(Struct, array_like=True, frozen=True):
-    """What is known of a member, and an update when it travels."""
+    """What is known of a member; in a message it is an update."""
 
     name: str
     address: Address
@@ -48,14 +48,14 @@
 
     @property
     def is_present(self) -> bool:
-        """Whether the member counts as there; a suspected one does until its timeout."""
+        """Whether the member counts as present; a suspect does until its suspicion times out."""
         return self.state <= MemberState.SUSPECT
 
     def overrides(self, known: "MemberRecord") -> bool:
         """Return whether this update replaces what is known (section 4.2 of the SWIM paper).
 
-        A lost or departed member comes back by a higher incarnation alone, which only the member
-        itself raises. An update of a lower incarnation says nothing about the present lifecycle.
+        A lost or departed member returns only with a higher incarnation, which only the member
+        itself raises. An update of a lower incarnation tells nothing about the current lifecycle.
         """
         if self.incarnation != known.incarnation:
             return self.incarnation > known.incarnation
@@ -66,22 +66,23 @@
     """One datagram.
 
     ``payload`` depends on the type: the digest of the sender's table (PING, ACK, SYNC, and RECORDS
-    that want the receiver's records back), the name of the member whose answer is relayed (ACK),
-    the member to probe (PING_REQ), the page asked for (QUERY), or page and number of all records
-    (RECORDS that answer a QUERY). It is untyped as msgspec has no union of two arrays.
+    that request the receiver's records), the name of the member whose answer is relayed (ACK), the
+    member to probe (PING_REQ), the number of the requested page (QUERY), or the page number and the
+    count of all records (RECORDS that answer a QUERY). It has no type, as msgspec does not support
+    a union of two arrays.
     """
 
     type: MessageType
-    sequence: int  # of the probe or query that it belongs to
+    sequence: int  # of the probe or query that the message belongs to
     sender: MemberRecord
-    target: str = ""  # a member of another name at that address does not answer
+    target: str = ""  # only a member of this name answers; any member if empty
     payload: Any = None
     updates: list[MemberRecord] = []
     accusers: list[str] = []  # one for each suspect of ``updates``, in their order
 
     @property
     def digest(self) -> list[int] | None:
-        """The digest of the sender's table, where the message bears one."""
+        """The payload if it is a list, as digests are."""
         return self.payload if isinstance(self.payload, list) else None
 
 
--- a/pepperhook/membership/probe_order.py
+++ b/pepperhook/membership/probe_order.py
@@ -4,13 +4,13 @@
 
 
 class ProbeOrder:
-    """Round robin over present members, shuffled anew for each round.
+    """Round robin over the present members other than the local one, shuffled for each round.
 
-    It bounds the time until a member is first probed (section 4.3 of the SWIM paper).
+    The order bounds the time until a member is first probed (section 4.3 of the SWIM paper).
     """
 
     def __init__(self, random: SeededRandom) -> None:
-        """Draw the order from ``random``."""
+        """Create an empty order, to be shuffled by ``random``."""
         self._random = random
         self.names: list[str] = []
         self.position = 0  # of the next member in this round
@@ -20,22 +20,22 @@
         return len(self.names)
 
     def insert(self, name: str) -> None:
-        """Add a member at a drawn place in what is left of the round.
+        """Insert a member at a random position in the rest of the round.
 
-        At the round's end, members that join last would always be probed last.
+        If it were appended, the members that joined last would always be probed last.
         """
         left_in_round = len(self.names) - self.position
         self.names.insert(self.position + self._random.below(left_in_round + 1), name)
 
     def remove(self, name: str) -> None:
-        """Take out a member."""
+        """Remove a member."""
         index = self.names.index(name)
         self.names.pop(index)
         if index < self.position:
             self.position -= 1
 
     def next(self) -> str | None:
-        """Return the member to probe next; None where nobody is present."""
+        """Return the member to probe next, or None if no other member is present."""
         if not self.names:
             return None
         if self.position >= len(self.names):
--- a/pepperhook/membership/probe_relay.py
+++ b/pepperhook/membership/probe_relay.py
@@ -8,12 +8,12 @@
 from pepperhook.membership.seeded_random import SeededRandom
 from pepperhook.membership.settings import ProtocolSettings
 
-MAX_RELAYED_PROBES = 64  # at a time; further PING-REQs are dropped
+MAX_RELAYED_PROBES = 64  # at a time; further PING_REQ messages are dropped
 
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """A probe of ``target`` that ``requester`` asked for."""
+    """A probe of ``target`` on behalf of ``requester``."""
 
     target: str
     sequence: int
@@ -23,7 +23,7 @@
 
 
 class ProbeRelay:
-    """Probes members on request, and tells the requester whether they answered."""
+    """Probes members on request, and reports to the requester whether they answered."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         random: SeededRandom,
         composer: MessageComposer,
     ) -> None:
-        """Begin with no probe under way."""
+        """Start without any probe in progress."""
         self._settings = settings
         self._table = table
         self._random = random
@@ -40,7 +40,7 @@
         self.probes: list[RelayedProbe] = []
 
     def begin(self, now: int, request: Message) -> list[Outgoing]:
-        """Probe the target of a PING-REQ."""
+        """Probe the target of a PING_REQ."""
         target = request.payload
         if not isinstance(target, MemberRecord) or target.name == self._table.local.name:
             return []
@@ -51,7 +51,7 @@
         probe = RelayedProbe(
             target=target.name,
             sequence=self._random.next_sequence(),
-            # Answered in time for the requester to count it: within what is left of its period.
+            # The ACK or NACK must reach the requester within the rest of its probe period.
             timeout_at_ns=now + self._settings.probe_timeout_ns,
             requester=request.sender,
             requester_sequence=request.sequence,
@@ -60,7 +60,7 @@
         return [self._composer.ping(target, probe.sequence)]
 
     def relay_ack(self, ack: Message) -> list[Outgoing]:
-        """Pass on an answer to those that asked for the probe."""
+        """Relay an answer to the members that requested the probe."""
         answered = [
             probe
             for probe in self.probes
@@ -69,16 +69,16 @@
         return [self._finish(probe, MessageType.ACK, probe.target) for probe in answered]
 
     def expire(self, now: int) -> list[Outgoing]:
-        """Tell the requesters of probes that timed out that nothing was heard."""
+        """Send a NACK to the requester of each probe that timed out."""
         timed_out = [probe for probe in self.probes if probe.timeout_at_ns <= now]
         return [self._finish(probe, MessageType.NACK) for probe in timed_out]
 
     def drop_all(self) -> None:
-        """Drop all probes without an answer."""
+        """Drop all probes without sending an ACK or NACK."""
         self.probes.clear()
 
     def deadlines(self) -> list[int]:
-        """Return when probes time out."""
+        """Return the times at which probes time out."""
         return [probe.timeout_at_ns for probe in self.probes]
 
     def _finish(
--- a/pepperhook/membership/protocol.py
+++ b/pepperhook/membership/protocol.py
@@ -1,20 +1,20 @@
-"""The failure detector of one member: plain decisions, without I/O.
+"""The failure detector of one member, without I/O.
 
-Times are whole nanoseconds of a clock that is never set back. Each call returns the messages to
-send.
+Times are integer nanoseconds of a monotonic clock. The calls return the messages to send.
 
 SWIM (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
-Membership Protocol", DSN 2002): each period one member is probed. One that does not answer is
-probed through others; one that does not answer them either is suspected, and may refute it by a
-higher incarnation, or else is declared lost. Updates are piggybacked on probes and answers.
+Membership Protocol", DSN 2002): each period one member is probed. If it does not answer, other
+members are asked to probe it. If it does not answer them either, it is suspected, and declared lost
+unless it refutes the suspicion with a higher incarnation. Updates are piggybacked on probes and
+answers.
 
 From Lifeguard (Dadgar, Phillips, Currey, 2017): the local health multiplier, negative answers of
 helpers, and suspicions that shorten as more members confirm them.
 
-Beyond both: a process that itself stood still drops its open probes, as their time passed without
-it; records that two members see differently are found by digests and exchanged (``anti_entropy``);
-and lost members are contacted now and then, or two halves of a split network would never find each
-other again.
+Not in either paper: a process that was itself stalled drops its open probes, as their timeouts
+passed while it did not run; records in which two tables differ are found by digests and exchanged
+(``anti_entropy``); and lost members are contacted at intervals, because the two halves of a split
+network would otherwise never find each other again.
 """
 
 from collections.abc import Callable
@@ -38,20 +38,20 @@
 from pepperhook.membership.settings import DEFAULT_SETTINGS, ProtocolSettings
 from pepperhook.membership.view import MembershipView
 
-# Probe periods that a tick may be late before this process takes itself to have stood still.
+# If a tick is late by more probe periods than this, the process must have been stalled.
 STALL_PERIODS = 1.5
 MAX_JOIN_CONTACTS = 8  # seeds or lost members contacted at once while nobody is present
 
 
 @dataclass(slots=True)
 class Probe:
-    """This period's probe."""
+    """The probe of the current period."""
 
     member: Member
     sequence: int
-    timeout_at_ns: int  # others are asked then
+    timeout_at_ns: int  # when other members are asked to probe
     helpers: list[str] | None = None  # members asked to probe; None: not asked yet
-    nacks: int = 0  # helpers that said they heard nothing either
+    nacks: int = 0  # helpers that reported no answer either
 
 
 class SwimProtocol:
@@ -65,7 +65,7 @@
         now: int,
         settings: ProtocolSettings = DEFAULT_SETTINGS,
     ) -> None:
-        """Begin alone; other members are found through ``seeds``."""
+        """Start with the local member alone, which finds others through ``seeds``."""
         self.settings = settings
         self.seeds = [address for address in seeds if address != local.address]
         self.random = SeededRandom(random_seed)
@@ -80,7 +80,7 @@
         self.composer = MessageComposer(self.table, self.view.updates)
         self.relay = ProbeRelay(settings, self.table, self.random, self.composer)
         self.probe: Probe | None = None
-        # At a drawn point of the first period, or all members would probe together.
+        # A random point of the first period, so that the members do not all probe at the same time.
         self.next_period_ns = now + self.random.below(settings.probe_period_ns)
         self._last_rejoin_ns = now - settings.rejoin_interval_ns
         self._handlers: dict[MessageType, Callable[[int, Message], list[Outgoing]]] = {
@@ -96,7 +96,7 @@
     # Timers.
 
     def next_deadline(self) -> int:
-        """Return when ``tick`` is due at the latest."""
+        """Return the time at which ``tick`` must be called."""
         deadlines = [self.next_period_ns]
         deadlines += self.relay.deadlines()
         deadlines += self.view.suspicions.deadlines()
@@ -105,7 +105,7 @@
         return min(deadlines)
 
     def tick(self, now: int) -> list[Outgoing]:
-        """Do all that is due."""
+        """Process all timeouts that are due, and begin a probe period if it is time."""
         late_ns = now - self.next_deadline()
         if late_ns > STALL_PERIODS * self.settings.probe_period_ns:
             self.recover_from_stall(late_ns)
@@ -117,10 +117,10 @@
         return outgoing
 
     def recover_from_stall(self, stalled_ns: int) -> None:
-        """Disregard the time in which this process did not run.
+        """Exclude the time in which this process did not run from its timeouts.
 
-        Else it would begin by suspecting whom it probed last, and declare lost whose refutation
-        waits unread in its socket.
+        Otherwise it would suspect the member that it probed last, and declare members lost whose
+        refutations are still unread in its socket.
         """
         self.counters.stalls += 1
         self.probe = None
@@ -129,7 +129,7 @@
         self.view.suspicions.postpone_all(stalled_ns)
 
     def leave(self) -> list[Outgoing]:
-        """Announce that this member leaves: to some members at once, who pass it on."""
+        """Announce this member's departure to some members, which disseminate it."""
         self.view.leave()
         names = self.random.sample(self.table.probe_order.names, 2 * self.settings.indirect_probes)
         local = self.table.local
@@ -141,7 +141,7 @@
             for name in names
         ]
 
-    # Probes of this member's own.
+    # This member's own probes.
 
     def _begin_period(self, now: int) -> list[Outgoing]:
         if self.probe is not None:
@@ -153,10 +153,10 @@
         return self._probe_next(now) + self._rejoin(now)
 
     def _probe_failed(self, now: int, probe: Probe) -> None:
-        """Suspect a member that has answered nobody through the whole period.
+        """Suspect a member of which no answer arrived in the whole period.
 
-        Helpers that did not even send a NACK, or that could not be found, are evidence that this
-        member is slow itself (Lifeguard).
+        Helpers that did not even send a NACK, or the lack of any helper, are evidence that this
+        member itself is slow (Lifeguard).
         """
         self.local_health.degrade(len(probe.helpers) - probe.nacks if probe.helpers else 1)
         self.view.suspect(now, probe.member, self.table.local.name)
@@ -173,7 +173,7 @@
         return [self.composer.ping(member.record, self.probe.sequence)]
 
     def _probe_indirectly(self, now: int) -> list[Outgoing]:
-        """Ask others to probe a member that has not answered in time."""
+        """Ask other members to probe one that has not answered in time."""
         probe = self.probe
         if probe is None or probe.helpers is not None or probe.timeout_at_ns > now:
             return []
@@ -198,14 +198,14 @@
             self.probe = None
 
     def add_seed(self, address: Address) -> None:
-        """Find other members through one more address."""
+        """Add an address at which to find other members."""
         if address != self.table.local.address and address not in self.seeds:
             self.seeds.append(address)
 
     def _rejoin(self, now: int) -> list[Outgoing]:
-        """Compare tables with a lost member or a seed.
+        """Request a comparison of tables from a lost member or a seed, or from several if alone.
 
-        It is how members join, and how halves of a split network find each other.
+        This is how members join, and how the halves of a split network find each other.
         """
         if now - self._last_rejoin_ns < self.settings.rejoin_interval_ns:
             return []
@@ -223,7 +223,7 @@
     # Messages received.
 
     def receive(self, now: int, message: Message) -> list[Outgoing]:
-        """Take in an authenticated message, and answer it if it is meant for this member's name."""
+        """Process an authenticated message; return answers if it is addressed to this member."""
         sender = message.sender
         local = self.table.local
         if sender.name == local.name:
@@ -231,7 +231,7 @@
             return []
         self._merge_updates(now, message)
         if message.type != MessageType.QUERY:
-            # Whoever queries is an operator's tool, no member.
+            # The sender of a query is an operator's tool, not a member.
             self.view.merge(now, sender, sender.name)
         if message.target not in ("", local.name):
             return []
@@ -249,14 +249,14 @@
         return [ack, *self._sync_if_different(now, message)]
 
     def _on_ack(self, now: int, message: Message) -> list[Outgoing]:
-        if self.probe is not None and self._answers(message, self.probe):
+        if self.probe is not None and self._is_answer(message, self.probe):
             self.probe = None
             self.local_health.improve()
         return self.relay.relay_ack(message) + self._sync_if_different(now, message)
 
     @staticmethod
-    def _answers(ack: Message, probe: Probe) -> bool:
-        """Return whether an ACK is the probed member's own, or relayed by a helper."""
+    def _is_answer(ack: Message, probe: Probe) -> bool:
+        """Return whether an ACK answers the probe, either directly or relayed by a helper."""
         if ack.sequence != probe.sequence:
             return False
         return probe.member.record.name in (ack.sender.name, ack.payload)
--- a/pepperhook/membership/rate_limit.py
+++ b/pepperhook/membership/rate_limit.py
@@ -1,31 +1,31 @@
-"""Limit of the datagrams that are looked at of each sender."""
+"""Rate limit of the datagrams that are processed from each sender."""
 
 from dataclasses import dataclass
 
 from pepperhook.membership.messages import Address
 from pepperhook.membership.settings import NS_PER_S
 
-MAX_DATAGRAMS_PER_S = 100  # of one sender
-MAX_SENDERS = 6000  # with a bucket of their own; beyond it all others share one
+MAX_DATAGRAMS_PER_S = 100  # of each sender; also the burst
+MAX_SENDERS = 6000  # that have their own bucket; all others share one
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """What a sender may still send."""
+    """The datagrams that a sender may still send."""
 
     tokens: float
     updated_ns: int
 
 
 class SenderRateLimiter:
-    """One token bucket for each sender, so that a flood costs a look-up and no HMAC."""
+    """One token bucket for each sender, so that a flood costs look-ups but no HMACs."""
 
     def __init__(self) -> None:
-        """Begin with no sender known."""
+        """Start without any bucket."""
         self.buckets: dict[Address | None, TokenBucket] = {}
 
     def admit(self, now: int, sender: Address) -> bool:
-        """Return whether to look at a datagram of ``sender``, and count it if so."""
+        """Return whether to process a datagram of ``sender``, and take a token if so."""
         bucket = self._bucket(now, sender)
         refill = (now - bucket.updated_ns) * MAX_DATAGRAMS_PER_S / NS_PER_S
         bucket.tokens = min(MAX_DATAGRAMS_PER_S, bucket.tokens + refill)
@@ -46,7 +46,7 @@
         return self.buckets[key]
 
     def _drop_full_buckets(self, now: int) -> None:
-        """Drop senders that were quiet for a second: their buckets are as full as new ones."""
+        """Drop the buckets unused for a second: they are as full as new ones by now."""
         self.buckets = {
             sender: bucket
             for sender, bucket in self.buckets.items()
--- a/pepperhook/membership/seeded_random.py
+++ b/pepperhook/membership/seeded_random.py
@@ -1,4 +1,4 @@
-"""Seeded random draws, so that a run of the protocol can be repeated to the byte."""
+"""Seeded random numbers, so that a run of the protocol can be reproduced exactly."""
 
 from pepperhook.scheduler import random_fraction
 
@@ -6,38 +6,38 @@
 
 
 class SeededRandom:
-    """Draws that depend on the seed and the number of draws before alone."""
+    """Random numbers that depend only on the seed and on the number of earlier draws."""
 
     def __init__(self, seed: int) -> None:
-        """Begin the sequence of ``seed``."""
+        """Start the sequence of ``seed``."""
         self._seed = seed
         self._draws = 0
 
     def fraction(self) -> float:
-        """Draw from 0 up to, without, 1."""
+        """Return a random number from 0 (inclusive) to 1 (exclusive)."""
         self._draws += 1
         drawn: float = random_fraction(b"%d %d" % (self._seed, self._draws))
         return drawn
 
     def below(self, limit: int) -> int:
-        """Draw a whole number from 0 up to, without, ``limit``."""
+        """Return a random integer from 0 (inclusive) to ``limit`` (exclusive)."""
         return int(self.fraction() * limit)
 
     def sample(self, items: list[str], count: int) -> list[str]:
-        """Draw up to ``count`` different items."""
-        rest = list(items)
+        """Return up to ``count`` different items in random order."""
+        remaining = list(items)
         drawn: list[str] = []
-        while rest and len(drawn) < count:
-            drawn.append(rest.pop(self.below(len(rest))))
+        while remaining and len(drawn) < count:
+            drawn.append(remaining.pop(self.below(len(remaining))))
         return drawn
 
     def shuffle(self, items: list[str]) -> None:
-        """Put ``items`` into a drawn order, in place (Fisher and Yates)."""
+        """Shuffle ``items`` in place (Fisher-Yates)."""
         for last in range(len(items) - 1, 0, -1):
-            other = self.below(last + 1)
-            items[last], items[other] = items[other], items[last]
+            chosen = self.below(last + 1)
+            items[last], items[chosen] = items[chosen], items[last]
 
     def next_sequence(self) -> int:
-        """Return a sequence number that no recent message bears."""
+        """Return a sequence number that no recent message has."""
         self._draws += 1
         return self._draws & SEQUENCE_MASK
--- a/pepperhook/membership/settings.py
+++ b/pepperhook/membership/settings.py
@@ -1,4 +1,4 @@
-"""Timing of the membership protocol. Times are whole nanoseconds of a monotonic clock."""
+"""Settings of the membership protocol. Times are integer nanoseconds of a monotonic clock."""
 
 from msgspec import Struct
 
@@ -7,25 +7,26 @@
 
 
 class ProtocolSettings(Struct, frozen=True):
-    """How quick and how patient a member is.
+    """Periods, timeouts and retransmissions of the failure detector.
 
-    With the defaults a death among twenty members is suspected within some two seconds.
+    With the defaults, the death of one of twenty members is suspected within about two seconds.
     """
 
     probe_period_ns: int = NS_PER_S
-    # For a direct answer, before other members are asked to probe.
+    # Time for a direct answer, after which other members are asked to probe.
     probe_timeout_ns: int = 300 * NS_PER_MS
-    # Members asked to probe on one's behalf (k in the SWIM paper).
+    # Number of members asked to probe on this member's behalf (k in the SWIM paper).
     indirect_probes: int = 3
-    # Times log10 of the cluster's size, in probe periods: the shortest suspicion.
+    # Multiplied by log10 of the cluster size: the shortest suspicion, in probe periods.
     suspicion_multiplier: float = 3.0
-    # Times the shortest suspicion: the longest one, of a member in good local health.
+    # Multiplied by the shortest suspicion: the longest one, by a member in good local health.
     max_suspicion_multiplier: float = 3.0
-    # Times log2 of the cluster's size: how often an update is piggybacked (lambda in the paper).
+    # Multiplied by log2 of the cluster size: how often an update is piggybacked (lambda in the
+    # paper).
     retransmit_multiplier: float = 3.0
-    # Between attempts to reach lost members, and seeds while nobody is present.
+    # Between attempts to reach lost members and absent seeds.
     rejoin_interval_ns: int = 5 * NS_PER_S
-    # Members that are lost or have left stay in the table for so long.
+    # How long members that are lost or have left stay in the table.
     forget_after_ns: int = 3600 * NS_PER_S
 
 
--- a/pepperhook/membership/suspicion.py
+++ b/pepperhook/membership/suspicion.py
@@ -7,22 +7,22 @@
 from pepperhook.membership.members import Member, MemberTable
 from pepperhook.membership.settings import ProtocolSettings
 
-# Independent confirmations with which a suspicion lasts its shortest.
+# Confirmations by other members with which a suspicion has its shortest duration.
 MAX_CONFIRMATIONS = 3
 
 
 def suspicion_timeout_ns(
     settings: ProtocolSettings, cluster_size: int, local_health: int, confirmations: int
 ) -> int:
-    """Return how long a suspicion lasts (Lifeguard, section IV.B).
+    """Return the duration of a suspicion, in nanoseconds (Lifeguard, section IV.B).
 
-    It shrinks with the logarithm of the confirmations: the more members say the same, the less
-    likely the fault lies with the first accuser.
+    It shrinks with the logarithm of the confirmations: the more members confirm the suspicion, the
+    less likely it is that the fault lies with the first accuser.
     """
     scale = max(1.0, log(max(2, cluster_size), 10))
     shortest = int(settings.suspicion_multiplier * scale * settings.probe_period_ns)
     longest = shortest * settings.max_suspicion_multiplier * (1 + local_health / 2)
-    # Among two or three members there are not that many who could confirm.
+    # In a small cluster fewer members can confirm the suspicion.
     possible = max(1, min(MAX_CONFIRMATIONS, cluster_size - 2))
     reduction = (longest - shortest) * log(confirmations + 1) / log(possible + 1)
     return int(max(shortest, longest - reduction))
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """A member that is suspected, by whom, and until when."""
+    """The accusers of a suspected member, and the time at which it is declared lost."""
 
     deadline_ns: int
     accusers: set[str]
@@ -42,7 +42,7 @@
     def __init__(
         self, settings: ProtocolSettings, table: MemberTable, local_health: LocalHealth
     ) -> None:
-        """Take timeouts from the cluster's size in ``table`` and from ``local_health``."""
+        """Derive timeouts from the cluster size of ``table`` and from ``local_health``."""
         self._settings = settings
         self._table = table
         self._local_health = local_health
@@ -53,12 +53,12 @@
         return name in self.suspicions
 
     def accusers_of(self, name: str) -> list[str]:
-        """Return who accuses a member, sorted; nobody where it is not suspected."""
+        """Return the accusers of a member, sorted; none if it is not suspected."""
         suspicion = self.suspicions.get(name)
         return sorted(suspicion.accusers) if suspicion is not None else []
 
     def start(self, name: str, accuser: str, now: int) -> None:
-        """Begin a suspicion, or begin it anew."""
+        """Start a suspicion, or restart it."""
         self.suspicions[name] = Suspicion(now + self._timeout_ns(0), {accuser})
 
     def cancel(self, name: str) -> None:
@@ -66,7 +66,7 @@
         self.suspicions.pop(name, None)
 
     def confirm(self, member: Member, accuser: str, now: int) -> bool:
-        """Count another accuser, which shortens the suspicion; return whether it was new."""
+        """Add an accuser, which shortens the suspicion; return whether it was added."""
         suspicion = self.suspicions[member.record.name]
         confirmations = len(suspicion.accusers)
         if accuser in suspicion.accusers or confirmations > MAX_CONFIRMATIONS:
@@ -77,16 +77,16 @@
         return True
 
     def postpone_all(self, by_ns: int) -> None:
-        """Extend all suspicions by a time in which no refutation could be heard."""
+        """Extend all suspicions by a time in which no refutation could be received."""
         for suspicion in self.suspicions.values():
             suspicion.deadline_ns += by_ns
 
     def expired(self, now: int) -> list[str]:
         """Return the names of members whose suspicion has timed out."""
-        return [name for name, held in self.suspicions.items() if held.deadline_ns <= now]
+        return [name for name, suspicion in self.suspicions.items() if suspicion.deadline_ns <= now]
 
     def deadlines(self) -> list[int]:
-        """Return when suspicions time out."""
+        """Return the times at which suspicions time out."""
         return [suspicion.deadline_ns for suspicion in self.suspicions.values()]
 
     def _timeout_ns(self, confirmations: int) -> int:
--- a/pepperhook/membership/view.py
+++ b/pepperhook/membership/view.py
@@ -1,4 +1,4 @@
-"""How this member's view changes: merging updates, suspecting, refuting and leaving."""
+"""Changes to the local member's view: merged updates, suspicions, refutations and departure."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 
 class MembershipView:
-    """The member table with its suspicions and the updates to pass on, kept consistent."""
+    """The member table, its suspicions and its pending updates, which are changed together."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         counters: ProtocolCounters,
         now: int,
     ) -> None:
-        """Begin to pass on this member's own record."""
+        """Start to disseminate the local member's own record."""
         self._settings = settings
         self.table = table
         self.local_health = local_health
@@ -40,14 +40,14 @@
         self._name_defended_ns = now - settings.rejoin_interval_ns
 
     def merge(self, now: int, update: MemberRecord, source: str) -> None:
-        """Take in an update. ``source`` is who says so, which counts where it is a suspicion."""
+        """Merge an update; ``source`` is the accuser if the update is a suspicion."""
         if update.name == self.table.local.name:
             self._merge_about_local(now, update)
             return
         member = self.table.others.get(update.name)
         if member is None:
-            # The death of a member that nobody here knew is not taken in: records of long ago
-            # would come back for ever.
+            # An unknown member that is lost or has left is not added: old records would otherwise
+            # return for ever.
             if update.is_present and not self.table.is_full:
                 self.table.add(update, now)
                 self._apply(now, update, source)
@@ -60,7 +60,7 @@
             self._apply(now, update, source)
 
     def suspect(self, now: int, member: Member, accuser: str) -> None:
-        """Suspect a present member, or confirm that it is suspected."""
+        """Suspect a present member, or confirm an existing suspicion."""
         if member.record.state == MemberState.SUSPECT:
             self._confirm(now, member, accuser)
             return
@@ -69,7 +69,7 @@
         self._apply(now, suspected, accuser)
 
     def expire_suspicions(self, now: int) -> None:
-        """Declare lost whose suspicion has timed out."""
+        """Declare the members lost whose suspicion has timed out."""
         for name in self.suspicions.expired(now):
             self.counters.lost += 1
             suspected = self.table.others[name].record
@@ -77,25 +77,25 @@
             self._apply(now, lost, self.table.local.name)
 
     def forget_absent(self, now: int) -> None:
-        """Drop members that have been lost or departed for long."""
+        """Drop members that were lost or departed more than ``forget_after_ns`` ago."""
         for name in self.table.forget_absent(now, self._settings.forget_after_ns):
             self.updates.discard(name)
 
     def announce_config_version(self, version: int) -> None:
-        """Tell the others which configuration version this member runs, where it changed."""
+        """Disseminate the configuration version that this member runs, if it has changed."""
         if version != self.table.local.config_version:
             self._update_local(config_version=version)
 
     def leave(self) -> None:
-        """Mark this member as departed; it refutes nothing from now on."""
+        """Mark the local member as departed; it refutes no updates from now on."""
         self._update_local(state=MemberState.LEFT)
         self.leaving = True
         self.table.version += 1
 
     def _merge_about_local(self, now: int, update: MemberRecord) -> None:
-        """Refute an update on this member itself where it is wrong, by a higher incarnation.
+        """Refute a wrong update about the local member with a higher incarnation.
 
-        It may be a suspicion, or a record of a former lifecycle whose clock ran ahead.
+        It may be a suspicion, or a record of an earlier lifecycle whose clock was ahead.
         """
         local = self.table.local
         if update.incarnation < local.incarnation or self.leaving or update == local:
@@ -111,9 +111,9 @@
         self._update_local(incarnation=update.incarnation + 1)
 
     def _may_defend_name(self, now: int) -> bool:
-        """Count another process of this member's name, and return whether to outbid it now.
+        """Count a conflict with another process of this name; return whether to override it now.
 
-        Unlimited, the two would outbid each other as fast as updates travel.
+        Without this limit, the two would override each other as fast as updates spread.
         """
         self.counters.name_conflicts += 1
         if now - self._name_defended_ns < self._settings.rejoin_interval_ns:
@@ -126,7 +126,7 @@
         self.updates.enqueue(self.table.local.name)
 
     def _apply(self, now: int, record: MemberRecord, accuser: str) -> None:
-        """Put in place a record that overrides what was known."""
+        """Replace a member's record with one that overrides it."""
         previous = self.table.others[record.name].record
         self.table.replace(record, now)
         if record.state == MemberState.SUSPECT:
--- a/tests/membership/helpers.py
+++ b/tests/membership/helpers.py
@@ -1,4 +1,4 @@
-"""What tests of the membership package share."""
+"""Helpers of the membership tests."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -45,7 +45,7 @@
 
 
 def make_protocol(known: Iterable[str] = ()) -> SwimProtocol:
-    """Return a member that knows others, each by its own message."""
+    """Return a member that knows the ``known`` members, each from its own message."""
     protocol = SwimProtocol(record(LOCAL), [("127.0.0.1", 1)], 3, 0)
     for name in known:
         protocol.view.merge(0, record(name), name)
@@ -53,7 +53,7 @@
 
 
 def state_of(protocol: SwimProtocol, name: str) -> MemberState:
-    """Return the state in which one member has another."""
+    """Return the state of a member in another member's table."""
     return protocol.table.record_of(name).state
 
 
@@ -63,7 +63,7 @@
 
 
 def assert_consistent(protocol: SwimProtocol) -> None:
-    """Check what must hold of a member's books after every step."""
+    """Check that a member's table and all that is derived from it agree, as after every step."""
     table = protocol.table
     states = {name: member.record.state for name, member in table.others.items()}
     present = {name for name in states if table.record_of(name).is_present}
--- a/tests/membership/test_cluster.py
+++ b/tests/membership/test_cluster.py
@@ -1,4 +1,4 @@
-"""Many members in virtual time. All draws come from a seed, so a run is the same each time."""
+"""Clusters in virtual time. All randomness comes from a seed, so every run is the same."""
 
 import random
 
@@ -14,27 +14,26 @@
 MEMBERS = 12
 FAULT_INTERVAL_S = 0.7
 FAULTS = 60
-# Of the network's events; each member's books are checked after one of so many.
-CHECK_EVERY = 7
+CHECK_INTERVAL = 7  # network events between checks of all members
 
 
-def connected(_sender: str, _receiver: str) -> bool:
-    """Cut nothing."""
+def no_cut(_sender: str, _receiver: str) -> bool:
+    """Cut no link between members."""
     return False
 
 
 def run_for(network: Network, seconds: float) -> None:
-    """Pass virtual time."""
+    """Run the network for a number of virtual seconds."""
     network.run(network.now / NS_PER_S + seconds)
 
 
 def split(network: Network, side: set[str]) -> None:
-    """Cut a network in two, both ways."""
+    """Split a network in two, in both directions."""
     network.cut = lambda sender, receiver: (sender in side) != (receiver in side)
 
 
 class FaultInjector:
-    """Draws faults of members and network, and checks the members' books all the while."""
+    """Injects random faults of members and network, and checks the members' state throughout."""
 
     def __init__(self, seed: int):
         self.random = random.Random(seed)
@@ -49,26 +48,26 @@
             self.network.at(4 + index * FAULT_INTERVAL_S, self.inject)
 
     def inject(self) -> None:
-        """Do one thing to a member or to the network."""
+        """Inject one random fault, or end one."""
         number = self.random.randrange(MEMBERS)
         fault = self.random.choice(("kill", "stop", "leave", "cut", "heal"))
         if fault == "cut":
             self.cut_one_way()
         elif fault == "heal":
-            self.network.cut = connected
+            self.network.cut = no_cut
         else:
-            self.harm(f"m{number:04}", number, fault)
+            self.fail_or_restore(f"m{number:04}", number, fault)
 
     def cut_one_way(self) -> None:
-        """Cut what a drawn part of the members sends to the rest."""
+        """Cut the links from a random subset of the members to the rest."""
         side = {f"m{number:04}" for number in range(MEMBERS) if self.random.random() < 0.5}
         self.network.cut = lambda sender, receiver: sender in side and receiver not in side
 
-    def harm(self, name: str, number: int, fault: str) -> None:
-        """Kill or stop a member, or have it leave; one that is gone or stopped comes back."""
+    def fail_or_restore(self, name: str, number: int, fault: str) -> None:
+        """Kill or stop a member, or have it leave; restore it if it is gone or stopped."""
         network = self.network
         if name not in network.members:
-            # Its clock may not have moved since its former lifecycle.
+            # Its clock may not have advanced since its previous lifecycle.
             self.start_incarnations[number] += self.random.choice((0, 1, 1000))
             network.begin(number, self.start_incarnations[number])
         elif name in network.asleep:
@@ -83,15 +82,15 @@
             network.leave(name)
 
     def run(self, until_s: float) -> None:
-        """Run, and check the members' books as time passes."""
+        """Run, and check the members' state at intervals."""
         while self.network.events and self.network.now < until_s * NS_PER_S:
             self.network.step()
-            self.note_incarnations()
-            if self.network.counter % CHECK_EVERY == 0:
+            self.record_incarnations()
+            if self.network.counter % CHECK_INTERVAL == 0:
                 self.check()
 
-    def note_incarnations(self) -> None:
-        """Keep the highest incarnation that each member has had."""
+    def record_incarnations(self) -> None:
+        """Record the highest incarnation of each member."""
         for name, member in self.network.members.items():
             incarnation = member.protocol.table.local.incarnation
             self.highest_incarnations[name] = max(
@@ -99,7 +98,7 @@
             )
 
     def check(self) -> None:
-        """Check books, and that nobody but a member itself raises its incarnation."""
+        """Check each member's state, and that only a member itself raises its incarnation."""
         for member in self.network.members.values():
             assert_consistent(member.protocol)
             for name, other in member.protocol.table.others.items():
@@ -107,14 +106,14 @@
 
     def heal(self) -> None:
         """End all faults."""
-        self.network.cut = connected
+        self.network.cut = no_cut
         self.network.loss = 0.0
         for name in list(self.network.asleep):
             self.network.go_on(name)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_books_stay_consistent_under_faults_and_members_agree_after_them(seed):
+def test_state_stays_consistent_under_faults_and_members_agree_after_them(seed):
     injector = FaultInjector(seed)
 
     injector.run(until_s=50)
@@ -125,7 +124,7 @@
     assert injector.network.agreed()
 
 
-def test_a_run_of_the_same_seed_is_the_same():
+def test_runs_with_the_same_seed_are_equal():
     def figures():
         network = settled(15, 8, loss=0.05)
         network.kill("m0007")
@@ -162,7 +161,7 @@
     assert network.figures().suspected == 0
 
 
-def test_a_member_that_stood_still_for_a_minute_rejoins_and_declares_nobody_lost():
+def test_a_member_that_was_stalled_for_a_minute_rejoins_and_declares_nobody_lost():
     network = settled(20, 6)
     stalled = network.members["m0005"].protocol
 
@@ -179,7 +178,7 @@
     assert stalled.counters.stalls == 1
 
 
-def test_a_member_that_can_send_and_not_receive_has_no_other_declared_lost():
+def test_a_member_that_can_send_but_not_receive_causes_no_other_to_be_declared_lost():
     network = settled(20, 7)
     rest = {name for name in network.members if name != "m0003"}
 
@@ -189,7 +188,7 @@
     for name in rest:
         present = network.members[name].protocol.table.present_names()
         assert set(present) - {"m0003"} == rest
-    network.cut = connected
+    network.cut = no_cut
     run_for(network, 60)
     assert network.agreed()
 
@@ -209,7 +208,7 @@
     assert network.members["m0004"].protocol.table.local.incarnation > 1000
 
 
-def test_a_hundred_members_join_by_three_seeds_within_bounds_of_load():
+def test_a_hundred_members_join_through_three_seeds_at_bounded_load():
     network = Network(100, 10)
     for number in range(100):
         network.at(0.01 * number, lambda number=number: network.begin(number))
@@ -222,11 +221,11 @@
 
 
 class TestSplitNetwork:
-    """Fleet positions of twenty members, eight of which are cut off from the rest."""
+    """Fleet positions of twenty members while eight of them are split from the rest."""
 
     @pytest.fixture
     def network(self):
-        """Twenty members that agree."""
+        """Twenty members whose views agree."""
         return settled(20, 4)
 
     @pytest.fixture
@@ -237,36 +236,38 @@
         return positions
 
     def update(self, network, positions):
-        """Show each member's view to its position."""
+        """Apply each member's view to its position."""
         for name, member in network.members.items():
             table = member.protocol.table
             positions[name].update(network.now, table.present_names(), table.departed_names())
             positions[name].settle(network.now)
 
-    def pass_seconds(self, network, positions, seconds):
-        """Run, and update positions each second."""
+    def run_and_update(self, network, positions, seconds):
+        """Run, and update the positions each second."""
         for _ in range(seconds):
             run_for(network, 1)
             self.update(network, positions)
 
-    def test_the_lesser_part_keeps_its_count_and_the_larger_one_shrinks(self, network, positions):
-        lesser = {f"m{number:04}" for number in range(8)}
-        larger = set(network.members) - lesser
+    def test_the_smaller_part_keeps_its_count_and_the_larger_one_shrinks(self, network, positions):
+        smaller = {f"m{number:04}" for number in range(8)}
+        larger = set(network.members) - smaller
 
-        split(network, lesser)
-        self.pass_seconds(network, positions, 90)
+        split(network, smaller)
+        self.run_and_update(network, positions, 90)
 
-        seen = {len(network.members[name].protocol.table.present_names()) for name in lesser}
-        assert seen == {8}
-        assert {positions[name].count for name in lesser} == {20}
+        present_counts = {
+            len(network.members[name].protocol.table.present_names()) for name in smaller
+        }
+        assert present_counts == {8}
+        assert {positions[name].count for name in smaller} == {20}
         assert {positions[name].count for name in larger} == {12}
 
     def test_both_parts_find_each_other_again_when_the_network_heals(self, network, positions):
         split(network, {f"m{number:04}" for number in range(8)})
-        self.pass_seconds(network, positions, 90)
+        self.run_and_update(network, positions, 90)
 
-        network.cut = connected
-        self.pass_seconds(network, positions, 40)
+        network.cut = no_cut
+        self.run_and_update(network, positions, 40)
 
         assert network.agreed()
         assert {position.count for position in positions.values()} == {20}
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -1,4 +1,4 @@
-"""Piggybacked updates and pages of a table."""
+"""Piggybacked updates, and pages of the member table."""
 
 import pytest
 
@@ -12,8 +12,8 @@
 
 
 @pytest.fixture
-def crowded():
-    """A member that has just heard of 300 others with long names."""
+def member_of_large_cluster():
+    """A member that has just received the records of 300 others with long names."""
     protocol = make_protocol()
     for number in range(MEMBERS):
         name = f"a-balancer-with-a-long-name-{number:04}"
@@ -21,7 +21,7 @@
     return protocol
 
 
-def test_a_suspect_hears_of_its_suspicion_from_all_that_talk_to_it():
+def test_every_message_to_a_suspect_informs_it_of_its_suspicion():
     protocol = make_protocol("abcdefgh")
     updates = protocol.view.updates
     protocol.view.merge(0, suspect("a"), "b")
@@ -35,27 +35,35 @@
     assert piggyback.accusers == ["b"]
 
 
-def test_each_update_is_sent_up_to_its_limit_in_datagrams_that_bear_it(crowded):
-    updates = crowded.view.updates
-    digest = crowded.table.digest.as_list()
+def test_each_update_is_sent_as_often_as_the_limit_in_datagrams_that_fit_a_packet(
+    member_of_large_cluster,
+):
+    updates = member_of_large_cluster.view.updates
+    digest = member_of_large_cluster.table.digest.as_list()
     sent = 0
 
     for _ in range(2000):
-        rides = updates.piggyback("x")
+        piggyback = updates.piggyback("x")
         message = Message(
-            MessageType.ACK, 1, crowded.table.local, "x", digest, rides.updates, rides.accusers
+            MessageType.ACK,
+            1,
+            member_of_large_cluster.table.local,
+            "x",
+            digest,
+            piggyback.updates,
+            piggyback.accusers,
         )
         assert len(encode(message, KEYS)) <= MAX_DATAGRAM_BYTES
-        sent += len(rides.updates)
+        sent += len(piggyback.updates)
 
     assert len(updates) == 0
     assert sent == (MEMBERS + 1) * updates.retransmit_limit()
 
 
-def test_a_table_is_sent_in_a_bounded_number_of_pages_that_fit_a_datagram(crowded):
+def test_a_table_is_sent_in_a_bounded_number_of_pages_that_fit_a_datagram(member_of_large_cluster):
     sync = Message(MessageType.SYNC, 0, record("z"), "", [0] * BUCKETS)
 
-    pages = crowded.receive(0, sync)
+    pages = member_of_large_cluster.receive(0, sync)
 
     assert 10 < len(pages) <= MAX_PAGES
     assert all(len(encode(page.message, KEYS)) <= MAX_DATAGRAM_BYTES for page in pages)
--- a/tests/membership/test_extension.py
+++ b/tests/membership/test_extension.py
@@ -1,4 +1,4 @@
-"""Balancers that gossip on loopback, the operator's command, and the operator's file."""
+"""Gossip among balancers on loopback, ``pepperhook gossip``, and errors in the operator's file."""
 
 import asyncio
 import dataclasses
@@ -20,7 +20,7 @@
 from pepperhook.server.structured_logging import Log
 from tests.membership.helpers import FORGED_KEYS, SECRET, record, state_of
 from tests.programs import free_port
-from tests.world import Running, loopback, told
+from tests.server.balancers import RunningBalancer, make_config
 
 LOG = Log(logging.getLogger("test"))
 POLL_S = 0.01
@@ -28,8 +28,8 @@
 
 
 def make_extension(number: int, ports: list[int], **settings) -> Gossip:
-    """Return the extension of balancer ``number``, which finds others by the first two ports."""
-    platform = dataclasses.replace(told(), name=f"b{number}", seed=number)
+    """Return the extension of balancer ``number``, with the first two ports as seeds."""
+    platform = dataclasses.replace(make_config(), name=f"b{number}", seed=number)
     gossip_settings = MembershipTable(
         listen=f"127.0.0.1:{ports[number]}",
         seeds=[f"127.0.0.1:{ports[0]}", f"127.0.0.1:{ports[1]}"],
@@ -42,7 +42,7 @@
 
 
 async def until(condition) -> None:
-    """Wait until a condition holds; fail the test where it never does."""
+    """Wait until a condition holds; fail the test if it does not hold in time."""
     for _ in range(MAX_POLLS):
         if condition():
             return
@@ -58,7 +58,7 @@
         self.names = [f"b{number}" for number in range(size)]
         self.extensions = [make_extension(number, ports, **settings) for number in range(size)]
         self.running = [
-            Running(["127.0.0.1:9"], Extensions([extension]), alone=False)
+            RunningBalancer(["127.0.0.1:9"], Extensions([extension]), owns_event_loop=False)
             for extension in self.extensions
         ]
 
@@ -79,16 +79,15 @@
         return self.extensions.pop(number)
 
     def present(self) -> list[list[str]]:
-        """Return who is present as each balancer sees it."""
+        """Return the names of the present members, as each balancer sees them."""
         return [extension.protocol.table.present_names() for extension in self.extensions]
 
     def all_agree(self) -> bool:
-        """Return whether each balancer sees all that run."""
+        """Return whether each balancer sees all running balancers."""
         return self.present() == [self.names] * len(self.names)
 
 
-@loopback
-async def test_balancers_find_each_other_and_one_that_stops_has_left():
+async def test_balancers_find_each_other_and_a_stopped_one_is_marked_as_left():
     async with Fleet(5) as fleet:
         await until(fleet.all_agree)
 
@@ -100,22 +99,22 @@
         assert stopped.transport.is_closing()
 
 
-@loopback
-async def test_the_policy_is_given_the_position_that_gossip_sees():
+async def test_the_policy_receives_the_fleet_position_found_by_gossip():
     async with Fleet(3, sets_fleet_position=True) as fleet:
-        await until(lambda: [one.position.index for one in fleet.extensions] == [0, 1, 2])
+        await until(
+            lambda: [extension.position.index for extension in fleet.extensions] == [0, 1, 2]
+        )
 
-        modules = [balancer.node.runtime.policy for balancer in fleet.running]
+        policies = [balancer.app.runtime.policy for balancer in fleet.running]
 
         await until(
             lambda: (
-                [(module.index, module.fleet_size) for module in modules]
+                [(policy.index, policy.fleet_size) for policy in policies]
                 == [(0, 3), (1, 3), (2, 3)]
             )
         )
 
 
-@loopback
 async def test_forged_datagrams_and_floods_change_nothing_and_are_counted():
     forged = Message(
         MessageType.PING,
@@ -135,59 +134,59 @@
                 sock.sendto(data, target.listen)
             await until(lambda: target.counters.rejected >= 4)
             for _ in range(400):
-                sock.sendto(b"PG1 too much of it", target.listen)
+                sock.sendto(b"PG1 datagram of a flood", target.listen)
                 await asyncio.sleep(0)
             await until(lambda: target.counters.rate_limited >= 100)
 
         assert fleet.all_agree()
 
 
-@loopback
-async def test_seeds_that_are_host_names_are_found_beside_the_event_loop(monkeypatch):
+async def test_host_names_of_seeds_are_resolved_without_blocking_the_event_loop(monkeypatch):
     monkeypatch.setattr(extension_module, "RESOLVE_INTERVAL_S", 0.05)
     ports = [free_port(), free_port()]
     first, second = (make_extension(number, ports) for number in range(2))
-    looked_up = []
+    resolved_hosts = []
 
-    async def look_up(host, port, **_):
-        looked_up.append(host)
-        if len(looked_up) < 3:
+    async def getaddrinfo(host, port, **_):
+        resolved_hosts.append(host)
+        if len(resolved_hosts) < 3:
             raise socket.gaierror("not known yet")
         return [(socket.AF_INET, socket.SOCK_DGRAM, 0, "", ("127.0.0.1", port))]
 
     second.protocol.seeds.clear()
     second.named_seeds = [("first.example", ports[0])]
-    monkeypatch.setattr(asyncio.get_running_loop(), "getaddrinfo", look_up)
+    monkeypatch.setattr(asyncio.get_running_loop(), "getaddrinfo", getaddrinfo)
     async with (
-        Running(["127.0.0.1:9"], Extensions([first]), alone=False),
-        Running(["127.0.0.1:9"], Extensions([second]), alone=False),
+        RunningBalancer(["127.0.0.1:9"], Extensions([first]), owns_event_loop=False),
+        RunningBalancer(["127.0.0.1:9"], Extensions([second]), owns_event_loop=False),
     ):
         await until(lambda: second.protocol.table.present_names() == ["b0", "b1"])
 
-    assert looked_up == ["first.example"] * 3
+    assert resolved_hosts == ["first.example"] * 3
 
 
 @pytest.mark.parametrize("host", ["no such host", "a" * 64, "\ud7ff.example"])
-def test_an_own_address_that_is_no_host_is_refused_by_its_key(host):
+def test_an_invalid_listen_host_is_rejected_with_the_key_of_the_setting(host):
     table = MembershipTable(
         listen=f"{host}:7946", seeds=["127.0.0.1:1"], keys=[SigningKey("k1", SECRET)]
     )
 
     with pytest.raises(ValueError, match="gossip.listen"):
-        Gossip(table, told(), LOG)
+        Gossip(table, make_config(), LOG)
 
 
-@loopback
-async def test_a_port_that_is_taken_leaves_the_balancer_serving_by_its_settings():
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
-        taken.bind(("127.0.0.1", 0))
-        extension = make_extension(0, [taken.getsockname()[1], 1], sets_fleet_position=True)
+async def test_a_balancer_whose_port_is_in_use_serves_with_the_fleet_size_of_its_settings():
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as occupying:
+        occupying.bind(("127.0.0.1", 0))
+        extension = make_extension(0, [occupying.getsockname()[1], 1], sets_fleet_position=True)
 
-        async with Running(["127.0.0.1:9"], Extensions([extension]), alone=False) as running:
+        async with RunningBalancer(
+            ["127.0.0.1:9"], Extensions([extension]), owns_event_loop=False
+        ) as balancer:
             await until(lambda: extension.open_task.done())
 
             assert extension.transport is None
-            assert running.node.runtime.policy.fleet_size == 1
+            assert balancer.app.runtime.policy.fleet_size == 1
             assert extension.told()["datagrams_out"] == 0
 
 
@@ -206,21 +205,20 @@
         """Run the command."""
         return CliRunner().invoke(main, ["gossip", address, "--keys", keys_path, *options])
 
-    async def run_beside(self, fleet, keys_path, *options):
-        """Run the command while the fleet's event loop goes on."""
+    async def run_off_the_event_loop(self, fleet, keys_path, *options):
+        """Run the command in a thread, as the fleet needs the event loop."""
         address = "{}:{}".format(*fleet.extensions[0].listen)
         loop = asyncio.get_running_loop()
         return await loop.run_in_executor(None, lambda: self.run(address, keys_path, *options))
 
-    @loopback
-    async def test_it_prints_the_members_as_json_with_the_versions_they_run(self, keys_path):
+    async def test_prints_the_members_with_their_running_versions_as_json(self, keys_path):
         async with Fleet(3) as fleet:
             await until(fleet.all_agree)
             fleet.extensions[2].config_version = lambda: 7
             table = fleet.extensions[0].protocol.table
             await until(lambda: table.record_of("b2").config_version == 7)
 
-            result = await self.run_beside(fleet, keys_path, "--json")
+            result = await self.run_off_the_event_loop(fleet, keys_path, "--json")
 
         assert result.exit_code == 0
         output = json.loads(result.stdout)
@@ -230,30 +228,29 @@
         assert members["b2"]["version"] == 7
         assert output["by"] == "b0"
 
-    @loopback
-    async def test_it_prints_a_summary_and_does_not_become_a_member(self, keys_path):
+    async def test_prints_a_summary_and_does_not_become_a_member(self, keys_path):
         async with Fleet(3) as fleet:
             await until(fleet.all_agree)
 
-            result = await self.run_beside(fleet, keys_path)
+            result = await self.run_off_the_event_loop(fleet, keys_path)
 
             assert result.exit_code == 0
             assert "3 there of 3 known, as b0 sees it" in result.stdout
             assert fleet.all_agree()
 
-    def test_it_fails_in_one_line_where_nobody_answers(self, keys_path):
+    def test_fails_with_one_line_if_no_member_answers(self, keys_path):
         result = self.run(f"127.0.0.1:{free_port()}", keys_path)
 
         assert result.exit_code == 1
         assert "no answer" in result.stderr
         assert result.stderr.count("\n") == 1
 
-    def test_it_refuses_an_address_without_a_port(self, keys_path):
+    def test_rejects_an_address_without_a_port(self, keys_path):
         assert self.run("nowhere", keys_path).exit_code == 2
 
 
 class TestOperatorFile:
-    """Faults of the operator's file are reported by their key."""
+    """Errors in the operator's file are reported with their key."""
 
     KEYS = 'keys = [{ id = "k1", secret = "a long secret of the installation" }]\n'
     LISTEN = "[gossip]\nlisten = '127.0.0.1:1'\n"
@@ -274,11 +271,11 @@
             ),
         ],
     )
-    def test_a_fault_is_reported_by_its_key(self, tmp_path, text, reported):
+    def test_an_error_is_reported_with_its_key(self, tmp_path, text, reported):
         path = tmp_path / "operator.toml"
         path.write_text("version = 1\n" + text)
 
         with pytest.raises(ValueError) as caught:
-            operator_config.build(str(path), told(), LOG)
+            operator_config.build(str(path), make_config(), LOG)
 
         assert reported in str(caught.value)
--- a/tests/membership/test_fleet_position.py
+++ b/tests/membership/test_fleet_position.py
@@ -1,4 +1,4 @@
-"""Fleet size and index as views change, also where the network is split."""
+"""Fleet size and index as views change, also in a split network."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 def make_position(size: int = 10, name: str = "b0") -> FleetPosition:
-    """Return the position of a balancer that has seen no view yet."""
+    """Return the position of a balancer that has no view yet."""
     return FleetPosition(name, size, SETTLE_NS)
 
 
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("present", [range(5), range(3), [0]])
-def test_in_half_of_a_split_or_less_the_position_stays(present):
+def test_the_position_does_not_change_in_half_of_a_split_network_or_less(present):
     position = full_position()
 
     changed = position.update(NS_PER_S, names(*present), [])
@@ -71,7 +71,7 @@
     assert (position.count, position.index) == (10, 0)
 
 
-def test_in_the_larger_part_of_a_split_the_fleet_shrinks():
+def test_the_fleet_shrinks_in_the_larger_part_of_a_split_network():
     position = full_position("b9")
 
     position.update(NS_PER_S, names(*range(4, 10)), [])
@@ -80,7 +80,7 @@
     assert (position.count, position.index) == (6, 5)
 
 
-def test_a_balancer_alone_at_its_start_counts_the_configured_size():
+def test_a_balancer_alone_at_its_start_keeps_the_configured_size():
     position = make_position()
 
     position.update(0, names(0), [])
@@ -94,17 +94,18 @@
 
     position.update(NS_PER_S, names(0, 1, 2, 3), names(4, 5, 6))
 
-    # Of seven that did not leave four are present.
+    # Four of the seven that did not leave are present, which is a quorum.
     assert position.settle(12 * NS_PER_S)
     assert position.count == 4
 
 
-def test_without_a_quorum_departed_members_alone_are_taken_off():
+def test_without_a_quorum_only_departed_members_are_subtracted():
     position = full_position()
 
     position.update(NS_PER_S, names(0, 1, 2), names(4, 5, 6))
 
-    # Of seven that did not leave three are present: the rest may be on the other side.
+    # Three of the seven that did not leave are present; the rest may be in the other part of a
+    # split network.
     assert position.settle(12 * NS_PER_S)
     assert position.count == 7
     assert not position.settle(13 * NS_PER_S)
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -18,18 +18,18 @@
 
 
 def begin_probe(protocol: SwimProtocol) -> str:
-    """Begin a probe period, and return who is probed."""
+    """Begin a probe period, and return the name of the probed member."""
     outgoing = protocol.tick(protocol.next_period_ns)
     return outgoing[0].message.target
 
 
 def fail_probe(protocol: SwimProtocol) -> str:
-    """Have a member probed that nobody hears, while its helpers say so; return its name."""
+    """Run a probe that gets no answer while all helpers send NACKs; return the target's name."""
     target = begin_probe(protocol)
-    asked_at = protocol.probe.timeout_at_ns
-    for request in of_type(protocol.tick(asked_at), MessageType.PING_REQ):
+    timeout_at = protocol.probe.timeout_at_ns
+    for request in of_type(protocol.tick(timeout_at), MessageType.PING_REQ):
         nack = Message(MessageType.NACK, request.sequence, record(request.target), LOCAL)
-        protocol.receive(asked_at + 200 * NS_PER_MS, nack)
+        protocol.receive(timeout_at + 200 * NS_PER_MS, nack)
     protocol.tick(protocol.next_period_ns)
     return target
 
@@ -57,7 +57,7 @@
         assert target not in {request.target for request in requests}
         assert {request.payload.name for request in requests} == {target}
 
-    def test_a_member_that_no_helper_reaches_is_suspected_and_this_one_stays_healthy(self):
+    def test_a_member_that_no_helper_reaches_is_suspected_without_harm_to_local_health(self):
         protocol = make_protocol("abcde")
 
         target = fail_probe(protocol)
@@ -81,7 +81,7 @@
 class TestSuspicion:
     """Confirmation and timeout of suspicions."""
 
-    def test_a_second_accuser_shortens_a_suspicion_and_the_same_one_again_does_not(self):
+    def test_only_a_new_accuser_shortens_a_suspicion(self):
         protocol = make_protocol("abcde")
         target = fail_probe(protocol)
         accuser = "b" if target != "b" else "c"
@@ -141,7 +141,7 @@
         assert (relayed.message.type, relayed.message.payload) == (MessageType.ACK, "z")
         assert not helper.relay.probes
 
-    def test_a_helper_that_hears_nothing_sends_a_nack(self, helper, request_for_z):
+    def test_a_helper_without_an_answer_sends_a_nack(self, helper, request_for_z):
         helper.receive(30, request_for_z)
 
         outgoing = helper.tick(30 + helper.settings.probe_timeout_ns)
@@ -150,7 +150,7 @@
         assert [nack.sequence for nack in nacks] == [77]
 
 
-def test_after_a_stall_nobody_is_suspected_for_the_time_that_passed_and_health_is_worst():
+def test_the_time_of_a_stall_causes_no_suspicion_or_loss_and_sets_the_worst_health():
     protocol = make_protocol("abc")
     protocol.view.merge(0, suspect("c"), "b")
     deadline = protocol.view.suspicions.suspicions["c"].deadline_ns
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""Merging of updates, refutation, and the bound of the member table."""
+"""Merging of updates, refutation, and the size limit of the member table."""
 
 from itertools import product
 
@@ -20,12 +20,12 @@
         for incarnation, state in product((4, 5), MemberState)
     ]
 
-    for place, known in enumerate(in_order):
+    for known_index, known in enumerate(in_order):
         overriding = [update.overrides(known) for update in in_order]
-        assert overriding == [other > place for other in range(len(in_order))]
+        assert overriding == [index > known_index for index in range(len(in_order))]
 
 
-def test_a_suspected_member_refutes_by_a_higher_incarnation_and_is_less_healthy():
+def test_a_suspect_refutes_with_a_higher_incarnation_and_lowers_its_local_health():
     protocol = make_protocol()
 
     protocol.view.merge(0, suspect(LOCAL, address=("127.0.0.1", 1109)), "a")
@@ -36,7 +36,7 @@
     assert_consistent(protocol)
 
 
-def test_a_record_of_a_former_lifecycle_whose_clock_ran_ahead_is_outbid():
+def test_a_record_of_an_earlier_lifecycle_whose_clock_was_ahead_is_overridden():
     protocol = make_protocol()
 
     protocol.view.merge(0, lost(LOCAL, incarnation=9), "a")
@@ -44,7 +44,7 @@
     assert protocol.table.local.incarnation == 10
 
 
-def test_a_lost_member_comes_back_by_a_higher_incarnation_alone():
+def test_a_lost_member_returns_only_with_a_higher_incarnation():
     protocol = make_protocol("a")
     protocol.view.merge(0, lost("a"), "b")
     assert "a" not in protocol.table.present_names()
@@ -57,7 +57,7 @@
     assert_consistent(protocol)
 
 
-def test_the_loss_of_a_member_that_nobody_knew_is_not_taken_in():
+def test_the_loss_of_an_unknown_member_is_ignored():
     protocol = make_protocol()
 
     protocol.view.merge(0, lost("q"), "b")
@@ -66,7 +66,7 @@
     assert_consistent(protocol)
 
 
-def test_another_process_of_the_same_name_is_outbid_once_in_a_while_and_counted():
+def test_another_process_of_the_same_name_is_counted_and_overridden_at_a_limited_rate():
     protocol = make_protocol()
 
     for step in range(100):
@@ -78,7 +78,7 @@
     assert protocol.table.local.incarnation <= 7
 
 
-def test_no_more_members_are_taken_in_than_the_bound():
+def test_members_beyond_the_limit_are_not_added():
     protocol = make_protocol()
     protocol.table.max_members = 50
 
