--- a/pepperhook/membership/datagram.py
+++ b/pepperhook/membership/datagram.py
@@ -8,7 +8,7 @@
 Replayed datagrams do no harm, so there is no replay detection: updates are ordered by incarnation,
 which only the member itself raises; an answer counts only for the probe with its sequence number;
 and answers go to the address in the sender's record, not to the source address of the datagram, so
-replays can flood nobody with more than the installation itself once sent.
+a replay cannot make members flood a third party with more than the installation itself once sent.
 """
 
 import hashlib
--- a/pepperhook/membership/fleet_position.py
+++ b/pepperhook/membership/fleet_position.py
@@ -3,9 +3,10 @@
 Views differ between members, and an absent member may still send to upstreams: the network may be
 split between the balancers alone. A smaller fleet size gives each balancer a larger quota of every
 upstream (rules 3 and 4), so an absent member is counted until it can safely be considered gone:
-either it announced its departure, or the present members are a quorum, more than half of all that
-are counted (at first the configured size). In half of a split network, or less, absent members that
-did not leave stay counted. In both cases the view must have been stable for the settling time.
+either it announced its departure, or the present members are a quorum, more than half of all
+counted members that did not leave (at first of the configured size). In both cases the view must
+have been stable for the settling time. In half of a split network, or less, absent members that did
+not leave stay counted.
 """
 
 from collections.abc import Collection
--- a/pepperhook/membership/protocol.py
+++ b/pepperhook/membership/protocol.py
@@ -11,7 +11,7 @@
 From Lifeguard (Dadgar, Phillips, Currey, 2017): the local health multiplier, negative answers of
 helpers, and suspicions that shorten as more members confirm them.
 
-Not in either paper: a process that was itself stalled drops its open probes, as their timeouts
+Beyond both papers: a process that was itself stalled drops its open probes, as their timeouts
 passed while it did not run; records in which two tables differ are found by digests and exchanged
 (``anti_entropy``); and lost members are contacted at intervals, because the two halves of a split
 network would otherwise never find each other again.
