--- a/pepperhook/membership/anti_entropy.py
+++ b/pepperhook/membership/anti_entropy.py
@@ -14,10 +14,12 @@
 from pepperhook.membership.settings import ProtocolSettings
 
 PAGE_RECORDS = 12  # fit in one datagram
-# In one answer. Without the limit, a seed by which a thousand members join would send a thousand
-# whole tables.
+# Limit of one answer. Without it, a seed through which a thousand members join would send a
+# thousand whole tables.
 MAX_PAGES = 16
-MANY_PENDING_UPDATES = 40  # more than two or three datagrams carry
+# With so many pending updates, more than two or three datagrams carry, tables are compared without
+# waiting for the updates to spread.
+MANY_PENDING_UPDATES = 40
 
 
 class AntiEntropy:
@@ -27,14 +29,14 @@
         self,
         settings: ProtocolSettings,
         table: MemberTable,
-        updates: Dissemination,
+        dissemination: Dissemination,
         random: SeededRandom,
         counters: ProtocolCounters,
     ) -> None:
         """Use the local member's table, update buffer and counters."""
         self._settings = settings
         self._table = table
-        self._updates = updates
+        self._dissemination = dissemination
         self._random = random
         self._counters = counters
 
@@ -42,7 +44,7 @@
         """Return whether to compare tables with the sender, and record the time if so."""
         if message.digest is None or self._table.digest.equals(message.digest):
             return False
-        if 0 < len(self._updates) < MANY_PENDING_UPDATES:
+        if 0 < len(self._dissemination) < MANY_PENDING_UPDATES:
             # The pending updates probably remove the difference. With many pending updates the
             # tables are compared nevertheless: while a thousand members join at once, some updates
             # are always pending.
@@ -56,8 +58,8 @@
     def pages(self, message: Message, request_records: bool) -> list[Outgoing]:
         """Return the records of buckets in which the sender's digest differs.
 
-        With ``request_records`` the last page carries this member's digest, which requests the
-        sender's records in return, of those buckets alone that still differ after these pages.
+        With ``request_records`` the last page carries this member's digest. The receiver returns
+        its records of the buckets that still differ after it has merged that page.
         """
         digest = message.digest
         if digest is None or len(digest) != BUCKETS:
--- a/pepperhook/membership/composer.py
+++ b/pepperhook/membership/composer.py
@@ -10,10 +10,10 @@
 class MessageComposer:
     """Composes messages with the local member as their sender."""
 
-    def __init__(self, table: MemberTable, updates: Dissemination) -> None:
-        """Take the sender's record and digest from ``table``, and updates from ``updates``."""
+    def __init__(self, table: MemberTable, dissemination: Dissemination) -> None:
+        """Take the sender's record and digest from ``table``, updates from ``dissemination``."""
         self._table = table
-        self._updates = updates
+        self._dissemination = dissemination
 
     def ping(self, target: MemberRecord, sequence: int) -> Outgoing:
         """Return a probe of a member, with the digest of the local table."""
@@ -32,7 +32,7 @@
     def _compose(
         self, address: Address, name: str, message_type: MessageType, sequence: int, payload: Any
     ) -> Outgoing:
-        piggyback = self._updates.piggyback(name)
+        piggyback = self._dissemination.piggyback(name)
         message = Message(
             message_type,
             sequence,
--- a/pepperhook/membership/counters.py
+++ b/pepperhook/membership/counters.py
@@ -10,10 +10,10 @@
     probes: int = 0
     suspected: int = 0  # suspicions that this member started
     lost: int = 0  # members whose suspicion timed out here
-    refuted: int = 0  # suspicions of this member that it denied
+    refuted: int = 0  # updates on this member, as suspected or absent, that it refuted
     stalls: int = 0  # ticks so late that this process must have been stalled
     syncs: int = 0  # table comparisons answered
-    name_conflicts: int = 0  # messages that show another process of this member's name
+    name_conflicts: int = 0  # messages from, or records of, another process with this member's name
 
 
 @dataclass(slots=True)
--- a/pepperhook/membership/datagram.py
+++ b/pepperhook/membership/datagram.py
@@ -8,7 +8,8 @@
 Replayed datagrams do no harm, so there is no replay detection: updates are ordered by incarnation,
 which only the member itself raises; an answer counts only for the probe with its sequence number;
 and answers go to the address in the sender's record, not to the source address of the datagram, so
-a replay cannot make members flood a third party with more than the installation itself once sent.
+a replayer cannot choose who is flooded with answers, and can repeat only what the installation (the
+balancers with the same keys) once sent.
 """
 
 import hashlib
@@ -69,7 +70,7 @@
     if isinstance(message.payload, MemberRecord):
         records.append(message.payload)
     if not all(map(_is_valid, records)):
-        raise InvalidDatagramError("an invalid record of a member")
+        raise InvalidDatagramError("an invalid record of a member: its name or its address")
     return message
 
 
@@ -101,10 +102,13 @@
         if message.type == MessageType.PING_REQ:
             message.payload = msgspec.convert(message.payload, MemberRecord)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise InvalidDatagramError(f"the payload is of another version: {error}") from error
+        raise InvalidDatagramError(
+            f"the payload cannot be decoded (another version?): {error}"
+        ) from error
     return message
 
 
 def _is_valid(record: MemberRecord) -> bool:
-    # Sending to a host that is no IP literal would close the socket or wait for a resolver.
+    # sendto resolves a host that is no IP literal, which blocks, and raises for some hosts an error
+    # at which asyncio closes the socket.
     return 0 < len(record.name) <= MAX_NAME_LENGTH and is_valid_address(record.address)
--- a/pepperhook/membership/digest.py
+++ b/pepperhook/membership/digest.py
@@ -19,7 +19,7 @@
 
 
 def checksum(record: MemberRecord) -> int:
-    """Return the checksum of a member's name and incarnation."""
+    """Return the checksum of a member's name and incarnation; other fields are not covered."""
     text = f"{record.name}\0{record.incarnation}"
     return int.from_bytes(blake2b(text.encode(), digest_size=CHECKSUM_BYTES).digest())
 
--- a/pepperhook/membership/dissemination.py
+++ b/pepperhook/membership/dissemination.py
@@ -8,8 +8,9 @@
 from pepperhook.membership.settings import ProtocolSettings
 from pepperhook.membership.suspicion import SuspicionTimers
 
-PIGGYBACK_BYTES = 900  # of each datagram, for updates
-# MessagePack overhead: of a record beyond its strings, and of a string beyond its characters.
+PIGGYBACK_BYTES = 900  # space for updates in each datagram
+# Upper bounds of the MessagePack bytes of a record without its strings' characters, and of a
+# string without its characters.
 RECORD_OVERHEAD_BYTES = 28
 STRING_OVERHEAD_BYTES = 2
 
@@ -23,7 +24,7 @@
 
 
 class Dissemination:
-    """Members whose records are being disseminated, with the number of transmissions of each."""
+    """The pending updates: members whose records are to be sent, with the transmissions so far."""
 
     def __init__(
         self, settings: ProtocolSettings, table: MemberTable, suspicions: SuspicionTimers
@@ -55,7 +56,7 @@
         piggyback = Piggyback()
         remaining_bytes = PIGGYBACK_BYTES
         limit = self.retransmit_limit()
-        for name in self._by_urgency(recipient):
+        for name in self._in_send_order(recipient):
             record = self._table.record_of(name)
             accusers = self._suspicions.accusers_of(name)
             size = update_size(record, accusers)
@@ -64,13 +65,14 @@
             remaining_bytes -= size
             piggyback.updates.append(record)
             if accusers:
-                # The accusers in turn, as each of them counts as a confirmation for the receiver.
-                turn = self.transmissions.get(name, 0)
-                piggyback.accusers.append(accusers[turn % len(accusers)])
+                # Accusers alternate, because each one that a receiver learns of is a confirmation.
+                transmission = self.transmissions.get(name, 0)
+                piggyback.accusers.append(accusers[transmission % len(accusers)])
             self._count_transmission(name, limit)
         return piggyback
 
-    def _by_urgency(self, recipient: str) -> list[str]:
+    def _in_send_order(self, recipient: str) -> list[str]:
+        """Return the names of pending updates: a suspected recipient, then the least often sent."""
         names = sorted(self.transmissions, key=self.transmissions.__getitem__)
         if recipient in self._suspicions:
             # Every message to a suspect informs it of its suspicion, so that it can refute it
@@ -79,6 +81,7 @@
         return names
 
     def _count_transmission(self, name: str, limit: int) -> None:
+        """Count a transmission of an update, and discard the update at the limit."""
         count = self.transmissions.get(name, 0) + 1
         if count < limit:
             self.transmissions[name] = count
--- a/pepperhook/membership/extension.py
+++ b/pepperhook/membership/extension.py
@@ -31,7 +31,8 @@
 MIN_TIMER_S = 0.001
 # Numbers of rejected datagrams at which to log a warning, so that a flood does not fill the log.
 REJECTIONS_LOGGED = (1, 10, 100, 1000)
-# Ratio of the longest suspicion held by a member in bad local health to that by a healthy one.
+# Factor by which poor local health lengthens a suspicion: 1 + score / 2, at a score of 4. Neither
+# worse scores nor the growth of suspicions with the cluster size are covered.
 SLOW_MEMBER_FACTOR = 3
 
 
@@ -79,7 +80,7 @@
         self.on_position_change: Callable[[], None] = self._apply_position
         self.node: Any = None
         self.transport: asyncio.DatagramTransport | None = None
-        self.open_task: asyncio.Task[None] | None = None
+        self.socket_task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._closed: asyncio.Future[None] | None = None  # done when the socket is closed
         self._was_open = False
@@ -97,17 +98,17 @@
         return tier
 
     def _local_record(self) -> MemberRecord:
-        # Unix time exceeds the incarnation of the previous lifecycle, which need not be stored on
-        # disk then. If the clock was set back, refutation raises the incarnation.
+        # Unix time in milliseconds exceeds the incarnations of earlier runs of the process, so that
+        # none is stored on disk. If the clock was set back, refutation raises the incarnation.
         incarnation = time.time_ns() // NS_PER_MS
         return MemberRecord(self.platform.name, self.listen, self._tier, incarnation)
 
     # Hook points of the server.
 
     def started(self, node: Any) -> None:
-        """Start the task that opens the socket, once the balancer has started."""
+        """Start the task that runs the socket, once the balancer has started."""
         self.node = node
-        self.open_task = node.runtime.supervisor.start("gossip socket", self._run_socket)
+        self.socket_task = node.runtime.supervisor.start("gossip socket", self._run_socket)
 
     async def left(self) -> None:
         """Announce this balancer's departure, and close the socket."""
@@ -118,9 +119,9 @@
             self._send(self.protocol.leave())
             await asyncio.sleep(LEAVE_DELAY_S)
             self.transport.close()
-        if self.open_task is not None:
-            self.open_task.cancel()
-            await asyncio.gather(self.open_task, return_exceptions=True)
+        if self.socket_task is not None:
+            self.socket_task.cancel()
+            await asyncio.gather(self.socket_task, return_exceptions=True)
 
     def told(self) -> dict[str, Any]:
         """Return the counters for the log."""
@@ -156,7 +157,7 @@
             return
         self._was_open = True
         self.log.info("gossip_started", listen=listen, seeds=len(self.protocol.seeds))
-        self._run_due()
+        self._run_timers()
         while self.named_seeds and not closed.done():
             await asyncio.wait([closed], timeout=RESOLVE_INTERVAL_S)
             await self._resolve_seeds()
@@ -182,7 +183,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the socket's task, with an error to have it restarted unless this balancer leaves."""
+        """End the socket task; unless this balancer leaves, with an error, which restarts it."""
         if self._closed is None or self._closed.done():
             return
         if self._is_leaving:
@@ -191,7 +192,7 @@
             self._closed.set_exception(SocketClosedError(f"closed unexpectedly: {exc!r}"))
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that an earlier datagram was not delivered: its probe times out."""
+        """Ignore errors of earlier datagrams; a probe that was not delivered times out."""
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         """Pass a valid message to the protocol, and send the protocol's answers."""
@@ -206,7 +207,7 @@
             self._reject(addr, error)
             return
         self._send(self.protocol.receive(now, message))
-        self._run_due()
+        self._run_timers()
 
     def _reject(self, sender: Address, error: InvalidDatagramError) -> None:
         self.counters.rejected += 1
@@ -233,27 +234,27 @@
 
     # Timer.
 
-    def _run_due(self) -> None:
-        """Process what is due, and set the timer for the next deadline."""
+    def _run_timers(self) -> None:
+        """Run expired timers, and schedule the next call."""
         if self.transport is None or self.transport.is_closing():
             return
         runtime = self.node.runtime
-        runtime.supervisor.guard("gossip", self._process_due)
+        runtime.supervisor.guard("gossip", self._tick_protocol)
         if self._timer is not None:
             self._timer.cancel()
         delay_s = (self.protocol.next_deadline() - self.now()) / NS_PER_S
-        self._timer = runtime.loop.call_later(max(MIN_TIMER_S, delay_s), self._run_due)
+        self._timer = runtime.loop.call_later(max(MIN_TIMER_S, delay_s), self._run_timers)
 
-    def _process_due(self) -> None:
+    def _tick_protocol(self) -> None:
         now = self.now()
         self.protocol.view.announce_config_version(self.config_version())
         self._send(self.protocol.tick(now))
         self._update_position(now)
 
     def _update_position(self, now: int) -> None:
-        grown = self._update_from_view(now)
-        shrunk = self.position.settle(now)
-        if (grown or shrunk) and self.settings.sets_fleet_position:
+        changed_by_view = self._update_from_view(now)
+        changed_by_settling = self.position.settle(now)
+        if (changed_by_view or changed_by_settling) and self.settings.sets_fleet_position:
             self.log.info(
                 "fleet_position",
                 index=self.position.index,
@@ -286,6 +287,7 @@
         settings = replace(
             self.node.config.settings, index=self.position.index, fleet_size=self.position.count
         )
+        # The operators' weights of upstreams stay as they are.
         self.node.runtime.call_policy(self.node.runtime.policy.reconfigure, settings, [])
 
 
@@ -308,9 +310,9 @@
 
 
 def settle_time_ns(settings: ProtocolSettings) -> int:
-    """Return how long a view must be stable before all members know of a death, in nanoseconds.
+    """Return how long a view must be unchanged before the fleet may shrink, in nanoseconds.
 
-    This is the longest suspicion held by a slow member, and as long again for the update to spread.
+    This is the longest expected suspicion, and as long again for the update to spread.
     """
     longest_suspicion_ns = int(
         settings.suspicion_multiplier
--- a/pepperhook/membership/fleet_position.py
+++ b/pepperhook/membership/fleet_position.py
@@ -2,20 +2,22 @@
 
 Views differ between members, and an absent member may still send to upstreams: the network may be
 split between the balancers alone. A smaller fleet size gives each balancer a larger quota of every
-upstream (rules 3 and 4), so an absent member is counted until it can safely be considered gone:
-either it announced its departure, or the present members are a quorum, more than half of all
-counted members that did not leave (at first of the configured size). In both cases the view must
-have been stable for the settling time. In half of a split network, or less, absent members that did
-not leave stay counted.
+upstream (see rules 3 and 4 in ``policy/guard.py``), so an absent member stays counted until it can
+safely be considered gone: either it announced its departure, or the present members are a quorum,
+more than half of all counted members that did not leave. Until more members have been present, the
+configured size counts. In both cases the view must have been stable for the settling time. In a
+part of a split network with at most half of the members, absent members that did not leave stay
+counted.
 """
 
 from collections.abc import Collection
 
 
 class FleetPosition:
-    """``count`` is the fleet size and ``index`` this balancer's position in the order of names.
+    """Determines the position from views: the fleet grows at once and shrinks only when it is safe.
 
-    ``index`` is None until the first view.
+    ``count`` is the fleet size, and ``index`` this balancer's position in the order of names, None
+    until the first view.
     """
 
     def __init__(self, local_name: str, configured_size: int, settle_ns: int) -> None:
@@ -26,7 +28,7 @@
         self.index: int | None = None
         self.present: frozenset[str] = frozenset()
         self.departed: frozenset[str] = frozenset()
-        self._counted: tuple[str, ...] = ()  # sorted
+        self._counted_names: tuple[str, ...] = ()  # sorted
         self._stable_since_ns = 0
 
     def update(self, now: int, present: Collection[str], departed: Collection[str]) -> bool:
@@ -37,16 +39,16 @@
             self.present = frozenset(present)
             self._stable_since_ns = now
         self.departed = frozenset(departed)
-        return self._recount({*self._counted, *self.present}, self.count)
+        return self._set_counted({*self._counted_names, *self.present}, self.count)
 
     def settle(self, now: int) -> bool:
         """Shrink the fleet if that is safe; return whether the position changed."""
         if not self.is_stable(now):
             return False
-        departed = self._counted_departed()
+        departed = self._departed_still_counted()
         if self.has_quorum():
-            return self._recount(self.present, len(self.present))
-        return self._recount(set(self._counted) - departed, self.count - len(departed))
+            return self._set_counted(self.present, len(self.present))
+        return self._set_counted(set(self._counted_names) - departed, self.count - len(departed))
 
     def is_stable(self, now: int) -> bool:
         """Return whether there is a view that has not changed for the settling time."""
@@ -57,14 +59,14 @@
 
         No other part of a split network can have a quorum at the same time.
         """
-        return 2 * len(self.present) > self.count - len(self._counted_departed())
+        return 2 * len(self.present) > self.count - len(self._departed_still_counted())
 
-    def _counted_departed(self) -> set[str]:
-        return (set(self._counted) - self.present) & self.departed
+    def _departed_still_counted(self) -> set[str]:
+        return (set(self._counted_names) - self.present) & self.departed
 
-    def _recount(self, names: Collection[str], min_count: int) -> bool:
+    def _set_counted(self, names: Collection[str], min_count: int) -> bool:
         previous = (self.count, self.index)
-        self._counted = tuple(sorted(names))
+        self._counted_names = tuple(sorted(names))
         self.count = max(min_count, len(names))
-        self.index = self._counted.index(self.local_name)
+        self.index = self._counted_names.index(self.local_name)
         return (self.count, self.index) != previous
--- a/pepperhook/membership/local_health.py
+++ b/pepperhook/membership/local_health.py
@@ -4,7 +4,7 @@
 
 
 class LocalHealth:
-    """Score from 0 (healthy) to ``MAX_SCORE``, with which the member's own timeouts grow.
+    """Score from 0 (healthy) to ``MAX_SCORE`` (slowest), which lengthens the member's timeouts.
 
     Without it a member that is short of CPU time suspects healthy ones. Dadgar, Phillips, Currey,
     "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (2017), section IV.A.
--- a/pepperhook/membership/members.py
+++ b/pepperhook/membership/members.py
@@ -19,7 +19,7 @@
 
     record: MemberRecord
     state_since_ns: int
-    last_sync_ns: int = 0  # when a comparison of tables was last requested
+    last_sync_ns: int = 0  # when the local member last sent it a SYNC because of its digest
 
 
 class MemberTable:
@@ -40,7 +40,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the limit of members is reached, which bounds memory if members are forged."""
+        """Whether the limit of members is reached, which bounds memory if records are forged."""
         return len(self.others) >= self.max_members
 
     @property
@@ -85,7 +85,11 @@
         ]
 
     def add(self, record: MemberRecord, now: int) -> None:
-        """Add an unknown member, as one that is not present yet."""
+        """Add an unknown member as LOST.
+
+        The caller then passes its record to ``replace``, which updates probe order and digest as
+        for a member that returns.
+        """
         absent = msgspec.structs.replace(record, state=MemberState.LOST)
         self.others[record.name] = Member(absent, now)
 
@@ -99,11 +103,11 @@
         if record.is_present:
             self.digest.toggle(record)
         if previous.is_present != record.is_present:
-            self._presence_changed(record)
+            self._update_presence(record)
         if previous.state != record.state:
             member.state_since_ns = now
 
-    def _presence_changed(self, record: MemberRecord) -> None:
+    def _update_presence(self, record: MemberRecord) -> None:
         if record.is_present:
             self.probe_order.insert(record.name)
         else:
--- a/pepperhook/membership/messages.py
+++ b/pepperhook/membership/messages.py
@@ -10,7 +10,11 @@
 
 
 class MemberState(IntEnum):
-    """State of a member. At the same incarnation the larger value overrides the smaller."""
+    """State of a member. At the same incarnation the larger value overrides the smaller.
+
+    A member is present while ALIVE or SUSPECT, and absent when LOST or LEFT. LEFT is the state of a
+    departed member, one that announced its departure itself.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -29,7 +33,7 @@
 
     PING = 0
     ACK = 1
-    NACK = 2  # the helper got no answer either (Lifeguard)
+    NACK = 2  # the target did not answer the sender's probe on the receiver's behalf (Lifeguard)
     PING_REQ = 3  # probe a member on the sender's behalf
     SYNC = 4  # compare tables
     RECORDS = 5  # a page of a table
@@ -42,9 +46,9 @@
     name: str
     address: Address
     tier: int
-    incarnation: int
+    incarnation: int  # version of the record, raised only by the member itself
     state: MemberState = MemberState.ALIVE
-    config_version: int = 0
+    config_version: int = 0  # the configuration version that the member runs
 
     @property
     def is_present(self) -> bool:
@@ -55,7 +59,7 @@
         """Return whether this update replaces what is known (section 4.2 of the SWIM paper).
 
         A lost or departed member returns only with a higher incarnation, which only the member
-        itself raises. An update of a lower incarnation tells nothing about the current lifecycle.
+        itself raises. An update with a lower incarnation is outdated.
         """
         if self.incarnation != known.incarnation:
             return self.incarnation > known.incarnation
@@ -68,8 +72,8 @@
     ``payload`` depends on the type: the digest of the sender's table (PING, ACK, SYNC, and RECORDS
     that request the receiver's records), the name of the member whose answer is relayed (ACK), the
     member to probe (PING_REQ), the number of the requested page (QUERY), or the page number and the
-    count of all records (RECORDS that answer a QUERY). It has no type, as msgspec does not support
-    a union of two arrays.
+    count of all records (RECORDS that answer a QUERY). It is annotated ``Any``, as msgspec has no
+    union of a list and a struct that is encoded as an array.
     """
 
     type: MessageType
@@ -82,13 +86,13 @@
 
     @property
     def digest(self) -> list[int] | None:
-        """The payload if it is a list, as digests are."""
+        """The payload if it is a list: a digest, or the page and count of an answer to a QUERY."""
         return self.payload if isinstance(self.payload, list) else None
 
 
 @dataclass(slots=True, frozen=True)
 class Outgoing:
-    """A message to send."""
+    """A message, and the address to send it to."""
 
     address: Address
     message: Message
--- a/pepperhook/membership/probe_order.py
+++ b/pepperhook/membership/probe_order.py
@@ -22,7 +22,7 @@
     def insert(self, name: str) -> None:
         """Insert a member at a random position in the rest of the round.
 
-        If it were appended, the members that joined last would always be probed last.
+        If it were appended, a member that joins would always be probed last in that round.
         """
         left_in_round = len(self.names) - self.position
         self.names.insert(self.position + self._random.below(left_in_round + 1), name)
--- a/pepperhook/membership/probe_relay.py
+++ b/pepperhook/membership/probe_relay.py
@@ -16,10 +16,10 @@
     """A probe of ``target`` on behalf of ``requester``."""
 
     target: str
-    sequence: int
+    sequence: int  # of this helper's ping
     timeout_at_ns: int
     requester: MemberRecord
-    requester_sequence: int
+    requester_sequence: int  # of the requester's PING_REQ, repeated in the answer to it
 
 
 class ProbeRelay:
@@ -84,5 +84,6 @@
     def _finish(
         self, probe: RelayedProbe, answer: MessageType, target: str | None = None
     ) -> Outgoing:
+        """Remove a probe, and return the answer to its requester; an ACK names the target."""
         self.probes.remove(probe)
         return self._composer.to_member(answer, probe.requester_sequence, probe.requester, target)
--- a/pepperhook/membership/protocol.py
+++ b/pepperhook/membership/protocol.py
@@ -13,8 +13,8 @@
 
 Beyond both papers: a process that was itself stalled drops its open probes, as their timeouts
 passed while it did not run; records in which two tables differ are found by digests and exchanged
-(``anti_entropy``); and lost members are contacted at intervals, because the two halves of a split
-network would otherwise never find each other again.
+(``anti_entropy``); and lost members are contacted at intervals, because the parts of a split
+network would otherwise exchange no messages after the split ends.
 """
 
 from collections.abc import Callable
@@ -55,7 +55,7 @@
 
 
 class SwimProtocol:
-    """One member of the cluster."""
+    """The protocol state of the local member."""
 
     def __init__(
         self,
@@ -73,11 +73,11 @@
         self.counters = ProtocolCounters()
         self.table = MemberTable(local, self.random)
         self.view = MembershipView(settings, self.table, self.local_health, self.counters, now)
-        self.view.listeners.append(self._drop_probe_of_absent)
+        self.view.listeners.append(self._cancel_probe_if_absent)
         self.anti_entropy = AntiEntropy(
-            settings, self.table, self.view.updates, self.random, self.counters
+            settings, self.table, self.view.dissemination, self.random, self.counters
         )
-        self.composer = MessageComposer(self.table, self.view.updates)
+        self.composer = MessageComposer(self.table, self.view.dissemination)
         self.relay = ProbeRelay(settings, self.table, self.random, self.composer)
         self.probe: Probe | None = None
         # A random point of the first period, so that the members do not all probe at the same time.
@@ -131,6 +131,7 @@
     def leave(self) -> list[Outgoing]:
         """Announce this member's departure to some members, which disseminate it."""
         self.view.leave()
+        # An ACK of sequence 0 without a digest answers no probe, and gets no answer itself.
         names = self.random.sample(self.table.probe_order.names, 2 * self.settings.indirect_probes)
         local = self.table.local
         return [
@@ -146,10 +147,11 @@
     def _begin_period(self, now: int) -> list[Outgoing]:
         if self.probe is not None:
             self._probe_failed(now, self.probe)
-        # A slow member probes less often, and waits longer for answers.
+        # Poor local health lengthens the period, and the probe timeout too.
         period_ns = self.settings.probe_period_ns
-        base = max(self.next_period_ns, now - period_ns // 2)
-        self.next_period_ns = base + period_ns * self.local_health.multiplier
+        # After a delay, the next period begins at least half a period from now.
+        period_start_ns = max(self.next_period_ns, now - period_ns // 2)
+        self.next_period_ns = period_start_ns + period_ns * self.local_health.multiplier
         return self._probe_next(now) + self._rejoin(now)
 
     def _probe_failed(self, now: int, probe: Probe) -> None:
@@ -191,7 +193,8 @@
             for name in probe.helpers
         ]
 
-    def _drop_probe_of_absent(self, _previous: MemberRecord, current: MemberRecord) -> None:
+    def _cancel_probe_if_absent(self, _previous: MemberRecord, current: MemberRecord) -> None:
+        """Cancel the probe of a member that is no longer present; a listener of the view."""
         if self.probe is None or current.is_present:
             return
         if self.probe.member.record.name == current.name:
@@ -205,15 +208,15 @@
     def _rejoin(self, now: int) -> list[Outgoing]:
         """Request a comparison of tables from a lost member or a seed, or from several if alone.
 
-        This is how members join, and how the halves of a split network find each other.
+        This is how members join, and how the parts of a split network merge after the split.
         """
         if now - self._last_rejoin_ns < self.settings.rejoin_interval_ns:
             return []
         self._last_rejoin_ns = now
         self.view.forget_absent(now)
         lost = self.table.lost_addresses()
-        reached = self.table.present_addresses().union(lost)
-        candidates = lost + [address for address in self.seeds if address not in reached]
+        member_addresses = self.table.present_addresses().union(lost)
+        candidates = lost + [address for address in self.seeds if address not in member_addresses]
         if not candidates or self.view.leaving:
             return []
         if len(self.table.probe_order) > 0:
@@ -227,6 +230,7 @@
         sender = message.sender
         local = self.table.local
         if sender.name == local.name:
+            # Another process uses this member's name, or the message is this member's own.
             self.counters.name_conflicts += sender.address != local.address
             return []
         self._merge_updates(now, message)
@@ -270,6 +274,7 @@
         return self.anti_entropy.pages(message, request_records=True)
 
     def _on_records(self, _now: int, message: Message) -> list[Outgoing]:
+        """Return the requested records if the page carries a digest; other pages get no answer."""
         return self.anti_entropy.pages(message, request_records=False)
 
     def _on_query(self, _now: int, message: Message) -> list[Outgoing]:
--- a/pepperhook/membership/rate_limit.py
+++ b/pepperhook/membership/rate_limit.py
@@ -5,8 +5,8 @@
 from pepperhook.membership.messages import Address
 from pepperhook.membership.settings import NS_PER_S
 
-MAX_DATAGRAMS_PER_S = 100  # of each sender; also the burst
-MAX_SENDERS = 6000  # that have their own bucket; all others share one
+MAX_DATAGRAMS_PER_S = 100  # from each sender; also the capacity of its bucket
+MAX_SENDERS = 6000  # senders with a bucket of their own; all others share one
 
 
 @dataclass(slots=True)
@@ -18,7 +18,7 @@
 
 
 class SenderRateLimiter:
-    """One token bucket for each sender, so that a flood costs look-ups but no HMACs."""
+    """One token bucket for each sender, so that a flood is dropped before its MACs are computed."""
 
     def __init__(self) -> None:
         """Start without any bucket."""
@@ -40,7 +40,7 @@
         if sender not in self.buckets and len(self.buckets) >= MAX_SENDERS:
             self._drop_full_buckets(now)
             if len(self.buckets) >= MAX_SENDERS:
-                key = None
+                key = None  # the shared bucket
         if key not in self.buckets:
             self.buckets[key] = TokenBucket(MAX_DATAGRAMS_PER_S, now)
         return self.buckets[key]
--- a/pepperhook/membership/seeded_random.py
+++ b/pepperhook/membership/seeded_random.py
@@ -9,7 +9,7 @@
     """Random numbers that depend only on the seed and on the number of earlier draws."""
 
     def __init__(self, seed: int) -> None:
-        """Start the sequence of ``seed``."""
+        """Create a generator with ``seed``."""
         self._seed = seed
         self._draws = 0
 
--- a/pepperhook/membership/settings.py
+++ b/pepperhook/membership/settings.py
@@ -9,7 +9,7 @@
 class ProtocolSettings(Struct, frozen=True):
     """Periods, timeouts and retransmissions of the failure detector.
 
-    With the defaults, the death of one of twenty members is suspected within about two seconds.
+    With the defaults, a failed member among twenty is suspected within about two seconds.
     """
 
     probe_period_ns: int = NS_PER_S
@@ -17,12 +17,11 @@
     probe_timeout_ns: int = 300 * NS_PER_MS
     # Number of members asked to probe on this member's behalf (k in the SWIM paper).
     indirect_probes: int = 3
-    # Multiplied by log10 of the cluster size: the shortest suspicion, in probe periods.
+    # Shortest suspicion in probe periods, per log10 of the cluster size (which counts at least 1).
     suspicion_multiplier: float = 3.0
-    # Multiplied by the shortest suspicion: the longest one, by a member in good local health.
+    # Longest suspicion by a member in good local health, as a multiple of the shortest.
     max_suspicion_multiplier: float = 3.0
-    # Multiplied by log2 of the cluster size: how often an update is piggybacked (lambda in the
-    # paper).
+    # Number of times an update is sent, per log2 of the cluster size (lambda in the SWIM paper).
     retransmit_multiplier: float = 3.0
     # Between attempts to reach lost members and absent seeds.
     rejoin_interval_ns: int = 5 * NS_PER_S
--- a/pepperhook/membership/suspicion.py
+++ b/pepperhook/membership/suspicion.py
@@ -12,20 +12,20 @@
 
 
 def suspicion_timeout_ns(
-    settings: ProtocolSettings, cluster_size: int, local_health: int, confirmations: int
+    settings: ProtocolSettings, cluster_size: int, local_health_score: int, confirmations: int
 ) -> int:
     """Return the duration of a suspicion, in nanoseconds (Lifeguard, section IV.B).
 
     It shrinks with the logarithm of the confirmations: the more members confirm the suspicion, the
-    less likely it is that the fault lies with the first accuser.
+    less likely it is that the first accuser itself is at fault.
     """
     scale = max(1.0, log(max(2, cluster_size), 10))
-    shortest = int(settings.suspicion_multiplier * scale * settings.probe_period_ns)
-    longest = shortest * settings.max_suspicion_multiplier * (1 + local_health / 2)
+    shortest_ns = int(settings.suspicion_multiplier * scale * settings.probe_period_ns)
+    longest_ns = shortest_ns * settings.max_suspicion_multiplier * (1 + local_health_score / 2)
     # In a small cluster fewer members can confirm the suspicion.
-    possible = max(1, min(MAX_CONFIRMATIONS, cluster_size - 2))
-    reduction = (longest - shortest) * log(confirmations + 1) / log(possible + 1)
-    return int(max(shortest, longest - reduction))
+    max_confirmations = max(1, min(MAX_CONFIRMATIONS, cluster_size - 2))
+    reduction_ns = (longest_ns - shortest_ns) * log(confirmations + 1) / log(max_confirmations + 1)
+    return int(max(shortest_ns, longest_ns - reduction_ns))
 
 
 @dataclass(slots=True)
@@ -68,6 +68,7 @@
     def confirm(self, member: Member, accuser: str, now: int) -> bool:
         """Add an accuser, which shortens the suspicion; return whether it was added."""
         suspicion = self.suspicions[member.record.name]
+        # Counting the new accuser; the first accuser is not a confirmation.
         confirmations = len(suspicion.accusers)
         if accuser in suspicion.accusers or confirmations > MAX_CONFIRMATIONS:
             return False
--- a/pepperhook/membership/view.py
+++ b/pepperhook/membership/view.py
@@ -17,7 +17,7 @@
 
 
 class MembershipView:
-    """The member table, its suspicions and its pending updates, which are changed together."""
+    """The member table with its suspicions and pending updates, kept consistent by each change."""
 
     def __init__(
         self,
@@ -33,31 +33,31 @@
         self.local_health = local_health
         self.counters = counters
         self.suspicions = SuspicionTimers(settings, table, local_health)
-        self.updates = Dissemination(settings, table, self.suspicions)
-        self.updates.enqueue(table.local.name)
+        self.dissemination = Dissemination(settings, table, self.suspicions)
+        self.dissemination.enqueue(table.local.name)
         self.listeners: list[ChangeListener] = []
         self.leaving = False
-        self._name_defended_ns = now - settings.rejoin_interval_ns
+        self._last_name_override_ns = now - settings.rejoin_interval_ns
 
-    def merge(self, now: int, update: MemberRecord, source: str) -> None:
-        """Merge an update; ``source`` is the accuser if the update is a suspicion."""
+    def merge(self, now: int, update: MemberRecord, accuser: str) -> None:
+        """Merge an update reported by ``accuser``, whose name is used only for a suspicion."""
         if update.name == self.table.local.name:
             self._merge_about_local(now, update)
             return
         member = self.table.others.get(update.name)
         if member is None:
-            # An unknown member that is lost or has left is not added: old records would otherwise
-            # return for ever.
+            # An unknown member that is lost or has left is not added: members that have dropped an
+            # old record would otherwise get it back from others for ever.
             if update.is_present and not self.table.is_full:
                 self.table.add(update, now)
-                self._apply(now, update, source)
+                self._apply(now, update, accuser)
             return
         known = member.record
-        is_suspect = update.state == known.state == MemberState.SUSPECT
-        if is_suspect and update.incarnation == known.incarnation:
-            self._confirm(now, member, source)
+        both_suspect = update.state == known.state == MemberState.SUSPECT
+        if both_suspect and update.incarnation == known.incarnation:
+            self._confirm(now, member, accuser)
         elif update.overrides(known):
-            self._apply(now, update, source)
+            self._apply(now, update, accuser)
 
     def suspect(self, now: int, member: Member, accuser: str) -> None:
         """Suspect a present member, or confirm an existing suspicion."""
@@ -79,7 +79,7 @@
     def forget_absent(self, now: int) -> None:
         """Drop members that were lost or departed more than ``forget_after_ns`` ago."""
         for name in self.table.forget_absent(now, self._settings.forget_after_ns):
-            self.updates.discard(name)
+            self.dissemination.discard(name)
 
     def announce_config_version(self, version: int) -> None:
         """Disseminate the configuration version that this member runs, if it has changed."""
@@ -95,7 +95,8 @@
     def _merge_about_local(self, now: int, update: MemberRecord) -> None:
         """Refute a wrong update about the local member with a higher incarnation.
 
-        It may be a suspicion, or a record of an earlier lifecycle whose clock was ahead.
+        It may be a suspicion, a record of an earlier run of the process whose clock was ahead, or a
+        record of another process of this name.
         """
         local = self.table.local
         if update.incarnation < local.incarnation or self.leaving or update == local:
@@ -103,27 +104,27 @@
         is_alive = update.state == MemberState.ALIVE
         if is_alive and update.incarnation == local.incarnation:
             return
-        if is_alive and update.address != local.address and not self._may_defend_name(now):
+        if is_alive and update.address != local.address and not self._record_name_conflict(now):
             return
         if not is_alive:
             self.counters.refuted += 1
             self.local_health.degrade()
         self._update_local(incarnation=update.incarnation + 1)
 
-    def _may_defend_name(self, now: int) -> bool:
+    def _record_name_conflict(self, now: int) -> bool:
         """Count a conflict with another process of this name; return whether to override it now.
 
         Without this limit, the two would override each other as fast as updates spread.
         """
         self.counters.name_conflicts += 1
-        if now - self._name_defended_ns < self._settings.rejoin_interval_ns:
+        if now - self._last_name_override_ns < self._settings.rejoin_interval_ns:
             return False
-        self._name_defended_ns = now
+        self._last_name_override_ns = now
         return True
 
     def _update_local(self, **changes: int) -> None:
         self.table.update_local(**changes)
-        self.updates.enqueue(self.table.local.name)
+        self.dissemination.enqueue(self.table.local.name)
 
     def _apply(self, now: int, record: MemberRecord, accuser: str) -> None:
         """Replace a member's record with one that overrides it."""
@@ -133,10 +134,10 @@
             self.suspicions.start(record.name, accuser, now)
         else:
             self.suspicions.cancel(record.name)
-        self.updates.enqueue(record.name)
+        self.dissemination.enqueue(record.name)
         for listener in self.listeners:
             listener(previous, record)
 
     def _confirm(self, now: int, member: Member, accuser: str) -> None:
         if self.suspicions.confirm(member, accuser, now):
-            self.updates.enqueue(member.record.name)
+            self.dissemination.enqueue(member.record.name)
--- a/tests/membership/helpers.py
+++ b/tests/membership/helpers.py
@@ -18,12 +18,13 @@
 
 SECRET = "a long secret of the installation"
 KEYS = KeyRing([("k1", SECRET)])
-FORGED_KEYS = KeyRing([("k1", "not the secret of the installation")])
+WRONG_KEYS = KeyRing([("k1", "not the secret of the installation")])
 LOCAL = "me"
 
 
 def record(name: str = "a", **changes: Any) -> MemberRecord:
     """Return a member's record."""
+    # The default port depends on the first letter of the name.
     fields = {
         "name": name,
         "address": ("127.0.0.1", 1000 + ord(name[0])),
@@ -45,7 +46,7 @@
 
 
 def make_protocol(known: Iterable[str] = ()) -> SwimProtocol:
-    """Return a member that knows the ``known`` members, each from its own message."""
+    """Return the protocol of the member ``LOCAL``; ``known`` are names of members in its table."""
     protocol = SwimProtocol(record(LOCAL), [("127.0.0.1", 1)], 3, 0)
     for name in known:
         protocol.view.merge(0, record(name), name)
@@ -63,7 +64,7 @@
 
 
 def assert_consistent(protocol: SwimProtocol) -> None:
-    """Check that a member's table and all that is derived from it agree, as after every step."""
+    """Check that a member's table and all that is derived from it agree, as they always must."""
     table = protocol.table
     states = {name: member.record.state for name, member in table.others.items()}
     present = {name for name in states if table.record_of(name).is_present}
@@ -77,6 +78,6 @@
     assert 0 <= table.probe_order.position <= len(present)
     assert set(protocol.view.suspicions.suspicions) == suspected
     assert table.digest.as_list() == digest.as_list()
-    assert set(protocol.view.updates.transmissions) <= {table.local.name, *states}
+    assert set(protocol.view.dissemination.transmissions) <= {table.local.name, *states}
     assert 0 <= protocol.local_health.score <= MAX_SCORE
     assert len(protocol.relay.probes) <= MAX_RELAYED_PROBES
--- a/tests/membership/test_cluster.py
+++ b/tests/membership/test_cluster.py
@@ -64,10 +64,10 @@
         self.network.cut = lambda sender, receiver: sender in side and receiver not in side
 
     def fail_or_restore(self, name: str, number: int, fault: str) -> None:
-        """Kill or stop a member, or have it leave; restore it if it is gone or stopped."""
+        """Kill or stop a member, or have it leave; if it is not running, restore it instead."""
         network = self.network
         if name not in network.members:
-            # Its clock may not have advanced since its previous lifecycle.
+            # Its clock may not have advanced since its previous run.
             self.start_incarnations[number] += self.random.choice((0, 1, 1000))
             network.begin(number, self.start_incarnations[number])
         elif name in network.asleep:
@@ -78,7 +78,7 @@
             network.kill(name)
         else:
             local = network.members[name].protocol.table.local
-            self.highest_incarnations[name] = local.incarnation + 1  # of its last message
+            self.highest_incarnations[name] = local.incarnation + 1  # leaving raises it once more
             network.leave(name)
 
     def run(self, until_s: float) -> None:
@@ -124,17 +124,17 @@
     assert injector.network.agreed()
 
 
-def test_runs_with_the_same_seed_are_equal():
-    def figures():
+def test_runs_with_the_same_seed_give_the_same_statistics():
+    def run_and_measure():
         network = settled(15, 8, loss=0.05)
         network.kill("m0007")
         run_for(network, 20)
         return network.figures()
 
-    assert figures() == figures()
+    assert run_and_measure() == run_and_measure()
 
 
-def test_deaths_are_known_to_all_and_no_living_member_is_lost_under_datagram_loss():
+def test_under_datagram_loss_only_killed_members_are_declared_lost_by_all():
     network = settled(40, 2, loss=0.05)
 
     network.kill("m0020")
@@ -142,14 +142,14 @@
     run_for(network, 40)
 
     figures = network.figures()
-    known = [death.known for death in figures.deaths]
-    assert len(known) == 2
-    assert all(time_ns is not None and time_ns < 30 * NS_PER_S for time_ns in known)
+    detection_times_ns = [death.known for death in figures.deaths]
+    assert len(detection_times_ns) == 2
+    assert all(time_ns is not None and time_ns < 30 * NS_PER_S for time_ns in detection_times_ns)
     assert figures.falsely_lost == 0
     assert network.agreed()
 
 
-def test_a_member_that_leaves_is_departed_for_all_without_being_suspected():
+def test_a_member_that_leaves_is_marked_as_left_by_all_and_suspected_by_none():
     network = settled(30, 3)
 
     network.leave("m0011")
@@ -180,14 +180,14 @@
 
 def test_a_member_that_can_send_but_not_receive_causes_no_other_to_be_declared_lost():
     network = settled(20, 7)
-    rest = {name for name in network.members if name != "m0003"}
+    other_names = {name for name in network.members if name != "m0003"}
 
     network.cut = lambda _sender, receiver: receiver == "m0003"
     run_for(network, 90)
 
-    for name in rest:
+    for name in other_names:
         present = network.members[name].protocol.table.present_names()
-        assert set(present) - {"m0003"} == rest
+        assert set(present) - {"m0003"} == other_names
     network.cut = no_cut
     run_for(network, 60)
     assert network.agreed()
@@ -248,7 +248,9 @@
             run_for(network, 1)
             self.update(network, positions)
 
-    def test_the_smaller_part_keeps_its_count_and_the_larger_one_shrinks(self, network, positions):
+    def test_only_the_larger_part_of_a_split_network_reduces_the_fleet_size(
+        self, network, positions
+    ):
         smaller = {f"m{number:04}" for number in range(8)}
         larger = set(network.members) - smaller
 
@@ -262,7 +264,7 @@
         assert {positions[name].count for name in smaller} == {20}
         assert {positions[name].count for name in larger} == {12}
 
-    def test_both_parts_find_each_other_again_when_the_network_heals(self, network, positions):
+    def test_positions_cover_the_whole_fleet_again_after_the_split_ends(self, network, positions):
         split(network, {f"m{number:04}" for number in range(8)})
         self.run_and_update(network, positions, 90)
 
--- a/tests/membership/test_datagram.py
+++ b/tests/membership/test_datagram.py
@@ -12,7 +12,7 @@
 from pepperhook.membership.messages import Message, MessageType
 from pepperhook.membership.rate_limit import MAX_SENDERS, SenderRateLimiter
 from pepperhook.membership.settings import NS_PER_MS, NS_PER_S
-from tests.membership.helpers import FORGED_KEYS, KEYS, record, suspect
+from tests.membership.helpers import KEYS, WRONG_KEYS, record, suspect
 
 MESSAGE = Message(MessageType.PING, 7, record(), "b", [1] * 16, [suspect("c")], ["d"])
 # MESSAGE as version 0.2 encoded it with KEYS.
@@ -59,7 +59,7 @@
 
 
 def test_a_datagram_signed_with_an_unknown_key_is_rejected():
-    other_keys = KeyRing([("k2", "another long secret of theirs")])
+    other_keys = KeyRing([("k2", "a long secret of another installation")])
 
     with pytest.raises(InvalidDatagramError, match="no key has the id 'k1'"):
         decode(encode(MESSAGE, KEYS), other_keys)
@@ -67,7 +67,7 @@
 
 def test_a_datagram_signed_with_another_secret_is_rejected():
     with pytest.raises(InvalidDatagramError, match="the MAC does not match"):
-        decode(encode(MESSAGE, FORGED_KEYS), KEYS)
+        decode(encode(MESSAGE, WRONG_KEYS), KEYS)
 
 
 @pytest.mark.parametrize(
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -21,29 +21,30 @@
     return protocol
 
 
-def test_every_message_to_a_suspect_informs_it_of_its_suspicion():
+def test_a_message_to_a_suspect_carries_its_suspicion_even_if_no_update_is_pending():
     protocol = make_protocol("abcdefgh")
-    updates = protocol.view.updates
+    dissemination = protocol.view.dissemination
     protocol.view.merge(0, suspect("a"), "b")
+    # Until no update is pending any more.
     for _ in range(60):
-        updates.piggyback("c")
-    assert len(updates) == 0
+        dissemination.piggyback("c")
+    assert len(dissemination) == 0
 
-    piggyback = updates.piggyback("a")
+    piggyback = dissemination.piggyback("a")
 
     assert piggyback.updates[0] == suspect("a")
     assert piggyback.accusers == ["b"]
 
 
-def test_each_update_is_sent_as_often_as_the_limit_in_datagrams_that_fit_a_packet(
+def test_each_update_is_sent_retransmit_limit_times_in_datagrams_of_bounded_size(
     member_of_large_cluster,
 ):
-    updates = member_of_large_cluster.view.updates
+    dissemination = member_of_large_cluster.view.dissemination
     digest = member_of_large_cluster.table.digest.as_list()
     sent = 0
 
     for _ in range(2000):
-        piggyback = updates.piggyback("x")
+        piggyback = dissemination.piggyback("x")
         message = Message(
             MessageType.ACK,
             1,
@@ -56,8 +57,8 @@
         assert len(encode(message, KEYS)) <= MAX_DATAGRAM_BYTES
         sent += len(piggyback.updates)
 
-    assert len(updates) == 0
-    assert sent == (MEMBERS + 1) * updates.retransmit_limit()
+    assert len(dissemination) == 0
+    assert sent == (MEMBERS + 1) * dissemination.retransmit_limit()
 
 
 def test_a_table_is_sent_in_a_bounded_number_of_pages_that_fit_a_datagram(member_of_large_cluster):
@@ -65,5 +66,6 @@
 
     pages = member_of_large_cluster.receive(0, sync)
 
+    # All 301 records would fill 26 pages.
     assert 10 < len(pages) <= MAX_PAGES
     assert all(len(encode(page.message, KEYS)) <= MAX_DATAGRAM_BYTES for page in pages)
--- a/tests/membership/test_extension.py
+++ b/tests/membership/test_extension.py
@@ -18,7 +18,7 @@
 from pepperhook.operator_config.schema import MembershipTable, SigningKey
 from pepperhook.server.extensions import Extensions
 from pepperhook.server.structured_logging import Log
-from tests.membership.helpers import FORGED_KEYS, SECRET, record, state_of
+from tests.membership.helpers import SECRET, WRONG_KEYS, record, state_of
 from tests.programs import free_port
 from tests.server.balancers import RunningBalancer, make_config
 
@@ -41,7 +41,7 @@
     return Gossip(gossip_settings, platform, LOG)
 
 
-async def until(condition) -> None:
+async def wait_until(condition) -> None:
     """Wait until a condition holds; fail the test if it does not hold in time."""
     for _ in range(MAX_POLLS):
         if condition():
@@ -89,10 +89,10 @@
 
 async def test_balancers_find_each_other_and_a_stopped_one_is_marked_as_left():
     async with Fleet(5) as fleet:
-        await until(fleet.all_agree)
+        await wait_until(fleet.all_agree)
 
         stopped = await fleet.stop(2)
-        await until(fleet.all_agree)
+        await wait_until(fleet.all_agree)
 
         states = {state_of(extension.protocol, "b2") for extension in fleet.extensions}
         assert states == {MemberState.LEFT}
@@ -101,13 +101,13 @@
 
 async def test_the_policy_receives_the_fleet_position_found_by_gossip():
     async with Fleet(3, sets_fleet_position=True) as fleet:
-        await until(
+        await wait_until(
             lambda: [extension.position.index for extension in fleet.extensions] == [0, 1, 2]
         )
 
         policies = [balancer.app.runtime.policy for balancer in fleet.running]
 
-        await until(
+        await wait_until(
             lambda: (
                 [(policy.index, policy.fleet_size) for policy in policies]
                 == [(0, 3), (1, 3), (2, 3)]
@@ -124,19 +124,20 @@
         None,
         [MemberRecord("b2", ("127.0.0.1", 9), 0, 10**15, MemberState.LEFT)],
     )
-    noise = [b"", b"PG1", b"noise" * 100, b"PG1\xff" + b"x" * 300]
+    # Empty, truncated, without the magic bytes, and with an unknown key id.
+    malformed = [b"", b"PG1", b"noise" * 100, b"PG1\xff" + b"x" * 300]
     async with Fleet(3) as fleet:
-        await until(fleet.all_agree)
+        await wait_until(fleet.all_agree)
         target = fleet.extensions[1]
 
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-            for data in [encode(forged, FORGED_KEYS), *noise]:
+            for data in [encode(forged, WRONG_KEYS), *malformed]:
                 sock.sendto(data, target.listen)
-            await until(lambda: target.counters.rejected >= 4)
+            await wait_until(lambda: target.counters.rejected >= 4)
             for _ in range(400):
                 sock.sendto(b"PG1 datagram of a flood", target.listen)
                 await asyncio.sleep(0)
-            await until(lambda: target.counters.rate_limited >= 100)
+            await wait_until(lambda: target.counters.rate_limited >= 100)
 
         assert fleet.all_agree()
 
@@ -160,7 +161,7 @@
         RunningBalancer(["127.0.0.1:9"], Extensions([first]), owns_event_loop=False),
         RunningBalancer(["127.0.0.1:9"], Extensions([second]), owns_event_loop=False),
     ):
-        await until(lambda: second.protocol.table.present_names() == ["b0", "b1"])
+        await wait_until(lambda: second.protocol.table.present_names() == ["b0", "b1"])
 
     assert resolved_hosts == ["first.example"] * 3
 
@@ -183,7 +184,7 @@
         async with RunningBalancer(
             ["127.0.0.1:9"], Extensions([extension]), owns_event_loop=False
         ) as balancer:
-            await until(lambda: extension.open_task.done())
+            await wait_until(lambda: extension.socket_task.done())
 
             assert extension.transport is None
             assert balancer.app.runtime.policy.fleet_size == 1
@@ -213,10 +214,10 @@
 
     async def test_prints_the_members_with_their_running_versions_as_json(self, keys_path):
         async with Fleet(3) as fleet:
-            await until(fleet.all_agree)
+            await wait_until(fleet.all_agree)
             fleet.extensions[2].config_version = lambda: 7
             table = fleet.extensions[0].protocol.table
-            await until(lambda: table.record_of("b2").config_version == 7)
+            await wait_until(lambda: table.record_of("b2").config_version == 7)
 
             result = await self.run_off_the_event_loop(fleet, keys_path, "--json")
 
@@ -230,7 +231,7 @@
 
     async def test_prints_a_summary_and_does_not_become_a_member(self, keys_path):
         async with Fleet(3) as fleet:
-            await until(fleet.all_agree)
+            await wait_until(fleet.all_agree)
 
             result = await self.run_off_the_event_loop(fleet, keys_path)
 
@@ -246,7 +247,7 @@
         assert result.stderr.count("\n") == 1
 
     def test_rejects_an_address_without_a_port(self, keys_path):
-        assert self.run("nowhere", keys_path).exit_code == 2
+        assert self.run("host-without-port", keys_path).exit_code == 2  # a usage error
 
 
 class TestOperatorFile:
@@ -259,15 +260,17 @@
     @pytest.mark.parametrize(
         ("text", "reported"),
         [
-            pytest.param("[gossip]\nseeds = ['a:1']\n" + KEYS, "listen", id="no listen"),
+            pytest.param("[gossip]\nseeds = ['a:1']\n" + KEYS, "listen", id="listen is missing"),
             pytest.param(
-                LISTEN + "seeds = ['a:1', 'b:x']\n" + KEYS, "gossip.seeds[1]", id="seed's port"
+                LISTEN + "seeds = ['a:1', 'b:x']\n" + KEYS,
+                "gossip.seeds[1]",
+                id="seed with an invalid port",
             ),
-            pytest.param(LISTEN + "seeds = []\n" + KEYS, "seeds", id="no seeds"),
+            pytest.param(LISTEN + "seeds = []\n" + KEYS, "seeds", id="seeds is empty"),
             pytest.param(
                 LISTEN + "seeds = ['a:1']\nplace = true\n" + KEYS + CONTROL + KEYS,
                 "gossip.place: control.place is on, too",
-                id="two positions",
+                id="position set by gossip and control",
             ),
         ],
     )
--- a/tests/membership/test_fleet_position.py
+++ b/tests/membership/test_fleet_position.py
@@ -13,8 +13,8 @@
     return FleetPosition(name, size, SETTLE_NS)
 
 
-def full_position(name: str = "b0") -> FleetPosition:
-    """Return the position of a balancer that sees all of ten."""
+def position_in_fleet_of_ten(name: str = "b0") -> FleetPosition:
+    """Return the position of a balancer whose view has all ten balancers."""
     position = make_position(10, name)
     position.update(0, names(*range(10)), [])
     return position
@@ -25,7 +25,7 @@
     return [f"b{number}" for number in numbers]
 
 
-def test_the_fleet_grows_at_once():
+def test_the_fleet_grows_at_once_when_a_view_has_more_members():
     position = make_position(3)
 
     changed = position.update(0, names(*range(5)), [])
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("present", [range(5), range(3), [0]])
 def test_the_position_does_not_change_in_half_of_a_split_network_or_less(present):
-    position = full_position()
+    position = position_in_fleet_of_ten()
 
     changed = position.update(NS_PER_S, names(*present), [])
 
@@ -72,7 +72,7 @@
 
 
 def test_the_fleet_shrinks_in_the_larger_part_of_a_split_network():
-    position = full_position("b9")
+    position = position_in_fleet_of_ten("b9")
 
     position.update(NS_PER_S, names(*range(4, 10)), [])
 
@@ -90,7 +90,7 @@
 
 
 def test_departed_members_do_not_count_towards_the_quorum():
-    position = full_position()
+    position = position_in_fleet_of_ten()
 
     position.update(NS_PER_S, names(0, 1, 2, 3), names(4, 5, 6))
 
@@ -100,7 +100,7 @@
 
 
 def test_without_a_quorum_only_departed_members_are_subtracted():
-    position = full_position()
+    position = position_in_fleet_of_ten()
 
     position.update(NS_PER_S, names(0, 1, 2), names(4, 5, 6))
 
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -23,7 +23,7 @@
     return outgoing[0].message.target
 
 
-def fail_probe(protocol: SwimProtocol) -> str:
+def run_unanswered_probe(protocol: SwimProtocol) -> str:
     """Run a probe that gets no answer while all helpers send NACKs; return the target's name."""
     target = begin_probe(protocol)
     timeout_at = protocol.probe.timeout_at_ns
@@ -57,10 +57,10 @@
         assert target not in {request.target for request in requests}
         assert {request.payload.name for request in requests} == {target}
 
-    def test_a_member_that_no_helper_reaches_is_suspected_without_harm_to_local_health(self):
+    def test_a_member_that_no_helper_reaches_is_suspected_and_the_health_score_stays_0(self):
         protocol = make_protocol("abcde")
 
-        target = fail_probe(protocol)
+        target = run_unanswered_probe(protocol)
 
         assert state_of(protocol, target) == MemberState.SUSPECT
         assert protocol.counters.suspected == 1
@@ -83,7 +83,7 @@
 
     def test_only_a_new_accuser_shortens_a_suspicion(self):
         protocol = make_protocol("abcde")
-        target = fail_probe(protocol)
+        target = run_unanswered_probe(protocol)
         accuser = "b" if target != "b" else "c"
         now = protocol.next_period_ns
         suspicion = protocol.view.suspicions.suspicions[target]
@@ -98,7 +98,7 @@
 
     def test_a_suspicion_that_times_out_makes_the_member_lost(self):
         protocol = make_protocol("abcde")
-        target = fail_probe(protocol)
+        target = run_unanswered_probe(protocol)
         accuser = "b" if target != "b" else "c"
         protocol.view.merge(protocol.next_period_ns, suspect(target), accuser)
         deadline = protocol.view.suspicions.suspicions[target].deadline_ns
@@ -141,7 +141,9 @@
         assert (relayed.message.type, relayed.message.payload) == (MessageType.ACK, "z")
         assert not helper.relay.probes
 
-    def test_a_helper_without_an_answer_sends_a_nack(self, helper, request_for_z):
+    def test_a_helper_sends_a_nack_if_the_target_does_not_answer_in_time(
+        self, helper, request_for_z
+    ):
         helper.receive(30, request_for_z)
 
         outgoing = helper.tick(30 + helper.settings.probe_timeout_ns)
@@ -150,7 +152,7 @@
         assert [nack.sequence for nack in nacks] == [77]
 
 
-def test_the_time_of_a_stall_causes_no_suspicion_or_loss_and_sets_the_worst_health():
+def test_after_a_stall_suspicions_are_postponed_and_the_health_score_is_the_worst():
     protocol = make_protocol("abc")
     protocol.view.merge(0, suspect("c"), "b")
     deadline = protocol.view.suspicions.suspicions["c"].deadline_ns
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -25,10 +25,10 @@
         assert overriding == [index > known_index for index in range(len(in_order))]
 
 
-def test_a_suspect_refutes_with_a_higher_incarnation_and_lowers_its_local_health():
+def test_a_suspect_refutes_with_a_higher_incarnation_and_raises_its_health_score():
     protocol = make_protocol()
 
-    protocol.view.merge(0, suspect(LOCAL, address=("127.0.0.1", 1109)), "a")
+    protocol.view.merge(0, suspect(LOCAL), "a")
 
     assert protocol.table.local.incarnation == 6
     assert protocol.counters.refuted == 1
@@ -36,7 +36,7 @@
     assert_consistent(protocol)
 
 
-def test_a_record_of_an_earlier_lifecycle_whose_clock_was_ahead_is_overridden():
+def test_an_update_about_the_local_member_with_a_higher_incarnation_is_overridden():
     protocol = make_protocol()
 
     protocol.view.merge(0, lost(LOCAL, incarnation=9), "a")
@@ -57,7 +57,7 @@
     assert_consistent(protocol)
 
 
-def test_the_loss_of_an_unknown_member_is_ignored():
+def test_a_lost_record_of_an_unknown_member_is_not_added():
     protocol = make_protocol()
 
     protocol.view.merge(0, lost("q"), "b")
@@ -75,6 +75,7 @@
         protocol.view.merge(step * NS_PER_MS, other, "a")
 
     assert protocol.counters.name_conflicts == 100
+    # One override at most: the 100 ms are less than a rejoin interval.
     assert protocol.table.local.incarnation <= 7
 
 
