--- a/pepperhook/membership/composer.py
+++ b/pepperhook/membership/composer.py
@@ -1,4 +1,4 @@
-"""Composes the messages of one member, each with piggybacked updates."""
+"""Composes the messages of the local member, each with piggybacked updates."""
 
 from typing import Any
 
@@ -8,19 +8,19 @@
 
 
 class MessageComposer:
-    """Composes messages in the name of the local member."""
+    """Composes messages with the local member as their sender."""
 
-    def __init__(self, table: MemberTable, updates: Dissemination) -> None:
-        """Take the sender's record and digest from ``table``, and updates from ``updates``."""
+    def __init__(self, table: MemberTable, dissemination: Dissemination) -> None:
+        """Take the sender's record and digest from ``table``, updates from ``dissemination``."""
         self._table = table
-        self._updates = updates
+        self._dissemination = dissemination
 
     def ping(self, target: MemberRecord, sequence: int) -> Outgoing:
         """Return a probe of a member, with the digest of the local table."""
         return self.to_member(MessageType.PING, sequence, target, self._table.digest.as_list())
 
     def sync(self, address: Address, name: str = "") -> Outgoing:
-        """Return a request to compare tables, to whoever is at the address if there is no name."""
+        """Return a request to compare tables; without a name, for any member at the address."""
         return self._compose(address, name, MessageType.SYNC, 0, self._table.digest.as_list())
 
     def to_member(
@@ -32,7 +32,7 @@
     def _compose(
         self, address: Address, name: str, message_type: MessageType, sequence: int, payload: Any
     ) -> Outgoing:
-        piggyback = self._updates.piggyback(name)
+        piggyback = self._dissemination.piggyback(name)
         message = Message(
             message_type,
             sequence,
--- a/pepperhook/membership/view.py
+++ b/pepperhook/membership/view.py
@@ -1,4 +1,4 @@
-"""How this member's view changes: merging updates, suspecting, refuting and leaving."""
+"""Changes to the local member's view: merged updates, suspicions, refutations and departure."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 
 class MembershipView:
-    """The member table with its suspicions and the updates to pass on, kept consistent."""
+    """The member table with its suspicions and pending updates, kept consistent by each change."""
 
     def __init__(
         self,
@@ -27,40 +27,40 @@
         counters: ProtocolCounters,
         now: int,
     ) -> None:
-        """Begin to pass on this member's own record."""
+        """Start to disseminate the local member's own record."""
         self._settings = settings
         self.table = table
         self.local_health = local_health
         self.counters = counters
         self.suspicions = SuspicionTimers(settings, table, local_health)
-        self.updates = Dissemination(settings, table, self.suspicions)
-        self.updates.enqueue(table.local.name)
+        self.dissemination = Dissemination(settings, table, self.suspicions)
+        self.dissemination.enqueue(table.local.name)
         self.listeners: list[ChangeListener] = []
         self.leaving = False
-        self._name_defended_ns = now - settings.rejoin_interval_ns
+        self._last_name_override_ns = now - settings.rejoin_interval_ns
 
-    def merge(self, now: int, update: MemberRecord, source: str) -> None:
-        """Take in an update. ``source`` is who says so, which counts where it is a suspicion."""
+    def merge(self, now: int, update: MemberRecord, accuser: str) -> None:
+        """Merge an update reported by ``accuser``, whose name is used only for a suspicion."""
         if update.name == self.table.local.name:
             self._merge_about_local(now, update)
             return
         member = self.table.others.get(update.name)
         if member is None:
-            # The death of a member that nobody here knew is not taken in: records of long ago
-            # would come back for ever.
+            # An unknown member that is lost or has left is not added: members that have dropped an
+            # old record would otherwise get it back from others for ever.
             if update.is_present and not self.table.is_full:
                 self.table.add(update, now)
-                self._apply(now, update, source)
+                self._apply(now, update, accuser)
             return
         known = member.record
-        is_suspect = update.state == known.state == MemberState.SUSPECT
-        if is_suspect and update.incarnation == known.incarnation:
-            self._confirm(now, member, source)
+        both_suspect = update.state == known.state == MemberState.SUSPECT
+        if both_suspect and update.incarnation == known.incarnation:
+            self._confirm(now, member, accuser)
         elif update.overrides(known):
-            self._apply(now, update, source)
+            self._apply(now, update, accuser)
 
     def suspect(self, now: int, member: Member, accuser: str) -> None:
-        """Suspect a present member, or confirm that it is suspected."""
+        """Suspect a present member, or confirm an existing suspicion."""
         if member.record.state == MemberState.SUSPECT:
             self._confirm(now, member, accuser)
             return
@@ -69,7 +69,7 @@
         self._apply(now, suspected, accuser)
 
     def expire_suspicions(self, now: int) -> None:
-        """Declare lost whose suspicion has timed out."""
+        """Declare the members lost whose suspicion has timed out."""
         for name in self.suspicions.expired(now):
             self.counters.lost += 1
             suspected = self.table.others[name].record
@@ -77,25 +77,26 @@
             self._apply(now, lost, self.table.local.name)
 
     def forget_absent(self, now: int) -> None:
-        """Drop members that have been lost or departed for long."""
+        """Drop members that were lost or departed more than ``forget_after_ns`` ago."""
         for name in self.table.forget_absent(now, self._settings.forget_after_ns):
-            self.updates.discard(name)
+            self.dissemination.discard(name)
 
     def announce_config_version(self, version: int) -> None:
-        """Tell the others which configuration version this member runs, where it changed."""
+        """Disseminate the configuration version that this member runs, if it has changed."""
         if version != self.table.local.config_version:
             self._update_local(config_version=version)
 
     def leave(self) -> None:
-        """Mark this member as departed; it refutes nothing from now on."""
+        """Mark the local member as departed; it refutes no updates from now on."""
         self._update_local(state=MemberState.LEFT)
         self.leaving = True
         self.table.version += 1
 
     def _merge_about_local(self, now: int, update: MemberRecord) -> None:
-        """Refute an update on this member itself where it is wrong, by a higher incarnation.
+        """Refute a wrong update about the local member with a higher incarnation.
 
-        It may be a suspicion, or a record of a former lifecycle whose clock ran ahead.
+        It may be a suspicion, a record of an earlier run of the process whose clock was ahead, or a
+        record of another process of this name.
         """
         local = self.table.local
         if update.incarnation < local.incarnation or self.leaving or update == local:
@@ -103,40 +104,40 @@
         is_alive = update.state == MemberState.ALIVE
         if is_alive and update.incarnation == local.incarnation:
             return
-        if is_alive and update.address != local.address and not self._may_defend_name(now):
+        if is_alive and update.address != local.address and not self._record_name_conflict(now):
             return
         if not is_alive:
             self.counters.refuted += 1
             self.local_health.degrade()
         self._update_local(incarnation=update.incarnation + 1)
 
-    def _may_defend_name(self, now: int) -> bool:
-        """Count another process of this member's name, and return whether to outbid it now.
+    def _record_name_conflict(self, now: int) -> bool:
+        """Count a conflict with another process of this name; return whether to override it now.
 
-        Unlimited, the two would outbid each other as fast as updates travel.
+        Without this limit, the two would override each other as fast as updates spread.
         """
         self.counters.name_conflicts += 1
-        if now - self._name_defended_ns < self._settings.rejoin_interval_ns:
+        if now - self._last_name_override_ns < self._settings.rejoin_interval_ns:
             return False
-        self._name_defended_ns = now
+        self._last_name_override_ns = now
         return True
 
     def _update_local(self, **changes: int) -> None:
         self.table.update_local(**changes)
-        self.updates.enqueue(self.table.local.name)
+        self.dissemination.enqueue(self.table.local.name)
 
     def _apply(self, now: int, record: MemberRecord, accuser: str) -> None:
-        """Put in place a record that overrides what was known."""
+        """Replace a member's record with one that overrides it."""
         previous = self.table.others[record.name].record
         self.table.replace(record, now)
         if record.state == MemberState.SUSPECT:
             self.suspicions.start(record.name, accuser, now)
         else:
             self.suspicions.cancel(record.name)
-        self.updates.enqueue(record.name)
+        self.dissemination.enqueue(record.name)
         for listener in self.listeners:
             listener(previous, record)
 
     def _confirm(self, now: int, member: Member, accuser: str) -> None:
         if self.suspicions.confirm(member, accuser, now):
-            self.updates.enqueue(member.record.name)
+            self.dissemination.enqueue(member.record.name)
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -1,4 +1,4 @@
-"""Piggybacked updates and pages of a table."""
+"""Piggybacked updates, and pages of the member table."""
 
 import pytest
 
@@ -12,8 +12,8 @@
 
 
 @pytest.fixture
-def crowded():
-    """A member that has just heard of 300 others with long names."""
+def member_of_large_cluster():
+    """A member that has just received the records of 300 others with long names."""
     protocol = make_protocol()
     for number in range(MEMBERS):
         name = f"a-balancer-with-a-long-name-{number:04}"
@@ -21,41 +21,51 @@
     return protocol
 
 
-def test_a_suspect_hears_of_its_suspicion_from_all_that_talk_to_it():
+def test_a_message_to_a_suspect_carries_its_suspicion_even_if_no_update_is_pending():
     protocol = make_protocol("abcdefgh")
-    updates = protocol.view.updates
+    dissemination = protocol.view.dissemination
     protocol.view.merge(0, suspect("a"), "b")
+    # Until no update is pending any more.
     for _ in range(60):
-        updates.piggyback("c")
-    assert len(updates) == 0
+        dissemination.piggyback("c")
+    assert len(dissemination) == 0
 
-    piggyback = updates.piggyback("a")
+    piggyback = dissemination.piggyback("a")
 
     assert piggyback.updates[0] == suspect("a")
     assert piggyback.accusers == ["b"]
 
 
-def test_each_update_is_sent_up_to_its_limit_in_datagrams_that_bear_it(crowded):
-    updates = crowded.view.updates
-    digest = crowded.table.digest.as_list()
+def test_each_update_is_sent_retransmit_limit_times_in_datagrams_of_bounded_size(
+    member_of_large_cluster,
+):
+    dissemination = member_of_large_cluster.view.dissemination
+    digest = member_of_large_cluster.table.digest.as_list()
     sent = 0
 
     for _ in range(2000):
-        rides = updates.piggyback("x")
+        piggyback = dissemination.piggyback("x")
         message = Message(
-            MessageType.ACK, 1, crowded.table.local, "x", digest, rides.updates, rides.accusers
+            MessageType.ACK,
+            1,
+            member_of_large_cluster.table.local,
+            "x",
+            digest,
+            piggyback.updates,
+            piggyback.accusers,
         )
         assert len(encode(message, KEYS)) <= MAX_DATAGRAM_BYTES
-        sent += len(rides.updates)
+        sent += len(piggyback.updates)
 
-    assert len(updates) == 0
-    assert sent == (MEMBERS + 1) * updates.retransmit_limit()
+    assert len(dissemination) == 0
+    assert sent == (MEMBERS + 1) * dissemination.retransmit_limit()
 
 
-def test_a_table_is_sent_in_a_bounded_number_of_pages_that_fit_a_datagram(crowded):
+def test_a_table_is_sent_in_a_bounded_number_of_pages_that_fit_a_datagram(member_of_large_cluster):
     sync = Message(MessageType.SYNC, 0, record("z"), "", [0] * BUCKETS)
 
-    pages = crowded.receive(0, sync)
+    pages = member_of_large_cluster.receive(0, sync)
 
+    # All 301 records would fill 26 pages.
     assert 10 < len(pages) <= MAX_PAGES
     assert all(len(encode(page.message, KEYS)) <= MAX_DATAGRAM_BYTES for page in pages)
