--- a/pepperhook/request_context/__init__.py
+++ b/pepperhook/request_context/__init__.py
@@ -1,5 +1,5 @@
-"""Deadlines, retries and priority carried down tiers of balancers, and loops of calls detected.
+"""Propagation of deadlines, retries and priority through tiers of balancers; loop detection.
 
-A balancer adds a request's context to each attempt, and a result to each response. The tier below
-may only be forbidden something by what is carried, never allowed more than by its own policy.
+A balancer adds a request's context to each attempt, and a result to each response. A context can
+only restrict what the receiving tier does; it never allows more than that tier's own policy.
 """
--- a/pepperhook/request_context/authentication.py
+++ b/pepperhook/request_context/authentication.py
@@ -1,7 +1,7 @@
-"""The MAC of a header value, and names of balancers that only the installation can read.
+"""The MAC of a header value, and hashed balancer names that hide the real ones from outsiders.
 
-The MAC stands last in the value and covers the bytes before it. A proxy that writes the value anew
-therefore makes it untrusted, and no other form of the same value can pass for it.
+The MAC is the last member of the value and covers all bytes before it. A value that a proxy
+serializes again therefore fails the check, and so does any other spelling of the same members.
 """
 
 import hmac
@@ -13,26 +13,27 @@
 from pepperhook.request_context.errors import InvalidContextError, RejectionReason
 
 MAC_PREFIX = ", mac=:"
-MAC_BYTES = 16  # of the 32 of SHA-256: RFC 2104 allows half
-HOP_DIGITS = 8  # of each part of a hop's name
+MAC_BYTES = 16  # SHA-256 truncated to half its length, as RFC 2104 permits
+HOP_HASH_DIGITS = 8  # hexadecimal digits of each of the two hashes in a hop's name
 
 
 def append_mac(text: str, keys: KeyRing) -> str:
-    """Return the value with its MAC by the signing key."""
+    """Return the value with its MAC, made with the signing key, appended."""
     return text + _mac_member(_mac(text, keys, keys.signing_key_id))
 
 
 def verify_mac(text: str, key_id: object, mac: object, keys: KeyRing) -> None:
-    """Check that the value ends with the MAC by a known key. Raises InvalidContextError.
+    """Check that the value ends with a valid MAC made with a known key.
 
-    ``key_id`` and ``mac`` are the value's members, of whatever type they came.
+    ``key_id`` and ``mac`` are the parsed members of the value, whose types are not yet checked.
+    Raises InvalidContextError.
     """
     signed_length = text.rfind(MAC_PREFIX)
-    # A key id that is no text names no key; an inner list could not even be looked up.
+    # Only a string can name a key; an inner list is unhashable, and its lookup would raise.
     is_key_known = isinstance(key_id, (str, UserString)) and str(key_id) in keys
     if signed_length < 0 or not isinstance(mac, bytes) or not is_key_known:
         raise InvalidContextError(RejectionReason.UNTRUSTED)
-    # Nothing may follow the MAC: it says nothing of what does.
+    # The MAC must be last, as it does not cover any bytes after it.
     is_last = text[signed_length:] == _mac_member(mac)
     expected = _mac(text[:signed_length], keys, str(key_id))
     if not is_last or not hmac.compare_digest(mac, expected):
@@ -48,18 +49,18 @@
 
 
 def hop_name(secret: bytes, service: str, instance: str) -> str:
-    """Return the name of a balancer in the header: a hash of its service and one of itself.
+    """Return the name of a balancer in the header: a hash of its service and one of the instance.
 
-    Who does not have the installation's secret learns neither name.
+    The hashes are keyed, so that only holders of the installation's secret can recognize the names.
     """
     parts = (service, f"{service} {instance}")
     return ".".join(_keyed_hash(secret, part) for part in parts)
 
 
 def service_of(hop: str) -> str:
-    """Return the part of a hop's name that all instances of a service have in common."""
+    """Return the part of a hop's name that all instances of a service share."""
     return hop.partition(".")[0]
 
 
 def _keyed_hash(secret: bytes, text: str) -> str:
-    return hmac.new(secret, text.encode(), sha256).hexdigest()[:HOP_DIGITS]
+    return hmac.new(secret, text.encode(), sha256).hexdigest()[:HOP_HASH_DIGITS]
--- a/pepperhook/request_context/callers.py
+++ b/pepperhook/request_context/callers.py
@@ -1,11 +1,11 @@
-"""Which callers send contexts, so that one that drops them can be named."""
+"""Statistics of which callers send contexts, to report callers that drop them."""
 
 from pepperhook.statistics import DecayingMoments
 from pepperhook.units import SECOND
 
 MEMORY_NS = 10 * SECOND
-MIN_WEIGHT = 8.0  # calls from which a fraction counts
-MIN_FRACTION = 0.5  # of a caller's calls; with fewer it drops contexts
+MIN_WEIGHT = 8.0  # recent calls, below which the fraction is not reliable
+MIN_FRACTION = 0.5  # of a caller's calls; below it, the caller is reported as dropping contexts
 MAX_CALLERS = 256
 
 
@@ -14,19 +14,20 @@
 
     def __init__(self) -> None:
         """Start without callers."""
-        self._carried: dict[str, DecayingMoments] = {}  # 1 for a call with a context, 0 without
+        # By caller; an observation is 1 for a call with a context, and 0 for one without.
+        self._fractions: dict[str, DecayingMoments] = {}
 
     def count(self, now: int, caller: str, has_context: bool) -> float | None:
-        """Count a call; return the caller's fraction if it is so low that it drops contexts."""
-        carried = self._carried.get(caller)
-        if carried is None:
-            carried = self._add(now, caller)
-        carried.add(now, has_context)
-        fraction = carried.mean(now)
-        return fraction if carried.weight >= MIN_WEIGHT and fraction < MIN_FRACTION else None
+        """Count a call; return the caller's fraction if it is below ``MIN_FRACTION``."""
+        moments = self._fractions.get(caller)
+        if moments is None:
+            moments = self._add(now, caller)
+        moments.add(now, has_context)
+        fraction = moments.mean(now)
+        return fraction if moments.weight >= MIN_WEIGHT and fraction < MIN_FRACTION else None
 
     def _add(self, now: int, caller: str) -> DecayingMoments:
-        if len(self._carried) >= MAX_CALLERS:
-            self._carried.pop(next(iter(self._carried)))
-        carried = self._carried[caller] = DecayingMoments(MEMORY_NS, now)
-        return carried
+        if len(self._fractions) >= MAX_CALLERS:
+            self._fractions.pop(next(iter(self._fractions)))
+        moments = self._fractions[caller] = DecayingMoments(MEMORY_NS, now)
+        return moments
--- a/pepperhook/request_context/context_header.py
+++ b/pepperhook/request_context/context_header.py
@@ -1,13 +1,13 @@
-"""The two headers, as structured fields (RFC 9651), and the checks of what is read.
+"""Encoding and decoding of the two headers, which are structured fields (RFC 9651).
 
     Pepperhook-Chain: v=1, id="9b1f", p="0.1", depth=1, left=480, tries=1, worth=3.0,
                       hops=("a1b2c3.d4e5f6"), k="k1", mac=:...:
     Pepperhook-Chain-Result: v=1, id="9b1f", p="0.1", end=failed, tries=0, spent=120, tried=2,
                              k="k1", mac=:...:
 
-``left`` and ``spent`` are milliseconds: spans, never times of day, so clocks may differ by any
-amount. Unknown members are ignored, so that versions can mix. A value with one faulty member is
-rejected whole.
+``left`` and ``spent`` are durations in milliseconds, never times of day, so that the clocks of two
+tiers may differ by any amount. Unknown members are ignored, so that tiers may run different
+versions. A value with one malformed member is rejected as a whole.
 """
 
 from decimal import Decimal
@@ -36,14 +36,14 @@
 CONTEXT_HEADER = "Pepperhook-Chain"
 RESULT_HEADER = "Pepperhook-Chain-Result"
 VERSION = 1
-MAX_VALUE_LENGTH = 1024  # bytes; a longer value is rejected unread
-THOUSANDTHS = 1000  # structured fields have three digits after the point
+MAX_VALUE_LENGTH = 1024  # bytes; a longer value is rejected without parsing
+THOUSANDTHS = 1000  # decimals of structured fields have three fractional digits
 
 Members = dict[str, Any]
 
 
 def write_context(context: RequestContext, keys: KeyRing) -> str:
-    """Return the header value for an attempt, with a MAC if there are keys."""
+    """Return the header value for an attempt, with a MAC if there is a signing key."""
     members: Members = {
         "v": VERSION,
         "id": context.request_id,
@@ -63,7 +63,7 @@
 
 
 def write_result(result: ContextResult, keys: KeyRing) -> str:
-    """Return the header value for a response, with a MAC if there are keys."""
+    """Return the header value for a response, with a MAC if there is a signing key."""
     members = {
         "v": VERSION,
         "id": result.request_id,
@@ -84,7 +84,7 @@
 
 
 def read_context(text: str, keys: KeyRing, is_trusted: bool) -> RequestContext:
-    """Read the value that came with a request. Raises InvalidContextError; see read_members."""
+    """Decode the value of a request's header. Raises InvalidContextError; see read_members."""
     members = read_members(text, keys, is_trusted)
     return RequestContext(
         request_id=_text(members, "id", MAX_ID_LENGTH),
@@ -98,7 +98,7 @@
 
 
 def read_result(text: str, keys: KeyRing, is_trusted: bool) -> ContextResult:
-    """Read the value that came with a response. Raises InvalidContextError; see read_members."""
+    """Decode the value of a response's header. Raises InvalidContextError; see read_members."""
     members = read_members(text, keys, is_trusted)
     return ContextResult(
         request_id=_text(members, "id", MAX_ID_LENGTH),
@@ -111,10 +111,11 @@
 
 
 def read_members(text: str, keys: KeyRing, is_trusted: bool) -> Members:
-    """Parse a value and check that it may be believed.
+    """Parse a value, and check its version and its MAC.
 
-    ``is_trusted``: the sender is in a trusted network, so that no MAC is needed. Raises
-    InvalidContextError where the value is too long, malformed, of another version or untrusted.
+    ``is_trusted``: the sender is in a trusted network, so the MAC is not checked. Raises
+    InvalidContextError if the value is too long, malformed, of another version, not signed by a
+    known key, or forged.
     """
     if len(text) > MAX_VALUE_LENGTH:
         raise InvalidContextError(RejectionReason.OVERSIZED)
@@ -145,7 +146,7 @@
     value = members.get(name)
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
         raise _malformed()
-    # A larger number means no more than the most that is ever sent.
+    # No sender writes more than the maximum, so larger numbers are clamped, not rejected.
     return min(value, maximum)
 
 
--- a/pepperhook/request_context/context_policy.py
+++ b/pepperhook/request_context/context_policy.py
@@ -1,7 +1,8 @@
-"""What a tier does with the contexts and results that it receives: decisions without I/O.
+"""Decides how a tier applies the contexts and results that it receives, without I/O.
 
-The retry budget decides at each tier as it would alone; what is carried can only forbid, shorten or
-end. All times are whole nanoseconds, and come from the caller.
+The retry budget of each tier decides as it would without contexts; a context or result can only
+forbid retries, shorten the deadline or end the request. All times are integer nanoseconds, and
+passed in by the caller.
 """
 
 from collections import Counter
@@ -28,15 +29,16 @@
 from pepperhook.units import MILLISECOND
 
 ENTRY_PATH = "0"
-PATH_NUMBERS = 36**3  # of the attempts of one balancer; afterwards they start again
-MIN_OVERHEAD_NS = MILLISECOND // 10
+PATH_NUMBER_LIMIT = 36**3  # a balancer numbers its attempts, and starts again at this number
+MIN_OVERHEAD_NS = MILLISECOND // 10  # lower bound of a measured overhead
 
 RETRY_STOPS = {
     TierOutcome.LOOP: RetryStop.LOOP,
     TierOutcome.EXPIRED: RetryStop.EXPIRED,
     TierOutcome.REJECTED: RetryStop.REJECTED,
 }
-# What the tiers above must not retry either, unlike a lack of capacity.
+# Outcomes that are passed on to the tiers above, which must not retry them either. A lack of
+# capacity (REJECTED) is not passed on.
 FORWARDED_STOPS = {
     RetryStop.LOOP: TierOutcome.LOOP,
     RetryStop.EXPIRED: TierOutcome.EXPIRED,
@@ -44,14 +46,17 @@
 
 
 def retry_stop(result: ContextResult) -> RetryStop | None:
-    """Return why a retry would only repeat what the tier below did; None if it may help."""
+    """Return why a retry after this result would be useless, or None if it may help."""
     if result.outcome is TierOutcome.FAILED and result.attempts > 1:
         return RetryStop.RETRIED_BELOW
     return RETRY_STOPS.get(result.outcome)
 
 
 def most_restrictive(results: Iterable[ContextResult]) -> ContextResult | None:
-    """Choose among the results of a node that made several calls: the one that forbids most."""
+    """Return the result that allows the least, of a node that made several calls to the tier below.
+
+    A result that rules out retries comes first, then the one with the fewest unused retries.
+    """
     return min(
         results,
         key=lambda result: (retry_stop(result) is None, result.unused_retries),
@@ -60,32 +65,33 @@
 
 
 class ContextPolicy:
-    """The decisions of one balancer."""
+    """Decides for one balancer which requests and retries its contexts allow."""
 
     def __init__(self, hop: str) -> None:
         """``hop``: the balancer's name in the header, see ``authentication.hop_name``."""
         self.entry_budget = EntryBudget()
-        self.seen = SeenContexts()
+        self.seen_contexts = SeenContexts()
         self.loops = LoopDetector(hop)
         self.callers = CallerStatistics()
-        self.rejections: Counter[RejectionReason] = Counter()  # values that were ignored
-        self.reporting_upstreams: set[object] = set()  # that have sent results back
+        self.rejections: Counter[RejectionReason] = Counter()  # header values that were ignored
+        self.reporting_upstreams: set[object] = set()  # upstreams that have returned a result
         self._serving_times = LatencyQuantiles()
-        self._overheads = LatencyQuantiles()  # of attempts: what the tiers below did not spend
+        # Of attempts: their duration minus the time that the tier below reports.
+        self._overheads = LatencyQuantiles()
         self._path_number = 0
 
     # Arrival.
 
     def arrive(self, now: int, arrival: Arrival, context: RequestContext | None) -> Admission:
-        """Decide on a request with the context that it came with; None: with none."""
-        seen = None if context is None else self.seen.find(context)
-        if seen is not None and now > seen.expires_at:
-            # Copied to a call that has nothing to do with the one that it was made for.
+        """Admit or reject a request; ``context`` is None if it has no valid one."""
+        seen_context = None if context is None else self.seen_contexts.find(context)
+        if seen_context is not None and now > seen_context.expires_at:
+            # The call that the context was made for is over: it was copied to an unrelated call.
             self.rejections[RejectionReason.REPLAYED] += 1
             context = None
         if context is None:
-            return self._admit(self._entry_state(now, arrival), arrival.deadline)
-        state = self._carried_state(now, arrival, context, seen)
+            return self._admit(self._state_without_context(now, arrival), arrival.deadline)
+        state = self._state_from_context(now, arrival, context, seen_context)
         if self.loops.is_loop(state):
             return self._reject(state, TierOutcome.LOOP, arrival.deadline)
         if state.remaining_ns is None:
@@ -106,7 +112,7 @@
         state.outcome = outcome
         return Admission(state, outcome, deadline, None)
 
-    def _entry_state(self, now: int, arrival: Arrival) -> RequestState:
+    def _state_without_context(self, now: int, arrival: Arrival) -> RequestState:
         retries = self.entry_budget.reserve(now, arrival.retry_ratio)
         return RequestState(
             request_id=arrival.request_id,
@@ -121,20 +127,20 @@
             has_context=False,
         )
 
-    def _carried_state(
-        self, now: int, arrival: Arrival, context: RequestContext, seen: SeenContext | None
+    def _state_from_context(
+        self, now: int, arrival: Arrival, context: RequestContext, seen_context: SeenContext | None
     ) -> RequestState:
-        remaining_ns = _remaining_ns(now, context, seen)
-        # A version that says nothing of retries leaves them to this tier alone.
-        is_reserved_here = seen is None and context.retries is None
-        if seen is None:
-            seen = self._remember(now, arrival, context, remaining_ns)
+        remaining_ns = _remaining_ns(now, context, seen_context)
+        # A context without a number of retries leaves the decision to this tier's entry budget.
+        is_reserved_here = seen_context is None and context.retries is None
+        if seen_context is None:
+            seen_context = self._remember(now, arrival, context, remaining_ns)
         return RequestState(
             request_id=context.request_id,
             path=context.path,
             depth=context.depth,
             hops=context.hops,
-            allowance=seen.allowance,
+            allowance=seen_context.allowance,
             is_reserved_here=is_reserved_here,
             priority_weight=context.priority_weight,
             arrived_at=now,
@@ -152,23 +158,23 @@
         expires_at = arrival.deadline
         if remaining_ns is not None:
             expires_at = min(expires_at, now + remaining_ns)
-        seen = SeenContext(now, expires_at, RetryAllowance(retries))
-        self.seen.add(now, context, seen)
-        return seen
+        seen_context = SeenContext(now, expires_at, RetryAllowance(retries))
+        self.seen_contexts.add(now, context, seen_context)
+        return seen_context
 
     # Attempts.
 
     def attempt_started(
         self, now: int, state: RequestState, deadline: int, is_retry: bool
     ) -> RequestContext | None:
-        """Return what goes along with an attempt; None: it is a retry that must not be made."""
+        """Return the context to send with an attempt, or None for a retry that must not be made."""
         allowance = state.allowance
         if is_retry:
             if state.retry_stop or allowance.retries < 1:
                 state.refused_retries += 1
                 return None
             allowance.retries -= 1
-        # Half stays here, as what goes along with an attempt without a response is lost.
+        # Keep half: retries lent to an attempt that gets no response may be lost.
         state.lent_retries = allowance.retries - allowance.retries // 2
         allowance.retries -= state.lent_retries
         state.attempts += 1
@@ -186,7 +192,7 @@
 
     def _next_path(self, state: RequestState) -> str:
         self._path_number += 1
-        return f"{state.path}.{self._path_number % PATH_NUMBERS:x}"[-MAX_PATH_LENGTH:]
+        return f"{state.path}.{self._path_number % PATH_NUMBER_LIMIT:x}"[-MAX_PATH_LENGTH:]
 
     def attempt_ended(
         self,
@@ -196,7 +202,10 @@
         outcome: Outcome,
         result: ContextResult | None,
     ) -> None:
-        """Take back what the tier below did not use; ``result`` is None where none was read."""
+        """Take back the retries that the tier below did not use.
+
+        ``result`` is None if the attempt returned none, or none that is trusted.
+        """
         lent, state.lent_retries = state.lent_retries, 0
         if outcome not in NEVER_EXECUTED:
             state.may_have_executed = True
@@ -206,13 +215,14 @@
             self._measure(now, state, result)
             if outcome != Outcome.SERVED:
                 state.retry_stop = retry_stop(result) or state.retry_stop
-        elif self._kept_no_retries(upstream, outcome):
+        elif self._cannot_have_used_retries(upstream, outcome):
             state.allowance.retries += lent
 
-    def _kept_no_retries(self, upstream: object, outcome: Outcome) -> bool:
-        """Tell whether nothing below can have used retries in an attempt without a result.
+    def _cannot_have_used_retries(self, upstream: object, outcome: Outcome) -> bool:
+        """Return whether no tier below can have used retries in an attempt without a result.
 
-        It was never executed, the upstream calls nobody, or it failed before it called.
+        That is so if the attempt was never executed, if the upstream has never returned a result
+        (it calls no tier below), or if a response came without one (no tier below was called).
         """
         return (
             outcome in NEVER_EXECUTED
@@ -228,13 +238,13 @@
         self._overheads.add(now, state.service_class, overhead_ns)
 
     def upstreams_changed(self, upstreams: Iterable[object]) -> None:
-        """Forget upstreams that are no longer in the endpoint list."""
+        """Remove upstreams that are no longer in the endpoint list."""
         self.reporting_upstreams.intersection_update(upstreams)
 
     # Response and end.
 
     def respond(self, now: int, state: RequestState, kind: ResponseKind) -> ContextResult:
-        """Return what goes back with the final response of a request."""
+        """Return the result to send with the final response of a request."""
         if state.outcome not in (TierOutcome.LOOP, TierOutcome.EXPIRED):
             state.outcome = _outcome(state, kind)
         if kind == ResponseKind.SERVED:
@@ -249,17 +259,19 @@
         )
 
     def finish(self, state: RequestState) -> None:
-        """End a request here, with a response or without."""
+        """Release what a request holds here, once it has ended with or without a response."""
         self.loops.leave(state)
         if state.is_reserved_here:
-            self.entry_budget.give_back(state.allowance.retries)
+            self.entry_budget.return_unused(state.allowance.retries)
             state.allowance.retries = 0
 
 
-def _remaining_ns(now: int, context: RequestContext, seen: SeenContext | None) -> int | None:
+def _remaining_ns(
+    now: int, context: RequestContext, seen_context: SeenContext | None
+) -> int | None:
     if context.remaining_ms is None:
         return None
-    elapsed_ns = 0 if seen is None else now - seen.first_at
+    elapsed_ns = 0 if seen_context is None else now - seen_context.first_received_at
     return max(0, context.remaining_ms * MILLISECOND - elapsed_ns)
 
 
@@ -269,8 +281,8 @@
     stop = None if state.retry_stop is None else FORWARDED_STOPS.get(state.retry_stop)
     if stop is not None:
         return stop
-    # A safe request that failed is rejected too, as a retry is harmless. Only one that was executed
-    # nowhere tells the tier above of a lack of capacity.
+    # A safe request that failed gets a rejection too, as a retry of it is harmless. But only a
+    # request that was executed nowhere is reported to the tier above as a lack of capacity.
     if kind == ResponseKind.REJECTED and not state.may_have_executed:
         return TierOutcome.REJECTED
     return TierOutcome.FAILED
--- a/pepperhook/request_context/context_reader.py
+++ b/pepperhook/request_context/context_reader.py
@@ -1,4 +1,4 @@
-"""Reads contexts and results from headers, if their sender can be believed."""
+"""Reads contexts and results from header values, and rejects those that are not trustworthy."""
 
 import ipaddress
 from collections import Counter
@@ -11,31 +11,31 @@
 from pepperhook.units import SECOND
 
 LOG_INTERVAL_NS = SECOND
-MAX_KNOWN_PEERS = 1024
+MAX_CACHED_PEERS = 1024
 
 Message = TypeVar("Message")
 
 
 class TrustedNetworks:
-    """The networks whose values are believed without a MAC."""
+    """The networks from which values are accepted without a MAC."""
 
     def __init__(self, networks: Iterable[str]) -> None:
-        """``networks``: as the operator's file has them. Raises ValueError."""
+        """``networks``: as in the operator's file. Raises ValueError for a malformed one."""
         self._networks = [ipaddress.ip_network(network) for network in networks]
-        self._known: dict[str, bool] = {}  # by address, as each message asks
+        self._cache: dict[str, bool] = {}  # by address, as each message needs a check
 
-    def has(self, peer: str | None) -> bool:
-        """Tell whether an address is in one of the networks."""
+    def contains(self, peer: str | None) -> bool:
+        """Return whether an address is in one of the networks."""
         if peer is None or not self._networks:
             return False
-        known = self._known.get(peer)
-        if known is None:
-            if len(self._known) >= MAX_KNOWN_PEERS:
-                self._known.clear()
-            known = self._known[peer] = self._contain(peer)
-        return known
+        is_contained = self._cache.get(peer)
+        if is_contained is None:
+            if len(self._cache) >= MAX_CACHED_PEERS:
+                self._cache.clear()
+            is_contained = self._cache[peer] = self._is_in_any_network(peer)
+        return is_contained
 
-    def _contain(self, peer: str) -> bool:
+    def _is_in_any_network(self, peer: str) -> bool:
         try:
             address = ipaddress.ip_address(peer)
         except ValueError:
@@ -44,7 +44,7 @@
 
 
 class ContextReader:
-    """Reads header values; those that cannot be believed are counted, and logged now and then."""
+    """Reads header values; counts those that it rejects, and logs them at a limited rate."""
 
     def __init__(
         self,
@@ -53,13 +53,13 @@
         rejections: Counter[RejectionReason],
         log: Log,
     ) -> None:
-        """``rejections`` is where values that are ignored are counted."""
+        """``rejections``: a counter that is incremented for each value that is rejected."""
         self._networks = networks
         self._keys = keys
         self._rejections = rejections
         self._log = log
-        self._log_at = 0
-        self._unlogged = 0
+        self._next_log_at = 0
+        self._unlogged_rejections = 0
 
     def read(
         self,
@@ -68,23 +68,24 @@
         values: Iterable[str],
         peer: str | None,
     ) -> list[Message]:
-        """Return those of the values that can be believed.
+        """Return the decoded messages of the values that are valid.
 
-        ``decode`` reads one value, as ``context_header.read_context`` does; ``peer`` is the address
-        that the values came from, None where no address is trusted.
+        ``decode`` decodes one value, as ``context_header.read_context`` does; ``peer`` is the
+        address that sent the values, or None to require a MAC from any sender.
         """
         messages = []
         for value in values:
             try:
-                messages.append(decode(value, self._keys, self._networks.has(peer)))
+                messages.append(decode(value, self._keys, self._networks.contains(peer)))
             except InvalidContextError as error:
-                self._rejected(now, error.reason, peer)
+                self._count_rejection(now, error.reason, peer)
         return messages
 
-    def _rejected(self, now: int, reason: RejectionReason, peer: str | None) -> None:
+    def _count_rejection(self, now: int, reason: RejectionReason, peer: str | None) -> None:
         self._rejections[reason] += 1
-        self._unlogged += 1
-        if now >= self._log_at:
-            self._log.warning("chain_not_believed", why=reason, peer=peer, count=self._unlogged)
-            self._unlogged = 0
-            self._log_at = now + LOG_INTERVAL_NS
+        self._unlogged_rejections += 1
+        if now >= self._next_log_at:
+            count = self._unlogged_rejections
+            self._log.warning("chain_not_believed", why=reason, peer=peer, count=count)
+            self._unlogged_rejections = 0
+            self._next_log_at = now + LOG_INTERVAL_NS
--- a/pepperhook/request_context/errors.py
+++ b/pepperhook/request_context/errors.py
@@ -1,4 +1,4 @@
-"""Why a header value is not believed."""
+"""Errors of header values that are rejected."""
 
 from enum import StrEnum
 
@@ -6,21 +6,21 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a value is ignored; the values are those in the log and the counters."""
+    """Why a header value is rejected; the enum values appear in the log and the counters."""
 
     OVERSIZED = "oversized"
     MALFORMED = "ill-formed"
     UNKNOWN_VERSION = "of another version"
-    UNTRUSTED = "untrusted"  # without a MAC by a known key, from outside the trusted networks
-    FORGED = "forged"  # its MAC is wrong
-    AMBIGUOUS = "there twice"  # two values came with one request
-    REPLAYED = "replayed"  # came again after the time of the call that it was made for
+    UNTRUSTED = "untrusted"  # not signed by a known key, and not from a trusted network
+    FORGED = "forged"  # the MAC does not match
+    AMBIGUOUS = "there twice"  # several values in one request
+    REPLAYED = "replayed"  # received again after the call that it was made for had expired
 
 
 class InvalidContextError(PepperhookError, ValueError):
-    """A header value must not be believed; ``reason`` says why."""
+    """A header value is rejected; ``reason`` says why."""
 
     def __init__(self, reason: RejectionReason) -> None:
-        """Describe the rejection of one value."""
+        """Use the text of ``reason`` as the message."""
         super().__init__(reason.value)
         self.reason = reason
--- a/pepperhook/request_context/explain.py
+++ b/pepperhook/request_context/explain.py
@@ -1,7 +1,7 @@
-"""One request on its way down the tiers, from their logs: where its time and its retries went.
+"""Explains from the logs of all tiers where one request spent its time and its retries.
 
-Reads the lines ``event=chain`` that balancers log with LB_LOG=debug. The fields' names in the log
-and in the JSON output are those that programs know; ``field(name=...)`` translates them.
+Reads the lines with ``event=chain`` that balancers log with LB_LOG=debug. ``field(name=...)`` gives
+a field the name that it has in the log and in the JSON output, which other programs read.
 """
 
 import json
@@ -12,12 +12,16 @@
 from msgspec import Struct, field, to_builtins
 
 EVENT = " event=chain "
-PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
+KEY_VALUE_PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 HEXADECIMAL = re.compile(r"[0-9a-f]+")
 
 
 class Step(Struct):
-    """What one balancer did for its part of a request; times in milliseconds."""
+    """What one balancer logged of a request; times in milliseconds.
+
+    ``below_ms`` is the time that the tier below reports of its longest call; ``time`` is the
+    timestamp of the log line.
+    """
 
     path: str
     depth: int
@@ -37,7 +41,7 @@
 
     @property
     def own_ms(self) -> int:
-        """The time beyond the longest call to the tier below."""
+        """The time that was not spent in the longest call to the tier below."""
         return max(0, self.spent_ms - self.below_ms)
 
     @property
@@ -47,7 +51,7 @@
 
 
 class ServiceSummary(Struct):
-    """What all balancers of one service spent on a request."""
+    """Totals of one request over all balancers of a service."""
 
     calls: int = 0
     own_ms: int = 0
@@ -57,7 +61,7 @@
     outcomes: dict[str, int] = field(default_factory=dict, name="ends")
 
     def add(self, step: Step) -> None:
-        """Count one balancer's step."""
+        """Add one balancer's step to the totals."""
         self.calls += 1
         self.own_ms += step.own_ms
         self.attempts += step.attempts
@@ -67,9 +71,10 @@
 
 
 def read_steps(lines: Iterable[str], request_id: str) -> list[Step]:
-    """Return the steps of one request, outermost first; other lines are skipped.
+    """Return the steps of one request in the order of their paths, the entry first.
 
-    ``request_id`` is the request's id where it came in.
+    ``request_id`` is the id of the request at the entry, the first balancer. Other lines are
+    skipped.
     """
     steps = [_read_step(line, request_id) for line in lines if EVENT in line]
     return sorted(
@@ -79,11 +84,11 @@
 
 
 def _read_step(line: str, request_id: str) -> Step | None:
-    """Return a line's step; None for another request's line, or one that a crash cut off."""
+    """Return the step of a line, or None if it is of another request or truncated by a crash."""
     try:
         fields = {
             key: json.loads(value) if value.startswith('"') else value
-            for key, value in PAIR.findall(line)
+            for key, value in KEY_VALUE_PAIR.findall(line)
         }
         return _to_step(fields) if fields.get("id") == request_id else None
     except (KeyError, ValueError):
@@ -115,7 +120,7 @@
 
 
 def summarize(steps: Iterable[Step]) -> dict[str, ServiceSummary]:
-    """Return what each service spent, by its name."""
+    """Return the totals of each service, by its name."""
     summaries: dict[str, ServiceSummary] = {}
     for step in steps:
         summaries.setdefault(step.service, ServiceSummary()).add(step)
@@ -123,13 +128,13 @@
 
 
 def to_json(steps: Sequence[Step]) -> str:
-    """Return the steps and what each service spent, for programs."""
+    """Return the steps and the totals of each service as JSON, for programs."""
     document: dict[str, Any] = {"steps": steps, "services": summarize(steps)}
     return json.dumps(to_builtins(document))
 
 
 def to_text(steps: Sequence[Step]) -> str:
-    """Return the steps and what each service spent, for people."""
+    """Return the steps and the totals of each service as text, for people."""
     lines = [_step_line(step) for step in steps]
     for service, summary in summarize(steps).items():
         lines.append(
@@ -142,9 +147,9 @@
     remaining = "own limit" if step.remaining_ms is None else f"{step.remaining_ms} ms left"
     refused = f", {step.refused_retries} refused" if step.refused_retries else ""
     stop = f", no retry: {step.retry_stop}" if step.retry_stop else ""
-    lost = "" if step.has_context or not step.depth else ", came without a context"
+    missing = "" if step.has_context or not step.depth else ", came without a context"
     return (
         f"{'  ' * step.depth}{step.service} ({step.balancer}): {step.outcome} after "
         f"{step.spent_ms} ms, {step.below_ms} of them below; {remaining}; "
-        f"{step.attempts} attempts{refused}, {step.unused_retries} retries back{stop}{lost}"
+        f"{step.attempts} attempts{refused}, {step.unused_retries} retries back{stop}{missing}"
     )
--- a/pepperhook/request_context/extension.py
+++ b/pepperhook/request_context/extension.py
@@ -1,6 +1,6 @@
-"""Request contexts at the balancer's hook points: reads and writes the headers.
+"""The extension for request contexts, called at the balancer's hook points.
 
-``context_policy`` decides; this module carries the decisions out.
+It reads and writes the headers, and applies the decisions of ``context_policy``.
 """
 
 from __future__ import annotations
@@ -36,19 +36,19 @@
     from pepperhook.server.structured_logging import Log
 
 CALLER_LOG_INTERVAL_NS = 10 * SECOND
-DEFAULT_RETRY_RATIO = 0.2  # with a policy of the lab that has no retry budget
+DEFAULT_RETRY_RATIO = 0.2  # retries per request, for policies without a retry budget (in the lab)
 UNKNOWN_CALLER = "?"
 
 
 class RequestContextExtension:
-    """The extension; it stores the state of each request that is in flight."""
+    """Applies request contexts at the hook points; stores the state of each request in flight."""
 
-    listed_as = "chains"  # in what ``check`` and the log print of the extensions that are on
+    listed_as = "chains"  # name in the list of active extensions that ``check`` and the log print
     reads = (CONTEXT_HEADER,)
     reads_back = (RESULT_HEADER,)
 
     def __init__(self, table: RequestContextTable, config: Config, log: Log) -> None:
-        """``table``: the operator's settings of it. Raises ValueError for a faulty network."""
+        """``table``: the extension's settings. Raises ValueError for a malformed network."""
         hop_secret = (table.hop_secret or "").encode()
         self.policy = ContextPolicy(hop_name(hop_secret, table.service, config.name))
         self.in_flight: dict[Request, RequestState] = {}
@@ -58,23 +58,24 @@
         self._keys = KeyRing((key.id, key.secret) for key in table.keys)
         networks = TrustedNetworks(table.trust)
         self._reader = ContextReader(networks, self._keys, self.policy.rejections, log)
-        self._log_caller_at: dict[str, int] = {}  # by caller that drops contexts
+        # By caller that drops contexts: when it may be logged again.
+        self._next_caller_log_at: dict[str, int] = {}
         self._app: BalancerApp
 
     def started(self, app: BalancerApp) -> None:
-        """Begin: the balancer is up, and has not accepted a request yet."""
+        """Store the balancer, which has started but not accepted a request yet."""
         self._app = app
 
-    # A request, in the order of the calls.
+    # Hook points of a request, in the order of their calls.
 
     def arrived(self, now: int, request: Request, message: RequestMessage) -> FinalResponse | None:
-        """Apply a request's context; answer the request if it is a loop or too late."""
+        """Apply a request's context; return a response if it is a loop or has expired."""
         context = self._read_context(now, message)
         admission = self.policy.arrive(now, self._arrival(request), context)
         self.in_flight[request] = admission.state
         if admission.rejection is not None:
             return self._rejection(admission)
-        # The context only ever shortens the time.
+        # A context can only shorten the time limit.
         request.deadline = min(request.deadline, admission.deadline)
         if admission.priority_weight is not None and self._table.worth:
             request.service_class = replace(
@@ -103,14 +104,14 @@
     def _read_context(self, now: int, message: RequestMessage) -> RequestContext | None:
         values = (message.read_headers or {}).get(CONTEXT_HEADER) or ()
         if self._table.entry:
-            # Nothing from outside is believed; read only to count what must not be sent.
+            # An entry ignores contexts from outside. The value is read only to count rejections.
             self._reader.read(now, context_header.read_context, values[:1], None)
             return None
         peer = message.client_address
         contexts = self._reader.read(now, context_header.read_context, values, peer)
         context = contexts[0] if len(contexts) == 1 else None
         if len(contexts) > 1:
-            # Which of them is of this call cannot be known.
+            # It is unknown which of them belongs to this call.
             self.policy.rejections[RejectionReason.AMBIGUOUS] += 1
         self._count_caller(now, peer, context is not None)
         return context
@@ -118,16 +119,16 @@
     def _count_caller(self, now: int, peer: str | None, has_context: bool) -> None:
         caller = peer or UNKNOWN_CALLER
         fraction = self.policy.callers.count(now, caller, has_context)
-        if fraction is None or now < self._log_caller_at.get(caller, 0):
+        if fraction is None or now < self._next_caller_log_at.get(caller, 0):
             return
-        if len(self._log_caller_at) >= MAX_CALLERS:
-            self._log_caller_at.clear()
-        self._log_caller_at[caller] = now + CALLER_LOG_INTERVAL_NS
+        if len(self._next_caller_log_at) >= MAX_CALLERS:
+            self._next_caller_log_at.clear()
+        self._next_caller_log_at[caller] = now + CALLER_LOG_INTERVAL_NS
         self._app.counters.add("chain callers that drop it")
         self._log.warning("chain_dropped", caller=peer, share_with=round(fraction, 2))
 
     def dispatching(self, now: int, attempt: Attempt, headers: list[Header]) -> bool:
-        """Add the context to an attempt; True where it is a retry that must not be made."""
+        """Add the context to an attempt; return True for a retry that must not be made."""
         state = self.in_flight.get(attempt.request)
         if state is None:
             return False
@@ -142,7 +143,7 @@
     def ended(
         self, now: int, attempt: Attempt, outcome: Outcome, response: UpstreamResponse | None
     ) -> None:
-        """Read the result that came back with an attempt's response."""
+        """Read and apply the result in the response of an attempt."""
         state = self.in_flight.get(attempt.request)
         if state is None:
             return
@@ -157,7 +158,7 @@
         return None if endpoint is None else endpoint.address.rpartition(":")[0].strip("[]")
 
     def answered(self, now: int, request: Request, response: FinalResponse) -> None:
-        """Add the result to the response, unless the client is outside, and log the request."""
+        """Add the result to the response, except at the entry, and log the request."""
         state = self.in_flight.get(request)
         if state is None:
             return
@@ -168,7 +169,7 @@
         self._log_request(request, state, result)
 
     def _log_request(self, request: Request, state: RequestState, result: ContextResult) -> None:
-        """Log a request for ``pepperhook explain``, which reads these fields."""
+        """Log a request with the keys that ``pepperhook explain`` reads."""
         remaining_ns = state.remaining_ns
         self._log.debug(
             "chain",
@@ -190,15 +191,15 @@
         )
 
     def over(self, _now: int, request: Request) -> None:
-        """Forget a request, answered or left."""
+        """Remove the state of a request that was answered, or whose client left."""
         state = self.in_flight.pop(request, None)
         if state is not None:
             self.policy.finish(state)
 
-    # The endpoint list, and figures.
+    # Hook points of the endpoint list and of the counters.
 
     def listed(self, _now: int, upstreams: Iterable[Upstream]) -> None:
-        """Forget upstreams that are no longer in the endpoint list."""
+        """Remove the state of upstreams that are no longer in the endpoint list."""
         self.policy.upstreams_changed(upstreams)
 
     def told(self) -> dict[str, Any]:
--- a/pepperhook/request_context/loop_detection.py
+++ b/pepperhook/request_context/loop_detection.py
@@ -1,14 +1,14 @@
-"""Finds calls that come back to a tier that waits for them."""
+"""Detects calls that return to a tier that is still waiting for their response."""
 
 from pepperhook.request_context.authentication import service_of
 from pepperhook.request_context.messages import MAX_DEPTH
 from pepperhook.request_context.request_state import RequestState
 
-MAX_VISITS = 2  # to one service: the second may be to another instance
+MAX_VISITS = 2  # hops of this service that make a loop; a single one may be another instance
 
 
 class LoopDetector:
-    """Knows this balancer's own name and the requests that are in flight here."""
+    """Detects loops by this balancer's name and the requests in flight here."""
 
     def __init__(self, hop: str) -> None:
         """``hop``: this balancer's name in the header, see ``authentication.hop_name``."""
@@ -17,11 +17,11 @@
         self._service = service_of(hop)
 
     def is_loop(self, state: RequestState) -> bool:
-        """Tell whether a request that arrives has been here before.
+        """Return whether an arriving request is part of a loop.
 
-        That is so if it passed this instance, or this service more often than other instances
-        explain; if its path has no end; or if the same request is in flight here nearer to the
-        entry, which also holds where a node lost the hops.
+        That is so if its hops contain this instance, or this service ``MAX_VISITS`` times; if it
+        has reached the maximum depth; or if the same request is in flight here at a smaller depth,
+        which also detects a loop where a node dropped the hops.
         """
         services = [service_of(hop) for hop in state.hops]
         return (
@@ -32,15 +32,15 @@
         )
 
     def enter(self, state: RequestState) -> None:
-        """Note that a request is in flight here."""
+        """Record that a request is in flight here."""
         state.is_in_flight = True
         self.in_flight.setdefault(state.request_id, []).append(state.depth)
 
     def leave(self, state: RequestState) -> None:
-        """Note that a request is no longer in flight here.
+        """Record that a request is no longer in flight here.
 
-        One that was rejected never was: its end must not take out another with its id and depth,
-        as where a node calls twice with one context.
+        A rejected request was never recorded. Its end must not remove another request with the
+        same id and depth, which there is if a node calls twice with one context.
         """
         if not state.is_in_flight:
             return
--- a/pepperhook/request_context/messages.py
+++ b/pepperhook/request_context/messages.py
@@ -1,4 +1,4 @@
-"""What consecutive tiers tell each other about a request, and the bounds of it."""
+"""The messages that a tier exchanges with the next one about a request, and their limits."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -6,7 +6,7 @@
 MAX_ID_LENGTH = 64
 MAX_PATH_LENGTH = 64
 MAX_HOP_LENGTH = 32
-MAX_HOPS = 16  # carried, the latest ones; the depth goes on counting
+MAX_HOPS = 16  # a context carries only the latest hops; the depth counts all
 MAX_DEPTH = 64
 MAX_RETRIES = 15
 MAX_ATTEMPTS = 1000
@@ -15,31 +15,33 @@
 
 
 class TierOutcome(StrEnum):
-    """How a request ended at a tier, as the tier above is told; with the values on the wire."""
+    """How a request ended at a tier, as reported to the tier above; values as on the wire."""
 
     SERVED = "served"
     FAILED = "failed"
     REJECTED = "shed"  # for lack of capacity, and not executed anywhere
-    EXPIRED = "late"  # rejected before any work, as too little time was left
+    EXPIRED = "late"  # rejected before execution, as too little time was left
     LOOP = "loop"  # the calls form a loop
 
 
 @dataclass(slots=True)
 class RequestContext:
-    """What is carried to the next tier with an attempt. None: the sender did not say."""
+    """Sent to the next tier with an attempt; None if the sender gave no value."""
 
-    request_id: str  # of the request where it came in from outside
-    path: str  # tells one call of the request from the others
+    request_id: str  # of the request at the entry, the first balancer
+    path: str  # identifies one call within the request
     depth: int  # tiers above the receiver
     remaining_ms: int | None = None
-    retries: int | None = None  # that the tiers below may make, all together
+    retries: int | None = None  # that all tiers below may make in total
     priority_weight: float | None = None
-    hops: tuple[str, ...] = ()  # balancers that the request has passed, outermost first
+    hops: tuple[
+        str, ...
+    ] = ()  # names of the balancers that the request has passed, the entry first
 
 
 @dataclass(slots=True)
 class ContextResult:
-    """What comes back to the tier above with a response."""
+    """Returned to the tier above with a response."""
 
     request_id: str
     path: str
--- a/pepperhook/request_context/retry_allowance.py
+++ b/pepperhook/request_context/retry_allowance.py
@@ -1,51 +1,51 @@
-"""How many retries all tiers together may make for a request, and where they are taken from."""
+"""The retries that all tiers may make in total for a request, and the budget they come from."""
 
 from dataclasses import dataclass
 
 from pepperhook.statistics import DecayingMoments
 from pepperhook.units import SECOND
 
-MAX_RESERVED = 2  # retries that one request may take along
+MAX_RESERVED = 2  # retries that one request may reserve
 MIN_CAPACITY = 10.0  # retries
-CAPACITY_S = 3.0  # seconds in which the requests that come in fill an empty bucket
+CAPACITY_S = 3.0  # seconds after which arriving requests have filled an empty bucket
 RATE_MEMORY_NS = 5 * SECOND
 
 
 @dataclass(slots=True)
 class RetryAllowance:
-    """Retries that may still be made; shared by all requests that came with one context."""
+    """Retries that may still be made; shared by all requests with the same context."""
 
     retries: int
 
 
 class EntryBudget:
-    """The retries of all requests that come in here from outside: a token bucket.
+    """A token bucket for the retries of all requests that arrive here from outside.
 
-    It gains the retry budget's fraction of a token with each request. A request takes some along,
-    and what it did not use comes back. So all tiers together never retry more often than that
-    fraction of what came in, and what the bucket held at the start.
+    Each request adds the retry ratio of the retry budget, a fraction of a token, and reserves whole
+    tokens, each of which allows one retry; the unused ones are returned. So all tiers together make
+    no more retries than that fraction of the arrived requests, plus the initial tokens.
     """
 
     def __init__(self) -> None:
         """Start with a full bucket."""
         self.tokens = MIN_CAPACITY
-        # Without observations, so that it does not matter from when on it decays.
+        # It starts without observations, so the start time of its decay does not matter.
         self._arrivals = DecayingMoments(RATE_MEMORY_NS, 0)
 
     def reserve(self, now: int, retry_ratio: float) -> int:
-        """Count a request and return how many retries it takes along.
+        """Count a request, and return how many retries are reserved for it.
 
-        ``retry_ratio``: retries per request that the retry budget grants at the moment.
+        ``retry_ratio``: retries per request that the retry budget currently grants.
         """
         self._arrivals.add(now)
         capacity = max(MIN_CAPACITY, CAPACITY_S * retry_ratio * self._arrivals.rate(now))
         self.tokens = min(capacity, self.tokens + retry_ratio)
-        # One each while it is low, so that many requests that hang do not hold all of it.
-        wanted = MAX_RESERVED if self.tokens > capacity / 2 else 1
-        retries = min(wanted, int(self.tokens))
+        # At most one while the bucket is low, so that many hanging requests do not take all.
+        max_retries = MAX_RESERVED if self.tokens > capacity / 2 else 1
+        retries = min(max_retries, int(self.tokens))
         self.tokens -= retries
         return retries
 
-    def give_back(self, retries: int) -> None:
-        """Put back what a request did not use."""
+    def return_unused(self, retries: int) -> None:
+        """Return the retries that a request reserved and did not use."""
         self.tokens += retries
--- a/pepperhook/request_context/seen_contexts.py
+++ b/pepperhook/request_context/seen_contexts.py
@@ -1,46 +1,48 @@
-"""The contexts that were received lately, as one may come twice."""
+"""The contexts that were received recently, as several requests may have the same one."""
 
 from dataclasses import dataclass
 
 from pepperhook.request_context.messages import RequestContext
 from pepperhook.request_context.retry_allowance import RetryAllowance
 
-MAX_SEEN = 8192
+MAX_SEEN_CONTEXTS = 8192
 
 
 @dataclass(slots=True)
 class SeenContext:
-    """What the first request that came with a context left for those that follow with it."""
+    """What is stored at the first request with a context, for later requests with the same one."""
 
-    first_at: int
-    expires_at: int  # afterwards the same context is a copy, made for something else
+    first_received_at: int
+    expires_at: int  # received after this time, the context is a copy on an unrelated call
     allowance: RetryAllowance
 
 
 class SeenContexts:
-    """Remembers contexts by request and call, up to a limit; those that expired go first."""
+    """Stores contexts by request id and path, up to a limit; evicts expired ones first."""
 
     def __init__(self) -> None:
         """Start empty."""
-        self._seen: dict[tuple[str, str], SeenContext] = {}
+        self._contexts: dict[tuple[str, str], SeenContext] = {}
 
     def __len__(self) -> int:
-        """Return how many are remembered."""
-        return len(self._seen)
+        """Return how many contexts are stored."""
+        return len(self._contexts)
 
     def find(self, context: RequestContext) -> SeenContext | None:
-        """Return what is remembered of a context that was received before."""
-        return self._seen.get((context.request_id, context.path))
-
-    def add(self, now: int, context: RequestContext, seen: SeenContext) -> None:
-        """Remember a context, in place of an older one where there is no room."""
-        if len(self._seen) >= MAX_SEEN:
-            self._make_room(now)
-        self._seen[context.request_id, context.path] = seen
-
-    def _make_room(self, now: int) -> None:
-        expired = [key for key, seen in self._seen.items() if seen.expires_at < now]
+        """Return what is stored for a context, or None if it was not received before."""
+        return self._contexts.get((context.request_id, context.path))
+
+    def add(self, now: int, context: RequestContext, seen_context: SeenContext) -> None:
+        """Store a context; evict expired ones, then the oldest, when the limit is reached."""
+        if len(self._contexts) >= MAX_SEEN_CONTEXTS:
+            self._evict(now)
+        self._contexts[context.request_id, context.path] = seen_context
+
+    def _evict(self, now: int) -> None:
+        expired = [
+            key for key, seen_context in self._contexts.items() if seen_context.expires_at < now
+        ]
         for key in expired:
-            del self._seen[key]
-        while len(self._seen) >= MAX_SEEN:
-            del self._seen[next(iter(self._seen))]
+            del self._contexts[key]
+        while len(self._contexts) >= MAX_SEEN_CONTEXTS:
+            del self._contexts[next(iter(self._contexts))]
--- a/tests/request_context/contexts.py
+++ b/tests/request_context/contexts.py
@@ -9,14 +9,14 @@
 
 OLD_KEY = ("k1", "old secret of sixteen")
 NEW_KEY = ("k2", "new secret of sixteen")
-KEYS = KeyRing([NEW_KEY, OLD_KEY])  # while the old one is being replaced
+KEYS = KeyRing([NEW_KEY, OLD_KEY])  # as during a key rotation
 NO_KEYS = KeyRing([])
 SERVICE_CLASS = ServiceClass(0, SECOND, SECOND, priority_weight=2.0)
 HOP = "aaaaaaaa.bbbbbbbb"
 
 
-def make_context(request_id="c1", path="0.1", depth=1, remaining_ms=400, retries=1, **more):
-    return RequestContext(request_id, path, depth, remaining_ms, retries, **more)
+def make_context(request_id="c1", path="0.1", depth=1, remaining_ms=400, retries=1, **fields):
+    return RequestContext(request_id, path, depth, remaining_ms, retries, **fields)
 
 
 def full_context():
--- a/tests/request_context/test_configuration.py
+++ b/tests/request_context/test_configuration.py
@@ -1,4 +1,4 @@
-"""The table of request contexts in the operator's file."""
+"""The table of request contexts, ``[chain]``, in the operator's file."""
 
 import pytest
 from click.testing import CliRunner
@@ -8,7 +8,7 @@
 from pepperhook.request_context.extension import RequestContextExtension
 from pepperhook.server.extensions import listed_name
 from tests.programs import write_config
-from tests.world import told
+from tests.server.balancers import make_config
 
 
 @pytest.mark.parametrize(
@@ -21,9 +21,9 @@
             "line 6: chain.keys[0].secret",
         ),
     ],
-    ids=["no service", "faulty network", "short secret"],
+    ids=["no service", "malformed network", "short secret"],
 )
-def test_faulty_table_is_one_line_and_exit_code_2(tmp_path, text, message):
+def test_invalid_table_is_reported_in_one_line_with_exit_code_2(tmp_path, text, message):
     path, environ = tmp_path / "operator.toml", write_config(tmp_path)
     path.write_text("version = 1\n" + text)
     options = ["--config", environ["LB_CONFIG"], "--operator", str(path)]
@@ -35,7 +35,7 @@
     assert len(result.stderr.splitlines()) == 1
 
 
-def test_table_turns_the_extension_on_under_the_name_that_it_has_had(tmp_path):
+def test_table_enables_the_extension_which_is_listed_as_chains(tmp_path):
     class Log:
         def info(self, event, **pairs):
             self.line = (event, pairs["parts"])
@@ -43,7 +43,7 @@
     path, log = tmp_path / "operator.toml", Log()
     path.write_text("version = 1\n[chain]\nservice = 'a'\n")
 
-    (extension,) = operator_config.build(str(path), told(), log).all
+    (extension,) = operator_config.build(str(path), make_config(), log).all
 
     assert isinstance(extension, RequestContextExtension)
     assert listed_name(extension) == "chains"
--- a/tests/request_context/test_context_header.py
+++ b/tests/request_context/test_context_header.py
@@ -1,4 +1,4 @@
-"""The two headers: what is written is read, and whatever is not as it should be is rejected."""
+"""Encoding and decoding of the two headers, and the rejection of invalid values."""
 
 import contextlib
 
@@ -46,13 +46,13 @@
 ]
 
 
-def reason_of(read, text):
+def rejection_reason(decode, text):
     with pytest.raises(InvalidContextError) as error:
-        read(text, NO_KEYS, True)
+        decode(text, NO_KEYS, True)
     return error.value.reason
 
 
-def test_context_is_read_as_it_was_written():
+def test_context_survives_a_round_trip():
     context = full_context()
 
     text = write_context(context, KEYS)
@@ -60,7 +60,7 @@
     assert read_context(text, KEYS, False) == context
 
 
-def test_result_is_read_as_it_was_written():
+def test_result_survives_a_round_trip():
     result = make_result(TierOutcome.FAILED, unused=0, spent_ms=120, attempts=2)
 
     text = write_result(result, KEYS)
@@ -69,13 +69,13 @@
 
 
 @pytest.mark.parametrize("outcome", list(TierOutcome))
-def test_each_outcome_is_read_as_it_was_written(outcome):
+def test_each_outcome_survives_a_round_trip(outcome):
     result = make_result(outcome)
 
     assert read_result(write_result(result, KEYS), KEYS, False).outcome is outcome
 
 
-def test_values_keep_the_form_that_other_versions_read():
+def test_values_keep_the_format_that_other_versions_read():
     context = write_context(full_context(), NO_KEYS)
     result = write_result(make_result(TierOutcome.REJECTED, unused=1, spent_ms=120), NO_KEYS)
 
@@ -85,7 +85,7 @@
     assert result == 'v=1, id="c1", p="0.1", end=shed, tries=1, spent=120, tried=1'
 
 
-def test_largest_context_fits_into_a_value_with_its_latest_hops():
+def test_largest_context_fits_into_a_value_that_has_only_the_latest_hops():
     hops = tuple(f"{number:08x}.{number:08x}" for number in range(100))
     largest = RequestContext(
         request_id="c" * MAX_ID_LENGTH,
@@ -100,38 +100,38 @@
     text = write_context(largest, KEYS)
 
     assert len(text) <= MAX_VALUE_LENGTH
-    read = read_context(text, KEYS, False)
-    assert read.hops == hops[-MAX_HOPS:]
-    assert (read.request_id, read.path, read.depth) == ("c" * 64, "0" * 64, 64)
-    assert (read.remaining_ms, read.retries, read.priority_weight) == (MAX_MS, 15, 10.0**9)
+    context = read_context(text, KEYS, False)
+    assert context.hops == hops[-MAX_HOPS:]
+    assert (context.request_id, context.path, context.depth) == ("c" * 64, "0" * 64, 64)
+    assert (context.remaining_ms, context.retries, context.priority_weight) == (MAX_MS, 15, 10.0**9)
 
 
 @pytest.mark.parametrize("text", MALFORMED)
-def test_malformed_value_is_rejected_whole(text):
-    assert reason_of(read_context, text) is RejectionReason.MALFORMED
+def test_malformed_value_is_rejected_as_a_whole(text):
+    assert rejection_reason(read_context, text) is RejectionReason.MALFORMED
 
 
 @pytest.mark.parametrize("text", ["", 'v=2, id="a"'])
 def test_value_of_another_version_is_rejected(text):
-    assert reason_of(read_context, text) is RejectionReason.UNKNOWN_VERSION
+    assert rejection_reason(read_context, text) is RejectionReason.UNKNOWN_VERSION
 
 
 def test_value_that_is_too_long_is_rejected():
-    assert reason_of(read_context, "x" * 2000) is RejectionReason.OVERSIZED
+    assert rejection_reason(read_context, "x" * 2000) is RejectionReason.OVERSIZED
 
 
 @pytest.mark.parametrize("end", ["failed?", '"failed"', "unknown", "1"])
 def test_result_with_an_unknown_outcome_is_rejected(end):
     text = f'v=1, id="c1", p="0.1", end={end}, tries=0, spent=1, tried=1'
 
-    assert reason_of(read_result, text) is RejectionReason.MALFORMED
+    assert rejection_reason(read_result, text) is RejectionReason.MALFORMED
 
 
-def test_missing_members_are_none_and_unknown_ones_ignored():
-    read = read_context(f"{VALID_START}, news=(1 2);x=3", NO_KEYS, True)
+def test_missing_members_are_none_and_unknown_ones_are_ignored():
+    context = read_context(f"{VALID_START}, news=(1 2);x=3", NO_KEYS, True)
 
-    assert read == RequestContext("a", "0", 1)
-    assert (read.remaining_ms, read.retries, read.priority_weight, read.hops) == (
+    assert context == RequestContext("a", "0", 1)
+    assert (context.remaining_ms, context.retries, context.priority_weight, context.hops) == (
         None,
         None,
         None,
@@ -140,20 +140,25 @@
 
 
 def test_zero_is_read_as_zero():
-    read = read_context('v=1, id="a", p="0", depth=0, left=0, tries=0, worth=0.0', NO_KEYS, True)
+    context = read_context('v=1, id="a", p="0", depth=0, left=0, tries=0, worth=0.0', NO_KEYS, True)
 
-    assert (read.depth, read.remaining_ms, read.retries, read.priority_weight) == (0, 0, 0, 0.0)
+    assert (context.depth, context.remaining_ms, context.retries, context.priority_weight) == (
+        0,
+        0,
+        0,
+        0.0,
+    )
 
 
-def test_huge_numbers_are_read_as_the_largest_that_are_sent():
+def test_numbers_above_the_maximum_are_clamped():
     text = (
         'v=1, id="a", p="0", depth=999999999, left=999999999999999, tries=99999, '
         "worth=999999999999.0"
     )
 
-    read = read_context(text, NO_KEYS, True)
+    context = read_context(text, NO_KEYS, True)
 
-    assert (read.depth, read.remaining_ms, read.retries, read.priority_weight) == (
+    assert (context.depth, context.remaining_ms, context.retries, context.priority_weight) == (
         64,
         MAX_MS,
         15,
@@ -163,16 +168,17 @@
 
 def test_hop_that_is_too_long_is_rejected():
     assert (
-        reason_of(read_context, f'{VALID_START}, hops=("{HOP * 2}")') is RejectionReason.MALFORMED
+        rejection_reason(read_context, f'{VALID_START}, hops=("{HOP * 2}")')
+        is RejectionReason.MALFORMED
     )
 
 
-@pytest.mark.parametrize("read", [read_context, read_result])
+@pytest.mark.parametrize("decode", [read_context, read_result])
 @pytest.mark.parametrize("is_trusted", [True, False])
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(
     text=st.text(max_size=200) | st.binary(max_size=200).map(lambda data: data.decode("latin-1"))
 )
-def test_any_text_is_read_or_rejected(read, is_trusted, text):
+def test_any_text_is_decoded_or_rejected_without_another_error(decode, is_trusted, text):
     with contextlib.suppress(InvalidContextError):
-        read(text, KEYS, is_trusted)
+        decode(text, KEYS, is_trusted)
--- a/tests/request_context/test_context_policy.py
+++ b/tests/request_context/test_context_policy.py
@@ -1,4 +1,4 @@
-"""Decisions of one tier: time, retries and repeated contexts."""
+"""Decisions of one tier: deadlines, retries, results, repeated contexts and loops."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from pepperhook.request_context.errors import RejectionReason
 from pepperhook.request_context.messages import TierOutcome
 from pepperhook.request_context.request_state import RetryStop
-from pepperhook.request_context.seen_contexts import MAX_SEEN
+from pepperhook.request_context.seen_contexts import MAX_SEEN_CONTEXTS
 from pepperhook.server.messages import ResponseKind
 from pepperhook.units import MILLISECOND, SECOND
 from tests.request_context.contexts import arrive, make_context, make_policy, make_result
@@ -16,7 +16,7 @@
 
 
 def serve_slowly(policy, requests, serving_ms):
-    """Serve requests one after another, each in the same time, until a measurement counts."""
+    """Serve requests that all take the same time; return the time after the last one."""
     interval = SECOND // 10
     for number in range(requests):
         now = number * interval
@@ -26,7 +26,7 @@
     return requests * interval
 
 
-# Time.
+# Deadlines.
 
 
 def test_context_shortens_the_deadline():
@@ -43,19 +43,19 @@
     assert admission.deadline == own_deadline
 
 
-def test_context_without_time_leaves_the_deadline():
+def test_context_without_remaining_time_leaves_the_deadline():
     admission = arrive(make_policy(), 0, make_context(remaining_ms=None, retries=None))
 
     assert admission.deadline == SECOND
 
 
-def test_request_without_any_time_left_is_rejected_before_work():
+def test_request_with_no_time_left_is_rejected_before_execution():
     admission = arrive(make_policy(), 0, make_context(remaining_ms=0))
 
     assert admission.rejection is TierOutcome.EXPIRED
 
 
-def test_request_with_less_time_than_serving_takes_is_rejected_before_work():
+def test_request_with_less_time_than_serving_takes_is_rejected_before_execution():
     policy = make_policy()
     now = serve_slowly(policy, requests=60, serving_ms=300)
 
@@ -66,7 +66,7 @@
     assert in_time.rejection is None
 
 
-def test_measured_serving_time_fades_so_that_a_tier_that_is_quick_again_shows_it():
+def test_old_serving_times_decay_so_that_a_tier_that_is_fast_again_accepts_requests():
     policy = make_policy()
     later = serve_slowly(policy, requests=60, serving_ms=300) + 60 * SECOND
 
@@ -75,7 +75,7 @@
     assert admission.rejection is None
 
 
-def test_time_that_the_way_back_takes_is_measured_and_deducted():
+def test_overhead_of_an_attempt_is_measured_and_deducted_from_the_remaining_time():
     policy = make_policy()
     for number in range(40):
         now = number * MILLISECOND
@@ -91,7 +91,7 @@
     assert context.remaining_ms == pytest.approx(970, abs=3)
 
 
-def test_nothing_is_deducted_while_nothing_was_measured():
+def test_no_overhead_is_deducted_without_measurements():
     policy = make_policy()
 
     context = policy.attempt_started(0, arrive(policy, 0, None).state, SECOND, is_retry=False)
@@ -115,7 +115,7 @@
         (None, True),
     ],
 )
-def test_no_retry_where_the_tier_below_has_tried_all_that_may_help(result, may_retry):
+def test_no_retry_after_a_result_that_makes_a_retry_useless(result, may_retry):
     policy = make_policy()
     state = arrive(policy, 0, make_context(remaining_ms=900, retries=4)).state
     assert policy.attempt_started(0, state, SECOND, is_retry=False).retries == 2
@@ -127,7 +127,7 @@
     assert state.refused_retries == (0 if may_retry else 1)
 
 
-def test_retries_of_a_failed_attempt_come_back():
+def test_retries_lent_to_a_failed_attempt_are_returned():
     policy = make_policy()
     state = arrive(policy, 0, make_context(remaining_ms=900, retries=4)).state
     policy.attempt_started(0, state, SECOND, is_retry=False)
@@ -149,7 +149,7 @@
         (Outcome.ERROR, True, 2),
     ],
 )
-def test_retries_lent_to_an_attempt_without_a_result_are_spent_where_they_may_have_been(
+def test_lent_retries_without_a_result_are_returned_only_if_no_tier_can_have_used_them(
     outcome, upstream_reports, remaining_retries
 ):
     policy = make_policy()
@@ -163,15 +163,15 @@
     assert state.allowance.retries == remaining_retries
 
 
-def test_of_several_results_the_one_that_forbids_most_counts():
-    harmless = make_result(TierOutcome.FAILED, unused=0, attempts=1)
+def test_most_restrictive_of_several_results_is_used():
+    retriable = make_result(TierOutcome.FAILED, unused=0, attempts=1)
     stopping = make_result(TierOutcome.LOOP, unused=2)
     stopping_without_retries = make_result(TierOutcome.FAILED, unused=1, attempts=3)
 
-    assert retry_stop(harmless) is None
+    assert retry_stop(retriable) is None
     assert retry_stop(stopping) is RetryStop.LOOP
     assert retry_stop(stopping_without_retries) is RetryStop.RETRIED_BELOW
-    results = [harmless, stopping, stopping_without_retries]
+    results = [retriable, stopping, stopping_without_retries]
     assert most_restrictive(results) is stopping_without_retries
     assert most_restrictive([]) is None
 
@@ -188,7 +188,7 @@
         (TierOutcome.LOOP, ResponseKind.SERVED, TierOutcome.SERVED),
     ],
 )
-def test_result_forwards_what_no_tier_above_must_retry(below, kind, outcome):
+def test_result_forwards_outcomes_that_no_tier_above_must_retry(below, kind, outcome):
     policy = make_policy()
     state = arrive(policy, 0, make_context()).state
     policy.attempt_started(0, state, SECOND, is_retry=False)
@@ -218,7 +218,7 @@
     assert result.outcome is outcome
 
 
-# Contexts that come again.
+# Repeated contexts.
 
 
 def test_requests_with_the_same_context_share_its_time_and_its_retries():
@@ -234,34 +234,35 @@
     assert retry is None
 
 
-def test_context_that_comes_again_after_its_time_is_ignored():
+def test_repeated_context_is_ignored_after_it_has_expired():
     policy = make_policy()
     arrive(policy, 0, make_context(remaining_ms=400))
 
-    copied = arrive(policy, 500 * MILLISECOND, make_context(remaining_ms=400), 2 * SECOND)
+    replayed = arrive(policy, 500 * MILLISECOND, make_context(remaining_ms=400), 2 * SECOND)
 
-    assert copied.deadline == 2 * SECOND
-    assert not copied.state.has_context
+    assert replayed.deadline == 2 * SECOND
+    assert not replayed.state.has_context
     assert policy.rejections == {RejectionReason.REPLAYED: 1}
 
 
-def test_remembered_contexts_are_bounded():
+def test_number_of_stored_contexts_is_bounded():
     policy = make_policy()
 
-    for number in range(MAX_SEEN + 500):
+    for number in range(MAX_SEEN_CONTEXTS + 500):
         arrive(policy, SECOND, make_context(f"n{number}", "0", remaining_ms=100))
 
-    assert len(policy.seen) <= MAX_SEEN
+    assert len(policy.seen_contexts) <= MAX_SEEN_CONTEXTS
 
 
 # Loops.
 
 
-def test_a_rejected_repeat_of_a_context_leaves_the_first_in_loop_detection():
-    """A node may call twice with one context, and the second call may be rejected as late.
+def test_rejected_repeat_of_a_context_does_not_end_loop_detection_of_the_first():
+    """A node may make two calls with the same context, the second of which is rejected as expired.
 
-    The end of the second took the first out of the requests in flight, as both have one id and one
-    depth; a call that came back to this tier with fewer hops was then served again and again.
+    Both calls have the same id and depth, so the end of the second one removed the first from the
+    requests in flight. A call that came back to this tier with fewer hops was then served
+    repeatedly.
     """
     policy = make_policy()
     first = arrive(policy, 0, make_context(remaining_ms=400))
--- a/tests/request_context/test_tiers.py
+++ b/tests/request_context/test_tiers.py
@@ -1,4 +1,4 @@
-"""Decisions of several tiers together, in random trees of calls and in cycles."""
+"""Decisions of several tiers combined, in random trees of calls and in cycles."""
 
 import random
 
@@ -36,7 +36,7 @@
             self.call(0, None, self.now + SECOND)
 
     def call(self, tier, context, deadline):
-        """Play one request at a tier; whether it was served, and its result."""
+        """Simulate one request at a tier; return whether it was served, and its result."""
         policy = self.tiers[tier][self.random.randrange(INSTANCES)]
         request_id = f"o{self.requests}"
         admission = arrive(policy, self.now, context, deadline, self.retry_ratio, request_id)
@@ -69,17 +69,17 @@
         return is_served
 
     def forward(self, tier, context, deadline):
-        """What becomes of an attempt: whether it is served, whether its response is lost."""
-        fate = self.random.random()
-        is_lost = fate > 0.9
-        if tier < TIERS - 1 and fate > 0.1:
+        """Simulate an attempt; return whether it is served, whether it is lost, and its result."""
+        draw = self.random.random()
+        is_lost = draw > 0.9
+        if tier < TIERS - 1 and draw > 0.1:
             is_served, result = self.call(tier + 1, context, deadline)
             return is_served, is_lost, None if is_lost else result
         return self.random.random() > 0.5, is_lost, None
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_all_tiers_together_never_retry_more_than_the_fraction_granted_at_the_entry(seed):
+def test_all_tiers_in_total_retry_no_more_than_the_fraction_granted_at_the_entry(seed):
     calls = RandomCalls(seed)
 
     calls.run(1500)
@@ -91,7 +91,7 @@
 
 
 class Cycle:
-    """Tiers that call each other in a circle; counts the visits to each."""
+    """Tiers that call each other in a cycle; counts the visits to all tiers."""
 
     def __init__(self, length, instances, loses_hops):
         self.tiers = [
@@ -103,7 +103,7 @@
         self.random = random.Random(3)
 
     def call(self, step, context):
-        """Play the visit after so many others; its result."""
+        """Simulate a visit, the number ``step`` in the cycle; return its result."""
         self.visits += 1
         tier = self.tiers[step % len(self.tiers)]
         policy = tier[self.random.randrange(len(tier))]
@@ -130,30 +130,32 @@
     "length, instances, loses_hops",
     [(2, 1, False), (3, 1, False), (2, 3, False), (3, 2, False), (2, 1, True), (3, 1, True)],
 )
-def test_loop_ends_within_one_turn_and_nobody_retries_it(length, instances, loses_hops):
+def test_loop_ends_after_a_bounded_number_of_visits_and_is_not_retried(
+    length, instances, loses_hops
+):
     cycle = Cycle(length, instances, loses_hops)
 
     result = cycle.call(0, None)
 
     assert result.outcome is TierOutcome.LOOP
-    # Each tier once, one turn more where other instances hide it, and the visit that ends it.
-    turns = 1 if instances == 1 else 2
-    assert cycle.visits <= turns * length + 1
+    # One pass, or two if several instances delay detection, and the visit that is rejected.
+    passes = 1 if instances == 1 else 2
+    assert cycle.visits <= passes * length + 1
 
 
-def test_another_instance_of_the_same_service_is_no_loop():
+def test_call_to_another_instance_of_the_same_service_is_not_a_loop():
     context = make_context("c", depth=2, remaining_ms=500, hops=("a.1", "b.1"))
 
     assert arrive(make_policy("a.2"), 0, context).rejection is None
 
 
-def test_same_instance_again_is_a_loop():
+def test_second_call_to_the_same_instance_is_a_loop():
     context = make_context("d", depth=2, remaining_ms=500, hops=("a.2", "b.1"))
 
     assert arrive(make_policy("a.2"), 0, context).rejection is TierOutcome.LOOP
 
 
-def test_client_retry_and_second_call_of_a_node_at_the_same_depth_are_no_loop():
+def test_client_retry_or_second_call_of_a_node_at_the_same_depth_is_not_a_loop():
     policy = make_policy("a.2")
     arrive(policy, 0, make_context("c", depth=2, remaining_ms=500, hops=("a.1", "b.1")))
 
@@ -162,7 +164,7 @@
     assert second.rejection is None
 
 
-def test_path_without_end_is_a_loop():
+def test_request_at_the_maximum_depth_is_a_loop():
     context = make_context("c", depth=64, remaining_ms=500)
 
     assert arrive(make_policy(), 0, context).rejection is TierOutcome.LOOP
--- a/tests/request_context/test_trust.py
+++ b/tests/request_context/test_trust.py
@@ -1,4 +1,4 @@
-"""Which contexts a balancer on loopback believes, and what it reports of the others."""
+"""Which contexts a balancer accepts, and how it reports those that it rejects."""
 
 from collections import Counter
 
@@ -14,31 +14,31 @@
 from pepperhook.server.extensions import Extensions
 from tests.request_context.contexts import KEYS, NO_KEYS, full_context, make_context
 from tests.request_context.tiers import LOOPBACK_NETWORK, make_extension, signed
-from tests.world import Peer, Running, answer, loopback
+from tests.server.balancers import RunningBalancer
+from tests.server.peers import ScriptedPeer, always, make_response
 
 GREEDY = {"retries": 9, "priority_weight": 9.0}
-WITHOUT_TIME = 'v=1, id="a", p="0", depth=1, left=0'
+NO_TIME_LEFT = 'v=1, id="a", p="0", depth=1, left=0'
 
 
-@loopback
-async def test_values_that_cannot_be_believed_change_nothing():
+async def test_invalid_values_have_no_effect_and_are_counted():
     extension = make_extension("m")
-    good = signed(make_context("c", remaining_ms=5, **GREEDY))
-    unbelievable = [
-        good.replace("left=5,", "left=1,"),
+    valid = signed(make_context("c", remaining_ms=5, **GREEDY))
+    invalid = [
+        valid.replace("left=5,", "left=1,"),
         write_context(make_context("c", remaining_ms=0, **GREEDY), NO_KEYS),
         "nonsense",
         "v=1" * 900,
-        f"{good}\r\nPepperhook-Chain: {good}",
+        f"{valid}\r\nPepperhook-Chain: {valid}",
     ]
     async with (
-        Peer(lambda *_: answer()) as peer,
-        Running([peer.dial], parts=Extensions([extension])) as balancer,
+        ScriptedPeer(always(make_response())) as peer,
+        RunningBalancer([peer.address], Extensions([extension])) as balancer,
     ):
-        statuses = [(await balancer.ask(Pepperhook_Chain=value))[0] for value in unbelievable]
+        statuses = [(await balancer.request(Pepperhook_Chain=value))[0] for value in invalid]
 
     assert statuses == [200] * 5
-    assert len(peer.seen) == 5
+    assert len(peer.requests) == 5
     assert extension.policy.rejections == {
         RejectionReason.FORGED: 1,
         RejectionReason.UNTRUSTED: 1,
@@ -48,68 +48,63 @@
     }
 
 
-@loopback
-async def test_context_is_forged_where_its_request_id_was_changed():
+async def test_context_with_a_changed_request_id_is_forged():
     extension = make_extension("m")
     forged = signed(make_context("c", remaining_ms=0)).replace('id="c"', 'id="d"')
     async with (
-        Peer(lambda *_: answer()) as peer,
-        Running([peer.dial], parts=Extensions([extension])) as balancer,
+        ScriptedPeer(always(make_response())) as peer,
+        RunningBalancer([peer.address], Extensions([extension])) as balancer,
     ):
-        assert (await balancer.ask(Pepperhook_Chain=forged))[0] == 200
+        assert (await balancer.request(Pepperhook_Chain=forged))[0] == 200
 
-    assert len(peer.seen) == 1
+    assert len(peer.requests) == 1
     assert extension.policy.rejections == {RejectionReason.FORGED: 1}
 
 
-@loopback
-async def test_signed_context_without_time_rejects_the_request():
-    late = signed(make_context("t", remaining_ms=0, **GREEDY))
+async def test_request_with_a_signed_context_without_time_left_is_rejected():
+    expired = signed(make_context("t", remaining_ms=0, **GREEDY))
     async with (
-        Peer(lambda *_: answer()) as peer,
-        Running([peer.dial], parts=Extensions([make_extension("m")])) as balancer,
+        ScriptedPeer(always(make_response())) as peer,
+        RunningBalancer([peer.address], Extensions([make_extension("m")])) as balancer,
     ):
-        assert (await balancer.ask(X_Timeout_Ms="2000", Pepperhook_Chain=late))[0] == 503
-        assert balancer.node.counters["chain late"] == 1
+        assert (await balancer.request(X_Timeout_Ms="2000", Pepperhook_Chain=expired))[0] == 503
+        assert balancer.counters["chain late"] == 1
 
-    assert not peer.seen
+    assert not peer.requests
 
 
-@loopback
-async def test_value_whose_key_id_is_no_text_is_ignored():
+async def test_value_whose_key_id_is_not_a_string_is_ignored():
     extension = make_extension("m")
     async with (
-        Peer(lambda *_: answer()) as peer,
-        Running([peer.dial], parts=Extensions([extension])) as balancer,
+        ScriptedPeer(always(make_response())) as peer,
+        RunningBalancer([peer.address], Extensions([extension])) as balancer,
     ):
-        value = f"{WITHOUT_TIME}, k=(1 2), mac=:aGk=:"
-        assert (await balancer.ask(Pepperhook_Chain=value))[0] == 200
+        value = f"{NO_TIME_LEFT}, k=(1 2), mac=:aGk=:"
+        assert (await balancer.request(Pepperhook_Chain=value))[0] == 200
 
     assert extension.policy.rejections == {RejectionReason.UNTRUSTED: 1}
 
 
-@loopback
-async def test_entry_believes_nothing_and_sends_no_result_to_clients():
+async def test_entry_ignores_contexts_and_sends_no_result_to_clients():
     extension = make_extension("e", entry=True, trust=[LOOPBACK_NETWORK])
     async with (
-        Peer(lambda *_: answer()) as peer,
-        Running([peer.dial], parts=Extensions([extension])) as balancer,
+        ScriptedPeer(always(make_response())) as peer,
+        RunningBalancer([peer.address], Extensions([extension])) as balancer,
     ):
-        assert (await balancer.ask(Pepperhook_Chain=WITHOUT_TIME))[0] == 200
-        assert b"Pepperhook-Chain-Result" not in balancer.head
+        assert (await balancer.request(Pepperhook_Chain=NO_TIME_LEFT))[0] == 200
+        assert b"Pepperhook-Chain-Result" not in balancer.response_head
 
 
-@loopback
-async def test_caller_that_drops_contexts_is_named_once(caplog):
+async def test_caller_that_drops_contexts_is_logged_and_counted_once(caplog):
     extension = make_extension("m", keys=False, trust=[LOOPBACK_NETWORK])
     async with (
-        Peer(lambda *_: answer()) as peer,
-        Running([peer.dial], parts=Extensions([extension])) as balancer,
+        ScriptedPeer(always(make_response())) as peer,
+        RunningBalancer([peer.address], Extensions([extension])) as balancer,
     ):
         for _ in range(20):
-            assert (await balancer.ask())[0] == 200
-        assert (await balancer.ask(Pepperhook_Chain=WITHOUT_TIME))[0] == 503
-        assert balancer.node.counters["chain callers that drop it"] == 1
+            assert (await balancer.request())[0] == 200
+        assert (await balancer.request(Pepperhook_Chain=NO_TIME_LEFT))[0] == 503
+        assert balancer.counters["chain callers that drop it"] == 1
 
     assert "chain_dropped" in caplog.text
 
@@ -126,7 +121,7 @@
     return ContextReader(TrustedNetworks(networks), KEYS, Counter(), log)
 
 
-def test_rejected_values_are_logged_once_in_an_interval_with_their_number():
+def test_rejected_values_are_logged_once_per_interval_with_their_count():
     log = RecordingLog()
     reader = make_reader(log)
 
@@ -142,18 +137,18 @@
 
 
 @pytest.mark.parametrize(
-    "peer, is_believed",
+    "peer, is_accepted",
     [("192.0.2.1", True), ("198.51.100.1", False), ("no address", False), (None, False)],
 )
-def test_value_without_a_mac_is_believed_from_a_trusted_network(peer, is_believed):
+def test_value_without_a_mac_is_accepted_only_from_a_trusted_network(peer, is_accepted):
     reader = make_reader(RecordingLog(), "192.0.2.0/24")
     value = write_context(full_context(), NO_KEYS)
 
     for _ in range(2):  # the second time from the cache
-        read = reader.read(0, read_context, [value], peer)
-        assert read == ([full_context()] if is_believed else [])
+        contexts = reader.read(0, read_context, [value], peer)
+        assert contexts == ([full_context()] if is_accepted else [])
 
 
-def test_network_that_is_none_is_an_error_that_names_it():
+def test_malformed_network_is_an_error_that_names_it():
     with pytest.raises(ValueError, match="here"):
         make_extension("m", trust=["here"])
