--- a/pepperhook/cli/__init__.py
+++ b/pepperhook/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line ``pepperhook``; a module holds the commands of one group.
+"""The command line ``pepperhook``; each module has the commands of one group.
 
-Exit codes are in ``output.ExitCode``. Every command starts with all of these modules loaded, so
-they import what is large, such as the lab, only where it is used.
+Exit codes are in ``output.ExitCode``. All of these modules are loaded at the start of any command,
+so they import large packages, such as the lab, only in the functions that use them.
 """
 
 from pepperhook.cli.main import main
--- a/pepperhook/cli/balancer.py
+++ b/pepperhook/cli/balancer.py
@@ -62,7 +62,7 @@
 def check(config_path: str | None, operator_path: str | None, as_json: bool) -> None:
     """Check the configuration without starting a balancer.
 
-    Reads it as a start does. Prints the first fault in one line, with exit code 2.
+    Reads it as a starting balancer does. Prints the first error in one line, with exit code 2.
     """
     _set_environment(config_path, operator_path)
     checked = _read_configuration()
@@ -89,7 +89,7 @@
 @OPERATOR_OPTION
 @JSON_OPTION
 def show(config_path: str | None, operator_path: str | None, as_json: bool) -> None:
-    """Print every value that a start would use.
+    """Print every value that a balancer would start with.
 
     Includes defaults. Each value is printed with its source: a file, an environment variable, or
     the default.
@@ -110,14 +110,14 @@
 
 
 def _set_environment(config_path: str | None, operator_path: str | None) -> None:
-    """Hand options on as the environment of the program, which is all that it reads."""
+    """Pass options on as environment variables, the only input that the program reads."""
     for name, value in (("LB_CONFIG", config_path), ("LB_OPERATOR", operator_path)):
         if value is not None:
             os.environ[name] = value
 
 
 def _read_configuration() -> CheckedConfig:
-    """Read the configuration as a start does. Raises InvalidInputError."""
+    """Read the configuration as a starting balancer does. Raises InvalidInputError."""
     import logging
 
     from pepperhook.__main__ import load_extensions
@@ -133,4 +133,4 @@
         extensions = load_extensions(os.environ, read_config, structured_logging.Log(logger))
     except server_config.ConfigError as error:
         raise InvalidInputError(f"configuration: {error}") from error
-    return CheckedConfig(read_config, [listed_name(one) for one in extensions.all])
+    return CheckedConfig(read_config, [listed_name(extension) for extension in extensions.all])
--- a/pepperhook/cli/config_values.py
+++ b/pepperhook/cli/config_values.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigValue:
-    """One value in force; times have the unit that their key names."""
+    """One value in force; a duration is in the unit that its key names."""
 
     key: str
     value: Any
@@ -28,7 +28,7 @@
 
 
 def list_values(config: Config, config_path: str, operator_path: str | None) -> list[ConfigValue]:
-    """Return all values that a start with these files would use."""
+    """Return all values that a balancer started with these files would use."""
     document = json.loads(Path(config_path).read_text(encoding="utf-8"))
     values = [
         *_process_values(config, document, config_path),
@@ -43,7 +43,7 @@
 def _process_values(
     config: Config, document: dict[str, Any], config_path: str
 ) -> Iterator[ConfigValue]:
-    """Yield what is not of the settings; an environment variable overrides the file."""
+    """Yield the values outside the settings; an environment variable overrides the file."""
     values = {
         "name": config.name,
         "listen": "{}:{}".format(*config.listen),
@@ -78,8 +78,8 @@
         if key in present:
             value = getattr(config.settings, spec.name)
             keeps_unit = spec.factor in (None, 1)
-            in_unit_of_key = value if keeps_unit else value / spec.factor
-            yield ConfigValue(f"settings.{key}", in_unit_of_key, config_path)
+            value_in_key_unit = value if keeps_unit else value / spec.factor
+            yield ConfigValue(f"settings.{key}", value_in_key_unit, config_path)
     reporting = document.get("reporting") or {}
     reports = {"how": config.settings.report_source, "fields": config.settings.report_names}
     for key, value in reports.items():
@@ -99,7 +99,7 @@
 
 
 def _operator_values(path: str) -> list[ConfigValue]:
-    # Imported only where there is a file.
+    # Imported only if there is an operator's file.
     import msgspec
 
     from pepperhook import operator_config
@@ -109,7 +109,7 @@
 
 
 def _leaves(key: str, value: Any, path: str) -> Iterator[ConfigValue]:
-    """Yield the values in a tree of tables; a table that is off has none."""
+    """Yield the values in nested tables; an absent table or value has the source ``off``."""
     if isinstance(value, dict) and value:
         for name, inner in value.items():
             yield from _leaves(f"{key}.{name}", inner, path)
--- a/pepperhook/cli/control.py
+++ b/pepperhook/cli/control.py
@@ -1,4 +1,4 @@
-"""The commands that run the control service, and those that operators give it."""
+"""The commands that run the control service and that send operators' requests to it."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
     "path",
     required=True,
     type=click.Path(dir_okay=False),
-    help="File of the history (sqlite3); made if there is none.",
+    help="File of the version history (sqlite3); created if it does not exist.",
 )
 @KEYS_OPTION
 @click.option(
@@ -79,7 +79,7 @@
     default=6.0,
     show_default=True,
     type=click.FloatRange(0.5, 600),
-    help="Seconds after its last heartbeat until a member counts as gone.",
+    help="Seconds after its last heartbeat until a member is considered gone.",
 )
 def serve(listen: str, path: str, keys_path: str, lease: float) -> None:
     """Run the control service until SIGTERM."""
@@ -106,8 +106,8 @@
         raise CommandFailedError(f"--listen: {listen}: {error.strerror}") from error
 
 
-def _serve_http(service: ControlService, host: str, port: int, greeting: str) -> None:
-    """Serve until SIGTERM; print the greeting once connections are accepted."""
+def _serve_http(service: ControlService, host: str, port: int, ready_message: str) -> None:
+    """Serve until SIGTERM; print ``ready_message`` once connections are accepted."""
     from aiohttp import web
 
     from pepperhook.control_plane.http_api import create_app
@@ -116,7 +116,7 @@
         create_app(service),
         host=host,
         port=port,
-        print=lambda *_: click.echo(greeting, err=True),
+        print=lambda *_: click.echo(ready_message, err=True),
         shutdown_timeout=SHUTDOWN_TIMEOUT_S,
     )
 
@@ -163,10 +163,10 @@
     parent: int | None,
     as_json: bool,
 ) -> None:
-    """Make a new version of a document.
+    """Create a new version from a document.
 
-    FILE is TOML, or JSON if its name ends with .json. No balancer gets the version before it is
-    rolled out.
+    FILE is TOML, or JSON if its name ends with .json. The version reaches no balancer before it
+    is rolled out.
     """
     proposal: dict[str, Any] = {
         "document": read_document(file),
@@ -184,7 +184,7 @@
 
 
 def parse_steps(text: str) -> list[dict[str, float]]:
-    """Return rollout steps of a text like ``10%:60,50%:120``. Raises InvalidInputError."""
+    """Parse rollout steps from a text like ``10%:60,50%:120``. Raises InvalidInputError."""
     steps = []
     for part in text.split(","):
         share, _, seconds = part.partition(":")
@@ -206,16 +206,16 @@
     "--steps",
     default="10%:60,50%:60,100%:60",
     show_default=True,
-    help="For each step the share of members, and the seconds that it lasts at least.",
+    help="For each step, the share of members and its minimum duration in seconds.",
 )
 @click.option(
     "--patience",
     "patience_s",
     default=120.0,
     show_default=True,
-    help="Hold the rollout if a step takes this many seconds longer.",
+    help="Hold the rollout if a step takes this many seconds longer than its minimum.",
 )
-@click.option("--watch", is_flag=True, help="Wait until it is done, rolled back or held.")
+@click.option("--watch", is_flag=True, help="Wait until the rollout is done, rolled back or held.")
 @JSON_OPTION
 def rollout(
     version: int,
@@ -229,7 +229,7 @@
 ) -> None:
     """Roll out a version in steps.
 
-    Each step gives it to a larger share of the members. The service rolls back by itself if their
+    Each step sends it to a larger share of the members. The service rolls back by itself if their
     requests get worse. Exit code 1 if the rollout is held or rolled back.
     """
     client = ServiceClient(service, read_keys(keys_path))
@@ -248,7 +248,7 @@
 
 
 def _watch(client: ServiceClient, current: dict[str, Any]) -> dict[str, Any]:
-    """Print each step that begins, and return the rollout once it is no longer running."""
+    """Print each step as it starts; return the rollout once it is no longer running."""
     printed_step = None
     while current["state"] == "going":
         step = current["step"]
@@ -269,7 +269,7 @@
 
 
 def _add_rollout_command(action: str, description: str) -> None:
-    """Add a command that changes the rollout that is running."""
+    """Add a command that changes the current rollout."""
 
     @control.command(name=action, help=description)
     @SERVICE_OPTION
@@ -282,11 +282,11 @@
 
 
 _add_rollout_command("hold", "Hold the rollout at its step.")
-_add_rollout_command("resume", "Resume a held rollout.\n\nIts step begins again.")
+_add_rollout_command("resume", "Resume a held rollout.\n\nIts current step starts again.")
 _add_rollout_command(
     "back",
-    "Roll back to the version before.\n\n"
-    "Gives all members what they had before the rollout, as a new version.",
+    "Roll back to the previous version.\n\n"
+    "Sends all members the document from before the rollout, as a new version.",
 )
 
 
@@ -297,7 +297,7 @@
 def status(service: str, keys_path: str, as_json: bool) -> None:
     """Show the rollout and all members.
 
-    For each member: the version that it is to run, the one that it runs, and the reason if these
+    For each member: the version that it should run, the one that it runs, and the reason if they
     differ.
     """
     client = ServiceClient(service, read_keys(keys_path))
@@ -315,11 +315,11 @@
 @JSON_OPTION
 def versions(service: str, keys_path: str, as_json: bool) -> None:
     """List all versions, with author and reason."""
-    found = ServiceClient(service, read_keys(keys_path)).get("/v1/versions")
+    history = ServiceClient(service, read_keys(keys_path)).get("/v1/versions")
     if as_json:
-        print_json(found)
+        print_json(history)
     else:
-        control_output.print_versions(found)
+        control_output.print_versions(history)
 
 
 @control.command()
@@ -329,17 +329,17 @@
 def show(number: int, service: str, keys_path: str) -> None:
     """Print the document of a version as JSON."""
     client = ServiceClient(service, read_keys(keys_path))
-    found = client.get(f"/v1/versions?after={number - 1}")
-    if not found or found[0]["number"] != number:
+    later_versions = client.get(f"/v1/versions?after={number - 1}")
+    if not later_versions or later_versions[0]["number"] != number:
         raise CommandFailedError(f"there is no version {number}")
-    click.echo(json.dumps(found[0]["document"], indent=2))
+    click.echo(json.dumps(later_versions[0]["document"], indent=2))
 
 
 @control.command(name="new-key")
 @click.argument("name")
 def new_key(name: str) -> None:
-    """Print a line for a file of keys.
+    """Print a new key, as a line of a key file.
 
-    It has the id NAME and a new random secret.
+    The key has the id NAME and a random secret.
     """
     click.echo(f"{name} {secrets.token_urlsafe(NEW_SECRET_BYTES)}")
--- a/pepperhook/cli/control_client.py
+++ b/pepperhook/cli/control_client.py
@@ -1,6 +1,7 @@
-"""What the commands that talk to a control service share: keys, documents and signed requests.
+"""Keys, documents and signed requests, for the commands that call a control service.
 
-Every command of the program reads this module in, so what is large is imported where it is used.
+This module is loaded at the start of any command, so large packages are imported where they are
+used.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
 
 
 def read_keys(path: str) -> KeyRing:
-    """Return the keys of a file with one line for each. Raises InvalidInputError."""
+    """Return the keys of a file that has one on each line. Raises InvalidInputError."""
     from pepperhook.key_ring import KeyRing
 
     name = f"--keys: {path}"
@@ -83,7 +84,7 @@
             document = json.loads(text)
             tomlfile.convert(document, Document, path)
         else:
-            # Decoded twice: the first names the line of what is wrong.
+            # Decoded twice: only tomlfile.decode names the line of an error.
             tomlfile.decode(text, Document, path)
             document = tomllib.loads(text)
     except (tomlfile.TomlFileError, json.JSONDecodeError) as error:
@@ -92,28 +93,35 @@
 
 
 class ServiceClient:
-    """Sends one operator's requests to a control service."""
+    """Sends signed requests to a control service."""
 
     def __init__(self, address: str, keys: KeyRing) -> None:
-        """Use the service at HOST:PORT."""
+        """``address``: HOST:PORT of the service; the first of the keys signs."""
         self._address = address
         self._keys = keys
 
     def get(self, path: str) -> Any:
-        """Return the JSON of a response. Raises InvalidInputError, CommandFailedError."""
+        """Send a GET request and return the decoded JSON of its response.
+
+        Raises InvalidInputError for a request that the service calls invalid, CommandFailedError
+        for any other failure.
+        """
         return _successful(*self.request("GET", path))
 
     def post(self, path: str, body: Mapping[str, Any]) -> Any:
-        """Send JSON and return that of the response.
+        """Send a POST request with JSON and return the decoded JSON of its response.
 
-        Raises InvalidInputError, CommandFailedError.
+        Raises the errors of ``get``.
         """
         return _successful(*self.request("POST", path, body))
 
     def request(
         self, method: str, path: str, body: Mapping[str, Any] | None = None
     ) -> tuple[int, Any]:
-        """Return status and JSON of a response. Raises CommandFailedError where there is none."""
+        """Return the status and the decoded JSON of a response.
+
+        Raises CommandFailedError if there is no response, or none with valid JSON.
+        """
         import http.client
 
         from pepperhook.control_plane.auth import sign_request
@@ -136,7 +144,10 @@
 
 
 def _successful(status: int, content: Any) -> Any:
-    """Return the content of a success; else raise the reason, with exit code 2 for bad input."""
+    """Return the content of a successful response, else raise an error with its reason.
+
+    Status 400 is raised as InvalidInputError, any other as CommandFailedError.
+    """
     if status == HTTPStatus.OK:
         return content
     text = str(content.get("error", content)).replace("\n", " ")
--- a/pepperhook/cli/control_output.py
+++ b/pepperhook/cli/control_output.py
@@ -15,7 +15,7 @@
 
 
 def print_plan(plan: dict[str, Any], overridden_checks: Collection[str]) -> None:
-    """Print what a document would change and what stands against it."""
+    """Print what a document would change, and the failed checks."""
     click.echo(f"against version {plan['parent']}:")
     for key, before, after in plan["differences"]:
         click.echo(f"    {key}: {_value(before)} -> {_value(after)}")
@@ -33,7 +33,7 @@
 
 
 def print_rollout(rollout: dict[str, Any] | None) -> None:
-    """Print the state of a rollout, and what was counted in its step."""
+    """Print the state of a rollout, and the requests counted in its current step."""
     if rollout is None:
         click.echo("there is no rollout")
         return
@@ -72,14 +72,14 @@
 
 
 def _status_row(name: str, member: dict[str, Any]) -> tuple[str, ...]:
-    silent_s = max(0, time.time() - member["heard_ms"] / MS_PER_S)
+    since_heartbeat_s = max(0, time.time() - member["heard_ms"] / MS_PER_S)
     return (
         name,
         str(member["tier"]),
         str(member["wanted"]),
         str(member["running"]),
         member["state"],
-        f"{silent_s:.0f}s ago",
+        f"{since_heartbeat_s:.0f}s ago",
         member["why"][:MAX_REASON_CHARACTERS],
     )
 
--- a/pepperhook/cli/explain.py
+++ b/pepperhook/cli/explain.py
@@ -1,4 +1,4 @@
-"""The command that follows one request through the logs of several tiers."""
+"""The command that explains one request from the logs of several tiers."""
 
 from collections.abc import Iterable, Iterator
 from pathlib import Path
@@ -31,6 +31,7 @@
 
 
 def _lines(paths: Iterable[str]) -> Iterator[str]:
+    """Yield the lines of all files. Raises InvalidInputError."""
     for path in paths:
         try:
             with Path(path).open(encoding="utf-8", errors="replace") as file:
--- a/pepperhook/cli/files.py
+++ b/pepperhook/cli/files.py
@@ -1,4 +1,4 @@
-"""Writes files whole or not at all, also through a crash."""
+"""Writes files atomically: after a crash, a file has either its old or its new content."""
 
 import os
 from collections.abc import Iterator
@@ -8,7 +8,7 @@
 
 @contextmanager
 def replacing_file(path: str) -> Iterator[Path]:
-    """Yield a temporary file to write, which takes the place of ``path`` when it is complete."""
+    """Yield a temporary path to write to; on success, the file there replaces ``path``."""
     temporary = Path(path).with_name(f".{Path(path).name}.{os.getpid()}")
     try:
         yield temporary
@@ -18,7 +18,7 @@
 
 
 def write_file(path: str, text: str) -> None:
-    """Write a text to a file. Raises OSError."""
+    """Replace a file by one with this text. Raises OSError."""
     with replacing_file(path) as temporary, temporary.open("wb") as file:
         file.write(text.encode())
         file.flush()
--- a/pepperhook/cli/gossip.py
+++ b/pepperhook/cli/gossip.py
@@ -1,4 +1,4 @@
-"""The command that asks a balancer for the members that it knows by gossip."""
+"""The command that queries a balancer for its table of members, which it knows by gossip."""
 
 import os
 import random
@@ -16,17 +16,17 @@
 from pepperhook.cli.output import CommandFailedError, InvalidInputError, print_json
 from pepperhook.key_ring import KeyRing
 
-# The membership package is imported when the command runs: others start the faster without it.
+# The membership package is imported when the command runs, so that other commands start faster.
 
 ATTEMPTS = 4  # for each page
-ANSWER_TIMEOUT_S = 0.5
-RECEIVE_BYTES = 2048  # more than any datagram has
+RESPONSE_TIMEOUT_S = 0.5  # for each attempt
+RECEIVE_BYTES = 2048  # larger than any datagram
 PAGE_PAYLOAD_FIELDS = 2  # page number, number of records in the table
 
 
 @dataclass(slots=True)
 class MemberList:
-    """The table of one member."""
+    """The table of members that one member returned."""
 
     records: list[Any]
     reported_by: str
@@ -71,7 +71,7 @@
 
 
 def row_of(record: Any) -> dict[str, Any]:
-    """Return a record as the command's JSON output has it."""
+    """Convert a record to a row of the command's JSON output."""
     return {
         "name": record.name,
         "tier": record.tier,
@@ -96,7 +96,7 @@
 
 @contextmanager
 def listening_socket(host: str) -> Iterator[socket.socket]:
-    """Open a datagram socket at a host; report it as the option's fault where that fails."""
+    """Open a datagram socket on a host. Raises InvalidInputError, which names ``--listen``."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     with socket.socket(family, socket.SOCK_DGRAM) as sock:
         try:
@@ -107,10 +107,10 @@
 
 
 class MemberQuery:
-    """Asks one member for its table, page by page."""
+    """Queries one member for its table, page by page."""
 
     def __init__(self, sock: socket.socket, address: tuple[str, int], keys: KeyRing) -> None:
-        """Ask the member at ``address`` over ``sock``."""
+        """Query the member at ``address`` through ``sock``."""
         from pepperhook.membership.messages import MemberRecord
 
         self.socket = sock
@@ -122,7 +122,7 @@
     def run(self) -> MemberList:
         """Return the whole table.
 
-        Raises CommandFailedError where the member does not answer.
+        Raises CommandFailedError if the member does not respond.
         """
         records: dict[str, Any] = {}
         page_number = 0
@@ -130,13 +130,13 @@
             page = self.fetch_page(page_number)
             records.update((record.name, record) for record in page.updates)
             total = page.payload[1]
-            # Of a table that changes meanwhile a page may hold nothing new.
+            # A page may be empty if the table changed after an earlier page.
             if not page.updates or len(records) >= total:
                 return MemberList(list(records.values()), page.sender.name)
             page_number += 1
 
     def fetch_page(self, page_number: int) -> Any:
-        """Return the message with a page of the table."""
+        """Return the message with a page of the table. Raises CommandFailedError."""
         from pepperhook.membership.datagram import encode
         from pepperhook.membership.messages import Message, MessageType
 
@@ -155,12 +155,12 @@
         raise self.failure("no answer; is it its gossip.listen, and the key one of its own?")
 
     def receive_page(self, sequence: int) -> Any | None:
-        """Wait for the answer to a query; None where it does not come in time."""
+        """Wait for the response to a query; return None after the timeout."""
         from pepperhook.membership.datagram import InvalidDatagramError, decode
 
-        deadline = time.monotonic() + ANSWER_TIMEOUT_S
-        while (left_s := deadline - time.monotonic()) > 0:
-            self.socket.settimeout(left_s)
+        deadline = time.monotonic() + RESPONSE_TIMEOUT_S
+        while (remaining_s := deadline - time.monotonic()) > 0:
+            self.socket.settimeout(remaining_s)
             try:
                 message = decode(self.socket.recv(RECEIVE_BYTES), self.keys)
             except (TimeoutError, ConnectionError, InvalidDatagramError):
@@ -170,12 +170,12 @@
         return None
 
     def failure(self, reason: str) -> CommandFailedError:
-        """Return the error that says why there is no table."""
+        """Return an error that names the member and the reason."""
         return CommandFailedError("{}:{}: {}".format(*self.address, reason))
 
 
 def is_page(message: Any) -> bool:
-    """Return whether a message is a page of a table, as it answers a query."""
+    """Return whether a message is a page of a table, the response to a query."""
     from pepperhook.membership.messages import MessageType
 
     return (
--- a/pepperhook/cli/lab.py
+++ b/pepperhook/cli/lab.py
@@ -1,7 +1,7 @@
 """The lab's commands for acceptance scenarios and experiments, and the demo.
 
-A command of the lab is a function in this module or in ``lab_measurements``; those of other
-modules are added at the end. The lab itself is imported only by the commands that need it.
+The lab's commands in ``lab_measurements`` and ``lab_soak`` are added at the end of this module. The
+lab itself is imported only by the commands that need it.
 """
 
 import os
@@ -32,7 +32,7 @@
 
 
 @lab.command()
-@click.option("--names", is_flag=True, help="Print only the names, one on a line.")
+@click.option("--names", is_flag=True, help="Print only the names, one per line.")
 @JSON_OPTION
 def proofs(names: bool, as_json: bool) -> None:
     """List the acceptance scenarios.
@@ -44,7 +44,10 @@
 
     if as_json:
         print_json(
-            {name: {"about": one.__doc__, "plants": one.plants} for name, one in PROOFS.items()}
+            {
+                name: {"about": scenario.__doc__, "plants": scenario.plants}
+                for name, scenario in PROOFS.items()
+            }
         )
         return
     for name, scenario in PROOFS.items():
@@ -62,16 +65,18 @@
     "--quick/--full",
     "quick",
     default=True,
-    help="Run a short form of under 45 seconds (the default), or the full size.",
+    help="Run a short form that takes under 45 seconds (the default), or the full size.",
 )
-@click.option("--plant", metavar="FAULT", help="Inject a fault: the scenario must then not hold.")
-@click.option("--seed", type=int, help="The random seed. Default: that of the scenario.")
+@click.option(
+    "--plant", metavar="FAULT", help="Inject a fault, with which the scenario must not hold."
+)
+@click.option("--seed", type=int, help="The random seed. Default: the scenario's.")
 @click.option(
     "--write",
     "folder",
     type=click.Path(file_okay=False, path_type=Path),
     metavar="FOLDER",
-    help="Write the page of a measurement there; not all scenarios have one.",
+    help="Write the report page of a measurement there; not all scenarios have one.",
 )
 def prove(name: str, quick: bool, plant: str | None, seed: int | None, folder: Path | None) -> None:
     """Run the acceptance scenario NAME.
@@ -97,7 +102,7 @@
 
 
 def _scenario_class(name: str, fault: str | None) -> Any:
-    """Return the scenario of a name. Raises InvalidInputError, also for an unknown fault."""
+    """Return the class of a scenario. Raises InvalidInputError for an unknown name or fault."""
     from pepperhook.lab.proofs import PROOFS
 
     if name not in PROOFS:
@@ -112,11 +117,11 @@
 @lab.command()
 @click.argument("file", type=click.Path())
 @click.option("--out", type=click.Path(), help="Folder for the results. Default: found/NAME.")
-@click.option("--seed", type=int, help="The first seed. Default: that of the experiment.")
+@click.option("--seed", type=int, help="The first seed. Default: the experiment's.")
 @click.option(
     "--repeats",
     type=click.IntRange(1, 200),
-    help="How many seeds to run. Default: as many as the experiment says.",
+    help="How many seeds to run. Default: the experiment's.",
 )
 @click.option("--only", metavar="VARIANT", multiple=True, help="Run only this variant; repeatable.")
 @JSON_OPTION
@@ -130,8 +135,8 @@
 ) -> None:
     """Run an experiment, and write a report.
 
-    Runs each variant with each seed, in turn. Ctrl-C ends it; the report then covers the runs so
-    far. Exit code 1 if a run broke a rule.
+    Runs each variant with each seed, one after another. Ctrl-C ends it; the report then covers the
+    completed runs. Exit code 1 if a run broke a rule.
     """
     require_lab()
     from pepperhook.lab import matrix
@@ -160,7 +165,7 @@
 
 
 def _check_variants(file: str, names: Iterable[str], known: Collection[str]) -> None:
-    """Raise InvalidInputError where a variant is not known."""
+    """Raise InvalidInputError if a variant is unknown."""
     for name in names:
         if name not in known:
             raise InvalidInputError(f"{file}: no variant has the name {name!r}")
--- a/pepperhook/cli/lab_measurements.py
+++ b/pepperhook/cli/lab_measurements.py
@@ -1,4 +1,4 @@
-"""The lab's commands that measure one part by itself: the balancer, the service, traces."""
+"""The lab's commands that measure one component: the balancer, the control service, traces."""
 
 import statistics
 import tempfile
@@ -42,7 +42,7 @@
 def capacity(rate: int, seconds: int, as_json: bool) -> None:
     """Measure what one load generator can send.
 
-    Sends to a responder that does nothing: no measurement of the lab can exceed this rate.
+    Sends to a server that does no work. No measurement of the lab can exceed this rate.
     """
     require_lab()
     from pepperhook.lab import null
@@ -60,7 +60,7 @@
     type=click.IntRange(1, 50),
     default=3,
     show_default=True,
-    help="How often to run all four combinations of protocols.",
+    help="How many times to run all four combinations of protocols.",
 )
 @click.option(
     "--seconds",
@@ -74,7 +74,7 @@
 def speed(rounds: int, seconds: int, seed: int, as_json: bool) -> None:
     """Measure requests per second of one core.
 
-    Compares HTTP/1.1 and HTTP/2 on either side of a balancer, in turn.
+    Compares HTTP/1.1 and HTTP/2 on both sides of a balancer, one combination after another.
     """
     require_lab()
     from pepperhook.lab import speed as speed_measurement
@@ -103,7 +103,7 @@
     default="20,100,1000",
     show_default=True,
     metavar="N,N,...",
-    help="Numbers of members to measure, one after the other.",
+    help="Numbers of members to measure with, one after another.",
 )
 @click.option(
     "--port",
@@ -116,7 +116,7 @@
 def control_load(members: str, port: int, as_json: bool) -> None:
     """Measure a control service with many members.
 
-    Measures it while all members join at once, while they get a new version, and at rest.
+    Measures it while all members join at once, while they get a new version, and while idle.
     """
     require_lab()
     from pepperhook.lab import controlload
@@ -136,7 +136,7 @@
 
 
 def _parse_member_counts(text: str) -> list[int]:
-    """Return the numbers in a list with commas. Raises InvalidInputError."""
+    """Parse a list of numbers separated by commas. Raises InvalidInputError."""
     parts = [part.strip() for part in text.split(",")]
     counts = [int(part) if part.isdecimal() else 0 for part in parts]
     if not all(0 < count <= MAX_MEMBERS for count in counts):
@@ -148,13 +148,13 @@
 
 @click.command(name="trace-cost")
 @click.argument("capture", type=click.Path())
-@click.option("--revision", help="Measure the policy of this Git revision, too.")
+@click.option("--revision", help="Also measure the policy of this Git revision.")
 @click.option(
     "--rounds",
     default=7,
     type=click.IntRange(1, 100),
     show_default=True,
-    help="How often to replay the capture in each way.",
+    help="How many times to replay the capture in each mode.",
 )
 @JSON_OPTION
 def trace_cost(capture: str, revision: str | None, rounds: int, as_json: bool) -> None:
@@ -184,14 +184,14 @@
     type=click.FloatRange(0.1, 10_000),
     default=1000.0,
     show_default=True,
-    help="Size in megabytes of the trace to make.",
+    help="Size in megabytes of the trace to generate.",
 )
 @SEED_OPTION
 @JSON_OPTION
 def trace_size(megabytes: float, seed: int, as_json: bool) -> None:
-    """Measure time and memory of a summary.
+    """Measure time and memory of a trace summary.
 
-    Makes a large trace first, and then sums it up.
+    Generates a large trace first, and then summarizes it.
     """
     require_lab()
     from pepperhook.lab import tracesize
--- a/pepperhook/cli/lab_soak.py
+++ b/pepperhook/cli/lab_soak.py
@@ -1,4 +1,4 @@
-"""The lab's soak: many drawn fleets with overlapping faults, restarts and signals."""
+"""The lab's soak test: many random fleets with overlapping faults, restarts and signals."""
 
 import re
 from pathlib import Path
@@ -20,33 +20,33 @@
 
 
 @click.command()
-@click.option("--seeds", required=True, metavar="FIRST:COUNT", help="The seeds to play.")
+@click.option("--seeds", required=True, metavar="FIRST:COUNT", help="The seeds to run.")
 @click.option(
     "--seconds",
     type=click.IntRange(MIN_SECONDS, MAX_SECONDS),
     default=30,
     show_default=True,
-    help="Length of each run, without its start and the quiet time at its end.",
+    help="Length of each run, without its startup and the idle time at its end.",
 )
 @click.option(
     "--at-once",
     type=click.IntRange(1, 16),
     default=1,
     show_default=True,
-    help="How many to play at a time.",
+    help="How many seeds to run at a time.",
 )
-@click.option("--plant", metavar="FAULT", help="Inject a fault: the soak must then not hold.")
+@click.option("--plant", metavar="FAULT", help="Inject a fault, with which the soak must not hold.")
 @click.option("--out", type=click.Path(path_type=Path), help="Folder for logs of seeds that fail.")
 @JSON_OPTION
 def soak(
     seeds: str, seconds: int, at_once: int, plant: str | None, out: Path | None, as_json: bool
 ) -> None:
-    """Play drawn fleets with overlapping faults.
+    """Test random fleets with overlapping faults.
 
-    Beside the faults come planned restarts, series of signals, and crowds of idle clients. Judged
-    are the four rules and each answer, crashes, starts within 10 s, and what processes hold after a
-    quiet time. Exit code 0 if all seeds hold, 1 if one does not, 2 if one could not be judged, as
-    the machine was short of core.
+    The runs also have planned restarts, series of signals, and crowds of idle clients. Checks the
+    four rules, each response, crashes, startups within 10 s, and the resources that processes still
+    use after an idle time. Exit code 0 if all seeds hold, 1 if one does not, 2 if one is
+    void because the machine had too little CPU time.
     """
     require_lab()
     from pepperhook.lab import planted
@@ -60,12 +60,12 @@
         verdicts.append(verdict)
         if not as_json:
             click.echo(_line(verdict, seconds, plant))
-    failed = [one for one in verdicts if not one.holds and not one.void]
-    void = [one for one in verdicts if one.void]
+    failed = [verdict for verdict in verdicts if not verdict.holds and not verdict.void]
+    void = [verdict for verdict in verdicts if verdict.void]
     if as_json:
-        print_json([msgspec.to_builtins(one) for one in verdicts])
+        print_json([msgspec.to_builtins(verdict) for verdict in verdicts])
     else:
-        requests = sum(one.requests for one in verdicts)
+        requests = sum(verdict.requests for verdict in verdicts)
         click.echo(
             f"{len(verdicts)} seeds, {requests} requests: "
             f"{len(verdicts) - len(failed) - len(void)} hold, "
@@ -83,17 +83,18 @@
 
 
 def _line(verdict: "Verdict", seconds: int, plant: str | None) -> str:
-    played = " ".join(f"{key}={value}" for key, value in verdict.played.items())
+    figures = " ".join(f"{key}={value}" for key, value in verdict.played.items())
     if verdict.excused:
-        told = ", ".join(f"{count} {name}" for name, count in verdict.excused.items())
-        played += f" excused: {told}"
+        excused = ", ".join(f"{count} {name}" for name, count in verdict.excused.items())
+        figures += f" excused: {excused}"
     if verdict.void:
         return f"seed {verdict.seed}: void: {verdict.void}"
     if verdict.holds:
-        return f"seed {verdict.seed}: holds, {verdict.requests} requests, {played}"
-    problems = "; ".join(f"{name}: {found[0]}" for name, found in verdict.problems.items())
-    again = f"pepperhook lab soak --seeds {verdict.seed}:1 --seconds {seconds}"
-    again += f" --plant {plant}" if plant else ""
+        return f"seed {verdict.seed}: holds, {verdict.requests} requests, {figures}"
+    problems = "; ".join(f"{name}: {examples[0]}" for name, examples in verdict.problems.items())
+    command = f"pepperhook lab soak --seeds {verdict.seed}:1 --seconds {seconds}"
+    command += f" --plant {plant}" if plant else ""
     return (
-        f"seed {verdict.seed}: DOES NOT HOLD: {problems} | again: {again} | logs: {verdict.folder}"
+        f"seed {verdict.seed}: DOES NOT HOLD: {problems} | again: {command} | "
+        f"logs: {verdict.folder}"
     )
--- a/pepperhook/cli/lab_support.py
+++ b/pepperhook/cli/lab_support.py
@@ -1,4 +1,4 @@
-"""What the lab's commands share: the check of its requirements, and errors of its runs."""
+"""The check for the lab's packages and the handling of failed runs, for the lab's commands."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -11,7 +11,7 @@
 
 
 def require_lab() -> None:
-    """Raise InvalidInputError where a package that the lab needs is not installed."""
+    """Raise InvalidInputError if a package that the lab needs is not installed."""
     try:
         for name in LAB_PACKAGES:
             import_module(name)
@@ -22,7 +22,7 @@
 
 @contextmanager
 def reporting_void_run(name: str) -> Iterator[None]:
-    """Report a run that gave no verdict as invalid input: it says nothing of the balancer."""
+    """Report a run without a verdict as invalid input, as it shows no fault of the balancer."""
     from pepperhook.lab.day import Failed
 
     try:
@@ -33,7 +33,7 @@
 
 @contextmanager
 def reporting_failed_run(name: str) -> Iterator[None]:
-    """Report a run that broke off as a failure."""
+    """Report a run that was aborted as a failure."""
     from pepperhook.lab.day import Failed
 
     try:
--- a/pepperhook/cli/main.py
+++ b/pepperhook/cli/main.py
@@ -1,4 +1,4 @@
-"""The group of all commands, and the shell's completion of their names."""
+"""The group of all commands, and shell completion."""
 
 from importlib.metadata import PackageNotFoundError, version
 
@@ -29,12 +29,12 @@
 def completion(shell: str) -> None:
     """Print a completion script for a shell.
 
-    Load it in bash by: eval "$(pepperhook completion bash)"
+    Load it in bash with: eval "$(pepperhook completion bash)"
     """
     from click.shell_completion import get_completion_class
 
     completion_class = get_completion_class(shell)
-    assert completion_class is not None  # click supports each of the choices
+    assert completion_class is not None  # click supports all of the choices
     click.echo(completion_class(main, {}, "pepperhook", "_PEPPERHOOK_COMPLETE").source())
 
 
--- a/pepperhook/cli/output.py
+++ b/pepperhook/cli/output.py
@@ -1,4 +1,4 @@
-"""What commands print: JSON lines, tables and errors, with the exit codes that programs rely on."""
+"""Output of commands: JSON lines, tables and errors, and the exit codes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended; programs tell the cases apart by it."""
+    """The exit code of a command, which other programs rely on."""
 
     SUCCESS = 0
     FAILURE = 1  # the command ran and failed, or the system rejected something
@@ -29,12 +29,12 @@
     prefix = "Error"
 
     def show(self, file: IO[Any] | None = None) -> None:
-        """Print the message as one line behind the prefix."""
+        """Print the message as one line after the prefix."""
         click.echo(f"{self.prefix}: {self.format_message()}", file=file or sys.stderr)
 
 
 class LabRunFailedError(CommandFailedError):
-    """A run of the lab that did not come to its end."""
+    """A run of the lab that was aborted: one line on standard error, exit code 1."""
 
     prefix = "pepperhook"
 
@@ -61,12 +61,12 @@
 
 
 def exit_with(code: ExitCode) -> NoReturn:
-    """End the program with an exit code."""
+    """Exit from the program with an exit code."""
     sys.exit(int(code))
 
 
 def print_json(content: Any, default: Callable[[Any], Any] | None = None) -> None:
-    """Print one line of JSON; ``default`` converts values that JSON does not know."""
+    """Print one line of JSON; ``default`` converts values that JSON does not support."""
     click.echo(json.dumps(content, default=default))
 
 
@@ -76,13 +76,13 @@
 
 
 def print_fields(values: Mapping[str, Any]) -> None:
-    """Print ``key: value`` on one line each."""
+    """Print ``key: value`` pairs, one per line."""
     for key, value in values.items():
         click.echo(f"{key}: {value}")
 
 
 def print_table(rows: Sequence[Sequence[str]], *, align_right: bool = False) -> None:
-    """Print rows with their columns aligned; the first column is aligned left in any case."""
+    """Print rows with aligned columns; the first column is always aligned left."""
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     for first, *others in rows:
         cells = [first.ljust(widths[0])]
--- a/pepperhook/cli/progress.py
+++ b/pepperhook/cli/progress.py
@@ -1,4 +1,4 @@
-"""Shows on standard error how far a long command has come."""
+"""Shows the progress of long commands on standard error."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 if TYPE_CHECKING:
     from rich.console import Console
 
-# Called with what is being done, and the fraction of the whole that is complete.
+# Called with the current step, and the completed fraction of the whole (0 to 1).
 ProgressCallback = Callable[[str, float], None]
 
 
 @contextmanager
 def show_progress(quiet: bool = False) -> Iterator[ProgressCallback]:
-    """Show a progress bar; print a line for each new step where there is no terminal."""
+    """Show a progress bar, or without a terminal print a line for each new step."""
     if quiet:
         yield _ignore
         return
--- a/pepperhook/cli/record.py
+++ b/pepperhook/cli/record.py
@@ -1,4 +1,4 @@
-"""The commands for captures: what is in them, replay, and asking a balancer to keep them."""
+"""The commands for captures: show their contents, replay them, make a balancer save them."""
 
 import os
 import signal
@@ -27,7 +27,7 @@
 def record() -> None:
     """Inspect and replay captures.
 
-    A capture holds the calls to the policy of a balancer, with their results.
+    A capture contains the calls to the policy of a balancer, with their results.
     """
 
 
@@ -35,9 +35,9 @@
 @FILES_ARGUMENT
 @JSON_OPTION
 def info(files: tuple[str, ...], as_json: bool) -> None:
-    """Show what captures hold.
+    """Show what captures contain.
 
-    For each file: the balancer, the time, the number of records, and what is lost.
+    For each file: the balancer, the time, the number of records, and what was lost.
     """
     for path in files:
         with reporting_file_errors():
@@ -49,7 +49,7 @@
 
 
 def _describe(path: str) -> dict[str, Any]:
-    """Return what a file holds. Raises UnreadableFileError."""
+    """Return a description of a file. Raises UnreadableFileError."""
     import msgspec
 
     from pepperhook.container import BlockType, ContainerReader
@@ -80,8 +80,8 @@
 def replay(files: tuple[str, ...], policy: str | None, revision: str | None, as_json: bool) -> None:
     """Replay captures, and compare the results.
 
-    Makes the same calls to a policy, by default that of this program. Exit code 0 if all results
-    are the same, 1 if one differs, 2 if a file cannot be read or its state not be used.
+    Makes the same calls to a policy, by default the one of this program. Exit code 0 if all results
+    are the same, 1 if one differs, 2 if a file cannot be read or its state cannot be used.
     """
     from pepperhook.capture import replay as replay_module
 
@@ -91,10 +91,10 @@
         build: Any = replay_module.select_build(policy, revision)
     exit_code = ExitCode.SUCCESS
     for path in files:
-        begun_s = time.perf_counter()
+        started_s = time.perf_counter()
         with reporting_file_errors():
             result = replay_module.replay_file(path, build)
-        _print_replay(result, time.perf_counter() - begun_s, as_json)
+        _print_replay(result, time.perf_counter() - started_s, as_json)
         if result.difference is not None or result.states_differ:
             exit_code = ExitCode.FAILURE
     exit_with(exit_code)
@@ -137,12 +137,12 @@
 @record.command()
 @click.argument("pids", nargs=-1, required=True, type=click.IntRange(MIN_PID))
 def keep(pids: tuple[int, ...]) -> None:
-    """Ask balancers to keep captures and traces.
+    """Make balancers save captures and traces.
 
-    PIDS are processes on this machine. Each keeps what its rings hold (SIGUSR2).
+    PIDS are processes on this machine. Each gets SIGUSR2, at which it saves its recent records.
     """
     for pid in pids:
-        # Any other program would be ended by the signal, and so would a balancer without a ring.
+        # The signal would end any other program, and also a balancer that does not record.
         if not _is_recording_balancer(pid):
             raise InvalidInputError(f"{pid}: is no balancer that captures or traces")
         try:
--- a/pepperhook/cli/trace.py
+++ b/pepperhook/cli/trace.py
@@ -27,8 +27,8 @@
 def trace() -> None:
     """Inspect traces of requests.
 
-    A trace says why requests were rejected, failed or were late. The output calls the record of
-    one request a life, and an attempt a dispatch or a try.
+    A trace shows why requests were rejected, failed or were late. In the output, a life is the
+    record of one request, and a dispatch or a try is an attempt.
     """
 
 
@@ -36,9 +36,9 @@
 @FILES_ARGUMENT
 @JSON_OPTION
 def info(files: tuple[str, ...], as_json: bool) -> None:
-    """Show what traces hold.
+    """Show what traces contain.
 
-    For each file: the balancer, the time, the number of requests, and what is lost.
+    For each file: the balancer, the time, the number of requests, and what was lost.
     """
     for path in files:
         with reporting_file_errors():
@@ -50,7 +50,7 @@
 
 
 def _describe(path: str) -> dict[str, Any]:
-    """Return what a trace holds. Raises UnreadableFileError."""
+    """Return a description of a trace. Raises UnreadableFileError."""
     import msgspec
 
     from pepperhook.tracing.reader import open_trace_file, read_traces
@@ -59,10 +59,10 @@
         is_indexed = reader.index() is not None
         count = 0
         first = last = None
-        for life in read_traces(reader):
+        for request in read_traces(reader):
             count += 1
-            first = life.taken if first is None else min(first, life.taken)
-            last = life.taken if last is None else max(last, life.taken)
+            first = request.taken if first is None else min(first, request.taken)
+            last = request.taken if last is None else max(last, request.taken)
         return {
             "file": path,
             **msgspec.to_builtins(reader.metadata),
@@ -88,16 +88,16 @@
 )
 @JSON_OPTION
 def summary(files: tuple[str, ...], as_json: bool, max_tenants: int, wanted: TraceFilter) -> None:
-    """Print figures of traces.
+    """Print statistics of traces.
 
-    Figures are by service class, upstream, tenant and reason.
+    Counts requests by service class, upstream, tenant and reason.
     """
     from pepperhook.tracing.summary import Summary
 
     collected = Summary()
     with reporting_file_errors():
-        for _, life in matching(files, wanted):
-            collected.add(life)
+        for _, request in matching(files, wanted):
+            collected.add(request)
     figures = collected.to_dict(max_tenants)
     if as_json:
         print_json(figures)
@@ -114,11 +114,11 @@
     default=1000,
     show_default=True,
     type=click.IntRange(1),
-    help="How many requests to print at most.",
+    help="The maximum number of requests to print.",
 )
 @JSON_OPTION
 def grep(files: tuple[str, ...], as_json: bool, limit: int, wanted: TraceFilter) -> None:
-    """Print the requests that match, one on a line.
+    """Print the requests that match, one per line.
 
     Exit code 1 if there is none.
     """
@@ -126,28 +126,30 @@
 
     count = 0
     with reporting_file_errors():
-        for metadata, life in matching(files, wanted):
+        for metadata, request in matching(files, wanted):
             if count >= limit:
                 click.echo(f"more than {limit}; --most shows more", err=True)
                 break
             count += 1
             if as_json:
-                print_json(to_dict(metadata, life))
+                print_json(to_dict(metadata, request))
             else:
-                trace_output.print_request(metadata, life)
+                trace_output.print_request(metadata, request)
     exit_with(ExitCode.SUCCESS if count else ExitCode.FAILURE)
 
 
 @trace.command()
 @click.argument("request_id", metavar="ID")
 @FILES_ARGUMENT
-@click.option("--svg", type=click.Path(dir_okay=False), help="Also write a picture to this file.")
+@click.option(
+    "--svg", type=click.Path(dir_okay=False), help="Also write an SVG picture to this file."
+)
 @JSON_OPTION
 def show(request_id: str, files: tuple[str, ...], svg: str | None, as_json: bool) -> None:
     """Show one request across all tiers.
 
-    Shows each wait, attempt and reason. ID is the id at the first balancer, FILES are the traces
-    of all tiers. Exit code 1 if no file has the request.
+    Shows each wait, attempt and reason. ID is the id at the first balancer; FILES are the traces
+    of all tiers. Exit code 1 if no file contains the request.
     """
     from pepperhook.tracing.export import to_dict
     from pepperhook.tracing.reader import find_descendants
@@ -165,8 +167,8 @@
         with reporting_file_errors():
             write_file(svg, waterfall_svg(rows))
     if as_json:
-        for depth, metadata, life in rows:
-            print_json({"depth": depth, **to_dict(metadata, life)})
+        for depth, metadata, request in rows:
+            print_json({"depth": depth, **to_dict(metadata, request)})
         return
     for line in waterfall_lines(rows):
         click.echo(line)
--- a/pepperhook/cli/trace_files.py
+++ b/pepperhook/cli/trace_files.py
@@ -1,4 +1,4 @@
-"""The commands that write files of traces: cut, merge, anonymize, export, report and make."""
+"""The commands that write files from traces: cut, merge, strip, export, report and make."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 OUT_OPTION = click.option(
     "-o", "--out", required=True, type=click.Path(dir_okay=False), help="The file to write."
 )
-WHOLE_SAMPLE = 1.0
+ALL_SAMPLED = 1.0
 
 
 @click.command()
@@ -59,7 +59,7 @@
 def merge(files: tuple[str, ...], out: str, as_json: bool) -> None:
     """Join the traces of several balancers.
 
-    Corrects their clocks, and drops what is there twice. The clocks are known from requests that
+    Corrects their clocks, and drops duplicates. The clock offsets are estimated from requests that
     one balancer sent to another; traces of the lower tiers need `parent` to be set.
     """
     import msgspec
@@ -80,7 +80,7 @@
     "--key-file",
     required=True,
     type=click.Path(dir_okay=False),
-    help="A file with a key of 16 bytes or more; the same for files that belong together.",
+    help="A file with a key of at least 16 bytes; use the same key for files that belong together.",
 )
 @click.option(
     "-o",
@@ -92,9 +92,9 @@
 )
 @JSON_OPTION
 def strip(files: tuple[str, ...], key_file: str, folder: str, as_json: bool) -> None:
-    """Write traces again with pseudonyms.
+    """Write copies of traces with pseudonyms.
 
-    Replaces tenants and ids by keyed pseudonyms. All counts stay as they are.
+    Replaces tenants and ids by keyed pseudonyms. All counts stay the same.
     """
     from pepperhook.tracing import strip as strip_module
 
@@ -128,7 +128,7 @@
     help="The file to write. Default: standard output, but not for Parquet.",
 )
 def export(files: tuple[str, ...], format_name: str, out: str | None, wanted: TraceFilter) -> None:
-    """Write requests in a format of other programs."""
+    """Write requests in a format for other programs."""
     from pepperhook.tracing import export as formats
 
     if format_name == "parquet" and not out:
@@ -171,7 +171,7 @@
 def report(files: tuple[str, ...], out: str, title: str, wanted: TraceFilter) -> None:
     """Write an HTML page of traces.
 
-    The page has the figures, the reasons, and the outcomes of requests over time.
+    The page has the statistics, the reasons, and the outcomes of requests over time.
     """
     from pepperhook.tracing.report_page import report_page
     from pepperhook.tracing.summary import Summary
@@ -181,9 +181,9 @@
     timeline = Timeline()
     sample_fractions: set[float] = set()
     with reporting_file_errors():
-        for metadata, life in matching(files, wanted):
-            collected.add(life)
-            timeline.add(life)
+        for metadata, request in matching(files, wanted):
+            collected.add(request)
+            timeline.add(request)
             if metadata.extra.get("share") is not None:
                 sample_fractions.add(metadata.extra["share"])
     note = _sample_note(len(files), sample_fractions)
@@ -193,9 +193,9 @@
 
 
 def _sample_note(file_count: int, sample_fractions: set[float]) -> str:
-    """Say what fraction of the requests that went well the traces have."""
+    """Return a note on the sampled fraction of requests that were served in time."""
     note = f"{file_count} files."
-    if sample_fractions - {WHOLE_SAMPLE}:
+    if sample_fractions - {ALL_SAMPLED}:
         fractions = ", ".join(map(str, sorted(sample_fractions)))
         note += (
             f" Of what went well a share is traced ({fractions}); all that was shed, broken off "
@@ -210,13 +210,13 @@
 @click.option(
     "--parent",
     metavar="REGEX",
-    help="Finds the id of the parent in a request's id: a regular expression with one group.",
+    help="A regular expression with one group, which matches the parent's id in a request's id.",
 )
 @JSON_OPTION
 def make(files: tuple[str, ...], out: str, parent: str | None, as_json: bool) -> None:
-    """Make a trace of captures.
+    """Make a trace from captures.
 
-    Replays the captures, and traces all requests. Exit code 1 if a result differs from that in
+    Replays the captures, and traces all requests. Exit code 1 if a result differs from the one in
     the capture.
     """
     import msgspec
--- a/pepperhook/cli/trace_filters.py
+++ b/pepperhook/cli/trace_filters.py
@@ -1,4 +1,4 @@
-"""The options by which commands choose requests of a trace."""
+"""The options with which commands select requests of a trace."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         "--from",
         "begin",
         metavar="TIME",
-        help="Accepted at or after this time: Unix seconds or ISO 8601 (UTC).",
+        help="Accepted at or after this time: Unix seconds or ISO 8601 (UTC by default).",
     ),
     click.option("--to", "end", metavar="TIME", help="Accepted before this time."),
     click.option("--grade", "grades", multiple=True, help="Of this service class; repeatable."),
@@ -44,7 +44,7 @@
 
 
 def filter_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Add the options to a command, which takes them as one parameter ``wanted``."""
+    """Add the options to a command, which gets them as one parameter ``wanted``."""
 
     @functools.wraps(command)
     def with_filter(*args: Any, begin: str | None, end: str | None, **options: Any) -> None:
@@ -66,7 +66,7 @@
 
 
 def parse_time(text: str | None, option: str) -> int | None:
-    """Return nanoseconds of Unix time of seconds, or of ISO 8601. Raises InvalidInputError."""
+    """Parse Unix seconds or ISO 8601; return Unix nanoseconds. Raises InvalidInputError."""
     if text is None:
         return None
     try:
@@ -80,12 +80,12 @@
             f"--{option}: seconds of Unix time or a time like 2026-05-01T18:30:00 is wanted, "
             f"not {text!r:.40}"
         ) from error
-    in_zone = time if time.tzinfo else time.replace(tzinfo=UTC)
-    return int(in_zone.timestamp() * NS_PER_S)
+    zoned_time = time if time.tzinfo else time.replace(tzinfo=UTC)
+    return int(zoned_time.timestamp() * NS_PER_S)
 
 
 def matching(paths: Iterable[str], wanted: TraceFilter) -> Iterator[SourcedTrace]:
-    """Yield what matches of all files, each with the metadata of its file."""
+    """Yield the matching requests of all files, each with the metadata of its file."""
     from pepperhook.tracing.reader import read_files
 
     return read_files(paths, wanted)
--- a/pepperhook/cli/trace_output.py
+++ b/pepperhook/cli/trace_output.py
@@ -1,4 +1,4 @@
-"""Prints traces for people: figures, lines and tables."""
+"""Prints traces as text: statistics, lines and tables."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def print_merged(path: str, merged: Merged) -> None:
-    """Print what a merge wrote, and the clock of each balancer."""
+    """Print the counts of a merge, and the clock offset of each balancer."""
     click.echo(
         f"{path}: {merged.lives} lives, {merged.doubled} were there twice, "
         f"{merged.unmatched} calls matched no dispatch, "
@@ -61,7 +61,7 @@
 
 
 def print_summary(summary: Mapping[str, Any]) -> None:
-    """Print the figures of a trace as tables; those without rows are left out."""
+    """Print the statistics of a trace as tables; omit tables without rows."""
     line = f"{summary['lives']} lives"
     if summary["lives"]:
         line += f", {format_time(summary['first'])} to {format_time(summary['last'])}"
@@ -104,7 +104,7 @@
 
 
 def _print_figures(header: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Print a table below an empty line, where it has rows."""
+    """Print an empty line and a table, if it has rows."""
     if not rows:
         return
     click.echo()
--- a/tests/cli/commands.py
+++ b/tests/cli/commands.py
@@ -1,7 +1,7 @@
-"""Runs commands in this process, and compares their output with what earlier releases printed.
+"""Runs commands in this process, and compares their output with that of earlier releases.
 
-A file below ``expected/`` lists commands of one group with exit code and output. ``{tmp}`` stands
-for a directory of the test. What an operator's programs read must stay as it is there.
+Each file in ``expected/`` lists commands of one group with their exit code and output. ``{tmp}``
+stands for a directory of the test. Output that operators' programs read must not change.
 """
 
 import json
@@ -15,7 +15,7 @@
 
 ROOT = Path(__file__).parents[2]
 EXPECTED = Path(__file__).parent / "expected"
-# Times and process ids, which differ from run to run.
+# Durations and process ids, which differ between runs.
 VARYING_NUMBERS = (
     (r'("took_s": )[0-9.]+', r"\g<1>0"),
     (r" s in [0-9.]+ s, ", " s in 0 s, "),
@@ -29,12 +29,12 @@
 
 
 def expected_outputs(group):
-    """Return the rows of one file below ``expected/``."""
+    """Return the rows of one file in ``expected/``."""
     return json.loads((EXPECTED / f"{group}.json").read_text(encoding="utf-8"))
 
 
 def actual_output(command, directory, env=None):
-    """Run a command of such a row, and return the row that it gives."""
+    """Run the command of a row in ``expected/``; return a row with its actual output."""
     result = run(*shlex.split(command.replace("{tmp}", str(directory))), env=env)
     return {
         "command": command,
@@ -45,7 +45,7 @@
 
 
 def without_variation(text, directory):
-    """Return an output without what differs between runs."""
+    """Replace the parts of an output that differ between runs."""
     text = text.replace(str(directory), "{tmp}")
     for pattern, replacement in VARYING_NUMBERS:
         text = re.sub(pattern, replacement, text)
@@ -53,5 +53,5 @@
 
 
 def command_of(row):
-    """Name a test after the command that it runs."""
+    """Return the id of the test for a row: its command, shortened."""
     return row["command"].replace("tests/data/stored-0.2/", "")
--- a/tests/cli/test_balancer.py
+++ b/tests/cli/test_balancer.py
@@ -6,12 +6,12 @@
 
 from tests.cli.commands import actual_output, command_of, expected_outputs, run
 from tests.programs import write_config
-from tests.world import ENV
+from tests.server.balancers import ENVIRONMENT
 
 
 @pytest.fixture
 def directory(tmp_path):
-    """A directory with a configuration and with an operator's file, sound and faulty."""
+    """A directory with valid and invalid files of a balancer and its operator."""
     write_config(tmp_path)
     (tmp_path / "operator.toml").write_text(
         "version = 1\n[customers.default]\nper_second = 9.0\n[gossip]\n"
@@ -43,26 +43,26 @@
         "prices": {"crossZone": 0.03},
         "reporting": {"how": "probe", "fields": ["outstanding"]},
     }
-    environ = write_config(tmp_path, settings=ENV | replaced)
+    environ = write_config(tmp_path, settings=ENVIRONMENT | replaced)
     path = tmp_path / "operator.toml"
     path.write_text("version = 1\n[customers.default]\nper_second = 9.0\n")
     return ["--config", environ["LB_CONFIG"], "--operator", str(path), "--json"]
 
 
-def test_check_lists_the_extensions_that_are_on(options):
+def test_check_lists_the_enabled_extensions(options):
     result = run("check", *options)
 
     assert result.exit_code == 0
     assert json.loads(result.stdout)["parts"] == ["quotas"]
 
 
-def test_check_of_a_file_that_is_missing_has_exit_code_2(tmp_path):
+def test_check_of_a_missing_file_has_exit_code_2(tmp_path):
     result = run("check", "--config", tmp_path / "none.json")
 
     assert result.exit_code == 2
 
 
-def test_show_reports_what_is_in_force_and_from_where(options):
+def test_show_prints_each_value_in_force_with_its_source(options):
     shown = run("config", "show", *options, env={"LB_NAME": "n9"})
 
     rows = {row["key"]: row for row in json.loads(shown.stdout)}
--- a/tests/cli/test_control.py
+++ b/tests/cli/test_control.py
@@ -1,4 +1,4 @@
-"""``pepperhook control``: what it prints of a service's answers, and its exit codes."""
+"""``pepperhook control``: its requests, its output for given responses, and its exit codes."""
 
 import json
 
@@ -46,10 +46,10 @@
     "wanted": 2,
     "running": 2,
     "state": "applied",
-    "heard_ms": 10**14,  # in the future: it has just been heard
+    "heard_ms": 10**14,  # in the future, so that it counts as 0 s ago
     "why": "",
 }
-ANSWERS = {
+RESPONSES = {
     ("POST", "/v1/plan"): (200, PLAN),
     ("POST", "/v1/versions"): (200, VERSION),
     ("POST", "/v1/rollout"): (200, ROLLOUT),
@@ -77,13 +77,13 @@
 
 @pytest.fixture
 def directory(tmp_path, monkeypatch):
-    """A directory with keys and documents, beside a service that gives the answers above."""
+    """A directory with keys and documents, and a fake service with the responses above."""
     (tmp_path / "keys").write_text("# of the installation\nk1 a long secret of theirs\n")
     (tmp_path / "short").write_text("k1 short\n")
     (tmp_path / "doc.toml").write_text("version = 1\n[grades.look]\ngoal_ms = 900.0\n")
     (tmp_path / "doc.json").write_text(json.dumps(VERSION["document"]))
     (tmp_path / "faulty.toml").write_text("version = 1\n[grades.look]\ngaol_ms = 900.0\n")
-    monkeypatch.setattr(ServiceClient, "request", lambda _, *call: ANSWERS[call[:2]])
+    monkeypatch.setattr(ServiceClient, "request", lambda _, *call: RESPONSES[call[:2]])
     monkeypatch.setenv("PEPPERHOOK_CONTROL", "127.0.0.1:9")
     monkeypatch.setenv("PEPPERHOOK_KEYS", str(tmp_path / "keys"))
     return tmp_path
@@ -91,14 +91,14 @@
 
 @pytest.fixture
 def requests(monkeypatch):
-    """The requests that a command sends."""
+    """The list of requests that a command sends to the fake service."""
     sent = []
 
-    def answer(_, *call):
+    def respond(_, *call):
         sent.append(call)
-        return ANSWERS[call[:2]]
+        return RESPONSES[call[:2]]
 
-    monkeypatch.setattr(ServiceClient, "request", answer)
+    monkeypatch.setattr(ServiceClient, "request", respond)
     return sent
 
 
@@ -146,7 +146,7 @@
         ("back --reason no", "/v1/rollout/back", {"why": "no"}),
     ],
 )
-def test_command_sends_its_options(directory, requests, command, path, body):
+def test_command_sends_its_options_to_the_service(directory, requests, command, path, body):
     actual_output(f"control {command}", directory)
 
     assert requests == [("POST", path, body)]
--- a/tests/cli/test_control_service.py
+++ b/tests/cli/test_control_service.py
@@ -1,4 +1,4 @@
-"""``pepperhook control`` against a service, and the service that it runs."""
+"""``pepperhook control`` with a running control service."""
 
 import asyncio
 import json
@@ -10,7 +10,8 @@
 from pepperhook.cli import main
 from pepperhook.server.extensions import Extensions
 from tests.control_plane.helpers import SECRET, Serving, control_extension, until
-from tests.world import Peer, Running, answer, loopback
+from tests.server.balancers import RunningBalancer
+from tests.server.peers import ScriptedPeer, always, make_response
 
 
 @pytest.fixture
@@ -34,19 +35,21 @@
         self.options = ["--service", address, "--keys", str(keys_file)]
 
     async def run(self, exit_code, *words):
-        """The output of a command that ends with an exit code."""
+        """Run a command, check its exit code and return its output."""
         arguments = ["control", *map(str, words), *self.options]
         result = await asyncio.to_thread(CliRunner().invoke, main, arguments)
         assert result.exit_code == exit_code, result.output
         return result.output
 
 
-@loopback
 async def test_operator_plans_proposes_rolls_out_and_rolls_back(tmp_path, keys_file, document_file):
-    async with Peer(lambda *_: answer()) as peer, Serving(tmp_path / "s") as served:
+    async with (
+        ScriptedPeer(always(make_response())) as peer,
+        Serving(tmp_path / "s") as served,
+    ):
         control = control_extension(served.address)
         command = CommandLine(served.address, keys_file)
-        async with Running([peer.dial], parts=Extensions([control]), alone=False):
+        async with RunningBalancer([peer.address], Extensions([control]), owns_event_loop=False):
             await until(lambda: control.stream.connected)
 
             planned = await command.run(0, "plan", document_file)
@@ -74,8 +77,7 @@
             assert "not the newest" in await command.run(1, *outdated)
 
 
-@loopback
-async def test_command_that_cannot_be_carried_out_says_why(tmp_path, keys_file):
+async def test_command_that_fails_prints_the_reason(tmp_path, keys_file):
     misspelt = tmp_path / "bad.toml"
     misspelt.write_text("version = 1\n[grades.look]\ngaol_ms = 900.0\n")
     async with Serving(tmp_path / "s") as served:
@@ -87,10 +89,7 @@
         assert "there is no version 7" in await command.run(1, "show", "7")
 
 
-@loopback
-async def test_machine_readable_output_has_the_keys_of_the_http_interface(
-    tmp_path, keys_file, document_file
-):
+async def test_json_output_has_the_keys_of_the_http_api(tmp_path, keys_file, document_file):
     async with Serving(tmp_path / "s") as served:
         command = CommandLine(served.address, keys_file)
 
@@ -141,24 +140,24 @@
     assert list(status["counts"]) == counters
 
 
-def test_unreachable_service_is_named(keys_file):
+def test_address_of_an_unreachable_service_is_printed(keys_file):
     options = ["--service", "127.0.0.1:9", "--keys", str(keys_file)]
 
     assert "127.0.0.1:9" in CliRunner().invoke(main, ["control", "status", *options]).output
 
 
-def test_file_of_keys_with_a_short_secret_is_bad_input(keys_file):
+def test_key_file_with_a_short_secret_is_invalid_input(keys_file):
     keys_file.write_text("k1 short\n")
     options = ["--service", "127.0.0.1:9", "--keys", str(keys_file)]
 
     assert CliRunner().invoke(main, ["control", "status", *options]).exit_code == 2
 
 
-def test_new_key_is_a_line_of_a_file_of_keys():
+def test_new_key_prints_an_id_and_a_secret():
     assert len(CliRunner().invoke(main, ["control", "new-key", "k2"]).output.split()) == 2
 
 
-def test_serving_at_an_address_in_use_fails(tmp_path, keys_file):
+def test_service_cannot_listen_at_an_address_in_use(tmp_path, keys_file):
     with socket.socket() as occupied:
         occupied.bind(("127.0.0.1", 0))
         occupied.listen(1)
--- a/tests/cli/test_every_command.py
+++ b/tests/cli/test_every_command.py
@@ -1,7 +1,7 @@
-"""Each command of the command line does its work once, on small input.
+"""Runs each command of the command line once, on small input.
 
-What happened: ``lab trace-cost`` ended with an ImportError, and the comparison of journals by a
-NameError in a program that it starts: names that they used were renamed, and nothing called them.
+Guards against commands that no test runs: after names were renamed, ``lab trace-cost`` failed with
+an ImportError, and a program started by the comparison of journals with a NameError.
 """
 
 import asyncio
@@ -18,9 +18,8 @@
 from pepperhook.lab import journals
 from tests.cli.commands import ROOT, run
 from tests.control_plane.helpers import SECRET, Serving
-from tests.idempotency.balancers import until
 from tests.programs import free_port, write_config
-from tests.server.balancers import ENVIRONMENT
+from tests.server.balancers import ENVIRONMENT, wait_until
 
 STORED = ROOT / "tests/data/stored-0.2"
 TRACE = STORED / "front.trc"
@@ -43,20 +42,20 @@
 [[variants]]
 name = "two"
 """
-START_S = 30
+SHUTDOWN_TIMEOUT_S = 30
 
 
-def leaves(command, words=()):
-    """Yield the names of all commands that are no groups."""
+def command_names(command, words=()):
+    """Yield the full names of all commands, without groups."""
     if not isinstance(command, click.Group):
         yield " ".join(words)
         return
-    for name, one in command.commands.items():
-        yield from leaves(one, (*words, name))
+    for name, subcommand in command.commands.items():
+        yield from command_names(subcommand, (*words, name))
 
 
-# By command its further words; {tmp}: the test's folder.
-ONCE = {
+# Arguments by command; {tmp} stands for the test's folder, {port} for a free port.
+ARGUMENTS = {
     "check": "--config {tmp}/config.json",
     "completion": "bash",
     "config show": "--config {tmp}/config.json",
@@ -79,52 +78,54 @@
     "trace strip": f"{TRACE} --key-file {{tmp}}/keys -o {{tmp}}/stripped.trc",
     "trace summary": f"{TRACE}",
 }
-# Those that have tests of their own below.
-PROCESSES = {"run", "demo", "gossip", "record keep", "trace show"}
-LAB_DAYS = {"lab run", "lab report", "lab compare", "lab prove", "lab soak"}
-OF_A_SERVICE = {name for name in leaves(main) if name.startswith("control ")}
+# Commands with tests of their own below.
+TESTED_SEPARATELY = {"run", "demo", "gossip", "record keep", "trace show"}
+LAB_RUNS = {"lab run", "lab report", "lab compare", "lab prove", "lab soak"}
+CONTROL_COMMANDS = {name for name in command_names(main) if name.startswith("control ")}
 
 
 def test_every_command_is_run_by_a_test_here():
-    assert set(leaves(main)) == set(ONCE) | PROCESSES | LAB_DAYS | OF_A_SERVICE
+    tested = set(ARGUMENTS) | TESTED_SEPARATELY | LAB_RUNS | CONTROL_COMMANDS
+    assert set(command_names(main)) == tested
 
 
-@pytest.mark.parametrize("name", ONCE)
-def test_command_does_its_work(name, tmp_path):
+@pytest.mark.parametrize("name", ARGUMENTS)
+def test_command_succeeds(name, tmp_path):
     write_config(tmp_path)
     (tmp_path / "keys").write_text(f"k1 {SECRET}\n")
-    words = ONCE[name].format(tmp=tmp_path, port=free_port()).split()
+    words = ARGUMENTS[name].format(tmp=tmp_path, port=free_port()).split()
 
     result = run(*name.split(), *words)
 
-    is_too_busy = "could not run" in result.output  # a measurement on a machine short of core
+    # A measurement refuses to run on a machine with too little CPU time.
+    is_too_busy = "could not run" in result.output
     assert result.exit_code == 0 or is_too_busy, result.output
     assert result.output
 
 
 def test_trace_show_shows_a_request_that_grep_finds():
-    found = json.loads(run("trace", "grep", str(TRACE), "--most", "1", "--json").stdout)
-    first = found[0] if isinstance(found, list) else found
+    matches = json.loads(run("trace", "grep", str(TRACE), "--most", "1", "--json").stdout)
+    first = matches[0] if isinstance(matches, list) else matches
 
     result = run("trace", "show", first["id"], str(TRACE))
 
     assert result.exit_code == 0, result.output
 
 
-def test_days_of_the_lab_are_played_reported_and_compared(tmp_path):
+def test_experiment_is_run_reported_and_compared(tmp_path):
     experiment, out = tmp_path / "small.toml", tmp_path / "out"
     experiment.write_text(EXPERIMENT)
 
-    played = run("lab", "run", experiment, "--out", out)
-    assert played.exit_code == 0, played.output
+    result = run("lab", "run", experiment, "--out", out)
+    assert result.exit_code == 0, result.output
     folder = next(path for path in (out, *out.iterdir()) if list(path.rglob("result.json")))
 
     assert run("lab", "report", folder).exit_code == 0
     assert run("lab", "compare", folder, "one", "two").exit_code == 0
 
 
-def test_prove_names_the_scenarios_where_there_is_none_of_that_name():
-    result = run("lab", "prove", "nothing")  # .ci/scenarios plays each of them
+def test_prove_lists_the_scenarios_if_the_name_is_unknown():
+    result = run("lab", "prove", "nothing")  # .ci/scenarios runs each scenario
 
     assert result.exit_code == 2
     assert "auditor" in result.output
@@ -142,7 +143,7 @@
 
 
 def program(*words, **environ):
-    """Start the command line as a process."""
+    """Start a command as a process."""
     return subprocess.Popen(
         [sys.executable, "-m", "pepperhook.cli", *map(str, words)],
         env=os.environ | environ,
@@ -153,14 +154,14 @@
 
 
 def read_until(process, text):
-    """Read what a process prints up to a line that holds ``text``."""
+    """Read the output of a process up to a line that contains ``text``, and return the line."""
     for line in process.stdout:
         if text in line:
             return line
     raise AssertionError(f"the process ended without {text!r}")
 
 
-def test_run_serves_until_it_is_told_to_end_and_record_keep_finds_it(tmp_path):
+def test_run_serves_until_sigterm_and_record_keep_makes_it_save_its_capture(tmp_path):
     settings = ENVIRONMENT | {"discovery": "push"}
     environ = write_config(tmp_path, listen=f"127.0.0.1:{free_port()}", settings=settings)
     (tmp_path / "operator.toml").write_text(f'version = 1\n[record]\nfolder = "{tmp_path}/ring"\n')
@@ -171,21 +172,21 @@
         read_until(process, "record_kept")
         process.send_signal(signal.SIGTERM)
         read_until(process, "event=ended")
-        assert process.wait(START_S) == 0
+        assert process.wait(SHUTDOWN_TIMEOUT_S) == 0
     finally:
         process.kill()
         process.wait()
         process.stdout.close()
 
 
-def test_demo_plays_its_fleet_and_writes_its_report(tmp_path):
+def test_demo_runs_its_fleet_and_writes_its_report(tmp_path):
     result = run("demo", "--seconds", "10", "--out", tmp_path)
 
     assert result.exit_code == 0, result.output
     assert any(tmp_path.rglob("*"))
 
 
-def test_gossip_reports_a_member_that_does_not_answer(tmp_path):
+def test_gossip_reports_a_member_that_does_not_respond(tmp_path):
     (tmp_path / "keys").write_text(f"k1 {SECRET}\n")
 
     result = run("gossip", f"127.0.0.1:{free_port()}", "--keys", tmp_path / "keys")
@@ -194,7 +195,7 @@
     assert result.output.count("\n") == 1
 
 
-async def test_commands_of_the_control_service_do_their_work(tmp_path):
+async def test_commands_of_the_control_service_succeed(tmp_path):
     (tmp_path / "keys").write_text(f"k1 {SECRET}\n")
     document = tmp_path / "doc.toml"
     document.write_text("version = 1\n")
@@ -216,20 +217,20 @@
     assert run("control", "new-key", "k2").exit_code == 0
 
 
-async def test_control_service_is_started_and_answers(tmp_path):
+async def test_control_service_starts_and_responds(tmp_path):
     (tmp_path / "keys").write_text(f"k1 {SECRET}\n")
     address = f"127.0.0.1:{free_port()}"
     options = ["--listen", address, "--store", tmp_path / "store", "--keys", tmp_path / "keys"]
     process = program("control", "serve", *options)
     try:
 
-        def answers():
+        def responds():
             status = ("--service", address, "--keys", tmp_path / "keys")
             return run("control", "status", *status).exit_code == 0
 
-        await asyncio.to_thread(lambda: asyncio.run(until(answers, 0.1)))
+        await asyncio.to_thread(lambda: asyncio.run(wait_until(responds, 0.1)))
         process.send_signal(signal.SIGTERM)
-        assert process.wait(START_S) == 0
+        assert process.wait(SHUTDOWN_TIMEOUT_S) == 0
     finally:
         process.kill()
         process.wait()
--- a/tests/cli/test_gossip.py
+++ b/tests/cli/test_gossip.py
@@ -1,4 +1,4 @@
-"""``pepperhook gossip``: what it prints of a member's table, and its exit codes."""
+"""``pepperhook gossip``: its output for a given table of members, and its exit codes."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def directory(tmp_path, monkeypatch):
-    """A directory with keys, beside a member that knows three."""
+    """A directory with keys, and a fake query that returns a table of three members."""
     (tmp_path / "keys").write_text("k1 a long secret of theirs\n")
     (tmp_path / "short").write_text("k1 short\n")
     records = [
--- a/tests/cli/test_help.py
+++ b/tests/cli/test_help.py
@@ -1,4 +1,4 @@
-"""``--help`` of every command."""
+"""The output of ``--help`` for every command."""
 
 import click
 import pytest
@@ -11,10 +11,10 @@
 
 
 def walk(command, path=()):
-    """Yield every command below one, and the words that name it."""
+    """Yield a command and all its subcommands, each after the words that name it."""
     yield path, command
-    for name, inner in getattr(command, "commands", {}).items():
-        yield from walk(inner, (*path, name))
+    for name, subcommand in getattr(command, "commands", {}).items():
+        yield from walk(subcommand, (*path, name))
 
 
 COMMANDS = list(walk(main))
@@ -34,12 +34,12 @@
 
     assert result.exit_code == 0
     assert max(map(len, result.stdout.splitlines())) <= MAX_COLUMNS
-    options = [one for one in command.params if isinstance(one, click.Option)]
+    options = [param for param in command.params if isinstance(param, click.Option)]
     assert [option.name for option in options if not option.help] == []
 
 
 @pytest.mark.parametrize("path, command", COMMANDS, ids=NAMES)
-def test_help_begins_with_a_summary_that_fits_the_list_of_commands(path, command):
+def test_help_starts_with_a_summary_that_fits_the_list_of_commands(path, command):
     summary = command.get_short_help_str(limit=MAX_COLUMNS)
 
     assert summary.endswith(".")
--- a/tests/cli/test_lab.py
+++ b/tests/cli/test_lab.py
@@ -1,4 +1,4 @@
-"""``pepperhook lab`` and ``demo``: what they print of measurements, and their exit codes."""
+"""``pepperhook lab`` and ``demo``: their output for given results, and their exit codes."""
 
 import sys
 from types import SimpleNamespace
@@ -30,28 +30,28 @@
 
 
 class FakeProof:
-    """Holds unless a fault is injected."""
+    """A scenario that holds unless a fault is injected."""
 
     plants = {"fault": "one thing is broken", "busy": "the machine is too busy"}
     write = None
 
-    def __init__(self, full, plant, seed, tell):
+    def __init__(self, full, plant, seed, update):
         self.full = full
         self.plant = plant
         self.seed = seed
-        self.tell = tell
+        self.update = update
 
     def prove(self):
-        self.tell("first part", 0.5)
-        self.tell("first part", 0.75)
-        self.tell("second part", 1.0)
+        self.update("first part", 0.5)
+        self.update("first part", 0.75)
+        self.update("second part", 1.0)
         if self.plant == "busy":
             raise day.Failed("this machine is too busy")
         return {"proof": "fake", "holds": self.plant is None, "full": self.full, "seed": self.seed}
 
 
 class FakeMeasurement(FakeProof):
-    """Writes a page."""
+    """A scenario that writes a report page."""
 
     plants = {}
 
@@ -60,7 +60,7 @@
 
 
 class InterruptedProof(FakeProof):
-    """Is interrupted by its user."""
+    """A scenario that the user interrupts."""
 
     plants = {}
 
@@ -68,9 +68,9 @@
         raise KeyboardInterrupt
 
 
-def play(_, folder, seed, repeats, only, tell):
-    """Play one day of an experiment; the folder's name says how it ends."""
-    tell("base, seed 7", 0.5)
+def play(_, folder, seed, repeats, only, update):
+    """Simulate a run of an experiment; the folder's name determines how it ends."""
+    update("base, seed 7", 0.5)
     if folder.name == "nothing":
         return []
     if folder.name == "failed":
@@ -94,27 +94,27 @@
     return {"base": base, "other": other, "seeds": [7], "figures": {"goodput": row}}
 
 
-def measure_control(counts, _folder, port, tell):
-    tell("members", 0.5)
+def measure_control(counts, _folder, port, update):
+    update("members", 0.5)
     if port == 1:
         raise controlload.Failed("the service did not come up")
     return [{"members": count, "port": port} for count in counts]
 
 
-def measure_trace_size(megabytes, seed, _folder, _tell):
+def measure_trace_size(megabytes, seed, _folder, _update):
     if seed == 0:
         raise RuntimeError("the summary ended with 1")
     return {"megabytes": megabytes, "lives": 12}
 
 
-def measure_speed(rounds, seconds, seed, _folder, _tell):
+def measure_speed(rounds, seconds, seed, _folder, _update):
     if seed == 0:
         raise day.Failed("something else was the bottleneck")
     pairings = {"1-2": {**PAIRING, "core_ms_ratios": [0.9, 1.25, 1.3]}}
     return {"rounds": rounds, "seconds": seconds, "pairings": pairings}
 
 
-def measure_trace_cost(capture, revision, rounds, _tell):
+def measure_trace_cost(capture, revision, rounds, _update):
     row = {"least": 9.5, "median": 10.25}
     figures = {"operations": 57, "rounds": rounds, "us_an_operation": {"off": row}}
     return {"file": capture, "revision": revision, **figures}
@@ -128,11 +128,11 @@
 
 @pytest.fixture
 def directory(tmp_path, monkeypatch):
-    """A directory with folders of results, in a lab that only pretends to measure."""
+    """A directory with folders of results, and fakes of the lab's measurements."""
     for name in ("results", "empty"):
         (tmp_path / name).mkdir()
-    tests = {"fake": FakeProof, "page": FakeMeasurement, "stopped": InterruptedProof}
-    monkeypatch.setattr(proofs, "PROOFS", tests)
+    scenarios = {"fake": FakeProof, "page": FakeMeasurement, "stopped": InterruptedProof}
+    monkeypatch.setattr(proofs, "PROOFS", scenarios)
     monkeypatch.setattr(experiment, "read", lambda _: EXPERIMENT)
     monkeypatch.setattr(matrix, "play", play)
     monkeypatch.setattr(matrix, "summary", summarize)
@@ -155,14 +155,14 @@
     assert actual_output(row["command"], directory) == row
 
 
-def test_page_of_a_measurement_is_written_where_it_is_asked_for(directory):
+def test_page_of_a_measurement_is_written_to_the_given_folder(directory):
     command = "lab prove page --write {tmp}/pages/new"
 
     assert actual_output(command, directory)["exit_code"] == 0
     assert (directory / "pages" / "new" / "page.md").read_text() == "holds: True\n"
 
 
-def test_faults_of_an_experiment_file_are_bad_input(directory, monkeypatch):
+def test_error_in_an_experiment_file_is_invalid_input(directory, monkeypatch):
     monkeypatch.undo()
     (directory / "bad.toml").write_text("version = 9\n")
 
@@ -185,7 +185,7 @@
 
 
 @pytest.mark.parametrize("name", ["hdrh", "numpy", "uvloop"])
-def test_package_that_is_missing_is_named(directory, monkeypatch, name):
+def test_missing_package_is_named(directory, monkeypatch, name):
     monkeypatch.setitem(sys.modules, name, None)
 
     row = actual_output("lab proofs", directory)
--- a/tests/cli/test_output.py
+++ b/tests/cli/test_output.py
@@ -1,4 +1,4 @@
-"""Tables, JSON lines and errors, as all commands print them."""
+"""Functions that print tables, JSON lines and errors for all commands."""
 
 import click
 import pytest
@@ -26,7 +26,7 @@
         (output.InvalidInputError, 2, "pepperhook"),
     ],
 )
-def test_an_error_is_one_line_on_standard_error_with_its_exit_code(error_class, exit_code, prefix):
+def test_error_is_one_line_on_standard_error_with_its_exit_code(error_class, exit_code, prefix):
     result = run_raising(error_class("no room"))
 
     assert issubclass(error_class, PepperhookError)
@@ -43,7 +43,7 @@
         (OSError(28, "No space left", "a.trc"), output.CommandFailedError, "a.trc: No space left"),
     ],
 )
-def test_an_error_of_a_file_is_reported_by_what_its_user_can_do(cause, reported, message):
+def test_file_error_is_reported_as_invalid_input_or_as_a_failure(cause, reported, message):
     with pytest.raises(reported, match=message) as raised, output.reporting_file_errors():
         raise cause
 
@@ -51,14 +51,14 @@
     assert raised.value.__cause__ is cause
 
 
-def test_exit_code_of_the_program_is_that_of_the_command():
+def test_exit_with_exits_with_the_given_code():
     with pytest.raises(SystemExit) as raised:
         output.exit_with(output.ExitCode.FAILURE)
 
     assert raised.value.code == 1
 
 
-def test_json_is_one_line_and_unknown_values_need_a_conversion(capsys, tmp_path):
+def test_json_is_one_line_and_unsupported_values_need_a_conversion(capsys, tmp_path):
     output.print_json({"path": tmp_path, "share": None}, default=str)
 
     assert capsys.readouterr().out == f'{{"path": "{tmp_path}", "share": null}}\n'
@@ -73,7 +73,7 @@
         (True, ["name  count   why", "a        12  late", "edge      3"]),
     ],
 )
-def test_columns_of_a_table_are_aligned_without_blanks_at_the_end(capsys, align_right, lines):
+def test_columns_of_a_table_are_aligned_without_trailing_spaces(capsys, align_right, lines):
     rows = [("name", "count", "why"), ("a", "12", "late"), ("edge", "3", "")]
 
     output.print_table(rows, align_right=align_right)
--- a/tests/cli/test_record.py
+++ b/tests/cli/test_record.py
@@ -1,4 +1,4 @@
-"""``pepperhook record``: its output, for programs and for people, and its exit codes."""
+"""``pepperhook record``: its text and JSON output, and its exit codes."""
 
 import json
 
@@ -19,7 +19,7 @@
     stage="AdmissionQueue.handle, line 7",
     led=["1100 take r1: nothing"],
 )
-DIFFERENT = """\
+DIFFERENCE_TEXT = """\
 a.rec: 3 calls of 0.5 s in 0 s, 2 states checked, 0 bytes lost: DIFFERENT
     state: admission.queue: 1 and 2
     call 3, take at 1200, about r1
@@ -44,15 +44,15 @@
 
 
 @pytest.mark.usefixtures("different_replay")
-def test_difference_is_shown_with_what_led_to_it(tmp_path):
+def test_difference_is_printed_with_the_calls_before_it(tmp_path):
     row = actual_output("record replay a.rec", tmp_path)
 
     assert row["exit_code"] == 1
-    assert row["stdout"] == DIFFERENT
+    assert row["stdout"] == DIFFERENCE_TEXT
 
 
 @pytest.mark.usefixtures("different_replay")
-def test_difference_is_an_object_for_programs():
+def test_difference_is_an_object_in_json_output():
     result = run("record", "replay", "a.rec", "--json")
 
     assert result.exit_code == 1
@@ -69,7 +69,7 @@
     }
 
 
-def test_one_capture_that_differs_fails_the_command(monkeypatch):
+def test_command_fails_if_one_of_several_captures_differs(monkeypatch):
     rows = [Replay("a.rec", 1, 0.1, None, states_differ=["x"]), Replay("b.rec", 1, 0.1, None)]
     monkeypatch.setattr(replay, "replay_file", lambda path, _: rows[path == "b.rec"])
 
--- a/tests/cli/test_trace.py
+++ b/tests/cli/test_trace.py
@@ -1,4 +1,4 @@
-"""``pepperhook trace``: its output, for programs and for people, and its exit codes."""
+"""``pepperhook trace``: its text and JSON output, and its exit codes."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def directory(tmp_path):
-    """A directory with keys for pseudonyms and files that are no traces."""
+    """A directory with keys for pseudonyms and a file that is not a trace."""
     (tmp_path / "key").write_text("a key of the installation\n")
     (tmp_path / "short").write_text("x")
     (tmp_path / "text.trc").write_text("no trace")
@@ -23,18 +23,18 @@
     assert actual_output(row["command"], directory) == row
 
 
-def test_trace_of_captures_that_differ_names_the_call_and_fails(monkeypatch):
+def test_make_fails_and_prints_the_call_whose_result_differs(monkeypatch):
     result = retrace.RetraceResult("x.trc", lives=57, calls=525, differs_at=7)
     monkeypatch.setattr(retrace, "trace_captures", lambda *_: result)
 
-    made = run("trace", "make", "a.rec", "-o", "x.trc")
+    command = run("trace", "make", "a.rec", "-o", "x.trc")
 
     text = "x.trc: 57 lives of 525 calls; DIFFERENT from what was captured at call 7\n"
-    assert (made.exit_code, made.stdout) == (1, text)
+    assert (command.exit_code, command.stdout) == (1, text)
     assert run("trace", "make", "a.rec", "-o", "x.trc", "--json").exit_code == 1
 
 
-def test_merge_says_which_clock_is_not_known_and_which_one_drifted(monkeypatch):
+def test_merge_prints_which_clock_offsets_are_unknown_or_contradictory(monkeypatch):
     clocks = [
         Offset("front", 0, 0, 0, False),
         Offset("back", -1_500_000, 250_000, 4, True),
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("words", [("show", "18", FRONT, "--svg"), ("report", FRONT, "-o")])
-def test_file_that_cannot_be_written_is_one_line(tmp_path, words):
+def test_file_that_cannot_be_written_is_reported_in_one_line(tmp_path, words):
     result = run("trace", *words, tmp_path / "none" / "file")
 
     assert result.exit_code == 1
@@ -65,7 +65,7 @@
     assert result.stderr.count("\n") == 1
 
 
-def test_file_that_is_written_takes_the_place_of_another_one(tmp_path):
+def test_written_file_replaces_an_existing_one(tmp_path):
     path = tmp_path / "page.html"
     path.write_text("old")
 
