--- a/pepperhook/cli/config_values.py
+++ b/pepperhook/cli/config_values.py
@@ -77,8 +77,9 @@
     for key, spec in settings.SETTINGS.items():
         if key in present:
             value = getattr(config.settings, spec.name)
-            keeps_unit = spec.factor in (None, 1)
-            value_in_key_unit = value if keeps_unit else value / spec.factor
+            # The factor converts a value from the unit of its key to that of the setting.
+            is_in_key_unit = spec.factor in (None, 1)
+            value_in_key_unit = value if is_in_key_unit else value / spec.factor
             yield ConfigValue(f"settings.{key}", value_in_key_unit, config_path)
     reporting = document.get("reporting") or {}
     reports = {"how": config.settings.report_source, "fields": config.settings.report_names}
--- a/pepperhook/cli/control.py
+++ b/pepperhook/cli/control.py
@@ -139,6 +139,7 @@
         print_json(result)
     else:
         control_output.print_plan(result, force)
+    # "stands" lists the failed checks that are not overridden.
     exit_with(ExitCode.FAILURE if result["stands"] else ExitCode.SUCCESS)
 
 
@@ -192,7 +193,7 @@
             fraction = float(share.strip().rstrip("%")) / PERCENT
             steps.append({"share": fraction, "seconds": float(seconds)})
         except ValueError as error:
-            message = f"--steps: SHARE%:SECONDS is wanted, not {part!r:.40}"
+            message = f"--steps: SHARE%:SECONDS is expected, not {part!r:.40}"
             raise InvalidInputError(message) from error
     return steps
 
--- a/pepperhook/cli/control_client.py
+++ b/pepperhook/cli/control_client.py
@@ -57,7 +57,7 @@
     rows = [line.split(None, 1) for line in lines if line.strip() and not line.startswith("#")]
     if not rows or not all(_is_key(row) for row in rows):
         raise InvalidInputError(
-            f"{name}: a line a key is wanted: an id, a blank, and a secret of at least "
+            f"{name}: each line must have an id, a space, and a secret of at least "
             f"{MIN_SECRET_CHARACTERS} characters"
         )
     return KeyRing((key_id, secret.strip()) for key_id, secret in rows)
--- a/pepperhook/cli/control_output.py
+++ b/pepperhook/cli/control_output.py
@@ -25,7 +25,9 @@
         overridden = violation["check"] in overridden_checks and violation["forceable"]
         verdict = "forced" if overridden else "refused"
         click.echo(f"{verdict} ({violation['check']}): {violation['key']}: {violation['why']}")
-    click.echo("balancers check besides what only they see: their grades, answer times and room")
+    click.echo(
+        "balancers also check what only they know: their grades, response times and free capacity"
+    )
 
 
 def _value(value: Any) -> Any:
--- a/pepperhook/cli/explain.py
+++ b/pepperhook/cli/explain.py
@@ -24,9 +24,7 @@
 
     steps = context_explain.read_steps(_lines(logs), request_id)
     if not steps:
-        raise InvalidInputError(
-            f"no line of these logs tells of a chain with the id {request_id!r}"
-        )
+        raise InvalidInputError(f"no line with event=chain in these logs has the id {request_id!r}")
     click.echo(context_explain.to_json(steps) if as_json else context_explain.to_text(steps))
 
 
--- a/pepperhook/cli/gossip.py
+++ b/pepperhook/cli/gossip.py
@@ -58,19 +58,19 @@
     keys = read_keys(keys_path)
     with listening_socket(listen) as sock:
         members = MemberQuery(sock, address, keys).run()
-    rows = [row_of(record) for record in in_output_order(members.records)]
+    rows = [to_row(record) for record in sort_records(members.records)]
     if as_json:
         print_json({"by": members.reported_by, "members": rows})
     else:
         print_table(rows, members.reported_by)
 
 
-def in_output_order(records: Iterable[Any]) -> list[Any]:
-    """Return records by tier and name."""
+def sort_records(records: Iterable[Any]) -> list[Any]:
+    """Return records sorted by tier and name."""
     return sorted(records, key=lambda record: (record.tier, record.name))
 
 
-def row_of(record: Any) -> dict[str, Any]:
+def to_row(record: Any) -> dict[str, Any]:
     """Convert a record to a row of the command's JSON output."""
     return {
         "name": record.name,
@@ -152,7 +152,9 @@
             page = self.receive_page(sequence)
             if page is not None:
                 return page
-        raise self.failure("no answer; is it its gossip.listen, and the key one of its own?")
+        raise self.failure(
+            "no response; check that this is the member's gossip.listen, and that it has the key"
+        )
 
     def receive_page(self, sequence: int) -> Any | None:
         """Wait for the response to a query; return None after the timeout."""
--- a/pepperhook/cli/lab.py
+++ b/pepperhook/cli/lab.py
@@ -106,7 +106,7 @@
     from pepperhook.lab.proofs import PROOFS
 
     if name not in PROOFS:
-        raise InvalidInputError(f"no proof has the name {name!r}; there are {', '.join(PROOFS)}")
+        raise InvalidInputError(f"no scenario has the name {name!r}; there are {', '.join(PROOFS)}")
     faults = PROOFS[name].plants
     if fault is not None and fault not in faults:
         known = ", ".join(faults)
@@ -149,7 +149,7 @@
     with reporting_failed_run(file), show_progress(as_json) as update:
         results = matrix.play(experiment, folder, first_seed, count, only, update)
     if not results:
-        raise InvalidInputError(f"{file}: nothing was played to its end")
+        raise InvalidInputError(f"{file}: no run was completed")
     summary = _write_report(experiment, results, folder, as_json)
     broke_a_rule = any(row["findings"] for row in summary["variants"])
     exit_with(ExitCode.FAILURE if broke_a_rule else ExitCode.SUCCESS)
--- a/pepperhook/cli/lab_measurements.py
+++ b/pepperhook/cli/lab_measurements.py
@@ -141,7 +141,7 @@
     counts = [int(part) if part.isdecimal() else 0 for part in parts]
     if not all(0 < count <= MAX_MEMBERS for count in counts):
         raise InvalidInputError(
-            f"--members: numbers from 1 to {MAX_MEMBERS} are wanted, not {text!r}"
+            f"--members: numbers from 1 to {MAX_MEMBERS} are expected, not {text!r}"
         )
     return counts
 
--- a/pepperhook/cli/lab_soak.py
+++ b/pepperhook/cli/lab_soak.py
@@ -44,9 +44,9 @@
     """Test random fleets with overlapping faults.
 
     The runs also have planned restarts, series of signals, and crowds of idle clients. Checks the
-    four rules, each response, crashes, startups within 10 s, and the resources that processes still
-    use after an idle time. Exit code 0 if all seeds hold, 1 if one does not, 2 if one is
-    void because the machine had too little CPU time.
+    auditor's four rules, each response, crashes, startups within 10 s, and the resources that
+    processes still use after an idle time. Exit code 0 if all seeds hold, 1 if one does not, 2 if
+    one is void because the machine had too little CPU time.
     """
     require_lab()
     from pepperhook.lab import planted
@@ -78,13 +78,13 @@
     match = SEEDS.fullmatch(text)
     count = int(match[2]) if match else 0
     if match is None or not 0 < count <= MAX_SEEDS:
-        raise InvalidInputError(f"--seeds: FIRST:COUNT is wanted, such as 1:50, not {text!r}")
+        raise InvalidInputError(f"--seeds: FIRST:COUNT is expected, such as 1:50, not {text!r}")
     return range(int(match[1]), int(match[1]) + count)
 
 
 def _line(verdict: "Verdict", seconds: int, plant: str | None) -> str:
     figures = " ".join(f"{key}={value}" for key, value in verdict.played.items())
-    if verdict.excused:
+    if verdict.excused:  # problems that the auditor excused, with their number
         excused = ", ".join(f"{count} {name}" for name, count in verdict.excused.items())
         figures += f" excused: {excused}"
     if verdict.void:
--- a/pepperhook/cli/lab_support.py
+++ b/pepperhook/cli/lab_support.py
@@ -22,7 +22,10 @@
 
 @contextmanager
 def reporting_void_run(name: str) -> Iterator[None]:
-    """Report a run without a verdict as invalid input, as it shows no fault of the balancer."""
+    """Report a run that could not be completed as invalid input, exit code 2.
+
+    Such a run has no verdict, so it shows no fault of the balancer.
+    """
     from pepperhook.lab.day import Failed
 
     try:
--- a/pepperhook/cli/record.py
+++ b/pepperhook/cli/record.py
@@ -86,7 +86,7 @@
     from pepperhook.capture import replay as replay_module
 
     if policy is not None and revision is not None:
-        raise InvalidInputError("--policy and --revision: one of them")
+        raise InvalidInputError("--policy and --revision cannot be combined")
     with reporting_file_errors():
         build: Any = replay_module.select_build(policy, revision)
     exit_code = ExitCode.SUCCESS
@@ -149,7 +149,7 @@
             os.kill(pid, signal.SIGUSR2)
         except OSError as error:
             raise CommandFailedError(f"{pid}: {error.strerror}") from error
-        click.echo(f"{pid}: asked; its log says record_kept when it is done")
+        click.echo(f"{pid}: signalled; it logs record_kept when the files are written")
 
 
 def _is_recording_balancer(pid: int) -> bool:
--- a/pepperhook/cli/trace.py
+++ b/pepperhook/cli/trace.py
@@ -87,7 +87,9 @@
     help="How many tenants to list: those with the most requests.",
 )
 @JSON_OPTION
-def summary(files: tuple[str, ...], as_json: bool, max_tenants: int, wanted: TraceFilter) -> None:
+def summary(
+    files: tuple[str, ...], as_json: bool, max_tenants: int, trace_filter: TraceFilter
+) -> None:
     """Print statistics of traces.
 
     Counts requests by service class, upstream, tenant and reason.
@@ -96,7 +98,7 @@
 
     collected = Summary()
     with reporting_file_errors():
-        for _, request in matching(files, wanted):
+        for _, request in matching(files, trace_filter):
             collected.add(request)
     figures = collected.to_dict(max_tenants)
     if as_json:
@@ -117,7 +119,7 @@
     help="The maximum number of requests to print.",
 )
 @JSON_OPTION
-def grep(files: tuple[str, ...], as_json: bool, limit: int, wanted: TraceFilter) -> None:
+def grep(files: tuple[str, ...], as_json: bool, limit: int, trace_filter: TraceFilter) -> None:
     """Print the requests that match, one per line.
 
     Exit code 1 if there is none.
@@ -126,9 +128,11 @@
 
     count = 0
     with reporting_file_errors():
-        for metadata, request in matching(files, wanted):
+        for metadata, request in matching(files, trace_filter):
             if count >= limit:
-                click.echo(f"more than {limit}; --most shows more", err=True)
+                click.echo(
+                    f"more than {limit} requests match; raise --most to print more", err=True
+                )
                 break
             count += 1
             if as_json:
@@ -161,7 +165,8 @@
         rows = build_tree(find_descendants(files, request_id))
     if not rows:
         raise CommandFailedError(
-            f"{request_id}: is in none of {len(files)} files; what went well is traced by a share"
+            f"{request_id}: is in none of {len(files)} files; of requests served in time, only a "
+            "sample is traced"
         )
     if svg:
         with reporting_file_errors():
--- a/pepperhook/cli/trace_files.py
+++ b/pepperhook/cli/trace_files.py
@@ -36,12 +36,12 @@
 @filter_options
 @OUT_OPTION
 @JSON_OPTION
-def cut(files: tuple[str, ...], out: str, as_json: bool, wanted: TraceFilter) -> None:
+def cut(files: tuple[str, ...], out: str, as_json: bool, trace_filter: TraceFilter) -> None:
     """Write the requests that match to one file."""
     from pepperhook.tracing import cut as cut_module
 
     with reporting_file_errors(), show_progress(as_json) as update:
-        count = cut_module.cut(files, out, wanted, update)
+        count = cut_module.cut(files, out, trace_filter, update)
     _print_written(out, count, as_json)
 
 
@@ -127,7 +127,9 @@
     type=click.Path(dir_okay=False),
     help="The file to write. Default: standard output, but not for Parquet.",
 )
-def export(files: tuple[str, ...], format_name: str, out: str | None, wanted: TraceFilter) -> None:
+def export(
+    files: tuple[str, ...], format_name: str, out: str | None, trace_filter: TraceFilter
+) -> None:
     """Write requests in a format for other programs."""
     from pepperhook.tracing import export as formats
 
@@ -139,7 +141,7 @@
         "otlp": formats.write_opentelemetry,
     }
     with reporting_file_errors():
-        rows = matching(files, wanted)
+        rows = matching(files, trace_filter)
         if not out:
             write_text[format_name](rows, sys.stdout)
             return
@@ -168,7 +170,7 @@
 @filter_options
 @OUT_OPTION
 @click.option("--title", default="Trace", show_default=True, help="The title of the page.")
-def report(files: tuple[str, ...], out: str, title: str, wanted: TraceFilter) -> None:
+def report(files: tuple[str, ...], out: str, title: str, trace_filter: TraceFilter) -> None:
     """Write an HTML page of traces.
 
     The page has the statistics, the reasons, and the outcomes of requests over time.
@@ -181,7 +183,7 @@
     timeline = Timeline()
     sample_fractions: set[float] = set()
     with reporting_file_errors():
-        for metadata, request in matching(files, wanted):
+        for metadata, request in matching(files, trace_filter):
             collected.add(request)
             timeline.add(request)
             if metadata.extra.get("share") is not None:
@@ -198,8 +200,8 @@
     if sample_fractions - {ALL_SAMPLED}:
         fractions = ", ".join(map(str, sorted(sample_fractions)))
         note += (
-            f" Of what went well a share is traced ({fractions}); all that was shed, broken off "
-            "or late is."
+            f" Of the requests served in time, a sample is traced ({fractions}); all that were "
+            "shed, broken off or late are."
         )
     return note
 
--- a/pepperhook/cli/trace_filters.py
+++ b/pepperhook/cli/trace_filters.py
@@ -44,20 +44,20 @@
 
 
 def filter_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Add the options to a command, which gets them as one parameter ``wanted``."""
+    """Add the options to a command, which gets them as one parameter ``trace_filter``."""
 
     @functools.wraps(command)
     def with_filter(*args: Any, begin: str | None, end: str | None, **options: Any) -> None:
         from pepperhook.tracing.filter import TraceFilter
 
         names = ("grades", "customers", "outcomes", "upstreams", "ids")
-        wanted = TraceFilter(
+        trace_filter = TraceFilter(
             begin=parse_time(begin, "from"),
             end=parse_time(end, "to"),
             reason=options.pop("reason"),
             **{name: frozenset(options.pop(name)) for name in names},
         )
-        command(*args, wanted=wanted, **options)
+        command(*args, trace_filter=trace_filter, **options)
 
     decorated: Callable[..., None] = with_filter
     for option in reversed(OPTIONS):
@@ -77,15 +77,15 @@
         time = datetime.fromisoformat(text)
     except ValueError as error:
         raise InvalidInputError(
-            f"--{option}: seconds of Unix time or a time like 2026-05-01T18:30:00 is wanted, "
+            f"--{option}: seconds of Unix time or a time like 2026-05-01T18:30:00 is expected, "
             f"not {text!r:.40}"
         ) from error
     zoned_time = time if time.tzinfo else time.replace(tzinfo=UTC)
     return int(zoned_time.timestamp() * NS_PER_S)
 
 
-def matching(paths: Iterable[str], wanted: TraceFilter) -> Iterator[SourcedTrace]:
+def matching(paths: Iterable[str], trace_filter: TraceFilter) -> Iterator[SourcedTrace]:
     """Yield the matching requests of all files, each with the metadata of its file."""
     from pepperhook.tracing.reader import read_files
 
-    return read_files(paths, wanted)
+    return read_files(paths, trace_filter)
--- a/pepperhook/request_context/callers.py
+++ b/pepperhook/request_context/callers.py
@@ -3,9 +3,9 @@
 from pepperhook.statistics import DecayingMoments
 from pepperhook.units import SECOND
 
-MEMORY_NS = 10 * SECOND
-MIN_WEIGHT = 8.0  # recent calls, below which the fraction is not reliable
-MIN_FRACTION = 0.5  # of a caller's calls; below it, the caller is reported as dropping contexts
+DECAY_NS = 10 * SECOND  # time constant of the decay
+MIN_WEIGHT = 8.0  # decayed number of calls that a reliable fraction needs
+MIN_FRACTION = 0.5  # a caller with a context in fewer of its calls is reported
 MAX_CALLERS = 256
 
 
@@ -17,8 +17,11 @@
         # By caller; an observation is 1 for a call with a context, and 0 for one without.
         self._fractions: dict[str, DecayingMoments] = {}
 
-    def count(self, now: int, caller: str, has_context: bool) -> float | None:
-        """Count a call; return the caller's fraction if it is below ``MIN_FRACTION``."""
+    def add_call(self, now: int, caller: str, has_context: bool) -> float | None:
+        """Count a call; return the fraction of the caller's calls with a context if it is too low.
+
+        Returns None if it is not below ``MIN_FRACTION``, or if there are too few recent calls.
+        """
         moments = self._fractions.get(caller)
         if moments is None:
             moments = self._add(now, caller)
@@ -29,5 +32,5 @@
     def _add(self, now: int, caller: str) -> DecayingMoments:
         if len(self._fractions) >= MAX_CALLERS:
             self._fractions.pop(next(iter(self._fractions)))
-        moments = self._fractions[caller] = DecayingMoments(MEMORY_NS, now)
+        moments = self._fractions[caller] = DecayingMoments(DECAY_NS, now)
         return moments
--- a/pepperhook/request_context/context_header.py
+++ b/pepperhook/request_context/context_header.py
@@ -5,6 +5,11 @@
     Pepperhook-Chain-Result: v=1, id="9b1f", p="0.1", end=failed, tries=0, spent=120, tried=2,
                              k="k1", mac=:...:
 
+In the first, ``p`` is the path, ``left`` the remaining time, ``tries`` the retries that the tiers
+below may make, ``worth`` the priority weight, and ``depth`` and ``hops`` serve loop detection. In
+the second, ``end`` is the outcome, ``tries`` the unused retries, and ``tried`` the attempts made.
+In both, ``v`` is the version, ``k`` the id of the key that made the MAC.
+
 ``left`` and ``spent`` are durations in milliseconds, never times of day, so that the clocks of two
 tiers may differ by any amount. Unknown members are ignored, so that tiers may run different
 versions. A value with one malformed member is rejected as a whole.
@@ -146,7 +151,7 @@
     value = members.get(name)
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
         raise _malformed()
-    # No sender writes more than the maximum, so larger numbers are clamped, not rejected.
+    # A number above the maximum is valid, and means the same as the maximum.
     return min(value, maximum)
 
 
--- a/pepperhook/request_context/context_policy.py
+++ b/pepperhook/request_context/context_policy.py
@@ -1,8 +1,8 @@
 """Decides how a tier applies the contexts and results that it receives, without I/O.
 
-The retry budget of each tier decides as it would without contexts; a context or result can only
-forbid retries, shorten the deadline or end the request. All times are integer nanoseconds, and
-passed in by the caller.
+The retry budget of each tier decides as it would without contexts. A context or result can only
+forbid retries, shorten the deadline, end the request or set its priority weight. All times are
+integer nanoseconds, and passed in by the caller.
 """
 
 from collections import Counter
@@ -29,7 +29,9 @@
 from pepperhook.units import MILLISECOND
 
 ENTRY_PATH = "0"
-PATH_NUMBER_LIMIT = 36**3  # a balancer numbers its attempts, and starts again at this number
+# A balancer numbers its attempts, and starts again at this number; so a part of a path has at most
+# four hexadecimal digits.
+PATH_NUMBER_LIMIT = 36**3
 MIN_OVERHEAD_NS = MILLISECOND // 10  # lower bound of a measured overhead
 
 RETRY_STOPS = {
@@ -39,23 +41,24 @@
 }
 # Outcomes that are passed on to the tiers above, which must not retry them either. A lack of
 # capacity (REJECTED) is not passed on.
-FORWARDED_STOPS = {
+FORWARDED_OUTCOMES = {
     RetryStop.LOOP: TierOutcome.LOOP,
     RetryStop.EXPIRED: TierOutcome.EXPIRED,
 }
 
 
 def retry_stop(result: ContextResult) -> RetryStop | None:
-    """Return why a retry after this result would be useless, or None if it may help."""
+    """Return the reason not to retry after this result, or None if a retry may help."""
     if result.outcome is TierOutcome.FAILED and result.attempts > 1:
         return RetryStop.RETRIED_BELOW
     return RETRY_STOPS.get(result.outcome)
 
 
 def most_restrictive(results: Iterable[ContextResult]) -> ContextResult | None:
-    """Return the result that allows the least, of a node that made several calls to the tier below.
+    """Return the most restrictive of several results, or None if there are none.
 
-    A result that rules out retries comes first, then the one with the fewest unused retries.
+    A node that made several calls to the tier below may return several. A result that rules out
+    retries is preferred, then the one with the fewest unused retries.
     """
     return min(
         results,
@@ -73,7 +76,7 @@
         self.seen_contexts = SeenContexts()
         self.loops = LoopDetector(hop)
         self.callers = CallerStatistics()
-        self.rejections: Counter[RejectionReason] = Counter()  # header values that were ignored
+        self.rejected_values: Counter[RejectionReason] = Counter()  # header values, not requests
         self.reporting_upstreams: set[object] = set()  # upstreams that have returned a result
         self._serving_times = LatencyQuantiles()
         # Of attempts: their duration minus the time that the tier below reports.
@@ -82,24 +85,26 @@
 
     # Arrival.
 
-    def arrive(self, now: int, arrival: Arrival, context: RequestContext | None) -> Admission:
+    def decide_admission(
+        self, now: int, arrival: Arrival, context: RequestContext | None
+    ) -> Admission:
         """Admit or reject a request; ``context`` is None if it has no valid one."""
         seen_context = None if context is None else self.seen_contexts.find(context)
         if seen_context is not None and now > seen_context.expires_at:
             # The call that the context was made for is over: it was copied to an unrelated call.
-            self.rejections[RejectionReason.REPLAYED] += 1
+            self.rejected_values[RejectionReason.REPLAYED] += 1
             context = None
         if context is None:
             return self._admit(self._state_without_context(now, arrival), arrival.deadline)
         state = self._state_from_context(now, arrival, context, seen_context)
         if self.loops.is_loop(state):
-            return self._reject(state, TierOutcome.LOOP, arrival.deadline)
+            return self._reject_request(state, TierOutcome.LOOP, arrival.deadline)
         if state.remaining_ns is None:
             return self._admit(state, arrival.deadline, context.priority_weight)
         deadline = min(arrival.deadline, now + state.remaining_ns)
         needed_ns = self._serving_times.p5(now, state.service_class) or 0
         if state.remaining_ns <= needed_ns:
-            return self._reject(state, TierOutcome.EXPIRED, deadline)
+            return self._reject_request(state, TierOutcome.EXPIRED, deadline)
         return self._admit(state, deadline, context.priority_weight)
 
     def _admit(
@@ -108,7 +113,9 @@
         self.loops.enter(state)
         return Admission(state, None, deadline, priority_weight)
 
-    def _reject(self, state: RequestState, outcome: TierOutcome, deadline: int) -> Admission:
+    def _reject_request(
+        self, state: RequestState, outcome: TierOutcome, deadline: int
+    ) -> Admission:
         state.outcome = outcome
         return Admission(state, outcome, deadline, None)
 
@@ -174,7 +181,7 @@
                 state.refused_retries += 1
                 return None
             allowance.retries -= 1
-        # Keep half: retries lent to an attempt that gets no response may be lost.
+        # Lend only half, rounded up: retries lent to an attempt without a response are lost.
         state.lent_retries = allowance.retries - allowance.retries // 2
         allowance.retries -= state.lent_retries
         state.attempts += 1
@@ -192,6 +199,7 @@
 
     def _next_path(self, state: RequestState) -> str:
         self._path_number += 1
+        # A path that is too long loses its first parts.
         return f"{state.path}.{self._path_number % PATH_NUMBER_LIMIT:x}"[-MAX_PATH_LENGTH:]
 
     def attempt_ended(
@@ -222,7 +230,8 @@
         """Return whether no tier below can have used retries in an attempt without a result.
 
         That is so if the attempt was never executed, if the upstream has never returned a result
-        (it calls no tier below), or if a response came without one (no tier below was called).
+        (it calls no tier below), or if there was a response without a result (it failed before it
+        called the tier below).
         """
         return (
             outcome in NEVER_EXECUTED
@@ -259,7 +268,7 @@
         )
 
     def finish(self, state: RequestState) -> None:
-        """Release what a request holds here, once it has ended with or without a response."""
+        """Remove an ended request from loop detection, and return its unused reserved retries."""
         self.loops.leave(state)
         if state.is_reserved_here:
             self.entry_budget.return_unused(state.allowance.retries)
@@ -278,10 +287,10 @@
 def _outcome(state: RequestState, kind: ResponseKind) -> TierOutcome:
     if kind == ResponseKind.SERVED:
         return TierOutcome.SERVED
-    stop = None if state.retry_stop is None else FORWARDED_STOPS.get(state.retry_stop)
+    stop = None if state.retry_stop is None else FORWARDED_OUTCOMES.get(state.retry_stop)
     if stop is not None:
         return stop
-    # A safe request that failed gets a rejection too, as a retry of it is harmless. But only a
+    # The response to a failed request that is safe to retry is of the kind REJECTED, too. Only a
     # request that was executed nowhere is reported to the tier above as a lack of capacity.
     if kind == ResponseKind.REJECTED and not state.may_have_executed:
         return TierOutcome.REJECTED
--- a/pepperhook/request_context/errors.py
+++ b/pepperhook/request_context/errors.py
@@ -14,7 +14,7 @@
     UNTRUSTED = "untrusted"  # not signed by a known key, and not from a trusted network
     FORGED = "forged"  # the MAC does not match
     AMBIGUOUS = "there twice"  # several values in one request
-    REPLAYED = "replayed"  # received again after the call that it was made for had expired
+    REPLAYED = "replayed"  # used again, for another call, after the time of its own call
 
 
 class InvalidContextError(PepperhookError, ValueError):
--- a/pepperhook/request_context/explain.py
+++ b/pepperhook/request_context/explain.py
@@ -17,7 +17,10 @@
 
 
 class Step(Struct):
-    """What one balancer logged of a request; times in milliseconds.
+    """What one balancer logged of its part of a request; times in milliseconds.
+
+    ``request_id`` is the id of the request at this balancer, ``operation`` in the log; the key
+    ``id`` in the log is the id at the entry.
 
     ``below_ms`` is the time that the tier below reports of its longest call; ``time`` is the
     timestamp of the log line.
@@ -116,6 +119,7 @@
 
 
 def _path_numbers(path: str) -> list[int]:
+    """Return the parts of a path as numbers; a part that is not hexadecimal counts as 0."""
     return [int(part, 16) if HEXADECIMAL.fullmatch(part) else 0 for part in path.split(".")]
 
 
--- a/pepperhook/request_context/extension.py
+++ b/pepperhook/request_context/extension.py
@@ -44,8 +44,8 @@
     """Applies request contexts at the hook points; stores the state of each request in flight."""
 
     listed_as = "chains"  # name in the list of active extensions that ``check`` and the log print
-    reads = (CONTEXT_HEADER,)
-    reads_back = (RESULT_HEADER,)
+    reads = (CONTEXT_HEADER,)  # headers of requests that the extension reads
+    reads_back = (RESULT_HEADER,)  # headers of responses that the extension reads
 
     def __init__(self, table: RequestContextTable, config: Config, log: Log) -> None:
         """``table``: the extension's settings. Raises ValueError for a malformed network."""
@@ -57,7 +57,7 @@
         self._log = log
         self._keys = KeyRing((key.id, key.secret) for key in table.keys)
         networks = TrustedNetworks(table.trust)
-        self._reader = ContextReader(networks, self._keys, self.policy.rejections, log)
+        self._reader = ContextReader(networks, self._keys, self.policy.rejected_values, log)
         # By caller that drops contexts: when it may be logged again.
         self._next_caller_log_at: dict[str, int] = {}
         self._app: BalancerApp
@@ -71,11 +71,12 @@
     def arrived(self, now: int, request: Request, message: RequestMessage) -> FinalResponse | None:
         """Apply a request's context; return a response if it is a loop or has expired."""
         context = self._read_context(now, message)
-        admission = self.policy.arrive(now, self._arrival(request), context)
+        admission = self.policy.decide_admission(now, self._arrival(request), context)
         self.in_flight[request] = admission.state
         if admission.rejection is not None:
             return self._rejection(admission)
-        # A context can only shorten the time limit.
+        # A context can only shorten the time limit. It sets the priority weight only if the table
+        # allows that with ``worth``.
         request.deadline = min(request.deadline, admission.deadline)
         if admission.priority_weight is not None and self._table.worth:
             request.service_class = replace(
@@ -112,13 +113,13 @@
         context = contexts[0] if len(contexts) == 1 else None
         if len(contexts) > 1:
             # It is unknown which of them belongs to this call.
-            self.policy.rejections[RejectionReason.AMBIGUOUS] += 1
+            self.policy.rejected_values[RejectionReason.AMBIGUOUS] += 1
         self._count_caller(now, peer, context is not None)
         return context
 
     def _count_caller(self, now: int, peer: str | None, has_context: bool) -> None:
         caller = peer or UNKNOWN_CALLER
-        fraction = self.policy.callers.count(now, caller, has_context)
+        fraction = self.policy.callers.add_call(now, caller, has_context)
         if fraction is None or now < self._next_caller_log_at.get(caller, 0):
             return
         if len(self._next_caller_log_at) >= MAX_CALLERS:
@@ -149,11 +150,12 @@
             return
         headers = {} if response is None else response.read_headers or {}
         values = headers.get(RESULT_HEADER) or ()
-        peer = self._address_of(attempt.upstream)
+        peer = self._host_of(attempt.upstream)
         results = self._reader.read(now, context_header.read_result, values, peer)
         self.policy.attempt_ended(now, state, attempt.upstream, outcome, most_restrictive(results))
 
-    def _address_of(self, upstream: Upstream) -> str | None:
+    def _host_of(self, upstream: Upstream) -> str | None:
+        """Return the IP address of an upstream, without the port."""
         endpoint = self._app.upstreams.endpoints.get(upstream)
         return None if endpoint is None else endpoint.address.rpartition(":")[0].strip("[]")
 
@@ -206,7 +208,7 @@
         """Return the counters for the operator."""
         rejections = {
             f"dropped_{reason.replace(' ', '_')}": count
-            for reason, count in self.policy.rejections.items()
+            for reason, count in self.policy.rejected_values.items()
         }
         return {
             "name": "chain",
--- a/pepperhook/request_context/latency.py
+++ b/pepperhook/request_context/latency.py
@@ -5,7 +5,7 @@
 from pepperhook.statistics import DecayingMoments
 from pepperhook.units import SECOND
 
-MEMORY_NS = 10 * SECOND
+DECAY_NS = 10 * SECOND  # time constant of the decay
 MIN_WEIGHT = 8.0  # recent measurements that an estimate needs
 P95_DEVIATIONS = 1.65  # standard deviations from the mean to p95 in a normal distribution
 
@@ -21,7 +21,7 @@
         """Add one measurement."""
         moments = self._logarithms.get(service_class)
         if moments is None:
-            moments = self._logarithms[service_class] = DecayingMoments(MEMORY_NS, now)
+            moments = self._logarithms[service_class] = DecayingMoments(DECAY_NS, now)
         moments.add(now, log(max(1, time_ns)))
 
     def p95(self, now: int, service_class: int) -> int | None:
--- a/pepperhook/request_context/loop_detection.py
+++ b/pepperhook/request_context/loop_detection.py
@@ -4,7 +4,7 @@
 from pepperhook.request_context.messages import MAX_DEPTH
 from pepperhook.request_context.request_state import RequestState
 
-MAX_VISITS = 2  # hops of this service that make a loop; a single one may be another instance
+LOOP_VISITS = 2  # hops of this service that make a loop; a single one may be another instance
 
 
 class LoopDetector:
@@ -19,14 +19,14 @@
     def is_loop(self, state: RequestState) -> bool:
         """Return whether an arriving request is part of a loop.
 
-        That is so if its hops contain this instance, or this service ``MAX_VISITS`` times; if it
+        That is so if its hops contain this instance, or this service ``LOOP_VISITS`` times; if it
         has reached the maximum depth; or if the same request is in flight here at a smaller depth,
         which also detects a loop where a node dropped the hops.
         """
         services = [service_of(hop) for hop in state.hops]
         return (
             self.hop in state.hops
-            or services.count(self._service) >= MAX_VISITS
+            or services.count(self._service) >= LOOP_VISITS
             or state.depth >= MAX_DEPTH
             or any(depth < state.depth for depth in self.in_flight.get(state.request_id, ()))
         )
@@ -39,8 +39,8 @@
     def leave(self, state: RequestState) -> None:
         """Record that a request is no longer in flight here.
 
-        A rejected request was never recorded. Its end must not remove another request with the
-        same id and depth, which there is if a node calls twice with one context.
+        Two requests have the same id and depth if a node makes two calls with one context. The end
+        of a rejected one, which was never recorded, must not remove the other.
         """
         if not state.is_in_flight:
             return
--- a/pepperhook/request_context/messages.py
+++ b/pepperhook/request_context/messages.py
@@ -26,13 +26,13 @@
 
 @dataclass(slots=True)
 class RequestContext:
-    """Sent to the next tier with an attempt; None if the sender gave no value."""
+    """Sent to the next tier with an attempt; a field is None if the sender gave no value."""
 
     request_id: str  # of the request at the entry, the first balancer
     path: str  # identifies one call within the request
     depth: int  # tiers above the receiver
     remaining_ms: int | None = None
-    retries: int | None = None  # that all tiers below may make in total
+    retries: int | None = None  # retries that the receiver and all tiers below it may make in total
     priority_weight: float | None = None
     hops: tuple[
         str, ...
@@ -46,6 +46,6 @@
     request_id: str
     path: str
     outcome: TierOutcome
-    unused_retries: int  # of those that the context allowed
+    unused_retries: int  # of the retries that the context allowed
     spent_ms: int  # from the arrival to the response
-    attempts: int  # made by the tier itself
+    attempts: int  # attempts made by this tier itself
--- a/pepperhook/request_context/request_state.py
+++ b/pepperhook/request_context/request_state.py
@@ -11,10 +11,10 @@
 class RetryStop(StrEnum):
     """Why this tier makes no further retry of a request; the enum values appear in the log."""
 
-    LOOP = "loop"
-    EXPIRED = "late"
-    REJECTED = "shed"
-    RETRIED_BELOW = "tried"
+    LOOP = "loop"  # the calls form a loop
+    EXPIRED = "late"  # the tier below had too little time left
+    REJECTED = "shed"  # the tier below lacked capacity
+    RETRIED_BELOW = "tried"  # the tier below has already retried
 
 
 @dataclass(slots=True)
--- a/pepperhook/request_context/retry_allowance.py
+++ b/pepperhook/request_context/retry_allowance.py
@@ -8,7 +8,7 @@
 MAX_RESERVED = 2  # retries that one request may reserve
 MIN_CAPACITY = 10.0  # retries
 CAPACITY_S = 3.0  # seconds after which arriving requests have filled an empty bucket
-RATE_MEMORY_NS = 5 * SECOND
+RATE_DECAY_NS = 5 * SECOND  # time constant of the decay of the arrival rate
 
 
 @dataclass(slots=True)
@@ -23,14 +23,14 @@
 
     Each request adds the retry ratio of the retry budget, a fraction of a token, and reserves whole
     tokens, each of which allows one retry; the unused ones are returned. So all tiers together make
-    no more retries than that fraction of the arrived requests, plus the initial tokens.
+    at most the retry ratio times the arrived requests as retries, plus the initial tokens.
     """
 
     def __init__(self) -> None:
         """Start with a full bucket."""
         self.tokens = MIN_CAPACITY
-        # It starts without observations, so the start time of its decay does not matter.
-        self._arrivals = DecayingMoments(RATE_MEMORY_NS, 0)
+        # The moments have no observations yet, so the start time of their decay does not matter.
+        self._arrivals = DecayingMoments(RATE_DECAY_NS, 0)
 
     def reserve(self, now: int, retry_ratio: float) -> int:
         """Count a request, and return how many retries are reserved for it.
--- a/pepperhook/request_context/seen_contexts.py
+++ b/pepperhook/request_context/seen_contexts.py
@@ -10,10 +10,10 @@
 
 @dataclass(slots=True)
 class SeenContext:
-    """What is stored at the first request with a context, for later requests with the same one."""
+    """Reception time, expiry and retries of a context, shared by all requests that carry it."""
 
     first_received_at: int
-    expires_at: int  # received after this time, the context is a copy on an unrelated call
+    expires_at: int  # received after this time, it was reused for another call
     allowance: RetryAllowance
 
 
--- a/tests/cli/test_control_service.py
+++ b/tests/cli/test_control_service.py
@@ -55,8 +55,10 @@
             planned = await command.run(0, "plan", document_file)
             assert "grades.look.goal_ms: unset -> 900.0" in planned
 
-            signed = ("--author", "ann", "--reason", "rise")
-            assert "version 1, from 0" in await command.run(0, "propose", document_file, *signed)
+            authorship = ("--author", "ann", "--reason", "rise")
+            assert "version 1, from 0" in await command.run(
+                0, "propose", document_file, *authorship
+            )
 
             steps = ("--author", "ann", "--steps", "100%:0")
             assert "of version 1 by ann: going" in await command.run(0, "rollout", "1", *steps)
--- a/tests/cli/test_every_command.py
+++ b/tests/cli/test_every_command.py
@@ -1,7 +1,7 @@
 """Runs each command of the command line once, on small input.
 
-Guards against commands that no test runs: after names were renamed, ``lab trace-cost`` failed with
-an ImportError, and a program started by the comparison of journals with a NameError.
+Guards against commands that no test runs: renames once broke ``lab trace-cost`` (ImportError) and a
+program that the comparison of journals starts (NameError), and no test failed.
 """
 
 import asyncio
@@ -80,11 +80,12 @@
 }
 # Commands with tests of their own below.
 TESTED_SEPARATELY = {"run", "demo", "gossip", "record keep", "trace show"}
+# ``lab prove`` and ``lab soak`` are run in full elsewhere.
 LAB_RUNS = {"lab run", "lab report", "lab compare", "lab prove", "lab soak"}
 CONTROL_COMMANDS = {name for name in command_names(main) if name.startswith("control ")}
 
 
-def test_every_command_is_run_by_a_test_here():
+def test_every_command_is_in_a_list_of_tested_commands():
     tested = set(ARGUMENTS) | TESTED_SEPARATELY | LAB_RUNS | CONTROL_COMMANDS
     assert set(command_names(main)) == tested
 
--- a/tests/cli/test_help.py
+++ b/tests/cli/test_help.py
@@ -21,7 +21,7 @@
 NAMES = [" ".join(path) or "pepperhook" for path, _ in COMMANDS]
 
 
-def test_all_commands_are_walked():
+def test_walk_yields_the_expected_number_of_groups_and_commands():
     groups = [command for _, command in COMMANDS if isinstance(command, click.Group)]
 
     assert len(groups) == 6
--- a/tests/cli/test_lab.py
+++ b/tests/cli/test_lab.py
@@ -29,8 +29,9 @@
 PAIRING = {"a_core_per_s": 2612.4, "half_p50_ms": 1.234, "half_p99_ms": 5.678, "core_ms": 0.3827}
 
 
+# ``lab proofs`` prints the docstrings of the fake scenarios, and ``expected/lab.json`` has them.
 class FakeProof:
-    """A scenario that holds unless a fault is injected."""
+    """Holds unless a fault is injected."""
 
     plants = {"fault": "one thing is broken", "busy": "the machine is too busy"}
     write = None
@@ -51,7 +52,7 @@
 
 
 class FakeMeasurement(FakeProof):
-    """A scenario that writes a report page."""
+    """Writes a page."""
 
     plants = {}
 
@@ -60,7 +61,7 @@
 
 
 class InterruptedProof(FakeProof):
-    """A scenario that the user interrupts."""
+    """Is interrupted by its user."""
 
     plants = {}
 
--- a/tests/request_context/contexts.py
+++ b/tests/request_context/contexts.py
@@ -34,4 +34,5 @@
 
 
 def arrive(policy, now, context, deadline=SECOND, retry_ratio=0.2, request_id="op"):
-    return policy.arrive(now, Arrival(request_id, SERVICE_CLASS, deadline, retry_ratio), context)
+    arrival = Arrival(request_id, SERVICE_CLASS, deadline, retry_ratio)
+    return policy.decide_admission(now, arrival, context)
--- a/tests/request_context/test_context_policy.py
+++ b/tests/request_context/test_context_policy.py
@@ -115,7 +115,7 @@
         (None, True),
     ],
 )
-def test_no_retry_after_a_result_that_makes_a_retry_useless(result, may_retry):
+def test_retry_is_refused_only_after_a_result_that_makes_it_useless(result, may_retry):
     policy = make_policy()
     state = arrive(policy, 0, make_context(remaining_ms=900, retries=4)).state
     assert policy.attempt_started(0, state, SECOND, is_retry=False).retries == 2
@@ -135,6 +135,7 @@
     policy.attempt_ended(MILLISECOND, state, UPSTREAM, Outcome.ERROR, None)
     policy.attempt_started(2 * MILLISECOND, state, SECOND, is_retry=True)
 
+    # Of the 4 retries of the context, the second attempt used one.
     assert state.allowance.retries + state.lent_retries == 3
 
 
@@ -166,13 +167,13 @@
 def test_most_restrictive_of_several_results_is_used():
     retriable = make_result(TierOutcome.FAILED, unused=0, attempts=1)
     stopping = make_result(TierOutcome.LOOP, unused=2)
-    stopping_without_retries = make_result(TierOutcome.FAILED, unused=1, attempts=3)
+    stopping_with_fewer_retries = make_result(TierOutcome.FAILED, unused=1, attempts=3)
 
     assert retry_stop(retriable) is None
     assert retry_stop(stopping) is RetryStop.LOOP
-    assert retry_stop(stopping_without_retries) is RetryStop.RETRIED_BELOW
-    results = [retriable, stopping, stopping_without_retries]
-    assert most_restrictive(results) is stopping_without_retries
+    assert retry_stop(stopping_with_fewer_retries) is RetryStop.RETRIED_BELOW
+    results = [retriable, stopping, stopping_with_fewer_retries]
+    assert most_restrictive(results) is stopping_with_fewer_retries
     assert most_restrictive([]) is None
 
 
@@ -242,7 +243,7 @@
 
     assert replayed.deadline == 2 * SECOND
     assert not replayed.state.has_context
-    assert policy.rejections == {RejectionReason.REPLAYED: 1}
+    assert policy.rejected_values == {RejectionReason.REPLAYED: 1}
 
 
 def test_number_of_stored_contexts_is_bounded():
--- a/tests/request_context/test_extension.py
+++ b/tests/request_context/test_extension.py
@@ -26,7 +26,7 @@
     assert 700 > contexts[0].remaining_ms > contexts[2].remaining_ms > 500
     assert len(contexts[2].hops) == 3
     assert edge.calls + middle.calls + last.calls <= 3 + contexts[0].retries
-    assert not edge.extension.policy.rejections
+    assert not edge.extension.policy.rejected_values
     assert edge.extension.policy.reporting_upstreams
     assert not last.extension.policy.reporting_upstreams
 
--- a/tests/request_context/test_tiers.py
+++ b/tests/request_context/test_tiers.py
@@ -70,6 +70,8 @@
 
     def forward(self, tier, context, deadline):
         """Simulate an attempt; return whether it is served, whether it is lost, and its result."""
+        # A tenth of the responses are lost. A tenth of the attempts, and all of the last tier, end
+        # at the node without a call to the tier below; half of these succeed.
         draw = self.random.random()
         is_lost = draw > 0.9
         if tier < TIERS - 1 and draw > 0.1:
--- a/tests/request_context/test_trust.py
+++ b/tests/request_context/test_trust.py
@@ -17,16 +17,17 @@
 from tests.server.balancers import RunningBalancer
 from tests.server.peers import ScriptedPeer, always, make_response
 
-GREEDY = {"retries": 9, "priority_weight": 9.0}
+# Allows more than the policy of the balancer, if the context is accepted.
+HIGH_LIMITS = {"retries": 9, "priority_weight": 9.0}
 NO_TIME_LEFT = 'v=1, id="a", p="0", depth=1, left=0'
 
 
 async def test_invalid_values_have_no_effect_and_are_counted():
     extension = make_extension("m")
-    valid = signed(make_context("c", remaining_ms=5, **GREEDY))
+    valid = signed(make_context("c", remaining_ms=5, **HIGH_LIMITS))
     invalid = [
         valid.replace("left=5,", "left=1,"),
-        write_context(make_context("c", remaining_ms=0, **GREEDY), NO_KEYS),
+        write_context(make_context("c", remaining_ms=0, **HIGH_LIMITS), NO_KEYS),
         "nonsense",
         "v=1" * 900,
         f"{valid}\r\nPepperhook-Chain: {valid}",
@@ -39,7 +40,7 @@
 
     assert statuses == [200] * 5
     assert len(peer.requests) == 5
-    assert extension.policy.rejections == {
+    assert extension.policy.rejected_values == {
         RejectionReason.FORGED: 1,
         RejectionReason.UNTRUSTED: 1,
         RejectionReason.UNKNOWN_VERSION: 1,
@@ -58,11 +59,11 @@
         assert (await balancer.request(Pepperhook_Chain=forged))[0] == 200
 
     assert len(peer.requests) == 1
-    assert extension.policy.rejections == {RejectionReason.FORGED: 1}
+    assert extension.policy.rejected_values == {RejectionReason.FORGED: 1}
 
 
 async def test_request_with_a_signed_context_without_time_left_is_rejected():
-    expired = signed(make_context("t", remaining_ms=0, **GREEDY))
+    expired = signed(make_context("t", remaining_ms=0, **HIGH_LIMITS))
     async with (
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address], Extensions([make_extension("m")])) as balancer,
@@ -82,7 +83,7 @@
         value = f"{NO_TIME_LEFT}, k=(1 2), mac=:aGk=:"
         assert (await balancer.request(Pepperhook_Chain=value))[0] == 200
 
-    assert extension.policy.rejections == {RejectionReason.UNTRUSTED: 1}
+    assert extension.policy.rejected_values == {RejectionReason.UNTRUSTED: 1}
 
 
 async def test_entry_ignores_contexts_and_sends_no_result_to_clients():
@@ -103,6 +104,7 @@
     ):
         for _ in range(20):
             assert (await balancer.request())[0] == 200
+        # The contexts that such a caller does send are still applied.
         assert (await balancer.request(Pepperhook_Chain=NO_TIME_LEFT))[0] == 503
         assert balancer.counters["chain callers that drop it"] == 1
 
