--- a/pepperhook/cli/explain.py
+++ b/pepperhook/cli/explain.py
@@ -1,4 +1,4 @@
-"""The command that follows one request through the logs of several tiers."""
+"""The command that explains one request from the logs of several tiers."""
 
 from collections.abc import Iterable, Iterator
 from pathlib import Path
@@ -24,13 +24,12 @@
 
     steps = context_explain.read_steps(_lines(logs), request_id)
     if not steps:
-        raise InvalidInputError(
-            f"no line of these logs tells of a chain with the id {request_id!r}"
-        )
+        raise InvalidInputError(f"no line with event=chain in these logs has the id {request_id!r}")
     click.echo(context_explain.to_json(steps) if as_json else context_explain.to_text(steps))
 
 
 def _lines(paths: Iterable[str]) -> Iterator[str]:
+    """Yield the lines of all files. Raises InvalidInputError."""
     for path in paths:
         try:
             with Path(path).open(encoding="utf-8", errors="replace") as file:
