--- a/pepperhook/idempotency/__init__.py
+++ b/pepperhook/idempotency/__init__.py
@@ -1,7 +1,7 @@
-"""Idempotency keys at the edge: repeats of a request receive the one result of the first.
+"""Idempotency keys: repeats of a request receive the result of the first request.
 
-The decisions are plain code without I/O: ``entries``, ``capacity``, ``waiters``, ``recovered`` and
-``store`` for the keys of one balancer, ``ownership`` for which balancer owns a key. Around them,
-``journal`` makes them durable, ``peers`` connects the balancers, and ``extension`` puts them at the
-balancer's hook points.
+The decisions are made without I/O: ``entries``, ``capacity``, ``waiters``, ``recovered`` and
+``store`` manage the keys of one balancer, and ``ownership`` determines which balancer owns a key.
+``journal`` makes the keys durable, ``peers`` connects the balancers, and ``extension`` implements
+the balancer's hook points.
 """
--- a/pepperhook/idempotency/capacity.py
+++ b/pepperhook/idempotency/capacity.py
@@ -1,7 +1,7 @@
 """Capacity of the store by tenant, and the order in which entries expire and are evicted.
 
-Each tenant has a fixed part of the capacity by its quota: what one tenant stores never evicts
-another tenant's keys.
+Each tenant has a fixed part of the capacity, in proportion to its quota, so that entries of one
+tenant never evict those of another.
 """
 
 from collections import deque
@@ -10,47 +10,48 @@
 
 from pepperhook.idempotency.entries import Entry
 
-# Accounted for each entry without its response body: a fixed price, so that limits keep their
-# meaning. tracemalloc shows 561 bytes for a running entry and 285 for an ended one.
+# Bytes charged for an entry in addition to its response body. The amount is fixed so that a limit
+# always means the same number of entries. In tracemalloc, a running entry takes 561 bytes and an
+# ended one 285.
 ENTRY_BYTES = 700
 
 
 @dataclass(slots=True, eq=False)
 class TenantPartition:
-    """The part of the store that belongs to one tenant."""
+    """One tenant's part of the capacity, and what is used of it."""
 
     max_entries: int
     max_bytes: int
     entries: int = 0
     bytes: int = 0
-    # Ended entries by service class, soonest expiry first: one class has one window, so the order
-    # of ending is enough.
+    # Ended entries by service class, earliest expiry first. All entries of a class have the same
+    # window, so they expire in the order in which they ended.
     expiring: dict[int, deque[Entry]] = field(default_factory=dict)
 
     def fits(self, size: int, new_entries: int = 1) -> bool:
-        """Whether so many more entries and bytes are within the limits."""
+        """Return whether so many more bytes and entries are within the limits."""
         has_entries = self.entries + new_entries <= self.max_entries
         return has_entries and self.bytes + size <= self.max_bytes
 
     def charge(self, size: int, entries: int = 1) -> None:
-        """Account for new entries."""
+        """Add entries and bytes to the usage."""
         self.entries += entries
         self.bytes += size
 
     def release(self, size: int) -> None:
-        """Account for the removal of one entry."""
+        """Subtract one entry of ``size`` bytes from the usage."""
         self.entries -= 1
         self.bytes -= size
 
     def schedule_expiry(self, entry: Entry) -> None:
-        """Queue an entry that has just ended."""
+        """Append an entry that has just ended to the expiry queue of its service class."""
         self.expiring.setdefault(entry.service_class, deque()).append(entry)
 
     def schedule_recovered_expiry(self, entry: Entry) -> None:
-        """Queue an entry from before the last start.
+        """Add an entry from before the last start to the expiry queue of its service class.
 
-        It normally ended before all that is queued. Where its place is not quite right it only
-        stays a little longer.
+        Normally it ended before all queued entries and goes to the front. If the resulting order
+        is not exact, the entry is only removed somewhat later than its window ends.
         """
         queue = self.expiring.setdefault(entry.service_class, deque())
         if queue and entry.expires_ns <= queue[0].expires_ns:
@@ -59,7 +60,7 @@
             queue.append(entry)
 
     def next_expiry_ns(self, default_ns: int) -> int:
-        """When the next entry expires; ``default_ns`` where none will by the clock alone."""
+        """Return when the next ended entry expires, or ``default_ns`` if there is none."""
         return min(
             (queue[0].expires_ns for queue in self.expiring.values() if queue), default=default_ns
         )
@@ -68,7 +69,7 @@
 def partition_by_quota(
     quotas: Sequence[float], max_entries: int, max_bytes: int
 ) -> list[TenantPartition]:
-    """Split the capacity in proportion to the quotas; each partition has room for an entry."""
+    """Split the capacity in proportion to the quotas; each partition fits at least one entry."""
     total = sum(quotas)
     return [
         TenantPartition(
@@ -80,10 +81,10 @@
 
 
 class EntryTable:
-    """All entries by key, accounted for in their tenants' partitions."""
+    """All entries by key, charged to the partitions of their tenants."""
 
     def __init__(self) -> None:
-        """Make an empty table."""
+        """Create an empty table."""
         self.entries: dict[bytes, Entry] = {}
         self.evicted = 0
 
@@ -92,27 +93,27 @@
         return len(self.entries)
 
     def get(self, key: bytes) -> Entry | None:
-        """Return the entry of a key."""
+        """Return the entry of a key, or None."""
         return self.entries.get(key)
 
     def add(self, entry: Entry) -> None:
-        """Add a new entry and account for it."""
+        """Add a new entry and charge it to its partition."""
         self.entries[entry.key] = entry
         entry.partition.charge(entry.size)
 
     def add_recovered(self, entry: Entry) -> None:
-        """Add an entry that its partition has accounted for since the start."""
+        """Add a recovered entry, which was charged to its partition when the store was restored."""
         self.entries[entry.key] = entry
         entry.partition.schedule_recovered_expiry(entry)
 
     def remove(self, entry: Entry) -> None:
-        """Remove an entry, unless another has taken its key since."""
+        """Remove an entry, unless a newer one has replaced it under the same key."""
         if self.entries.get(entry.key) is entry:
             del self.entries[entry.key]
             entry.partition.release(entry.size)
 
     def remove_expired(self, now_ns: int, partition: TenantPartition) -> None:
-        """Remove the entries of a partition whose windows are over."""
+        """Remove the entries of a partition whose windows have ended."""
         for queue in partition.expiring.values():
             while queue and queue[0].expires_ns <= now_ns:
                 self.remove(queue.popleft())
@@ -124,7 +125,7 @@
         new_entries: int,
         is_evictable: Callable[[int], bool],
     ) -> None:
-        """Remove ended entries of evictable service classes, oldest first, until there is room."""
+        """Remove ended entries of evictable service classes, oldest first, until ``size`` fits."""
         for service_class, queue in partition.expiring.items():
             if not is_evictable(service_class):
                 continue
--- a/pepperhook/idempotency/entries.py
+++ b/pepperhook/idempotency/entries.py
@@ -1,8 +1,7 @@
-"""One idempotency key: its state machine, and the decisions that requests with the key receive.
+"""The state machine of one idempotency key, and the decisions on requests with the key.
 
-The terms are those of draft-ietf-httpapi-idempotency-key-header: a key, the fingerprint of the
-request that came with it, the first request and its repeats. Times are whole nanoseconds, sizes are
-bytes.
+The terms follow draft-ietf-httpapi-idempotency-key-header: a key, the fingerprint of the request
+that carried it, the first request and its repeats. Times are whole nanoseconds, sizes are bytes.
 """
 
 from __future__ import annotations
@@ -19,33 +18,33 @@
 
 
 class EntryState(Enum):
-    """What is known of a key's first request. A key without an entry is unknown.
+    """What is known about a key's first request. A key without an entry is unknown.
 
-    An entry begins as RUNNING and ends once, in one of the other states or by its removal. It is
-    removed when the first request surely never ran, as the next one may then run in its place. For
-    safe service classes this also holds for a request that may have run, because running twice does
-    no harm.
+    An entry starts as RUNNING and ends once: it changes to one of the other states, or is removed.
+    It is removed if the first request never ran, because the next request may then run instead. In
+    safe service classes it is also removed if the first request may have run, because running it
+    twice does no harm.
     """
 
     RUNNING = auto()
-    COMPLETED = auto()  # served; its response is replayed while the window lasts
-    INDETERMINATE = auto()  # no result, and an attempt may have run: no other may run in the window
+    COMPLETED = auto()  # served; repeats within the window receive the stored response
+    INDETERMINATE = auto()  # no result, but an attempt may have run: none may run in the window
 
 
 class Verdict(StrEnum):
-    """What to do with a request that has arrived, or has waited; the values name counters."""
+    """What to do with a request that has arrived or has waited. The values are counter names."""
 
-    NEW = "new"  # it is the key's first request: run it
+    NEW = "new"  # the key's first request: run it
     WAIT = "wait"  # the first request is running: wait for its result
     REPLAY = "replay"  # answer with the first request's response
-    INDETERMINATE = "indeterminate"  # fail it: the first request may have run
-    FINGERPRINT_MISMATCH = "fingerprint_mismatch"  # the key was used for another request
+    INDETERMINATE = "indeterminate"  # respond "failed": the first request may have run
+    FINGERPRINT_MISMATCH = "fingerprint_mismatch"  # the key was used with another request
     RESPONSE_NOT_STORED = "response_not_stored"  # served before, but the response was not stored
-    REJECTED = "rejected"  # no capacity for another key, or for another waiter
+    REJECTED = "rejected"  # no capacity for another key or another waiter
 
 
 class StoredResponse(Struct, frozen=True):
-    """The whole response to a key's first request."""
+    """The complete response to a key's first request."""
 
     body: bytes
     content_type: str | None
@@ -58,11 +57,11 @@
     key: bytes
     fingerprint: bytes
     service_class: int
-    tenant: int | None  # None where the settings don't know it
+    tenant: int | None  # None if the settings do not list the tenant
 
 
 class Decision(Struct, frozen=True):
-    """A verdict; ``response`` comes with REPLAY, ``retry_after_ns`` with REJECTED."""
+    """A verdict. ``response`` is set with REPLAY, ``retry_after_ns`` with REJECTED."""
 
     verdict: Verdict
     response: StoredResponse | None = None
@@ -70,18 +69,18 @@
 
 
 class Resolution(Struct, frozen=True):
-    """The decision on a request that has waited."""
+    """The decision on a request that waited for the first request."""
 
     request: Hashable
     decision: Decision
 
 
 class Departure(Struct, frozen=True):
-    """What follows when a client has left, or its time is up.
+    """What to do after a client has left or its time limit has expired.
 
-    ``keep_running``: the request goes on, as others wait for its result. ``abandoned``: another
-    request, whose client left earlier and whose last waiter this was; nobody wants its result any
-    more.
+    ``keep_running``: the request continues because other requests wait for its result.
+    ``abandoned``: a running request whose client left earlier and whose last waiter this client's
+    request was. No client waits for its result any more.
     """
 
     keep_running: bool
@@ -90,23 +89,23 @@
 
 @dataclass(slots=True, eq=False)
 class Execution:
-    """The part of an entry that exists only while its request runs."""
+    """The part of an entry that exists only while a request runs for it."""
 
-    owner: Hashable
-    waiters: dict[Hashable, None] = field(default_factory=dict)  # in the order of their arrival
+    owner: Hashable  # the request that runs
+    waiters: dict[Hashable, None] = field(default_factory=dict)  # in order of arrival
     open_attempts: set[Hashable] = field(default_factory=set)
-    has_run: bool = False  # an attempt has ended that may have run
+    has_run: bool = False  # an ended attempt may have run
     is_abandoned: bool = False  # the owner's client has left
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an attempt has run, or is still open and may run."""
+        """Whether an ended attempt may have run, or an attempt is still open."""
         return self.has_run or bool(self.open_attempts)
 
 
 @dataclass(slots=True, eq=False)
 class Entry:
-    """One idempotency key. ``execution`` is set exactly while the state is RUNNING."""
+    """One idempotency key. ``execution`` is set if and only if the state is RUNNING."""
 
     key: bytes
     partition: TenantPartition
@@ -119,22 +118,22 @@
     expires_ns: int = 0
 
     def is_expired(self, now_ns: int) -> bool:
-        """Whether the request has ended and the window after its end is over."""
+        """Return whether the request has ended and the window after its end is over."""
         return self.state is not EntryState.RUNNING and self.expires_ns <= now_ns
 
     def end(self, state: EntryState, expires_ns: int) -> None:
-        """Leave RUNNING; the entry counts until ``expires_ns``."""
+        """Change from RUNNING to ``state``, which applies until ``expires_ns``."""
         self.state = state
         self.expires_ns = expires_ns
         self.execution = None
 
     def hand_over(self, owner: Hashable) -> None:
-        """Make another request the owner; all other waiters wait for that one now."""
+        """Make another request the owner; the remaining waiters then wait for its result."""
         waiters = self.running.waiters
         self.execution = Execution(owner, waiters)
 
     @property
     def running(self) -> Execution:
-        """The execution of an entry that is known to be RUNNING."""
+        """The execution of an entry whose state must be RUNNING."""
         assert self.execution is not None
         return self.execution
--- a/pepperhook/idempotency/extension.py
+++ b/pepperhook/idempotency/extension.py
@@ -1,9 +1,9 @@
-"""Idempotency keys at the balancer's hook points.
+"""The extension for idempotency keys, called at the balancer's hook points.
 
-A repeat waits for its key's first request, or receives that one's result, before the decisions have
-seen it. With a journal, a request that must not run twice is recorded before its first attempt, and
-goes on only once the record is durable. With peers, a key has one owner among the edge balancers,
-and a request that comes to another goes there whole.
+A repeat waits for its key's first request, or receives that request's result, and does not reach
+the policy. With a journal, a request that must not run twice is recorded before its first attempt,
+and continues only after the record is durable. With peers, each key has one owner among the edge
+balancers, and the others forward requests with the key to it.
 """
 
 from __future__ import annotations
@@ -37,21 +37,21 @@
     from pepperhook.operator_config.schema import IdempotencyTable
 
 MAX_KEY_LENGTH = 256  # characters
-RETRY_AFTER_NS = 10**9  # advice while a record can't be written
+RETRY_AFTER_NS = 10**9  # Retry-After while records cannot be written
 BYTES_PER_MB = 2**20
 BYTES_PER_KB = 1024
 
-# A reply ends a request before it has run, None lets it run; a future gives one of these later.
+# The future of a reply, which ends the request without running it, or None, which lets it run.
 Pending = asyncio.Future[Reply | None]
 
 
 class Idempotency:
-    """The extension. It owns the journal and the peers, from ``started`` to ``left``."""
+    """The extension. It owns the journal and the peers from ``started`` to ``left``."""
 
     def __init__(
         self, table: IdempotencyTable, config: Any, log: Log, peers: Peers | None = None
     ) -> None:
-        """``table``: the operator's settings of it. Raises ValueError with one line."""
+        """Read the operator's ``table``. Raises ValueError with a one-line message."""
         self.reads = (KEY_HEADER,) if peers is None else (KEY_HEADER, *peers.reads)
         self.peers = peers
         self.policies = service_classes.read_policies(table, config)
@@ -72,8 +72,8 @@
         self._host: Host
         self._recovery: Recovery | None = None
         self._recorder: RequestRecorder | None = None
-        self._pending: dict[Any, Pending] = {}  # by each request that waits
-        self._keyed: dict[Any, KeyedRequest] = {}  # by each request that runs for its key
+        self._pending: dict[Any, Pending] = {}  # by waiting request
+        self._keyed: dict[Any, KeyedRequest] = {}  # by the request that runs for the key
 
     def _make_journal(self, table: IdempotencyTable, config: Any, log: Log) -> Journal | None:
         if table.journal is None:
@@ -85,7 +85,10 @@
     # Start and shutdown.
 
     def hold(self) -> None:
-        """Take the journal, which only one process may have. Raises ValueError with one line."""
+        """Open the journal, which only one process may use at a time.
+
+        Raises JournalUnusableError, a ValueError, with a one-line message.
+        """
         if self.journal is None or self._recovery is not None:
             return
         try:
@@ -94,7 +97,7 @@
             raise JournalUnusableError(f"repeats.journal: {error}") from error
 
     def started(self, host: Host) -> None:
-        """Begin: the balancer is up, and has not accepted a request yet."""
+        """Start the journal and the peers; the balancer has not accepted a request yet."""
         self._host = host
         self.hold()
         if self.journal is not None:
@@ -108,9 +111,9 @@
     def _restore(self) -> None:
         recovery, self._recovery = self._recovery, None
         assert recovery is not None
-        core = self._host.runtime
+        runtime = self._host.runtime
         restored = restoration.restore(
-            self.store, recovery, self._tenant_names, core.now(), core.offset
+            self.store, recovery, self._tenant_names, runtime.now(), runtime.offset
         )
         self._log.info(
             "idempotency_recovered",
@@ -122,12 +125,12 @@
         )
 
     async def closing(self, accept_s: float, within_s: float) -> None:
-        """Answer what other members still wait for."""
+        """Stop the peers' listener and complete the requests that other members forwarded."""
         if self.peers is not None:
             await self.peers.drain(accept_s, within_s)
 
     async def left(self) -> None:
-        """Close what the extension owns."""
+        """Close the peers and the journal."""
         if self.peers is not None:
             await self.peers.close()
         if self.journal is not None:
@@ -136,12 +139,15 @@
     # A request's arrival.
 
     def arrived(self, now_ns: int, request: Any, message: Any) -> Reply | Pending | None:
-        """Decide whether a request runs; see ``Pending``."""
+        """Decide on a request that has arrived: None lets it run, a reply ends it.
+
+        A ``Pending`` future gives the decision later.
+        """
         policy = self.policies[service_classes.class_number(request)]
         if not policy.window_ns:
             return None
         key = _key_of(message)
-        refusal = _refusal(key, policy)
+        refusal = _check_key(key, policy)
         if refusal is not None or not key:
             return refusal
         digest = key_digest(service_classes.class_number(request), request.tenant, key)
@@ -167,14 +173,17 @@
         if decision.verdict is not Verdict.NEW:
             return reply_to(decision, self._max_retry_after_ns)
         self._keyed[request] = self._identity(arrival)
-        if not self._is_recorded(request):
+        if not self._must_record(request):
             return None
         pending: Pending = self._host.runtime.loop.create_future()
         self._run_once_recorded(request, pending)
         return pending
 
     def _identity(self, arrival: Arrival) -> KeyedRequest:
-        """Name a request's service class and tenant, whose numbers may change with the settings."""
+        """Return a key's identity with the names of service class and tenant.
+
+        Their numbers may change with the settings.
+        """
         return KeyedRequest(
             key=arrival.key,
             fingerprint=arrival.fingerprint,
@@ -182,19 +191,20 @@
             tenant=None if arrival.tenant is None else self._tenant_names[arrival.tenant],
         )
 
-    def _is_recorded(self, request: Any) -> bool:
+    def _must_record(self, request: Any) -> bool:
         return self._recorder is not None and not is_safe(request)
 
     def _run_once_recorded(self, request: Any, pending: Pending) -> None:
-        """Let a request run once its record is durable."""
+        """Let a request run as soon as its record is durable."""
 
         def proceed(durable: asyncio.Future[None]) -> None:
             if pending.done():
-                return  # whoever waited has gone
+                return  # the request has ended meanwhile
             if durable.exception() is None:
                 pending.set_result(None)
                 return
-            # Without its record it could run a second time after a crash. No attempt was made yet.
+            # Without the record it could run a second time after a crash. Rejecting is correct
+            # because no attempt was made yet.
             self.record_failures += 1
             pending.set_result(rejected(min(RETRY_AFTER_NS, self._max_retry_after_ns)))
 
@@ -204,7 +214,7 @@
     # A running request.
 
     def dispatching(self, _now_ns: int, attempt: Any, _headers: Any) -> bool:
-        """Note an attempt that is about to be written; it never objects."""
+        """Note an attempt that is about to be sent; return False, as it never forbids sending."""
         self.store.attempt_started(attempt.request, attempt)
         return False
 
@@ -213,11 +223,11 @@
         request = attempt.request
         self.store.attempt_ended(request, attempt, outcome)
         if outcome == Outcome.SERVED and request in self._keyed:
-            # Also where no client is left to receive it: a repeat may still arrive.
+            # Finish it even if the client has left, because a repeat may still arrive.
             self._finish(now_ns, request, StoredResponse(received.body, received.content_type))
 
     def answered(self, now_ns: int, request: Any, answer: Any) -> None:
-        """Note the final answer of a request."""
+        """Note the final response to a request."""
         if request in self._keyed:
             response = None
             if is_served(answer):
@@ -225,27 +235,28 @@
             self._finish(now_ns, request, response)
 
     def leaving(self, _now_ns: int, request: Any) -> bool:
-        """Note that a client has left; True where its request must go on all the same."""
+        """Note that a client has left; return whether its request must continue."""
         departure = self.store.client_left(request)
         self.leave(departure.abandoned)
         if departure.keep_running:
             return True
-        # What may have run can't run again in its window: it goes on, for a repeat's sake.
+        # A request that may have run can't run again in its window. It continues so that a repeat
+        # can receive its result.
         may_cancel = self._cancel_abandoned_unsafe or not is_unsafe(request)
         return not may_cancel and self.store.has_open_attempt(request)
 
     def over(self, now_ns: int, request: Any) -> None:
-        """Note the end of a request, answered or left."""
+        """Note the end of a request: it has its final response, or its client has left."""
         pending = self._pending.pop(request, None)
         if pending is not None:
-            # It waited, and its time was up or its client left.
+            # It was waiting when its time limit expired or its client left.
             self.leave(self.store.client_left(request).abandoned)
             pending.cancel()
         if request in self._keyed:
             self._finish(now_ns, request, None)
 
     def leave(self, abandoned: Any) -> None:
-        """End a request that was kept going only for others, which have left now, too."""
+        """End a running request that was continued only for waiters, if all of them have left."""
         if abandoned is not None:
             self._host.requests.leave(abandoned)
 
@@ -259,7 +270,7 @@
             self._resolve(keyed, resolution)
 
     def _resolve(self, keyed: KeyedRequest, resolution: Resolution) -> None:
-        """Tell a request that has waited what becomes of it."""
+        """Apply the decision on a request that has waited."""
         request, decision = resolution.request, resolution.decision
         pending = self._pending.pop(request)
         if decision.verdict is not Verdict.NEW:
@@ -267,13 +278,14 @@
                 pending.set_result(reply_to(decision, self._max_retry_after_ns))
             return
         self._keyed[request] = keyed
-        if self._is_recorded(request):
-            # The record of the one before may not be durable yet, and has another time.
+        if self._must_record(request):
+            # It needs a record of its own: that of the previous owner may not be durable yet, and
+            # has an earlier time.
             self._run_once_recorded(request, pending)
         elif not pending.done():
             pending.set_result(None)
 
-    # Figures.
+    # Counters.
 
     def told(self) -> dict[str, Any]:
         """Return the counters for the operator."""
@@ -281,7 +293,7 @@
         counters: dict[str, Any] = {
             "name": "repeats",
             "keys": len(store.table) + len(store.recovered),
-            "mb": round(sum(part.bytes for part in store.partitions) / BYTES_PER_MB, 2),
+            "mb": round(sum(partition.bytes for partition in store.partitions) / BYTES_PER_MB, 2),
             "running": len(store.running),
             "waiting": len(store.waiters),
             "evicted": store.table.evicted,
@@ -297,13 +309,13 @@
 
 
 def _key_of(message: Any) -> str:
-    """Return the key that came with a request; empty where there is none."""
+    """Return the key of a request, or an empty string if it has none."""
     values: list[str] | None = (message.read_headers or {}).get(KEY_HEADER)
     return values[0] if values else ""
 
 
-def _refusal(key: str, policy: ServiceClassPolicy) -> Reply | None:
-    """Refuse a request without a required key, or with one that is too long."""
+def _check_key(key: str, policy: ServiceClassPolicy) -> Reply | None:
+    """Return the error for a missing required key or a key that is too long, else None."""
     if not key and policy.is_key_required:
         return refused(BAD_REQUEST, f"{KEY_HEADER} is wanted for this service grade")
     if len(key) > MAX_KEY_LENGTH:
--- a/pepperhook/idempotency/host.py
+++ b/pepperhook/idempotency/host.py
@@ -1,4 +1,4 @@
-"""What this package uses of the balancer that it runs in."""
+"""The interfaces of the balancer process that this package uses."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 
 
 class Log(Protocol):
-    """Structured events."""
+    """Logs structured events."""
 
     def info(self, event: str, **fields: object) -> None:
         """Log an ordinary event."""
 
     def warning(self, event: str, **fields: object) -> None:
-        """Log an event that an operator should know of."""
+        """Log an event that needs an operator's attention."""
 
 
 class Runtime(Protocol):
     """The clock and the event loop.
 
-    The clock is the machine's monotonic one plus ``offset``, by which it was set to Unix time once.
+    The clock is the machine's monotonic clock plus ``offset``, a fixed value that was computed once
+    to match Unix time.
     """
 
     offset: int
--- a/pepperhook/idempotency/journal/boot.py
+++ b/pepperhook/idempotency/journal/boot.py
@@ -1,4 +1,4 @@
-"""Identifies the machine's boot, under which its monotonic clock is meaningful."""
+"""Identifies the machine's boot. Times of its monotonic clock compare only within one boot."""
 
 from pathlib import Path
 
@@ -6,7 +6,10 @@
 
 
 def boot_id() -> str:
-    """Return the kernel's boot id; empty where it is unknown, and then every start counts as a boot."""
+    """Return the kernel's boot id, or an empty string if it is unknown.
+
+    If it is unknown, recovery treats every start as a reboot.
+    """
     try:
         return BOOT_ID_FILE.read_text(encoding="ascii").strip()
     except OSError:
--- a/pepperhook/idempotency/journal/compaction.py
+++ b/pepperhook/idempotency/journal/compaction.py
@@ -1,19 +1,19 @@
-"""Which segments may be deleted: those in which the windows of all records are over."""
+"""Selects the segments that may be deleted: those in which all records have expired."""
 
 from collections import deque
 from collections.abc import Iterator
 
 
 class SegmentRetention:
-    """The full segments, oldest first, with the times of their last records."""
+    """The closed segments, oldest first, and when they were closed."""
 
     def __init__(self, retention_ns: int) -> None:
-        """``retention_ns``: the longest for which a record counts after it was written."""
+        """``retention_ns``: the longest time that a record matters after it was written."""
         self.retention_ns = retention_ns
         self._closed: deque[tuple[int, int]] = deque()  # (segment number, closed at)
 
     def add(self, number: int, closed_ns: int) -> None:
-        """Note that no record will be added to a segment any more."""
+        """Add a segment to which no more records are written."""
         self._closed.append((number, closed_ns))
 
     def take_expired(self, now_ns: int) -> Iterator[int]:
--- a/pepperhook/idempotency/journal/errors.py
+++ b/pepperhook/idempotency/journal/errors.py
@@ -1,10 +1,10 @@
-"""What can go wrong with a journal."""
+"""Errors of the journal."""
 
 from pepperhook.errors import PepperhookError
 
 
 class JournalUnusableError(PepperhookError, ValueError):
-    """The journal can't be opened or read; the text names file and place in one line."""
+    """The journal can't be opened or read; the one-line message names file and position."""
 
 
 class JournalWriteError(PepperhookError, OSError):
--- a/pepperhook/idempotency/journal/record.py
+++ b/pepperhook/idempotency/journal/record.py
@@ -1,7 +1,7 @@
 """Records, and their encoding in checksummed blocks.
 
-The order of fields and the numbers of kinds are stored: they must not change within a format
-version.
+The order of fields and the numbers of record kinds are part of the file format and must not change
+within a format version.
 """
 
 import struct
@@ -15,13 +15,13 @@
 from pepperhook.idempotency.journal.errors import JournalUnusableError
 
 FORMAT_VERSION = 1
-SIGNATURE = b"pepperhook repeats "  # a segment's first bytes, followed by the version and a line feed
+SIGNATURE = b"pepperhook repeats "  # starts a segment; version and line feed follow
 BLOCK_HEADER = struct.Struct("<III")  # payload length, payload CRC-32, CRC-32 of these eight bytes
-CHECKED_HEADER = struct.Struct("<II")  # the part of it that its own checksum covers
+CHECKED_HEADER = struct.Struct("<II")  # the part that the header checksum covers
 
 
 class RecordKind(IntEnum):
-    """What has happened to a key's first request."""
+    """The state of a key's first request that a record reports."""
 
     STARTED = 0
     COMPLETED = 1  # served
@@ -30,12 +30,16 @@
 
     @classmethod
     def _missing_(cls, value: object) -> "RecordKind | None":
-        """Read a number that this version does not know as the kind that promises least."""
+        """Read an unknown number as INDETERMINATE, the kind that guarantees the least."""
         return cls.INDETERMINATE if isinstance(value, int) else None
 
 
 class Record(Struct, array_like=True, gc=False):
-    """One event of one key. ``gc=False``: a million of them stay, and hold no cycles."""
+    """One change of a key's state.
+
+    ``gc=False`` excludes the records, of which a million may stay in memory, from garbage
+    collection; they are in no reference cycles.
+    """
 
     kind: RecordKind
     key: bytes
@@ -48,7 +52,7 @@
 
 
 class SegmentHeader(Struct, array_like=True):
-    """The payload of a segment's first block: when, and under which boot of the machine, it was begun."""
+    """The payload of a segment's first block: the boot and the times at its creation."""
 
     boot_id: str
     monotonic_ns: int
@@ -66,7 +70,7 @@
 
 
 def encode_block(payload: bytes) -> bytes:
-    """Put a block's header before its payload."""
+    """Return a block: header and payload."""
     checked = CHECKED_HEADER.pack(len(payload), crc32(payload))
     return checked + crc32(checked).to_bytes(4, "little") + payload
 
@@ -91,12 +95,12 @@
     return _HEADER.decode(payload)
 
 
-def check_prefix(line: bytes, where: object) -> None:
+def check_prefix(line: bytes, path: object) -> None:
     """Check a segment's first line, its line feed included. Raises JournalUnusableError."""
     version = line[len(SIGNATURE) : -1]
     if not line.startswith(SIGNATURE) or not version.isdigit():
-        raise JournalUnusableError(f"{where}: is no journal of repeats")
+        raise JournalUnusableError(f"{path}: is no journal of idempotency keys")
     if int(version) != FORMAT_VERSION:
         raise JournalUnusableError(
-            f"{where}: has version {int(version)}; this program reads version {FORMAT_VERSION}"
+            f"{path}: has version {int(version)}; this program reads version {FORMAT_VERSION}"
         )
--- a/pepperhook/idempotency/journal/recovery.py
+++ b/pepperhook/idempotency/journal/recovery.py
@@ -1,8 +1,8 @@
-"""Reads a journal back after a restart.
+"""Reads a journal after a restart.
 
-Times in records are of the machine's monotonic clock, which is good until the machine boots: a wall
-clock that is set can neither shorten a window nor stretch it. After a boot nobody knows how much
-time has passed, and all windows begin anew.
+Times in records are of the machine's monotonic clock, so setting the wall clock can neither shorten
+nor extend a window. The monotonic clock starts over when the machine reboots. After a reboot, the
+time that has passed is unknown, and all windows restart.
 """
 
 import gc
@@ -34,23 +34,23 @@
 
 
 class Recovery(Struct):
-    """What was read: by key its last record, in the order of the keys' first ones."""
+    """The last record of each key, in the order of the keys' first records."""
 
     records: dict[bytes, Record]
-    truncated_bytes: int  # a torn last block, which was never acknowledged, and was cut off
-    has_rebooted: bool  # since a segment was written; its times then count from now
+    truncated_bytes: int  # a torn last block that was cut off; it was never acknowledged
+    has_rebooted: bool  # since a segment was written, whose records then count as new
     seconds: float
 
 
 class SegmentContents(Struct):
-    """The intact blocks of one segment, and where they end in the file."""
+    """The payloads of one segment's intact blocks, and the file offset at which these end."""
 
     end: int
     payloads: list[memoryview]
 
 
 def recover(directory: Path, now_ns: int) -> Recovery:
-    """Read a journal, and cut off a torn end. Raises JournalUnusableError.
+    """Read a journal, and cut off a torn last block. Raises JournalUnusableError.
 
     ``now_ns``: the monotonic clock of this boot.
     """
@@ -71,7 +71,11 @@
 
 @contextmanager
 def _garbage_collection_off() -> Iterator[None]:
-    """A million small objects that all stay: examining them again and again doubled the time."""
+    """Disable garbage collection for a while.
+
+    Recovery creates a million small objects that all stay, and collecting repeatedly over them
+    doubled the time.
+    """
     was_enabled = gc.isenabled()
     gc.disable()
     try:
@@ -82,7 +86,7 @@
 
 
 def _truncate(path: Path, size: int) -> int:
-    """Cut a file down to a size; returns how many bytes that took off."""
+    """Truncate a file to ``size`` bytes; return the number of bytes removed."""
     torn = path.stat().st_size - size
     if torn > 0:
         with path.open("r+b") as file:
@@ -105,7 +109,7 @@
             if is_other_boot:
                 for record in records:
                     record.recorded_ns = now_ns
-            # Without a loop in Python, which was a third of a start's time.
+            # zip and map avoid a Python loop, which took a third of the start's time.
             recovery.records.update(zip(map(_KEY_OF, records), records, strict=True))
     except msgspec.MsgspecError as error:
         raise JournalUnusableError(f"{path}: a record can't be read: {error}") from error
@@ -114,13 +118,13 @@
 def read_segment(path: Path, is_last: bool) -> SegmentContents:
     """Read the intact blocks of a segment. Raises JournalUnusableError for damage.
 
-    Only the last segment may end in a torn block: it was being written as the process died, and
-    nothing in it was acknowledged.
+    Only the last segment may end in a torn block: the process ended while writing it, and none of
+    its records was acknowledged.
     """
     data = path.read_bytes()
     end = data.find(b"\n") + 1
     if not end and is_last and encode_prefix().startswith(data):
-        return SegmentContents(end=0, payloads=[])  # it was just being begun
+        return SegmentContents(end=0, payloads=[])  # the process ended while creating it
     check_prefix(data[:end], path)
     payloads: list[memoryview] = []
     while end < len(data):
@@ -133,31 +137,30 @@
 
 
 def _read_block(path: Path, data: memoryview, start: int, is_last: bool) -> memoryview | None:
-    """Read the block at ``start``; None where it is the torn end of the last segment."""
-    begin = start + BLOCK_HEADER.size
-    if begin > len(data):
+    """Return the payload of the block at ``start``, or None for a torn end of the last segment."""
+    payload_start = start + BLOCK_HEADER.size
+    if payload_start > len(data):
         _check_may_be_torn(path, start, is_last)
         return None
     size, checksum, header_checksum = BLOCK_HEADER.unpack_from(data, start)
     if crc32(data[start : start + CHECKED_HEADER.size]) != header_checksum:
-        # All zeros are space that the file system had given out, and that a crash left empty.
+        # Only zeros to the end: space that the file system allocated, not written before a crash.
         if is_last and not any(data[start:]):
             return None
         raise JournalUnusableError(
-            f"{path}: the block at byte {start} is damaged (its head's checksum does not hold)"
+            f"{path}: the block at byte {start} is damaged (its header checksum does not match)"
         )
-    end = begin + size
+    end = payload_start + size
     if end > len(data):
         _check_may_be_torn(path, start, is_last)
         return None
-    payload = data[begin:end]
+    payload = data[payload_start:end]
     if crc32(payload) != checksum:
-        # A torn group is the last thing that was written: anything behind it shows that this is
-        # damage.
+        # A torn block is the last one written. If data follows the block, it is damaged instead.
         if is_last and end == len(data):
             return None
         raise JournalUnusableError(
-            f"{path}: the block at byte {start} is damaged (its checksum does not hold)"
+            f"{path}: the block at byte {start} is damaged (its checksum does not match)"
         )
     return payload
 
--- a/pepperhook/idempotency/journal/segments.py
+++ b/pepperhook/idempotency/journal/segments.py
@@ -1,4 +1,4 @@
-"""Segment files: where they are, and how one is written."""
+"""Segment files: their paths, and writing them."""
 
 import contextlib
 import os
@@ -17,21 +17,24 @@
     encode_records,
 )
 
-SEGMENT_BYTES = 16 * 1024 * 1024  # after which the next segment is begun
+SEGMENT_BYTES = 16 * 1024 * 1024  # a segment that reaches this size is closed
 
 
 def segment_path(directory: Path, number: int) -> Path:
-    """Return the file of a segment."""
+    """Return the path of a segment."""
     return directory / f"{number}.log"
 
 
 def segment_numbers(directory: Path) -> list[int]:
-    """Return the numbers of the segments that there are, oldest first."""
+    """Return the numbers of the existing segments, oldest first."""
     return sorted(int(path.stem) for path in directory.glob("*.log") if path.stem.isdecimal())
 
 
 class SegmentWriter:
-    """Appends to the last segment, and begins the next one when it is full. Methods block and raise OSError."""
+    """Appends to the last segment, and starts the next one when it is full.
+
+    Methods block, and raise OSError.
+    """
 
     def __init__(
         self,
@@ -40,24 +43,24 @@
         segment_bytes: int = SEGMENT_BYTES,
         sync: Callable[[int], None] = os.fdatasync,
     ) -> None:
-        """``sync`` makes a file durable, by its descriptor."""
+        """``sync`` makes a file durable, given its descriptor."""
         self.directory = directory
         self.retention = retention
         self.segment_bytes = segment_bytes
         self.sync = sync
         self.number = 0
-        self.durable_bytes = 0  # of the segment that is being written; what may be behind is cut off
+        self.durable_bytes = 0  # of the current segment; bytes after these are cut off
         self._file: BinaryIO | None = None
 
     def open(self) -> None:
-        """Begin a segment behind those that there are."""
+        """Start a new segment after the existing ones."""
         existing = segment_numbers(self.directory)
         self.number = existing[-1] + 1 if existing else 1
-        # When their last record came is not looked up: they count from now.
+        # Their retention counts from now, as the time of their last record is not read.
         now_ns = time.monotonic_ns()
         for number in existing:
             self.retention.add(number, now_ns)
-        self._begin()
+        self._start_segment()
 
     def append(self, records: Sequence[Record]) -> None:
         """Make a group of records durable as one block."""
@@ -71,10 +74,10 @@
             self._rotate()
 
     def discard_failed_write(self) -> None:
-        """Close the file after a failed write: how much of it is on the disk is unknown."""
+        """Close the file after a failed write, of which an unknown part is on the disk."""
         file, self._file = self._file, None
         if file is not None:
-            # What it could not write is given up anyway.
+            # Data that is still buffered is discarded, so an error does not matter.
             with contextlib.suppress(OSError):
                 file.close()
 
@@ -83,7 +86,7 @@
         if self._file is not None:
             self._file.close()
 
-    def _begin(self) -> BinaryIO:
+    def _start_segment(self) -> BinaryIO:
         self.durable_bytes = 0
         self._file = file = segment_path(self.directory, self.number).open("wb")
         header = SegmentHeader(boot_id(), time.monotonic_ns(), time.time_ns())
@@ -96,7 +99,7 @@
         return file
 
     def _sync_directory(self) -> None:
-        """Make a new segment's name durable, too."""
+        """Make a new segment's directory entry durable."""
         descriptor = os.open(self.directory, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -104,9 +107,9 @@
             os.close(descriptor)
 
     def _reopen(self) -> BinaryIO:
-        """Cut the segment back to what is known to be durable, and go on behind that."""
+        """Open the segment, cut to its durable size, for appending."""
         if not self.durable_bytes:
-            return self._begin()
+            return self._start_segment()
         self._file = file = segment_path(self.directory, self.number).open("r+b")
         file.truncate(self.durable_bytes)
         file.seek(self.durable_bytes)
@@ -120,6 +123,6 @@
         self.retention.add(self.number, now_ns)
         self.number += 1
         self.durable_bytes = 0
-        self._begin()
+        self._start_segment()
         for number in self.retention.take_expired(now_ns):
             segment_path(self.directory, number).unlink(missing_ok=True)
--- a/pepperhook/idempotency/journal/writer.py
+++ b/pepperhook/idempotency/journal/writer.py
@@ -1,7 +1,6 @@
-"""The journal as the event loop sees it: records go in, and futures tell when they are durable.
+"""The journal's interface for the event loop: appends records and reports when they are durable.
 
-One thread owns the files. It writes all records that wait as one block with one sync (group
-commit).
+One thread owns the files. It writes all queued records as one block with one sync (group commit).
 """
 
 import asyncio
@@ -22,38 +21,38 @@
 from pepperhook.idempotency.journal.recovery import Recovery, recover
 from pepperhook.idempotency.journal.segments import SEGMENT_BYTES, SegmentWriter
 
-GROUP_DELAY_S = 0.002  # for which a small group waits for more records, once the disk is free
+GROUP_DELAY_S = 0.002  # for which a small group waits for more records before it is written
 SMALL_GROUP = 8  # records; a larger group is written at once
 MAX_QUEUED_RECORDS = 100_000
-RETRY_DELAY_S = 0.05  # after a failed write: against a full disk being tried again in a tight loop
+RETRY_DELAY_S = 0.05  # after a failed write, so that a full disk is not retried in a tight loop
 
 
 class EventLog(Protocol):
-    """Takes events for the operator; called from the writer's thread."""
+    """Logs events for the operator; called in the writer's thread."""
 
     def __call__(self, event: str, **fields: object) -> None:
         """Log one event."""
 
 
 class PendingRecord(Struct):
-    """A record that waits for the disk."""
+    """A record that waits to be written."""
 
     record: Record
-    durable: asyncio.Future[None] | None  # None where nobody waits for it
+    durable: asyncio.Future[None] | None  # None if nothing waits for it
     queued_s: float  # by time.monotonic()
 
 
 class CommitStatistics(Struct):
-    """What the operator sees of the writer's work."""
+    """Statistics of the writer for the operator."""
 
     groups: int = 0
     records: int = 0
     total_wait_s: float = 0.0
     max_wait_s: float = 0.0
-    dropped: int = 0  # records for which nobody waited, as the disk did not keep up
+    dropped: int = 0  # records that nothing waits for, discarded at a full queue
 
     def add_group(self, waits_s: Sequence[float]) -> None:
-        """Add a group of records by how long each has waited."""
+        """Add a group of records, given how long each has waited."""
         self.groups += 1
         self.records += len(waits_s)
         self.total_wait_s += sum(waits_s)
@@ -61,12 +60,12 @@
 
     @property
     def mean_wait_s(self) -> float:
-        """How long a record has waited on average."""
+        """The mean time that a record waited."""
         return self.total_wait_s / max(1, self.records)
 
 
 class Journal:
-    """The one owner of a directory and its files, from ``open`` to ``close``."""
+    """A journal. It has exclusive use of its directory from ``open`` to ``close``."""
 
     def __init__(
         self,
@@ -76,7 +75,7 @@
         segment_bytes: int = SEGMENT_BYTES,
         sync: Callable[[int], None] = os.fdatasync,
     ) -> None:
-        """Name the directory; nothing is opened yet."""
+        """Set the directory and its limits; nothing is opened yet."""
         self.directory = Path(directory)
         self.segments = SegmentWriter(
             self.directory, SegmentRetention(retention_ns), segment_bytes, sync
@@ -89,10 +88,10 @@
         self._queue: list[PendingRecord] = []
         self._queue_changed = threading.Condition()
         self._is_closing = False
-        self._write_error: str | None = None  # the last group's; None once one was written again
+        self._write_error: str | None = None  # of the last group; None after a successful write
 
     def open(self) -> Recovery:
-        """Take the directory and read what is in it. Raises JournalUnusableError."""
+        """Lock the directory and read its records. Raises JournalUnusableError."""
         try:
             self._lock()
             recovery = recover(self.directory, time.monotonic_ns())
@@ -129,7 +128,7 @@
     # On the event loop.
 
     def append(self, record: Record) -> None:
-        """Queue a record for which nobody waits; it is dropped, and counted, behind too many."""
+        """Queue a record that nothing waits for; at a full queue it is dropped and counted."""
         with self._queue_changed:
             if len(self._queue) < MAX_QUEUED_RECORDS:
                 self._enqueue(record, None)
@@ -137,7 +136,7 @@
                 self.statistics.dropped += 1
 
     def append_durably(self, record: Record) -> asyncio.Future[None]:
-        """Queue a record. The future is done when it is durable, or has a JournalWriteError."""
+        """Queue a record; the future is done when it is durable, or has a JournalWriteError."""
         assert self._loop is not None
         durable: asyncio.Future[None] = self._loop.create_future()
         with self._queue_changed:
@@ -154,7 +153,7 @@
         self._queue_changed.notify()
 
     def close(self) -> None:
-        """Write what waits, and release the directory. Blocks for as long as that takes."""
+        """Write the queued records and unlock the directory. Blocks until that is done."""
         with self._queue_changed:
             self._is_closing = True
             self._queue_changed.notify()
@@ -170,20 +169,20 @@
             self.write_group(group)
 
     def _next_group(self) -> list[PendingRecord]:
-        """Wait for records, and take all that there are; an empty list at the close."""
+        """Wait for records, and take all queued ones; return an empty list at the close."""
         with self._queue_changed:
             while not self._queue and not self._is_closing:
                 self._queue_changed.wait()
-            wait_for_more = 0 < len(self._queue) < SMALL_GROUP and not self._is_closing
-        if wait_for_more:
-            # Against a sync for each record where they come one by one.
+            waits_for_more = 0 < len(self._queue) < SMALL_GROUP and not self._is_closing
+        if waits_for_more:
+            # Avoids one sync per record when records arrive one by one.
             time.sleep(GROUP_DELAY_S)
         with self._queue_changed:
             group, self._queue = self._queue, []
         return group
 
     def write_group(self, group: list[PendingRecord]) -> None:
-        """Write a group of records, and tell those that wait how that went."""
+        """Write a group of records, and complete the futures of those that have one."""
         error = self._try_write([pending.record for pending in group])
         now_s = time.monotonic()
         self.statistics.add_group([now_s - pending.queued_s for pending in group])
@@ -191,15 +190,15 @@
         if not futures:
             return
         assert self._loop is not None
-        # Raised where the loop is closed: nobody waits any more.
+        # RuntimeError: the loop is closed, and nothing waits any more.
         with contextlib.suppress(RuntimeError):
             self._loop.call_soon_threadsafe(_resolve, futures, error)
 
     def _try_write(self, records: list[Record]) -> str | None:
-        """Write records; returns what went wrong."""
+        """Write records; return the error text, or None on success."""
         try:
             self.persist(records)
-        except Exception as error:  # an end of the thread would leave all that wait without an end
+        except Exception as error:  # else the thread would end, and its futures would never be done
             reason = getattr(error, "strerror", None) or f"{type(error).__name__}: {error}"
             if self._write_error is None:
                 self._log_event("journal_write_failed", directory=self.directory, error=reason)
@@ -220,7 +219,7 @@
 def _resolve(futures: list[asyncio.Future[None]], error: str | None) -> None:
     for future in futures:
         if future.done():
-            continue  # whoever waited for it has gone
+            continue  # it was cancelled meanwhile
         if error is None:
             future.set_result(None)
         else:
@@ -229,4 +228,4 @@
 
 def _fail(future: asyncio.Future[None], error: str) -> None:
     future.set_exception(JournalWriteError(error))
-    future.exception()  # marks it as retrieved: the loop would else log those that nobody awaits
+    future.exception()  # marks it as retrieved; else the loop logs it if it is never awaited
--- a/pepperhook/idempotency/member_list.py
+++ b/pepperhook/idempotency/member_list.py
@@ -1,4 +1,4 @@
-"""The member list on disk: the operator's file, and the history of lists that still count."""
+"""The member list on disk: the operator's file, and the history of lists that still matter."""
 
 import os
 from pathlib import Path
@@ -16,20 +16,20 @@
 
 
 class MemberListError(PepperhookError, ValueError):
-    """The file can't be used; the text names file and key in one line."""
+    """The file can't be used; the one-line message names file and key."""
 
 
 class MemberListFile:
-    """The file that an operator writes, the same at all members."""
+    """The member list file, written by an operator and identical for all members."""
 
     def __init__(self, path: str | Path, own_name: str) -> None:
-        """``own_name``: the member's LB_NAME, which must be in the list."""
+        """Note the file's state; ``own_name`` is the LB_NAME, which must be in the list."""
         self.path = Path(path)
         self.own_name = own_name
         self.stamp = self._read_stamp()
 
     def has_changed(self) -> bool:
-        """Whether the file was replaced or written since the last call."""
+        """Return whether the file was replaced or written since the last call."""
         before, self.stamp = self.stamp, self._read_stamp()
         return self.stamp != before
 
@@ -41,7 +41,7 @@
         return status.st_mtime_ns, status.st_size, status.st_ino
 
     def read(self) -> MemberList:
-        """Read and check the list. Raises ValueError with one line."""
+        """Read and check the list. Raises ValueError with a one-line message."""
         members: MemberList = tomlfile.read(self.path, MemberList)
         self._check_names(members)
         for member in members.members:
@@ -51,7 +51,7 @@
     def _check_names(self, members: MemberList) -> None:
         names = [member.name for member in members.members]
         if len(set(names)) != len(names):
-            raise MemberListError(f"{self.path}: members: a name is there twice")
+            raise MemberListError(f"{self.path}: members: a name is listed twice")
         if self.own_name not in names:
             raise MemberListError(
                 f"{self.path}: members: {self.own_name!r} (LB_NAME) is not among {', '.join(names)}"
@@ -66,17 +66,17 @@
 
 
 class MemberListHistory:
-    """The lists that still count, oldest first, on disk.
+    """The lists that still matter, oldest first, on disk.
 
-    A member that was down during a change must know that there was one.
+    A member that was down during a change needs the previous list to detect the change.
     """
 
     def __init__(self, directory: Path) -> None:
-        """Keep the copy in the journal's directory."""
+        """Use a file in ``directory``, which is the journal's."""
         self.path = directory / HISTORY_FILE
 
     def load(self) -> list[MemberList]:
-        """Read the lists; there may be none. Raises OSError and msgspec.MsgspecError."""
+        """Read the lists; return none if nothing was saved. Raises OSError and MsgspecError."""
         try:
             data = self.path.read_bytes()
         except FileNotFoundError:
@@ -84,7 +84,7 @@
         return msgspec.json.decode(data, type=list[MemberList])
 
     def save(self, lists: list[MemberList]) -> None:
-        """Replace the lists by one atomic step. Raises OSError."""
+        """Replace the saved lists atomically. Raises OSError."""
         temporary = self.path.with_suffix(".fresh")
         with temporary.open("wb") as file:
             file.write(msgspec.json.encode(lists))
--- a/pepperhook/idempotency/ownership.py
+++ b/pepperhook/idempotency/ownership.py
@@ -1,14 +1,14 @@
-"""Decides which edge balancer owns a key, and when ownership may pass to another, without I/O.
+"""Determines which edge balancer owns a key, and when ownership may change, without I/O.
 
 A key's owner is the member with the highest hash of its name and the key (rendezvous hashing,
-Thaler and Ravishankar 1998): all that have the same list agree without a message, and a change
-moves only the keys of members that came or went.
+Thaler and Ravishankar 1998). Members with the same list agree without exchanging messages, and a
+change of the list moves only keys of members that were added or removed.
 
-Two members with different lists may both think that they own a key. Each list therefore has a
-number, its epoch, which goes along with each forwarded request, and an owner accepts none of
-another epoch. A new owner does not know what the one before still remembers. For what must not run
-twice it waits until the former owner was seen with the new list, and so accepts nothing by the old
-one any more, and then for the service class's window.
+Two members with different lists may both consider themselves the owner of a key. Each list
+therefore has a number, its epoch, which is sent with each forwarded request, and an owner accepts
+only requests of its own epoch. A new owner does not have the former owner's entries. Before it
+accepts a request that must not run twice, it waits until the former owner has reported the new
+list, after which that one accepts nothing by the old list, and then for the service class's window.
 
 Times are whole nanoseconds.
 """
@@ -26,16 +26,16 @@
     """One edge balancer."""
 
     name: Annotated[str, Meta(min_length=1, max_length=64)]  # its LB_NAME
-    address: str  # HOST:PORT where the others reach it
+    address: str  # HOST:PORT at which other members connect
 
 
 class MemberList(Struct, forbid_unknown_fields=True, kw_only=True):
-    """A numbered list of members, in the form of its file."""
+    """A numbered list of members, in the format of its file."""
 
     version: Annotated[int, Meta(ge=1, le=1)]
     epoch: Annotated[int, Meta(ge=1)]
     members: Annotated[list[Member], Meta(min_length=1, max_length=200)]
-    dead: list[str] = []  # former members that an operator vouches for: they run no more
+    dead: list[str] = []  # former members that an operator declares no longer running
 
 
 def owner_of(key: bytes, members: Sequence[Member]) -> Member:
@@ -49,24 +49,25 @@
 
 
 class Ownership:
-    """The view of one member. ``now_ns`` must never go back."""
+    """Ownership of keys as one member sees it. ``now_ns`` must never decrease between calls."""
 
     def __init__(
         self, own_name: str, current: MemberList, previous: Sequence[MemberList], now_ns: int
     ) -> None:
-        """``previous`` has lists that somebody may still go by, or remember keys from.
+        """Set the current list; ``previous`` has the earlier lists that still matter.
 
-        It is more than one where changes come close together: a key may have gone from A to B and
-        back, and then it is B that remembers it.
+        Members may still use a previous list, or have entries from the time when they did. There
+        are several if changes follow each other closely: if a key has moved from A to B and back,
+        B has its entry.
         """
         self.own_name = own_name
         self.current = current
-        self.previous = [known for known in previous if known.epoch < current.epoch]
-        self._released_ns: dict[str, int] = {}  # by former owner: when it was seen past its lists
+        self.previous = [earlier for earlier in previous if earlier.epoch < current.epoch]
+        self._released_ns: dict[str, int] = {}  # by former owner: when released
         self._release_known(now_ns)
 
     def replace(self, now_ns: int, newer: MemberList) -> bool:
-        """Take a newer list; False where it is not newer."""
+        """Replace the current list; return False if the other list is not newer."""
         if newer.epoch <= self.current.epoch:
             return False
         self.previous.append(self.current)
@@ -76,23 +77,29 @@
         return True
 
     def _release_known(self, now_ns: int) -> None:
-        """Release this member itself, and those that the operator vouches for."""
+        """Mark this member itself, and members that an operator declares dead, as released.
+
+        A released member accepts no more requests by a previous list.
+        """
         self.epoch_seen(now_ns, self.own_name, self.current.epoch)
         for name in self.current.dead:
             self._released_ns.setdefault(name, now_ns)
 
     def epoch_seen(self, now_ns: int, name: str, epoch: int) -> None:
-        """Note that a member has reported the list of an epoch."""
+        """Note that a member has reported the epoch of its list."""
         if epoch >= self.current.epoch:
             self._released_ns.setdefault(name, now_ns)
 
     def unconfirmed_members(self) -> list[Member]:
-        """Return the members of previous lists that have not reported the current one."""
-        by_name = {member.name: member for known in self.previous for member in known.members}
+        """Return the members of previous lists that may still use one of these lists."""
+        by_name = {member.name: member for earlier in self.previous for member in earlier.members}
         return [member for name, member in by_name.items() if name not in self._released_ns]
 
     def settle(self, now_ns: int, longest_window_ns: int) -> bool:
-        """Forget the previous lists where nothing of them counts any more; whether none is left."""
+        """Drop the previous lists once no entries from them matter; return whether none is left.
+
+        That is ``longest_window_ns`` after the last of their members was released.
+        """
         if self.previous and not self.unconfirmed_members():
             last_released_ns = max(self._released_ns.values(), default=0)
             if now_ns >= last_released_ns + longest_window_ns:
@@ -100,14 +107,17 @@
         return not self.previous
 
     def owner(self, key: bytes) -> Member:
-        """Return the owner of a key by the current list."""
+        """Return the owner of a key according to the current list."""
         return owner_of(key, self.current.members)
 
     def may_accept(self, now_ns: int, key: bytes, window_ns: int) -> bool:
-        """Whether this member, the key's owner, may accept a request that must not run twice."""
+        """Return whether this member, as the key's owner, may accept a request.
+
+        For requests that must not run twice, whose service class has ``window_ns``.
+        """
         return all(
-            self._is_released(now_ns, owner_of(key, known.members).name, window_ns)
-            for known in self.previous
+            self._is_released(now_ns, owner_of(key, earlier.members).name, window_ns)
+            for earlier in self.previous
         )
 
     def _is_released(self, now_ns: int, former_owner: str, window_ns: int) -> bool:
--- a/pepperhook/idempotency/peer_client.py
+++ b/pepperhook/idempotency/peer_client.py
@@ -1,4 +1,4 @@
-"""Connections to other edge balancers: forwards requests, and polls epochs."""
+"""Client connections to other edge balancers, for forwarded requests and polls of epochs."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 CONNECT_TIMEOUT_S = 0.3
 HEALTH_TIMEOUT_S = 2 * CONNECT_TIMEOUT_S
 
-UNREACHABLE_ERRORS = (NotSentError,)  # nothing was sent
-BROKEN_ERRORS = (AttemptError,)  # it may have been received
+UNREACHABLE_ERRORS = (NotSentError,)  # the request was not sent
+BROKEN_ERRORS = (AttemptError,)  # the request may have been received
 
 
 class PeerClient:
     """The connections to all other members, by address."""
 
     def __init__(self) -> None:
-        """Connections are opened as they are needed."""
+        """Open no connection yet; they are opened when needed."""
         self._connections: dict[str, Any] = {}
 
     async def poll_epoch(self, member: Member) -> int | None:
-        """Ask a member for the epoch of its list; None where it does not answer."""
+        """Return the epoch of a member's list, or None without a valid response."""
         try:
             status, _, body = await self._connection(member).request(
                 "GET", HEALTH_TARGET, [], b"", HEALTH_TIMEOUT_S
@@ -40,10 +40,10 @@
         headers: list[tuple[str, str]],
         timeout_s: float,
     ) -> tuple[int, Any, bytes]:
-        """Forward a message; returns status, headers and body.
+        """Forward a request; return status, headers and body of the response.
 
-        Raises UNREACHABLE_ERRORS where nothing was sent, and BROKEN_ERRORS where it may have been
-        received.
+        Raises one of UNREACHABLE_ERRORS if the request was not sent, and one of BROKEN_ERRORS if it
+        may have been received.
         """
         reply: tuple[int, Any, bytes] = await http1_client.retry_stale_connections(
             lambda: self._connection(member).request(
--- a/pepperhook/idempotency/peer_protocol.py
+++ b/pepperhook/idempotency/peer_protocol.py
@@ -1,8 +1,8 @@
-"""The protocol between edge balancers: clients' requests, forwarded whole over HTTP.
+"""The protocol between edge balancers: whole client requests, forwarded over HTTP.
 
-A request goes to the member that owns its key, with the epoch of the sender's member list in
-``Pepperhook-Epoch``. An owner with another list answers 421. ``GET /_health`` tells a member's
-epoch.
+A request is forwarded to the member that owns its key, with the epoch of the sender's member list
+in ``Pepperhook-Epoch``. An owner with another epoch responds with 421. ``GET /_health`` returns a
+member's epoch.
 """
 
 from collections.abc import Iterable, Mapping
@@ -30,18 +30,18 @@
 ERRORS_OF_THE_CLIENT = frozenset((BAD_REQUEST, CONFLICT, UNPROCESSABLE))
 
 NS_PER_S = 10**9
-MAX_REASON = 200  # characters of an owner's error text that are passed on
+MAX_REASON = 200  # characters of an owner's error text that are relayed
 
 _EPOCH_WORD = "epoch"
 
 
 def encode_health(epoch: int) -> str:
-    """Return the body that tells a member's epoch."""
+    """Return the body of a health response, which carries a member's epoch."""
     return f"{_EPOCH_WORD} {epoch}\n"
 
 
 def decode_health(status: int, body: bytes) -> int | None:
-    """Read a member's epoch; None where the answer tells none."""
+    """Return a member's epoch, or None if the health response has none."""
     word, _, number = body.decode(errors="replace").strip().partition(" ")
     if status != OK or word != _EPOCH_WORD or not number.isdecimal():
         return None
@@ -56,8 +56,8 @@
 ) -> list[tuple[str, str]]:
     """Return the headers of a forwarded request.
 
-    ``headers`` go on to upstreams, too; ``read_headers`` are those that this balancer itself has
-    read.
+    ``headers`` are those that are also sent to upstreams; ``read_headers`` are those that this
+    balancer interprets itself.
     """
     forwarded = [
         *headers,
@@ -72,7 +72,10 @@
 def decode_reply(
     status: int, headers: Mapping[str, Any], body: bytes, max_retry_after_ns: int
 ) -> Reply:
-    """Turn an owner's answer into the reply to the client, which promises nothing beyond it."""
+    """Convert an owner's response to the reply to the client.
+
+    Any status without a defined meaning becomes "failed", as the request may have run.
+    """
     if status == OK:
         return served(body, headers.get("Content-Type"))
     if status in (UNAVAILABLE, MISDIRECTED):
@@ -84,7 +87,7 @@
 
 
 def _decode_retry_after(value: str) -> int:
-    """Read seconds, which may have a fraction, as nanoseconds."""
+    """Convert seconds, which may have a fraction, to nanoseconds; 0 if malformed."""
     if not value.replace(".", "", 1).isdecimal():
         return 0
     return int(float(value) * NS_PER_S)
--- a/pepperhook/idempotency/peer_server.py
+++ b/pepperhook/idempotency/peer_server.py
@@ -1,4 +1,4 @@
-"""The listener for what other edge balancers forward."""
+"""The listener for requests that other edge balancers forward."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from pepperhook.server.http1_server import ConnectionLimits, Http1Server
 from pepperhook.server.ingress import Ingress
 
-CONNECTION_LIMITS = ConnectionLimits(soft=256, hard=300)  # of other members
+CONNECTION_LIMITS = ConnectionLimits(soft=256, hard=300)  # connections of other members
 
 
 class PeerIngress(Ingress):
-    """Validates forwarded requests like those of clients, and the epoch that comes with them."""
+    """Validates forwarded requests like those of clients, and additionally their epoch."""
 
     def __init__(self, ownership: Ownership, client_ingress: Any) -> None:
-        """Share the state of the clients' ingress: an id is under way once, however it came."""
+        """Share the state of the clients' ingress, so that a request id is unique across both."""
         vars(self).update(vars(client_ingress))
         self.ownership = ownership
 
@@ -27,11 +27,11 @@
         return self.ownership.current.epoch
 
     def health(self) -> tuple[int, str]:
-        """Tell the epoch of this member's list."""
+        """Return status and body of a health response, which carries the epoch of the list."""
         return 200, encode_health(self._epoch)
 
     def message(self, method: str, target: str, headers: Any, *rest: Any) -> Any:
-        """Accept a request of the same epoch only. Raises RequestRefusedError."""
+        """Accept a request. Raises RequestRefusedError if its epoch is not this member's."""
         message = super().message(method, target, headers, *rest)
         epoch = headers.get(EPOCH_HEADER)
         if epoch != str(self._epoch):
@@ -41,7 +41,7 @@
 
 
 def listen(host: Host, ownership: Ownership) -> Http1Server:
-    """Open the listener on this member's own address in the list."""
+    """Open the listener at this member's address in the list."""
     server = Http1Server(
         host.runtime,
         host.counters,
--- a/pepperhook/idempotency/peers.py
+++ b/pepperhook/idempotency/peers.py
@@ -1,8 +1,8 @@
-"""Routes a request to the edge balancer that owns its key, and follows changes of the member list.
+"""Forwards requests to the edge balancer that owns their key, and applies new member lists.
 
-The owner stores the key, records it, runs the request and answers; the other balancer passes the
-answer on. All that can happen to a key so happens in one process. Where the owner can't be reached,
-or is not sure to be the only one, a request that must not run twice is rejected.
+The owner stores the key, records it, runs the request and responds, and the forwarding balancer
+relays the response. All decisions on a key are thus made in one process. If the owner can't be
+reached, or may not be the only owner, a request that must not run twice is rejected.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 from pepperhook.idempotency.service_classes import ServiceClassPolicy, class_number, is_safe
 
 NS_PER_S = 10**9
-POLL_INTERVAL_S = 0.5  # between looks at the file, and at members that are behind
-RETURN_MARGIN_NS = 5 * 10**6  # of a request's time, for the answer's way back from the owner
-RETRY_AFTER_NS = NS_PER_S  # advice while a key's owner is away or changing
+POLL_INTERVAL_S = 0.5  # for checks of the file and of members with an older list
+RETURN_MARGIN_NS = 5 * 10**6  # of a request's time limit, for relaying the owner's response
+RETRY_AFTER_NS = NS_PER_S  # Retry-After while a key's owner is unreachable or changing
 
 
 class PeerCounters(Struct):
-    """What became of requests whose key another member owns, or has owned."""
+    """Counters of requests whose key another member owns or owned, and of failed saves."""
 
     forwarded: int = 0
     owner_unreachable: int = 0
@@ -47,18 +47,21 @@
 
 
 class Peers:
-    """One of the edge balancers. Owns the listener, the connections and the tasks for them."""
+    """This balancer's side of the protocol between edge balancers.
+
+    Owns the listener, the connections to other members and the tasks.
+    """
 
     reads = FORWARDED_HEADERS
 
     def __init__(self, path: str, own_name: str, log: Log) -> None:
-        """Read the member list. Raises ValueError with one line."""
+        """Read the member list. Raises ValueError with a one-line message."""
         self.file = MemberListFile(path, own_name)
         self.ownership = Ownership(own_name, self.file.read(), [], 0)
         self.counters = PeerCounters()
         self._log = log
         self._client = PeerClient()
-        self._forwarding: set[asyncio.Task[Reply | None]] = set()
+        self._forwarding_tasks: set[asyncio.Task[Reply | None]] = set()
         self._policies: Sequence[ServiceClassPolicy] = ()
         self._max_retry_after_ns = 0
         self._history: MemberListHistory | None = None
@@ -73,32 +76,32 @@
         max_retry_after_ns: int,
         journal_directory: Path | None,
     ) -> None:
-        """Listen to other members, and follow the list's file."""
+        """Start the listener for other members, and the task that watches the member list."""
         self._host = host
         self._policies = policies
         self._max_retry_after_ns = max_retry_after_ns
         if journal_directory is not None:
             self._history = MemberListHistory(journal_directory)
-        self._resume(host.runtime.now())
+        self._restore_lists(host.runtime.now())
         self._save_history()
         self._server = peer_server.listen(host, self.ownership)
         self._watcher = host.runtime.supervisor.start("idempotency peers", self._watch)
 
     # The member list.
 
-    def _resume(self, now_ns: int) -> None:
-        """Go on from the lists that counted when this process was last up."""
-        known = self._load_history()
+    def _restore_lists(self, now_ns: int) -> None:
+        """Restore the lists that were saved when this process last ran."""
+        saved = self._load_history()
         current = self.ownership.current
-        if known and known[-1].epoch > current.epoch:
+        if saved and saved[-1].epoch > current.epoch:
             self._log.warning(
                 "member_list_older_than_saved",
                 path=self.file.path,
                 epoch=current.epoch,
-                saved_epoch=known[-1].epoch,
+                saved_epoch=saved[-1].epoch,
             )
-            current = known.pop()
-        self.ownership = Ownership(self.file.own_name, current, known, now_ns)
+            current = saved.pop()
+        self.ownership = Ownership(self.file.own_name, current, saved, now_ns)
 
     def _load_history(self) -> list[MemberList]:
         if self._history is None:
@@ -112,9 +115,9 @@
             return []
 
     def _save_history(self) -> None:
-        """Save the lists that count; where the disk refuses, the next change tries again.
+        """Save the lists that still matter; after a failure, the next change saves them again.
 
-        This member goes on by what it has in memory; only its restart would know less.
+        Until then this member uses the lists in memory; only a restart would lose them.
         """
         if self._history is None:
             return
@@ -148,7 +151,7 @@
             )
 
     async def _poll_members(self) -> None:
-        """Ask members that are behind for their epochs; forget previous lists when possible."""
+        """Poll the epochs of unconfirmed members; drop the previous lists when possible."""
         if not self.ownership.previous:
             return
         for member in self.ownership.unconfirmed_members():
@@ -165,16 +168,16 @@
     def route(
         self, now_ns: int, key: bytes, request: Any, message: Any
     ) -> Reply | asyncio.Task[Reply | None] | None:
-        """Return None where this member accepts the request; else a reply, or a task for one."""
+        """Return None if this member accepts the request, else a reply or a task for one."""
         owner = self.ownership.owner(key)
         if owner.name == self.ownership.own_name:
             return self._accept_as_owner(now_ns, key, request)
         if EPOCH_HEADER in message.read_headers:
-            # With the same list it can't come to a wrong member, unless two have one name.
+            # Both members have the same list, so this happens only if two members share a name.
             return refused(MISDIRECTED, "this member does not own the key")
         task = self._host.runtime.loop.create_task(self._forward(owner, request, message))
-        self._forwarding.add(task)
-        task.add_done_callback(self._forwarding.discard)
+        self._forwarding_tasks.add(task)
+        task.add_done_callback(self._forwarding_tasks.discard)
         return task
 
     def _accept_as_owner(self, now_ns: int, key: bytes, request: Any) -> Reply | None:
@@ -185,15 +188,15 @@
         return self._rejected()
 
     async def _forward(self, owner: Member, request: Any, message: Any) -> Reply | None:
-        """Return the owner's reply; None where the request may be served here without its key.
+        """Return the owner's reply, or None if this member may serve the request without its key.
 
-        Where the owner's reply stays unknown the request has failed, as it may have run there.
+        If the connection fails after sending, the reply is "failed", as the request may have run.
         """
         self.counters.forwarded += 1
-        left_ns = request.deadline - self._host.runtime.now() - RETURN_MARGIN_NS
-        if left_ns <= 0:
+        remaining_ns = request.deadline - self._host.runtime.now() - RETURN_MARGIN_NS
+        if remaining_ns <= 0:
             return rejected()
-        timeout_s = left_ns / NS_PER_S
+        timeout_s = remaining_ns / NS_PER_S
         headers = forwarded_headers(
             message.headers, message.read_headers, self.ownership.current.epoch, timeout_s
         )
@@ -212,18 +215,18 @@
         return rejected(min(RETRY_AFTER_NS, self._max_retry_after_ns))
 
     def counters_by_name(self) -> dict[str, int]:
-        """Return figures for the operator."""
+        """Return counters for the operator."""
         return asdict(self.counters)
 
     # Shutdown.
 
     async def drain(self, accept_s: float, within_s: float) -> None:
-        """Stop listening, and answer what other members wait for."""
+        """Stop accepting, and complete the requests that other members forwarded."""
         await self._server.close(accept_s, within_s)
 
     async def close(self) -> None:
         """Stop all tasks and close all connections."""
-        tasks = [self._watcher, *self._forwarding]
+        tasks = [self._watcher, *self._forwarding_tasks]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/pepperhook/idempotency/recorder.py
+++ b/pepperhook/idempotency/recorder.py
@@ -1,4 +1,4 @@
-"""Records what happens to keyed requests, so that none runs twice over a restart."""
+"""Records the states of keyed requests, so that none runs twice because of a restart."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class KeyedRequest(Struct, frozen=True):
-    """The identity of a running request's key, by which it is recorded."""
+    """The identity of a running request's key in records, with names instead of numbers."""
 
     key: bytes
     fingerprint: bytes
@@ -23,15 +23,15 @@
 
 
 class RequestRecorder:
-    """Writes records of keyed requests that must not run twice."""
+    """Writes records of keyed requests that must not run twice to the journal."""
 
     def __init__(self, journal: Journal, runtime: Runtime) -> None:
-        """``runtime``: the clock that request times are by."""
+        """``runtime`` has the clock that request times are measured by."""
         self.journal = journal
         self.runtime = runtime
 
     def record_started(self, keyed: KeyedRequest) -> asyncio.Future[None]:
-        """Record that a request is about to run; the future is done when that is durable."""
+        """Record that a request is about to run; the future is done when the record is durable."""
         return self.journal.append_durably(self._record(RecordKind.STARTED, keyed))
 
     def record_finished(
@@ -41,7 +41,11 @@
         response: StoredResponse | None,
         is_handed_over: bool,
     ) -> None:
-        """Record how a request has ended; ``state``: what its entry has come to."""
+        """Record how a request has ended.
+
+        ``state``: the state of its entry. ``is_handed_over``: a waiter runs next and is recorded
+        itself, so NEVER_RAN is not.
+        """
         if state is EntryState.COMPLETED:
             self.journal.append(self._record(RecordKind.COMPLETED, keyed, response))
         elif state is EntryState.INDETERMINATE:
@@ -64,7 +68,7 @@
         )
 
     def counters(self) -> dict[str, Any]:
-        """Return figures for the operator."""
+        """Return counters for the operator."""
         statistics = self.journal.statistics
         return {
             "commits": statistics.groups,
--- a/pepperhook/idempotency/recovered.py
+++ b/pepperhook/idempotency/recovered.py
@@ -1,7 +1,7 @@
 """Entries from before the last start, decoded only when needed.
 
-Turning a million journal records into entries at the start took six seconds. A record is therefore
-decoded when its key arrives again or its window may be over.
+Decoding a million journal records at the start took six seconds. A record is therefore decoded when
+its key arrives again or its window may have ended.
 """
 
 from collections.abc import Callable
@@ -12,27 +12,27 @@
 from pepperhook.idempotency.capacity import ENTRY_BYTES
 from pepperhook.idempotency.entries import StoredResponse
 
-EXPIRY_BATCH = 200  # records examined in one call: bounds the time that a single request pays for
+EXPIRY_BATCH = 200  # records examined per call, which bounds the delay of a single request
 
 
 class RecoveredEntry(Struct, frozen=True):
-    """What a journal knows of one key. ``tenant`` is None where the settings don't know it."""
+    """What a journal has on one key. ``tenant`` is None if the settings do not list it."""
 
     fingerprint: bytes
     service_class: int
     tenant: int | None
     response: StoredResponse | None
-    is_completed: bool  # served; else it may have run
+    is_completed: bool  # served; otherwise it may have run
     expires_ns: int
 
     @property
     def size(self) -> int:
-        """Bytes to account for."""
+        """Bytes charged to the tenant's partition."""
         return ENTRY_BYTES + (0 if self.response is None else len(self.response.body))
 
 
 class TenantUsage(Struct, frozen=True):
-    """What the recovered entries of one tenant take."""
+    """The capacity that the recovered entries of one tenant use."""
 
     tenant: int | None
     entries: int
@@ -40,14 +40,14 @@
 
 
 class RecoveredEntries:
-    """Records by key that are not decoded yet, in the order in which their requests ended."""
+    """Records that are not decoded yet, by key, in the order in which their requests ended."""
 
     def __init__(
         self,
         records: dict[bytes, Any] | None = None,
         decode: Callable[[Any], RecoveredEntry] | None = None,
     ) -> None:
-        """Take over the records; ``decode`` turns one of them into an entry."""
+        """Store the records; ``decode`` converts a record to an entry."""
         self.records: dict[bytes, Any] = records if records is not None else {}
         self._decode = decode
         self._expiry_order = list(self.records)
@@ -63,12 +63,12 @@
         return self._decode(record)
 
     def take(self, key: bytes) -> RecoveredEntry | None:
-        """Remove and decode the record of a key."""
+        """Remove and decode the record of a key; return None if there is none."""
         record = self.records.pop(key, None)
         return None if record is None else self.decode(record)
 
     def take_expired(self, now_ns: int) -> list[RecoveredEntry]:
-        """Remove and decode a batch of records whose windows are over."""
+        """Remove and decode expired records, examining at most EXPIRY_BATCH records."""
         expired: list[RecoveredEntry] = []
         batch = self._expiry_order[self._examined : self._examined + EXPIRY_BATCH]
         for key in batch:
--- a/pepperhook/idempotency/replies.py
+++ b/pepperhook/idempotency/replies.py
@@ -1,4 +1,4 @@
-"""What a client receives for a request that does not run itself, in the balancer's types."""
+"""Responses to requests that are not run themselves, as the balancer's types."""
 
 from pepperhook.idempotency.entries import Decision, StoredResponse, Verdict
 from pepperhook.server.ingress import RequestRefusedError
@@ -6,9 +6,8 @@
 
 KEY_HEADER = "Idempotency-Key"
 
-Reply = (
-    FinalResponse | RequestRefusedError
-)  # a final answer, or an HTTP error that the client has caused
+# A final response, or an HTTP error that the client has caused.
+Reply = FinalResponse | RequestRefusedError
 
 BAD_REQUEST = 400
 CONFLICT = 409
@@ -16,32 +15,32 @@
 
 
 def served(body: bytes, content_type: str | None) -> FinalResponse:
-    """Answer with an upstream's response."""
+    """Return a reply that carries an upstream's response."""
     return FinalResponse(ResponseKind.SERVED, body, content_type)
 
 
-def is_served(answer: FinalResponse) -> bool:
-    """Whether an answer carries an upstream's response."""
-    return answer.kind is ResponseKind.SERVED
+def is_served(response: FinalResponse) -> bool:
+    """Return whether a final response carries an upstream's response."""
+    return response.kind is ResponseKind.SERVED
 
 
 def rejected(retry_after_ns: int = 0) -> FinalResponse:
-    """Answer that the request surely has not run, with advice when to try again."""
+    """Return a reply that the request has certainly not run; 0 sends no Retry-After."""
     return FinalResponse(ResponseKind.REJECTED, retry_after_ns=retry_after_ns)
 
 
 def failed() -> FinalResponse:
-    """Answer without a promise: the request may have run."""
+    """Return a reply that the request has failed; it may have run."""
     return FinalResponse(ResponseKind.FAILED)
 
 
 def refused(status: int, text: str) -> RequestRefusedError:
-    """Answer with an HTTP error; ``text`` is one line."""
+    """Return an HTTP error; ``text`` is one line."""
     return RequestRefusedError(status, text)
 
 
 def reply_to(decision: Decision, max_retry_after_ns: int) -> Reply:
-    """Turn a decision into a reply; not for NEW and WAIT, which have none yet."""
+    """Convert a decision to a reply. Raises ValueError for NEW and WAIT, which have none yet."""
     match decision.verdict:
         case Verdict.REPLAY:
             return _replayed(decision.response)
--- a/pepperhook/idempotency/restoration.py
+++ b/pepperhook/idempotency/restoration.py
@@ -1,4 +1,4 @@
-"""Gives what a journal knows to the store after a restart."""
+"""Restores the store from a journal after a restart."""
 
 from collections import Counter
 from collections.abc import Callable, Sequence
@@ -20,10 +20,10 @@
 
 
 class Restored(Struct, frozen=True):
-    """How much was given to the store."""
+    """How many entries were restored."""
 
     entries: int
-    interrupted: int  # requests that were running as the process died
+    interrupted: int  # requests that were running when the process ended
 
 
 def restore(
@@ -33,9 +33,10 @@
     now_ns: int,
     clock_offset_ns: int,
 ) -> Restored:
-    """Fill an empty store. Tenants that the settings no longer know count as unknown.
+    """Fill an empty store. Tenants that the settings no longer list count as unknown.
 
-    ``clock_offset_ns``: from the machine's monotonic clock to that of ``now_ns``.
+    ``clock_offset_ns`` is added to times of the machine's monotonic clock to get times of the clock
+    of ``now_ns``.
     """
     service_classes = {
         policy.name: number
@@ -43,19 +44,21 @@
         if policy.window_ns
     }
     tenants = {name: number for number, name in enumerate(tenant_names)}
-    records = _relevant(recovery.records, service_classes)
-    decode = _decoder(service_classes, tenants, store.service_classes, now_ns, clock_offset_ns)
-    store.restore(records, decode, _usage(records, tenants))
+    records = _filter_records(recovery.records, service_classes)
+    decode = _make_decoder(service_classes, tenants, store.service_classes, now_ns, clock_offset_ns)
+    store.restore(records, decode, _usage_by_tenant(records, tenants))
     kinds = Counter(map(_KIND_OF, records.values()))
     return Restored(entries=len(records), interrupted=kinds[RecordKind.STARTED])
 
 
-def _relevant(records: dict[bytes, Record], service_classes: dict[str, int]) -> dict[bytes, Record]:
-    """Leave out what never ran, and service classes in which keys are not looked at any more."""
-    # A look without a loop in Python, as there is mostly nothing to leave out of a million records.
+def _filter_records(
+    records: dict[bytes, Record], service_classes: dict[str, int]
+) -> dict[bytes, Record]:
+    """Omit requests that never ran, and service classes whose keys are now ignored."""
+    # Of a million records there is usually none to omit, which map() detects without a Python loop.
     kinds = set(map(_KIND_OF, records.values()))
-    known = set(map(_SERVICE_CLASS_OF, records.values()))
-    if RecordKind.NEVER_RAN not in kinds and known <= set(service_classes):
+    recorded_classes = set(map(_SERVICE_CLASS_OF, records.values()))
+    if RecordKind.NEVER_RAN not in kinds and recorded_classes <= set(service_classes):
         return records
     return {
         key: record
@@ -64,7 +67,7 @@
     }
 
 
-def _decoder(
+def _make_decoder(
     service_classes: dict[str, int],
     tenants: dict[str, int],
     policies: Sequence[ServiceClassPolicy],
@@ -73,7 +76,7 @@
 ) -> Callable[[Record], RecoveredEntry]:
     def decode(record: Record) -> RecoveredEntry:
         number = service_classes[record.service_class]
-        # What was running may have run until the process died, whenever that was.
+        # An interrupted request may have run until the process ended, at an unknown time.
         is_interrupted = record.kind == RecordKind.STARTED
         ended_ns = now_ns if is_interrupted else record.recorded_ns + clock_offset_ns
         response = None
@@ -91,8 +94,8 @@
     return decode
 
 
-def _usage(records: dict[bytes, Record], tenants: dict[str, int]) -> list[TenantUsage]:
-    """Sum up what each tenant's records take."""
+def _usage_by_tenant(records: dict[bytes, Record], tenants: dict[str, int]) -> list[TenantUsage]:
+    """Sum up the capacity that each tenant's records use."""
     counts = Counter(map(_TENANT_OF, records.values()))
     body_bytes = dict.fromkeys(counts, 0)
     for record in records.values():
--- a/pepperhook/idempotency/service_classes.py
+++ b/pepperhook/idempotency/service_classes.py
@@ -1,6 +1,7 @@
-"""Service classes and tenants as this package needs them, read from the balancer's settings.
+"""Service classes and tenants, read from the balancer's settings.
 
-All of the package's knowledge of the settings' form, and of the form of a request, is here.
+Only this module of the package depends on the structure of the settings, and on how a request
+refers to its service class.
 """
 
 from __future__ import annotations
@@ -15,20 +16,23 @@
     from pepperhook.operator_config.schema import IdempotencyTable
 
 NS_PER_S = 10**9
-MIN_QUOTA = 1e-9  # a tenant without a quota still has the smallest partition
+MIN_QUOTA = 1e-9  # for tenants without a quota, which get the smallest partition
 
 
 class ServiceClassPolicy(Struct, frozen=True):
-    """How keys of one service class are treated."""
+    """How keys of one service class are handled."""
 
     name: str
-    window_ns: int  # how long a key counts after its request has ended; 0: keys are ignored
+    window_ns: int  # how long a key applies after its request has ended; 0: keys are ignored
     is_safe: bool
     is_key_required: bool = False
 
 
 def read_policies(table: IdempotencyTable, config: Any) -> list[ServiceClassPolicy]:
-    """Read the policies of all service classes, by number. Raises ValueError with one line."""
+    """Read the policies of all service classes, indexed by number.
+
+    Raises ValueError with a one-line message.
+    """
     names = _names_by_number(config.names.service_classes)
     _check_names(table, names)
     policies = [
@@ -44,25 +48,26 @@
         if policy.is_key_required and not policy.window_ns:
             raise ValueError(
                 f"repeats.require: grade {policy.name!r} has a window of 0, "
-                "in which no key is looked at"
+                "with which keys are ignored"
             )
     return policies
 
 
 def _check_names(table: IdempotencyTable, names: list[str]) -> None:
-    named = [("window_s", name) for name in table.window_by_class_s]
-    named += [("require", name) for name in table.classes_with_required_key]
-    for key, name in named:
+    references = [("window_s", name) for name in table.window_by_class_s]
+    references += [("require", name) for name in table.classes_with_required_key]
+    for key, name in references:
         if name not in names:
             raise ValueError(
-                f"repeats.{key}: the settings know no grade {name!r}; they know: {', '.join(names)}"
+                f"repeats.{key}: the settings have no grade {name!r}; they have: {', '.join(names)}"
             )
 
 
 def _window_ns(table: IdempotencyTable, row: ServiceClass, name: str) -> int:
-    """Take the operator's window, or the default of the service class's effect.
+    """Return the operator's window, or the default for the service class's effect.
 
-    Keyed classes have that of the settings: the time for which their upstreams know a key.
+    The default of a keyed class comes from the settings: the time for which its upstreams remember
+    a key.
     """
     window_s = table.window_by_class_s.get(name)
     if window_s is not None:
@@ -78,12 +83,15 @@
 
 
 def tenant_names(config: Any) -> list[str]:
-    """Return the names of all tenants, by number."""
+    """Return the names of all tenants, indexed by number."""
     return _names_by_number(config.names.tenants)
 
 
 def tenant_quotas(config: Any) -> list[float]:
-    """Return each tenant's quota, and last one for all unknown tenants, like the smallest."""
+    """Return the quotas of all tenants, indexed by number, and last one for unknown tenants.
+
+    The last quota equals the smallest of the others.
+    """
     quotas = [max(MIN_QUOTA, row.share) for row in config.settings.tenants]
     return [*quotas, min(quotas, default=1.0)]
 
@@ -94,7 +102,7 @@
 
 
 def max_retry_after_ns(config: Any) -> int:
-    """Return the longest advice that a rejected request may get; 0 where none may be given."""
+    """Return the longest Retry-After of a rejected request, or 0 if none may be sent."""
     if not config.settings.may_advise_retry_after:
         return 0
     return int(config.settings.max_retry_after_ns)
@@ -106,10 +114,10 @@
 
 
 def is_safe(request: Any) -> bool:
-    """Whether running a request twice does no harm."""
+    """Return whether running a request twice does no harm."""
     return bool(request.service_class.effect == Effect.SAFE)
 
 
 def is_unsafe(request: Any) -> bool:
-    """Whether a request must run at most once, and its upstream does not know keys."""
+    """Return whether a request must run at most once and its upstream does not handle keys."""
     return bool(request.service_class.effect == Effect.UNSAFE)
--- a/pepperhook/idempotency/store.py
+++ b/pepperhook/idempotency/store.py
@@ -1,6 +1,6 @@
 """The idempotency-key store of one balancer: decisions only, without I/O and without a clock.
 
-Requests and attempts are opaque handles to the store. Times are whole nanoseconds.
+The store treats requests and attempts as opaque handles. Times are whole nanoseconds.
 """
 
 from collections.abc import Callable, Hashable, Sequence
@@ -30,11 +30,11 @@
 from pepperhook.idempotency.service_classes import ServiceClassPolicy
 from pepperhook.idempotency.waiters import WaiterRegistry
 
-MIN_RETRY_AFTER_NS = 100 * 10**6  # where nothing that is stored will expire by the clock alone
+MIN_RETRY_AFTER_NS = 100 * 10**6  # also used if no ended entry is queued to expire
 
 
 class StoreLimits(Struct, frozen=True):
-    """Bounds of a store."""
+    """Limits of a store."""
 
     max_entries: int
     max_bytes: int
@@ -51,10 +51,10 @@
         quotas: Sequence[float],
         limits: StoreLimits,
     ) -> None:
-        """Make an empty store.
+        """Create an empty store.
 
-        ``service_classes`` is indexed by a service class's number. ``quotas`` has one number above
-        zero for each tenant, and a last one for all tenants that the settings don't know.
+        ``service_classes`` is indexed by service class number. ``quotas`` has a positive number for
+        each tenant, and a last one for all tenants that the settings do not list.
         """
         self.service_classes = service_classes
         self.limits = limits
@@ -72,15 +72,15 @@
         """Decide on a request that has just arrived."""
         self.remove_expired(now_ns, self.partition_of(arrival.tenant))
         entry = self.table.get(arrival.key) or self._restore_entry(arrival.key)
-        # Service classes expire apart: its window may be over though its queue was not looked at.
+        # A recovered entry, or one behind a later expiry in its queue, may have expired and remain.
         if entry is not None and entry.is_expired(now_ns):
             self.table.remove(entry)
             entry = None
-        decision = self._repeat(entry, arrival) if entry else self._start(now_ns, arrival)
+        decision = self._decide_repeat(entry, arrival) if entry else self._start(now_ns, arrival)
         self.counts[decision.verdict] += 1
         return decision
 
-    def _repeat(self, entry: Entry, arrival: Arrival) -> Decision:
+    def _decide_repeat(self, entry: Entry, arrival: Arrival) -> Decision:
         if entry.fingerprint != arrival.fingerprint:
             return Decision(Verdict.FINGERPRINT_MISMATCH)
         if entry.state is EntryState.INDETERMINATE:
@@ -113,16 +113,16 @@
     # Capacity.
 
     def partition_of(self, tenant: int | None) -> TenantPartition:
-        """Return a tenant's partition; tenants that the settings don't know share the last one."""
+        """Return a tenant's partition; tenants that the settings do not list share the last one."""
         return self.partitions[-1 if tenant is None else tenant]
 
     def make_room(
         self, now_ns: int, partition: TenantPartition, size: int, new_entries: int = 1
     ) -> bool:
-        """Make so much room in a partition, or return False.
+        """Free capacity for ``size`` bytes and ``new_entries`` entries; return whether they fit.
 
-        Expired entries go first, then responses of safe service classes, oldest first. What runs,
-        what may have run and what has ended and must not run again is never evicted.
+        Expired entries are removed first, then ended entries of safe service classes, oldest first.
+        Entries are never evicted while their request runs, or if it must not run again.
         """
         if partition.fits(size, new_entries):
             return True
@@ -142,7 +142,7 @@
     # Running requests.
 
     def attempt_started(self, request: Hashable, attempt: Hashable) -> None:
-        """Note that an attempt is about to be written; a second call for it does no harm."""
+        """Note that an attempt is about to be sent; a repeated call has no effect."""
         entry = self.running.get(request)
         if entry is not None:
             entry.running.open_attempts.add(attempt)
@@ -157,16 +157,16 @@
             entry.running.has_run = True
 
     def has_open_attempt(self, request: Hashable) -> bool:
-        """Whether an attempt of a request is under way."""
+        """Return whether a request has an open attempt."""
         entry = self.running.get(request)
         return entry is not None and bool(entry.running.open_attempts)
 
     def finish(
         self, now_ns: int, request: Hashable, response: StoredResponse | None
     ) -> list[Resolution]:
-        """End the request that runs for a key; ``response``: what it was served with, or None.
+        """End the request that runs for a key; ``response`` is None unless it was served.
 
-        Returns what becomes of the requests that waited for it.
+        Returns the decisions on the requests that waited for it.
         """
         entry = self.running.pop(request, None)
         if entry is None:
@@ -181,10 +181,11 @@
 
     def _complete(self, now_ns: int, entry: Entry, response: StoredResponse) -> list[Resolution]:
         is_stored = self._store_response(now_ns, entry, response)
-        # Those that wait now have the response in any case.
+        # Requests that wait now receive the response even if it is not stored.
         resolutions = self._resolve_waiters(entry, Decision(Verdict.REPLAY, response))
         if not is_stored and self._is_safe(entry.service_class):
-            # The next repeat may run again, which is better than having nothing to replay.
+            # Without the entry, a later repeat runs the request again, which is safe, instead of
+            # failing because there is no stored response.
             entry.end(EntryState.COMPLETED, now_ns)
             self.table.remove(entry)
         else:
@@ -192,7 +193,7 @@
         return resolutions
 
     def _store_response(self, now_ns: int, entry: Entry, response: StoredResponse) -> bool:
-        """Store a response whole, or not at all."""
+        """Store a response if it fits; return whether it was stored."""
         size = len(response.body)
         if size > self.limits.max_body_bytes or not self.make_room(
             now_ns, entry.partition, size, new_entries=0
@@ -214,7 +215,11 @@
         return [Resolution(request, decision) for request in requests]
 
     def hand_over(self, entry: Entry) -> list[Resolution]:
-        """Let one waiter run in the place of a request that never ran; the others wait for it."""
+        """Make one waiter the owner of a request's entry, if any; the others wait for it.
+
+        Called if the request never ran or is safe to run again. Without a waiter, the entry is
+        removed.
+        """
         successor = self.waiters.remove_first(entry)
         if successor is None:
             self.table.remove(entry)
@@ -225,7 +230,7 @@
         return [Resolution(successor, Decision(Verdict.NEW))]
 
     def client_left(self, request: Hashable) -> Departure:
-        """Note that a client has left, or that its time is up."""
+        """Note that a client has left or that its time limit has expired."""
         entry = self.waiters.remove(request)
         if entry is not None:
             execution = entry.running
@@ -245,14 +250,14 @@
         decode: Callable[[Any], RecoveredEntry],
         usage: Sequence[TenantUsage],
     ) -> None:
-        """Take over what a journal knows, by key, about in the order in which the requests ended.
+        """Restore the records of a journal, by key, roughly in the order in which requests ended.
 
-        The store may be beyond its limits then, where these were lowered: that is no reason to
-        forget what may have run.
+        Afterwards the store may exceed limits that were lowered, because an entry of a request that
+        may have run must not be dropped.
         """
         self.recovered = RecoveredEntries(records, decode)
-        for row in usage:
-            self.partition_of(row.tenant).charge(row.bytes, row.entries)
+        for tenant_usage in usage:
+            self.partition_of(tenant_usage.tenant).charge(tenant_usage.bytes, tenant_usage.entries)
 
     def _restore_entry(self, key: bytes) -> Entry | None:
         recovered = self.recovered.take(key)
