--- a/tests/idempotency/__init__.py
+++ b/tests/idempotency/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the idempotency-key store, its journal, its peers and its extension."""
+"""Tests of the idempotency-key store and of its journal, peers and extension."""
--- a/tests/idempotency/balancers.py
+++ b/tests/idempotency/balancers.py
@@ -1,4 +1,4 @@
-"""Balancers with the extension, on loopback before scripted upstreams."""
+"""Balancers with the extension for idempotency keys, on loopback with a scripted upstream."""
 
 import asyncio
 import logging
@@ -10,19 +10,20 @@
 from pepperhook.operator_config.schema import IdempotencyTable
 from pepperhook.server.extensions import Extensions
 from pepperhook.server.structured_logging import Log
-from tests.world import ENV, Running, answer, told
+from tests.server.balancers import ENVIRONMENT, RunningBalancer, make_config
+from tests.server.peers import make_response
 
-MAX_ADVICE_S = 0.9
-ADVISING_ENV = {
-    **ENV,
+MAX_RETRY_AFTER_S = 0.9
+RETRY_AFTER_ENVIRONMENT = {
+    **ENVIRONMENT,
     "permissions": {
-        **ENV["permissions"],
+        **ENVIRONMENT["permissions"],
         "cancel": True,
         "retryAfter": True,
-        "maxRetryAfterUs": int(MAX_ADVICE_S * 10**6),
+        "maxRetryAfterUs": int(MAX_RETRY_AFTER_S * 10**6),
     },
 }
-POLL_S = 0.005
+POLL_INTERVAL_S = 0.005
 
 
 def make_log():
@@ -30,24 +31,29 @@
 
 
 def make_extension(peers=None, **table):
-    """The extension with these keys in the operator's table."""
+    """Return the extension with these keys in the operator's table."""
     settings = msgspec.convert(table, IdempotencyTable)
-    return Idempotency(settings, told(env=ADVISING_ENV), make_log(), peers)
+    return Idempotency(settings, make_config(env=RETRY_AFTER_ENVIRONMENT), make_log(), peers)
 
 
-def running(peer, extension, **named):
-    """A balancer before one upstream."""
-    return Running([peer.dial], parts=Extensions([extension]), env=ADVISING_ENV, **named)
+def running(peer, extension, **options):
+    """Return a balancer on loopback whose only upstream is ``peer``."""
+    return RunningBalancer(
+        [peer.address], extensions=Extensions([extension]), env=RETRY_AFTER_ENVIRONMENT, **options
+    )
 
 
 def pay(balancer, key="k1", path="/pay", body=b"1", **headers):
-    """Sends a request with a key. Returns status and body."""
-    return balancer.ask(path, b"POST", body, Idempotency_Key=key, **headers)
+    """Send a request with a key; return status and body of its response."""
+    return balancer.request(path, b"POST", body, Idempotency_Key=key, **headers)
 
 
 @dataclass
 class OpenRequest:
-    """A client that waits. It holds the reader, too: asyncio closes a connection without one."""
+    """A client that waits for a response.
+
+    It keeps a reference to the reader, without which asyncio closes the connection.
+    """
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -57,18 +63,18 @@
 
 
 async def send_pay(balancer, key, path="/pay"):
-    """Sends a request with a key, whose client may leave."""
-    return OpenRequest(*await balancer.send(path, b"POST", b"1", Idempotency_Key=key))
+    """Send a request with a key; return an open request, which can be aborted."""
+    return OpenRequest(*await balancer.send_request(path, b"POST", b"1", Idempotency_Key=key))
 
 
-async def until(condition, interval_s=POLL_S):
-    """Waits for a condition; the test's own time limit ends a wait in vain."""
+async def until(condition, interval_s=POLL_INTERVAL_S):
+    """Wait until ``condition()`` is true; only the timeout of the test limits the wait."""
     while not condition():
         await asyncio.sleep(interval_s)
 
 
 class BlockingUpstream:
-    """A script that answers once ``release`` is set, with the number of the run."""
+    """A script that responds with the number of requests so far, once ``release`` is set."""
 
     def __init__(self):
         self.release = asyncio.Event()
@@ -77,7 +83,7 @@
     async def __call__(self, _head, _body):
         self.runs += 1
         await self.release.wait()
-        return answer(body=b"run %d" % self.runs)
+        return make_response(body=b"run %d" % self.runs)
 
-    async def until_runs(self, count=1):
+    async def wait_for_runs(self, count=1):
         await until(lambda: self.runs >= count)
--- a/tests/idempotency/journals.py
+++ b/tests/idempotency/journals.py
@@ -1,4 +1,4 @@
-"""Journals for tests."""
+"""Journals and records for tests."""
 
 import asyncio
 
@@ -8,11 +8,11 @@
 
 
 def ignore_event(_event, **_fields):
-    """For journals whose events no test looks at."""
+    """Discard an event."""
 
 
-def make_journal(directory, retention_ns=10 * NS_PER_S, log_event=ignore_event, **named):
-    return Journal(directory, retention_ns, log_event, **named)
+def make_journal(directory, retention_ns=10 * NS_PER_S, log_event=ignore_event, **options):
+    return Journal(directory, retention_ns, log_event, **options)
 
 
 def make_record(number, kind=RecordKind.STARTED, recorded_ns=0, body=None):
@@ -36,9 +36,9 @@
     return int(key[4:])
 
 
-async def write_one_by_one(directory, records, **named):
-    """Writes each record as a block of its own. Returns the closed journal."""
-    journal = make_journal(directory, **named)
+async def write_one_by_one(directory, records, **options):
+    """Write each record as a block of its own; return the closed journal."""
+    journal = make_journal(directory, **options)
     journal.open()
     journal.start(asyncio.get_running_loop())
     try:
@@ -50,11 +50,11 @@
 
 
 def block_ends(segment):
-    """Where the blocks of a segment end."""
+    """Return the offsets at which the blocks of a segment end."""
     ends = []
-    at = segment.find(b"\n") + 1
-    while at < len(segment):
-        payload_bytes, _, _ = BLOCK_HEADER.unpack_from(segment, at)
-        at += BLOCK_HEADER.size + payload_bytes
-        ends.append(at)
+    offset = segment.find(b"\n") + 1
+    while offset < len(segment):
+        payload_bytes, _, _ = BLOCK_HEADER.unpack_from(segment, offset)
+        offset += BLOCK_HEADER.size + payload_bytes
+        ends.append(offset)
     return ends
--- a/tests/idempotency/state_model.py
+++ b/tests/idempotency/state_model.py
@@ -1,7 +1,8 @@
-"""A model of all that can happen to one key, and an explorer of its reachable states.
+"""A model of all event sequences of one key, and an explorer of its reachable states.
 
-A first request, two repeats, one crash, one other key that wants the same place, and one window
-that passes. The store is driven as the extension drives it: recorded, attempted, answered.
+The events are a first request, two repeats, one crash, one request with another key that competes
+for the same capacity, and the end of one window. The model calls the store in the order in which
+the extension does: a request is recorded, attempted and answered.
 """
 
 import copy
@@ -27,21 +28,21 @@
 
 KEY = b"k"
 CLIENTS = 3
-MAX_ATTEMPTS = 2  # of the first request; a second one may follow an attempt that never ran
+MAX_ATTEMPTS = 2  # of the first request; the second one only follows an attempt that never ran
 LIMITS = StoreLimits(max_entries=1, max_bytes=2**20, max_waiters_per_key=2, max_body_bytes=100)
 
 
 class ClientState(Enum):
-    TO_COME = auto()
+    NOT_ARRIVED = auto()
     RUNS = auto()
     WAITS = auto()
     ANSWERED = auto()
     LEFT = auto()
-    LEFT_AND_RUNS = auto()  # its client has left, and others wait for its result
-    LOST = auto()  # in a crash
+    LEFT_AND_RUNS = auto()  # its client has left, but others wait for its result
+    LOST = auto()  # it was open during a crash
 
 
-UNANSWERED = {ClientState.TO_COME, ClientState.RUNS, ClientState.WAITS}
+UNANSWERED = {ClientState.NOT_ARRIVED, ClientState.RUNS, ClientState.WAITS}
 
 
 @dataclass(frozen=True)
@@ -53,24 +54,24 @@
 
 @dataclass(frozen=True)
 class LastRecord:
-    """What the journal knows of the key."""
+    """The last record that the journal has on the key."""
 
     kind: RecordKind
     at: int
 
 
 class KeyModel:
-    """One unsafe key in a store with room for one."""
+    """One unsafe key in a store with capacity for one entry."""
 
     store_class = IdempotencyStore
 
     def __init__(self):
         self.store = self.make_store()
         self.now = 0
-        self.clients = [ClientState.TO_COME] * CLIENTS
-        self.is_durable = [False] * CLIENTS  # whether the record that it runs is on the disk
+        self.clients = [ClientState.NOT_ARRIVED] * CLIENTS
+        self.is_durable = [False] * CLIENTS  # whether its STARTED record is durable
         self.answers = [0] * CLIENTS
-        self.attempts = []  # of the whole history
+        self.attempts = []  # all since the start, across the crash
         self.journal = None
         self.crashes_left = 1
         self.other_keys_left = 1
@@ -80,25 +81,25 @@
         windows = policies(safe_ns=NS_PER_S, unsafe_ns=NS_PER_S, keyed_ns=NS_PER_S)
         return self.store_class(windows, [1.0], LIMITS)
 
-    # What may happen next.
+    # Possible moves.
 
     def moves(self):
-        """The next steps, as names and calls; the names of a crash are ``crash``."""
+        """Return the possible moves as pairs of name and function; a crash is named ``crash``."""
         moves = []
-        if ClientState.TO_COME in self.clients:
-            client = self.clients.index(ClientState.TO_COME)
-            moves.append(("arrive", lambda it, client=client: it.arrive(client)))
+        if ClientState.NOT_ARRIVED in self.clients:
+            client = self.clients.index(ClientState.NOT_ARRIVED)
+            moves.append(("arrive", lambda model, client=client: model.arrive(client)))
         for client, state in enumerate(self.clients):
             if state is ClientState.RUNS:
                 moves += self.moves_of_running(client)
             if state in (ClientState.RUNS, ClientState.WAITS):
-                moves.append(("leave", lambda it, client=client: it.leave(client)))
+                moves.append(("leave", lambda model, client=client: model.leave(client)))
         if self.crashes_left:
-            moves.append(("crash", lambda it: it.crash()))
+            moves.append(("crash", lambda model: model.crash()))
         if self.other_keys_left:
-            moves.append(("other key", lambda it: it.other_key()))
+            moves.append(("other key", lambda model: model.other_key()))
         if self.windows_left and not self.store.running:
-            moves.append(("window", lambda it: it.pass_window()))
+            moves.append(("window", lambda model: model.pass_window()))
         return moves
 
     def moves_of_running(self, client):
@@ -106,20 +107,20 @@
         may_retry = (
             outcomes[-1:] == [Outcome.OVERLOADED] and len(outcomes) < MAX_ATTEMPTS and client == 0
         )
-        moves = [("time is up", lambda it: it.finish(client, None))]
+        moves = [("time limit", lambda model: model.finish(client, None))]
         if not self.is_durable[client]:
-            moves.append(("recorded", lambda it: it.recorded(client)))
+            moves.append(("recorded", lambda model: model.recorded(client)))
         elif not outcomes or may_retry:
-            moves.append(("attempt", lambda it: it.start_attempt(client)))
+            moves.append(("attempt", lambda model: model.start_attempt(client)))
         if outcomes[-1:] == [None]:
             moves += [
-                ("end", lambda it, outcome=outcome: it.end_attempt(client, outcome))
+                ("end", lambda model, outcome=outcome: model.end_attempt(client, outcome))
                 for outcome in (Outcome.SERVED, Outcome.OVERLOADED, Outcome.RESET)
             ]
         return moves
 
     def after(self, move):
-        """The state after a move."""
+        """Return the state after a move, and check its invariants."""
         state = self.copy()
         move(state)
         check_invariants(state.store)
@@ -201,22 +202,24 @@
             self.cancel(departure.abandoned)
 
     def cancel(self, client):
-        """What is open is cancelled: it may have run."""
+        """Cancel a client's open attempts, which may have run, and finish its request."""
         for number, attempt in enumerate(self.attempts):
             if attempt.owner == client and attempt.outcome is None:
                 self.note_outcome(number, Outcome.CANCELLED)
         self.finish(client, None)
 
     def crash(self):
-        """The process dies, and begins anew from its journal."""
+        """End the process, and restart it from its journal."""
         self.crashes_left = 0
         for client, state in enumerate(self.clients):
-            if state not in (ClientState.TO_COME, ClientState.ANSWERED):
+            if state not in (ClientState.NOT_ARRIVED, ClientState.ANSWERED):
                 self.clients[client] = ClientState.LOST
         self.store = self.make_store()
         if self.journal is not None:
             entry = self.recovered()
-            self.store.restore({KEY: entry}, lambda it: it, [TenantUsage(None, 1, entry.size)])
+            self.store.restore(
+                {KEY: entry}, lambda record: record, [TenantUsage(None, 1, entry.size)]
+            )
 
     def recovered(self):
         is_completed = self.journal.kind is RecordKind.COMPLETED
@@ -240,18 +243,18 @@
         self.windows_left = 0
         self.now += NS_PER_S
 
-    # Copies and identity.
+    # Copies and comparison.
 
     def copy(self):
-        """A copy that shares nothing that changes; copy.deepcopy takes four times as long."""
-        twin = copy.copy(self)
+        """Return a copy that shares no mutable state; copy.deepcopy takes four times as long."""
+        copied = copy.copy(self)
         for name in "clients", "is_durable", "answers", "attempts":
-            setattr(twin, name, list(getattr(self, name)))
-        twin.store = copy_store(self.store)
-        return twin
+            setattr(copied, name, list(getattr(self, name)))
+        copied.store = copy_store(self.store)
+        return copied
 
     def signature(self):
-        """Equal for states from which the same can follow."""
+        """Return a value that is equal for states with the same possible continuations."""
         entry = self.store.table.get(KEY)
         return (
             self.now,
@@ -279,28 +282,28 @@
 
 
 def copy_store(store):
-    """Copies a store of one partition."""
-    twin = copy.copy(store)
-    twin.counts = dict(store.counts)
-    twin.recovered = copy.copy(store.recovered)
-    twin.recovered.records = dict(store.recovered.records)
+    """Return a copy of a store that has one partition."""
+    copied = copy.copy(store)
+    copied.counts = dict(store.counts)
+    copied.recovered = copy.copy(store.recovered)
+    copied.recovered.records = dict(store.recovered.records)
     partition = copy.copy(store.partitions[0])
-    twin.partitions = [partition]
-    twins = {entry: copy_entry(entry, partition) for entry in all_entries(store)}
+    copied.partitions = [partition]
+    copies = {entry: copy_entry(entry, partition) for entry in all_entries(store)}
 
-    def twins_of(entries):
-        return {key: twins[entry] for key, entry in entries.items()}
+    def copies_of(entries):
+        return {key: copies[entry] for key, entry in entries.items()}
 
-    twin.table = copy.copy(store.table)
-    twin.table.entries = twins_of(store.table.entries)
-    twin.running = twins_of(store.running)
-    twin.waiters = copy.copy(store.waiters)
-    twin.waiters.entry_by_request = twins_of(store.waiters.entry_by_request)
+    copied.table = copy.copy(store.table)
+    copied.table.entries = copies_of(store.table.entries)
+    copied.running = copies_of(store.running)
+    copied.waiters = copy.copy(store.waiters)
+    copied.waiters.entry_by_request = copies_of(store.waiters.entry_by_request)
     partition.expiring = {
-        service_class: deque(twins[entry] for entry in queue)
+        service_class: deque(copies[entry] for entry in queue)
         for service_class, queue in partition.expiring.items()
     }
-    return twin
+    return copied
 
 
 def all_entries(store):
@@ -313,24 +316,24 @@
 
 
 def copy_entry(entry, partition):
-    twin = copy.copy(entry)
-    twin.partition = partition
+    copied = copy.copy(entry)
+    copied.partition = partition
     execution = entry.execution
     if execution is not None:
-        twin.execution = Execution(
+        copied.execution = Execution(
             owner=execution.owner,
             waiters=dict(execution.waiters),
             open_attempts=set(execution.open_attempts),
             has_run=execution.has_run,
             is_abandoned=execution.is_abandoned,
         )
-    return twin
+    return copied
 
 
 def explore(make_model):
-    """Visits every reachable state once, breadth first. Returns how many there are."""
+    """Visit every reachable state once, breadth first; return the number of states."""
     first = make_model()
-    seen = {first.signature()}
+    visited = {first.signature()}
     frontier = [first]
     while frontier:
         successors = []
@@ -339,10 +342,10 @@
             for _, move in moves:
                 successor = state.after(move)
                 signature = successor.signature()
-                if signature not in seen:
-                    seen.add(signature)
+                if signature not in visited:
+                    visited.add(signature)
                     successors.append(successor)
             if all(name == "crash" for name, _ in moves):
                 assert not UNANSWERED & set(state.clients), "a client without an answer"
         frontier = successors
-    return len(seen)
+    return len(visited)
--- a/tests/idempotency/stores.py
+++ b/tests/idempotency/stores.py
@@ -1,4 +1,4 @@
-"""Stores for tests, and the invariants that hold after every call."""
+"""Stores for tests, and a check of the invariants that hold after every call."""
 
 from pepperhook.idempotency.entries import Arrival, Entry, EntryState, StoredResponse
 from pepperhook.idempotency.service_classes import ServiceClassPolicy
@@ -29,30 +29,30 @@
 
 
 def decide(store, key, request, service_class=UNSAFE, now=0, fingerprint=FINGERPRINT, tenant=None):
-    """The store's decision on a request."""
+    """Return the store's decision on a request."""
     return store.arrive(now, Arrival(request, key, fingerprint, service_class, tenant))
 
 
-def arrive(store, key, request, *args, **named):
-    """The verdict on a request; the store's books are checked."""
-    decision = decide(store, key, request, *args, **named)
+def arrive(store, key, request, *args, **options):
+    """Return the verdict on a request; check the store's invariants."""
+    decision = decide(store, key, request, *args, **options)
     check_invariants(store)
     return decision.verdict
 
 
-def arrive_each(store, key, requests, *args, **named):
-    return [arrive(store, key, request, *args, **named) for request in requests]
+def arrive_each(store, key, requests, *args, **options):
+    return [arrive(store, key, request, *args, **options) for request in requests]
 
 
 def resolutions_of(store, now, request, response):
-    """What becomes of those that waited, as pairs of request and decision."""
-    rows = store.finish(now, request, response)
+    """Finish a request; return the waiters and the decisions on them, as pairs."""
+    resolutions = store.finish(now, request, response)
     check_invariants(store)
-    return [(row.request, row.decision) for row in rows]
+    return [(resolution.request, resolution.decision) for resolution in resolutions]
 
 
 def check_invariants(store):
-    """The books agree with each other. Raises AssertionError."""
+    """Check that the parts of a store are consistent. Raises AssertionError."""
     for partition in store.partitions:
         _check_accounting(store, partition)
         _check_expiry(store, partition)
@@ -79,7 +79,7 @@
 
 
 def _check_expiry(store, partition):
-    """Exactly the ended entries are queued to expire."""
+    """Check that exactly the ended entries are queued to expire."""
     queued = [
         entry
         for queue in partition.expiring.values()
--- a/tests/idempotency/test_configuration.py
+++ b/tests/idempotency/test_configuration.py
@@ -1,4 +1,4 @@
-"""The ``[repeats]`` table, and starts with a journal."""
+"""The ``[repeats]`` table, and the start of a balancer with a journal."""
 
 import os
 import subprocess
@@ -10,7 +10,7 @@
 from pepperhook.server import config
 from tests.idempotency.journals import make_journal
 from tests.programs import write_config
-from tests.world import told
+from tests.server.balancers import make_config
 
 
 @pytest.mark.parametrize(
@@ -24,12 +24,12 @@
         ("body_kb = 65", "body_kb"),
     ],
 )
-def test_faulty_table_is_reported_in_one_line_with_its_key(tmp_path, table, reason):
+def test_invalid_table_is_reported_in_one_line_with_its_key(tmp_path, table, reason):
     path = tmp_path / "operator.toml"
     path.write_text(f"version = 1\n[repeats]\n{table}\n")
 
     with pytest.raises(config.ConfigError) as raised:
-        operator_config.build(str(path), told(), None)
+        operator_config.build(str(path), make_config(), None)
 
     assert reason in str(raised.value)
     assert "\n" not in str(raised.value)
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def environment(tmp_path):
-    """The environment of a balancer whose journal another process has open."""
+    """Return the environment of a balancer whose journal another process has open."""
     operator_file = tmp_path / "operator.toml"
     operator_file.write_text(f'version = 1\n[repeats]\njournal = "{tmp_path}/keys"\n')
     journal = make_journal(tmp_path / "keys")
@@ -51,16 +51,16 @@
     return subprocess.run(command, env=env, capture_output=True, text=True, check=False)
 
 
-def test_start_without_its_journal_is_refused(environment):
-    done = run_module("pepperhook", env=environment)
+def test_start_fails_while_another_process_has_the_journal_open(environment):
+    completed = run_module("pepperhook", env=environment)
 
-    reason = done.stderr.splitlines()[-1]
-    assert done.returncode == 2
+    reason = completed.stderr.splitlines()[-1]
+    assert completed.returncode == 2
     assert "repeats.journal" in reason
     assert "another process" in reason
 
 
-def test_configuration_check_leaves_the_journal_alone(environment):
-    done = run_module("pepperhook.cli", "check", env=environment)
+def test_configuration_check_does_not_open_the_journal(environment):
+    completed = run_module("pepperhook.cli", "check", env=environment)
 
-    assert done.returncode == 0, done.stderr
+    assert completed.returncode == 0, completed.stderr
--- a/tests/idempotency/test_durability.py
+++ b/tests/idempotency/test_durability.py
@@ -1,4 +1,4 @@
-"""Idempotency keys over restarts, and while records can't be written."""
+"""Idempotency keys across restarts, and while records can't be written."""
 
 import asyncio
 import errno
@@ -15,7 +15,8 @@
     send_pay,
     until,
 )
-from tests.world import Peer, answer, loopback
+from tests.server.peers import ScriptedPeer, make_response
+from tests.world import loopback
 
 MAX_ATTEMPTS = 100
 
@@ -26,17 +27,17 @@
 
 
 @loopback
-async def test_restart_replays_what_has_ended_and_fails_what_was_running(directory):
+async def test_restart_replays_completed_requests_and_fails_running_ones(directory):
     upstream = BlockingUpstream()
     crashed = directory.with_name("crashed")
-    async with Peer(upstream) as peer:
+    async with ScriptedPeer(upstream) as peer:
         async with running(peer, make_extension(journal=str(directory))) as balancer:
             upstream.release.set()
             assert (await pay(balancer, "ended"))[1] == b"run 1"
             upstream.release.clear()
             open_request = asyncio.ensure_future(pay(balancer, "open"))
-            await upstream.until_runs(2)
-            # As a crash would leave it: a copy of the directory at this moment.
+            await upstream.wait_for_runs(2)
+            # A copy of the directory at this moment is what a crash would leave.
             shutil.copytree(directory, crashed)
             upstream.release.set()
             await open_request
@@ -61,10 +62,15 @@
             raise OSError(errno.ENOSPC, "full")
 
     journal.segments.sync = sync
-    async with Peer(lambda *_: answer()) as peer, running(peer, extension) as balancer:
+    async with (
+        ScriptedPeer(lambda *_: make_response()) as peer,
+        running(peer, extension) as balancer,
+    ):
         assert (await pay(balancer, "a"))[0] == 503
-        assert not peer.seen
-        assert (await balancer.ask(Idempotency_Key="l"))[0] == 200, "safe ones need no record"
+        assert not peer.requests
+        assert (await balancer.request(Idempotency_Key="l"))[0] == 200, (
+            "safe requests need no record"
+        )
 
         is_full = False
 
@@ -73,7 +79,7 @@
             status, _ = await pay(balancer, "a")
             if status == 200:
                 break
-            # The rejected request's own record is what finds that the disk takes records again.
+            # Only the record of the rejected request shows that the disk accepts records again.
             await until(lambda written=written: journal.statistics.records > written)
         assert status == 200, "the journal did not resume"
     assert extension.record_failures >= 1
@@ -86,19 +92,22 @@
     extension, release = make_extension(journal=str(directory)), threading.Event()
     extension.journal.segments.sync = lambda _descriptor: release.wait(10)
     store = extension.store
-    async with Peer(lambda *_: answer(body=b"mine")) as peer, running(peer, extension) as balancer:
+    async with (
+        ScriptedPeer(lambda *_: make_response(body=b"mine")) as peer,
+        running(peer, extension) as balancer,
+    ):
         first = await send_pay(balancer, "k")
         await until(lambda: store.running)
         repeat = asyncio.ensure_future(pay(balancer, "k"))
         await until(lambda: len(store.waiters))
 
         first.abort()
-        # It has the key by its own record, long before the first one's time is up.
+        # The waiter owns the key, pending its own record, long before the first time limit expires.
         while len(store.waiters):
             await asyncio.sleep(0.005)
-            assert balancer.node.requests.tasks
+            assert balancer.app.requests.tasks
             assert not repeat.done()
         release.set()
 
         assert await repeat == (200, b"mine")
-    assert len(peer.seen) == 1
+    assert len(peer.requests) == 1
--- a/tests/idempotency/test_formats.py
+++ b/tests/idempotency/test_formats.py
@@ -1,4 +1,4 @@
-"""Bytes that are stored or sent, and must not change within a version."""
+"""Formats of stored and sent data, which must not change within a version."""
 
 import msgspec
 import pytest
@@ -60,17 +60,17 @@
         (0, "k1", "c2df830047aaa965ff9d2a4611a98b37"),
     ],
 )
-def test_key_digest_is_of_the_numbers_of_service_class_and_tenant(tenant, key, digest):
+def test_key_digest_depends_on_the_numbers_of_service_class_and_tenant(tenant, key, digest):
     assert key_digest(1, tenant, key).hex() == digest
 
 
-def test_fingerprint_is_of_method_target_and_body():
+def test_fingerprint_depends_on_method_target_and_body():
     fingerprint = request_fingerprint("POST", "/pay", b"1")
 
     assert fingerprint.hex() == "4129a681b37d300a09b4b0febe2a7439"
 
 
-def test_owners_are_chosen_as_by_members_of_other_versions():
+def test_owners_are_the_same_as_in_other_versions():
     members = [Member(name, "") for name in "abc"]
 
     owners = [owner_of(b"%d" % number, members).name for number in range(8)]
@@ -78,7 +78,7 @@
     assert "".join(owners) == "accbacba"
 
 
-def test_forwarded_request_carries_epoch_time_and_what_this_balancer_has_read():
+def test_forwarded_request_carries_epoch_timeout_and_the_headers_that_the_balancer_reads():
     headers = forwarded_headers(
         [("Idempotency-Key", "k")],
         {"X-Tenant-Id": ["acme"], "X-Cost": [], "X-Unknown": ["1"]},
@@ -94,7 +94,7 @@
     ]
 
 
-def test_health_answer_carries_the_epoch():
+def test_health_response_carries_the_epoch():
     assert encode_health(12) == "epoch 12\n"
     assert decode_health(200, b"epoch 12\n") == 12
 
@@ -102,5 +102,5 @@
 @pytest.mark.parametrize(
     "status, body", [(503, b"epoch 12\n"), (200, b"serving\n"), (200, b"epoch x\n"), (200, b"\xff")]
 )
-def test_health_answer_of_another_form_carries_no_epoch(status, body):
+def test_health_response_of_another_form_has_no_epoch(status, body):
     assert decode_health(status, body) is None
--- a/tests/idempotency/test_journal_recovery.py
+++ b/tests/idempotency/test_journal_recovery.py
@@ -1,4 +1,4 @@
-"""What a journal gives back after cuts, damage, boots and foreign files."""
+"""Recovery of a journal after truncation, damage and reboots, and from foreign files."""
 
 import time
 from pathlib import Path
@@ -44,13 +44,13 @@
     for cut in range(ends[FIRST_OF_LAST_THREE], len(whole) + 1):
         path.write_bytes(whole[:cut])
 
-        found = recover(tmp_path, 0)
+        recovered = recover(tmp_path, 0)
 
         intact = [end for end in ends if end <= cut]
-        assert list(found.records) == [record.key for record in records[: len(intact) - 1]]
-        assert found.truncated_bytes == cut - intact[-1]
+        assert list(recovered.records) == [record.key for record in records[: len(intact) - 1]]
+        assert recovered.truncated_bytes == cut - intact[-1]
         assert path.stat().st_size == intact[-1]
-        assert not found.has_rebooted
+        assert not recovered.has_rebooted
 
 
 @loopback
@@ -61,11 +61,11 @@
     ends = block_ends(whole)
     last_payload = ends[-2] + BLOCK_HEADER.size
 
-    for at in range(ends[FIRST_OF_LAST_THREE], len(whole)):
+    for offset in range(ends[FIRST_OF_LAST_THREE], len(whole)):
         damaged = bytearray(whole)
-        damaged[at] ^= 0x10
+        damaged[offset] ^= 0x10
         path.write_bytes(damaged)
-        if at >= last_payload:
+        if offset >= last_payload:
             assert len(recover(tmp_path, 0).records) == RECORDS - 1
             continue
         with pytest.raises(JournalUnusableError) as raised:
@@ -75,19 +75,19 @@
 
 
 @loopback
-async def test_zeros_behind_the_last_block_are_cut_off(tmp_path, records):
+async def test_zeros_after_the_last_block_are_cut_off(tmp_path, records):
     await write_one_by_one(tmp_path, records)
     path = tmp_path / "1.log"
     path.write_bytes(path.read_bytes() + bytes(5000))
 
-    found = recover(tmp_path, 0)
+    recovered = recover(tmp_path, 0)
 
-    assert found.truncated_bytes == 5000
-    assert len(found.records) == RECORDS
+    assert recovered.truncated_bytes == 5000
+    assert len(recovered.records) == RECORDS
 
 
 def problem_of(directory):
-    """The one line in which a journal that can't be opened is reported."""
+    """Return the one-line error of a journal that can't be opened."""
     with pytest.raises(JournalUnusableError) as raised:
         make_journal(directory).open()
     problem = str(raised.value)
@@ -113,7 +113,7 @@
     assert "is no journal" in problem_of(tmp_path / "foreign")
 
 
-def test_file_in_the_place_of_the_directory_is_reported_in_one_line(tmp_path):
+def test_file_in_place_of_the_journal_directory_is_reported_in_one_line(tmp_path):
     path = tmp_path / "file"
     path.write_text("")
 
@@ -122,7 +122,7 @@
     assert "exists" in problem or "directory" in problem
 
 
-def test_journal_that_another_owner_has_open_is_reported_in_one_line(tmp_path):
+def test_journal_that_is_already_open_is_reported_in_one_line(tmp_path):
     first = make_journal(tmp_path / "both")
     first.open()
 
@@ -133,7 +133,7 @@
 
 @pytest.fixture
 def journal_with_one_record(tmp_path):
-    """A directory whose only record was written at 5 ns."""
+    """Return the directory of a journal with one record, written at 5 ns."""
     journal = make_journal(tmp_path)
     journal.open()
     journal.write_group([PendingRecord(make_record(1, recorded_ns=5), None, 0.0)])
@@ -141,18 +141,20 @@
     return tmp_path
 
 
-def test_stepped_wall_clock_changes_no_times(journal_with_one_record, monkeypatch):
+def test_setting_the_wall_clock_does_not_change_recorded_times(
+    journal_with_one_record, monkeypatch
+):
     monkeypatch.setattr(time, "time_ns", lambda: 0)
 
-    found = recover(journal_with_one_record, 77)
+    recovered = recover(journal_with_one_record, 77)
 
-    assert found.records[key_of(1)].recorded_ns == 5
+    assert recovered.records[key_of(1)].recorded_ns == 5
 
 
-def test_windows_begin_anew_after_a_boot(journal_with_one_record, monkeypatch):
+def test_windows_restart_after_a_reboot(journal_with_one_record, monkeypatch):
     monkeypatch.setattr(recovery, "boot_id", lambda: "another")
 
-    found = recover(journal_with_one_record, 77)
+    recovered = recover(journal_with_one_record, 77)
 
-    assert found.has_rebooted
-    assert found.records[key_of(1)].recorded_ns == 77
+    assert recovered.has_rebooted
+    assert recovered.records[key_of(1)].recorded_ns == 77
--- a/tests/idempotency/test_journal_writer.py
+++ b/tests/idempotency/test_journal_writer.py
@@ -1,4 +1,4 @@
-"""Segments, their deletion, and what happens while the disk does not take records."""
+"""Rotation and deletion of segments, and failures to write."""
 
 import asyncio
 import errno
@@ -43,7 +43,9 @@
 
 
 @loopback
-async def test_full_disk_fails_what_waits_and_journal_resumes_when_there_is_space(tmp_path):
+async def test_full_disk_fails_waiting_records_and_the_journal_resumes_when_there_is_space(
+    tmp_path,
+):
     is_full = False
     events = []
 
@@ -66,7 +68,7 @@
         assert "No space left" in str(raised.value)
 
     is_full = False
-    journal.append(make_record(4))  # a record that nobody waits for is tried all the same
+    journal.append(make_record(4))  # is written, though nothing waits for it
     await asyncio.sleep(0.1)
     await journal.append_durably(make_record(5))
     journal.close()
@@ -78,7 +80,7 @@
 async def test_records_dropped_for_a_slow_disk_are_counted_and_the_rest_is_written(
     tmp_path, monkeypatch
 ):
-    """Records beyond MAX_QUEUED_RECORDS for which nobody waits were dropped without a trace."""
+    """Records beyond MAX_QUEUED_RECORDS that nothing waited for were dropped and not counted."""
     monkeypatch.setattr(writer, "MAX_QUEUED_RECORDS", 3)
     journal = make_journal(tmp_path)
     journal.open()
@@ -91,23 +93,23 @@
     assert journal.statistics.records == 3
 
 
-async def test_a_write_that_fails_as_nobody_foresaw_fails_its_record_and_the_journal_goes_on(
+async def test_unexpected_write_error_fails_its_record_and_the_journal_continues(
     tmp_path,
 ):
-    """An error that was no OSError ended the writer's thread: its waiters waited for good."""
+    """An error other than OSError ended the writer's thread, and its futures were never done."""
     journal = make_journal(tmp_path)
     journal.open()
-    plain_persist = journal.persist
+    original_persist = journal.persist
 
     def break_once(_records):
-        journal.persist = plain_persist
-        raise ValueError("not foreseen")
+        journal.persist = original_persist
+        raise ValueError("unexpected")
 
     journal.persist = break_once
     journal.start(asyncio.get_running_loop())
-    with pytest.raises(JournalWriteError, match="not foreseen"):
+    with pytest.raises(JournalWriteError, match="unexpected"):
         await asyncio.wait_for(journal.append_durably(make_record(1)), 5)
-    # The writer has said so before it tries again.
+    # Records fail until a write succeeds. Record 3 triggers one, as nothing waits for it.
     while True:
         try:
             await asyncio.wait_for(journal.append_durably(make_record(2)), 5)
--- a/tests/idempotency/test_member_list.py
+++ b/tests/idempotency/test_member_list.py
@@ -1,4 +1,4 @@
-"""The member list's file and its history."""
+"""The member list file and its history."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize(
     "members, reason",
     [
-        ([("a", "h:1"), ("a", "h:2")], "a name is there twice"),
+        ([("a", "h:1"), ("a", "h:2")], "a name is listed twice"),
         ([("b", "h:1")], "'a' (LB_NAME) is not among b"),
         ([("a", "h")], "HOST:PORT is wanted"),
         ([("a", "h:0")], "HOST:PORT is wanted"),
@@ -34,7 +34,7 @@
     assert reason in str(raised.value)
 
 
-def test_replaced_file_is_noticed_once(tmp_path):
+def test_changed_file_is_reported_once(tmp_path):
     path = tmp_path / "peers.toml"
     file = MemberListFile(path, "a")
     assert not file.has_changed()
@@ -46,7 +46,7 @@
     assert file.read().members == [Member("a", "h:1")]
 
 
-def test_history_is_read_back_in_its_order(tmp_path):
+def test_history_is_loaded_in_the_order_in_which_it_was_saved(tmp_path):
     history = MemberListHistory(tmp_path)
     assert history.load() == []
     lists = [MemberList(version=1, epoch=epoch, members=[Member("a", "h:1")]) for epoch in (1, 2)]
--- a/tests/idempotency/test_ownership.py
+++ b/tests/idempotency/test_ownership.py
@@ -1,4 +1,4 @@
-"""Which member owns a key, and when ownership may pass to another."""
+"""Which member owns a key, and when ownership may move to another member."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 def key_owned_by(*owners):
-    """A key with these owners, as pairs of a member list and a name."""
+    """Return a key with these owners, given as pairs of member list and name."""
     keys = (b"%d" % number for number in range(99))
     return next(
         key
@@ -45,14 +45,14 @@
     return member_list(2, "ab")
 
 
-def test_older_or_equal_list_is_not_taken(old, new):
+def test_list_that_is_not_newer_is_not_applied(old, new):
     ownership = Ownership("a", old, [], 0)
 
     assert ownership.replace(10, new)
     assert not ownership.replace(11, new)
 
 
-def test_new_owner_waits_for_the_former_one_and_then_for_the_window(old, new):
+def test_new_owner_waits_until_the_former_one_is_released_and_then_for_the_window(old, new):
     moved = key_owned_by((old, "c"), (new, "a"))
     unmoved = key_owned_by((old, "a"))
     ownership = Ownership("a", old, [], 0)
@@ -60,7 +60,7 @@
 
     ownership.replace(10, new)
     assert ownership.may_accept(11, unmoved, WINDOW)
-    assert not ownership.may_accept(FAR_FUTURE, moved, WINDOW), "c may still go by the old list"
+    assert not ownership.may_accept(FAR_FUTURE, moved, WINDOW), "c may still use the old list"
 
     ownership.epoch_seen(20, "c", 1)
     assert not ownership.may_accept(FAR_FUTURE, moved, WINDOW)
@@ -70,11 +70,11 @@
     assert ownership.may_accept(30 + WINDOW, moved, WINDOW)
 
 
-def test_previous_lists_are_forgotten_a_window_after_all_members_have_the_new_one(old, new):
+def test_previous_lists_are_dropped_one_window_after_all_members_report_the_new_one(old, new):
     ownership = Ownership("a", old, [], 0)
     ownership.replace(10, new)
     ownership.epoch_seen(30, "c", 2)
-    assert not ownership.settle(FAR_FUTURE, WINDOW), "b was not heard from"
+    assert not ownership.settle(FAR_FUTURE, WINDOW), "b has not reported the new list"
 
     ownership.epoch_seen(40, "b", 2)
 
@@ -82,15 +82,15 @@
     assert ownership.settle(40 + WINDOW, WINDOW)
 
 
-def test_key_that_moved_away_and_back_waits_for_the_owner_between():
-    first, between = member_list(1, "ab"), member_list(2, "bz")
-    away = key_owned_by((first, "a"), (between, "b"))
-    ownership = Ownership("a", member_list(3, "ab"), [first, between], 0)
-    assert not ownership.may_accept(FAR_FUTURE, away, WINDOW)
+def test_key_that_moved_away_and_back_waits_for_the_intermediate_owner():
+    first, intermediate = member_list(1, "ab"), member_list(2, "bz")
+    moved = key_owned_by((first, "a"), (intermediate, "b"))
+    ownership = Ownership("a", member_list(3, "ab"), [first, intermediate], 0)
+    assert not ownership.may_accept(FAR_FUTURE, moved, WINDOW)
 
     ownership.epoch_seen(5, "b", 3)
 
-    assert ownership.may_accept(5 + WINDOW, away, WINDOW)
+    assert ownership.may_accept(5 + WINDOW, moved, WINDOW)
 
 
 def test_former_owner_that_an_operator_declares_dead_is_not_waited_for(old):
--- a/tests/idempotency/test_peers.py
+++ b/tests/idempotency/test_peers.py
@@ -1,4 +1,4 @@
-"""Edge balancers that forward requests to the owners of their keys."""
+"""Edge balancers that forward requests to the owner of their key."""
 
 import asyncio
 import errno
@@ -22,7 +22,8 @@
     send_pay,
     until,
 )
-from tests.world import Peer, answer, loopback
+from tests.server.peers import ScriptedPeer, make_response
+from tests.world import loopback
 
 PAY = 1  # the number of the service class
 WINDOW_S = 0.4
@@ -31,7 +32,7 @@
 
 
 class Edges:
-    """Two edge balancers that know of each other."""
+    """Two edge balancers with the same member list."""
 
     names = ("e0", "e1")
 
@@ -44,10 +45,11 @@
     def free_ports(self):
         sockets = [socket.create_server(("127.0.0.1", 0)) for _ in self.names]
         ports = {
-            name: held.getsockname()[1] for name, held in zip(self.names, sockets, strict=True)
+            name: listener.getsockname()[1]
+            for name, listener in zip(self.names, sockets, strict=True)
         }
-        for held in sockets:
-            held.close()
+        for listener in sockets:
+            listener.close()
         return ports
 
     def write_list(self, epoch, names, dead=()):
@@ -58,16 +60,16 @@
         self.path.write_text(f"version = 1\nepoch = {epoch}\ndead = {list(dead)}\n{members}")
 
     def make(self, name, peer, window_s=WINDOW_S):
-        """A balancer, not started yet, and its extension."""
+        """Return an edge balancer that is not started yet."""
         extension = make_extension(
             Peers(str(self.path), name, make_log()),
             window_s={"pay": window_s},
             journal=str(self.directory / name),
         )
-        return Edge(running(peer, extension, alone=False), extension)
+        return Edge(running(peer, extension, owns_event_loop=False), extension)
 
     def key_of(self, name):
-        """A key of /pay that this one owns."""
+        """Return a key of /pay that the member ``name`` owns."""
         members = [Member(member, "") for member in self.names]
         keys = (f"k{number}" for number in range(999))
         return next(
@@ -101,96 +103,103 @@
 @loopback
 async def test_repeat_at_another_edge_receives_the_owners_result(edges):
     upstream, key = BlockingUpstream(), edges.key_of("e0")
-    async with Peer(upstream) as peer:
-        owner, other = edges.make("e0", peer), edges.make("e1", peer)
-        async with owner.balancer as at_owner, other.balancer as at_other:
+    async with ScriptedPeer(upstream) as peer:
+        owner, forwarder = edges.make("e0", peer), edges.make("e1", peer)
+        async with owner.balancer as owner_balancer, forwarder.balancer as forwarding_balancer:
             requests = [
                 asyncio.ensure_future(pay(balancer, key))
-                for balancer in (at_other, at_owner, at_other, at_owner)
+                for balancer in (
+                    forwarding_balancer,
+                    owner_balancer,
+                    forwarding_balancer,
+                    owner_balancer,
+                )
             ]
             await until(lambda: len(owner.store.waiters) >= 3)
 
             upstream.release.set()
 
             assert {await request for request in requests} == {(200, b"run 1")}
-            assert (await pay(at_other, key, body=b"2"))[0] == 422
+            assert (await pay(forwarding_balancer, key, body=b"2"))[0] == 422
             assert len(owner.store.table) == 1
-            assert not len(other.store.table)
-            assert other.counters.forwarded == 3
+            assert not len(forwarder.store.table)
+            assert forwarder.counters.forwarded == 3
     assert upstream.runs == 1
 
 
 @loopback
-async def test_unsafe_request_is_rejected_and_safe_one_served_while_the_owner_is_away(edges):
+async def test_unsafe_request_is_rejected_and_safe_one_served_while_the_owner_is_down(edges):
     upstream, key = BlockingUpstream(), edges.key_of("e0")
     upstream.release.set()
-    async with Peer(upstream) as peer:
-        owner, other = edges.make("e0", peer), edges.make("e1", peer)
-        async with other.balancer as at_other:
-            assert await pay(at_other, key) == (503, b"shed\n")
+    async with ScriptedPeer(upstream) as peer:
+        owner, forwarder = edges.make("e0", peer), edges.make("e1", peer)
+        async with forwarder.balancer as forwarding_balancer:
+            assert await pay(forwarding_balancer, key) == (503, b"shed\n")
             assert not upstream.runs
-            safe = [(await at_other.ask(Idempotency_Key=f"l{n}"))[0] for n in range(6)]
+            safe = [
+                (await forwarding_balancer.request(Idempotency_Key=f"l{n}"))[0] for n in range(6)
+            ]
             assert safe == [200] * 6
-            assert other.counters.owner_unreachable >= 2
+            assert forwarder.counters.owner_unreachable >= 2
 
-            async with owner.balancer as at_owner:
-                assert (await pay(at_other, key))[0] == 200
-                assert (await pay(at_owner, key))[0] == 200
+            async with owner.balancer as owner_balancer:
+                assert (await pay(forwarding_balancer, key))[0] == 200
+                assert (await pay(owner_balancer, key))[0] == 200
     assert upstream.runs == 7
 
 
 @loopback
 async def test_owner_notices_that_a_client_has_left_another_edge(edges):
     upstream, key = BlockingUpstream(), edges.key_of("e0")
-    async with Peer(upstream) as peer:
-        owner, other = edges.make("e0", peer), edges.make("e1", peer)
-        async with owner.balancer as at_owner, other.balancer as at_other:
-            client = await send_pay(at_other, key)
-            await upstream.until_runs()
+    async with ScriptedPeer(upstream) as peer:
+        owner, forwarder = edges.make("e0", peer), edges.make("e1", peer)
+        async with owner.balancer as owner_balancer, forwarder.balancer as forwarding_balancer:
+            client = await send_pay(forwarding_balancer, key)
+            await upstream.wait_for_runs()
 
             client.abort()
 
-            await until(lambda: at_owner.node.counters["clients left"])
+            await until(lambda: owner_balancer.app.counters["clients left"])
             upstream.release.set()
 
 
 @loopback
-async def test_key_that_changes_owners_is_rejected_until_the_window_after_the_change_is_over(
+async def test_key_that_changes_owners_is_rejected_until_a_window_after_the_change(
     edges,
 ):
-    # The window is over when the test says so: one of 0.4 s once was before its first assertion, on
-    # a busy machine.
+    # The test ends the window by moving the clock. On a busy machine, a window of 0.4 s had ended
+    # before the first assertion.
     upstream, key = BlockingUpstream(), edges.key_of("e1")
     upstream.release.set()
-    async with Peer(upstream) as peer:
-        stays = edges.make("e0", peer, LONG_WINDOW_S)
-        leaves = edges.make("e1", peer, LONG_WINDOW_S)
-        async with stays.balancer as at_stays:
-            async with leaves.balancer as at_leaves:
-                assert (await pay(at_stays, key))[1] == b"run 1"
+    async with ScriptedPeer(upstream) as peer:
+        remaining = edges.make("e0", peer, LONG_WINDOW_S)
+        removed = edges.make("e1", peer, LONG_WINDOW_S)
+        async with remaining.balancer as remaining_balancer:
+            async with removed.balancer as removed_balancer:
+                assert (await pay(remaining_balancer, key))[1] == b"run 1"
                 edges.write_list(2, ["e0"])
-                await until_epoch(stays, 2)
-                assert (await pay(at_stays, key))[0] == 503, "e1 still remembers it"
-                # The one that is no member any more rejects the file, and keeps its list.
-                assert leaves.ownership.current.epoch == 1
-                assert (await pay(at_leaves, edges.key_of("e0")))[0] == 503, (
+                await wait_for_epoch(remaining, 2)
+                assert (await pay(remaining_balancer, key))[0] == 503, "e1 still has the entry"
+                # e1, which is not in the new list, rejects the file and keeps its list.
+                assert removed.ownership.current.epoch == 1
+                assert (await pay(removed_balancer, edges.key_of("e0")))[0] == 503, (
                     "an owner accepts nothing of another epoch"
                 )
 
             edges.write_list(3, ["e0"], dead=["e1"])
-            await until_epoch(stays, 3)
+            await wait_for_epoch(remaining, 3)
 
-            assert (await pay(at_stays, key))[0] == 503
-            at_stays.node.runtime.offset += int(LONG_WINDOW_S * 10**9)
-            while (await pay(at_stays, key))[0] != 200:
+            assert (await pay(remaining_balancer, key))[0] == 503
+            remaining_balancer.app.runtime.offset += int(LONG_WINDOW_S * 10**9)
+            while (await pay(remaining_balancer, key))[0] != 200:
                 await asyncio.sleep(0.05)
 
 
 @loopback
-async def test_faulty_member_list_leaves_the_old_one_in_force(edges):
+async def test_invalid_member_list_leaves_the_old_one_in_effect(edges):
     upstream, key = BlockingUpstream(), edges.key_of("e0")
     upstream.release.set()
-    async with Peer(upstream) as peer:
+    async with ScriptedPeer(upstream) as peer:
         edge = edges.make("e0", peer)
         async with edge.balancer as balancer:
             stamp = edge.extension.peers.file.stamp
@@ -202,30 +211,30 @@
             assert (await pay(balancer, key))[0] == 200
 
 
-async def until_epoch(edge, epoch):
+async def wait_for_epoch(edge, epoch):
     await until(lambda: edge.ownership.current.epoch == epoch, FILE_POLL_S)
 
 
 async def test_full_disk_does_not_end_the_watcher_of_the_member_list(tmp_path, monkeypatch):
-    """Where the disk took no history of lists, the watcher ended by an OSError.
+    """An OSError while saving the history of lists ended the watcher of the member list.
 
-    The member then followed no list any more, and went on with owners that others had replaced.
+    The member then applied no new list, and kept using owners that forwarder members had replaced.
     """
 
-    def refuse(*_):
+    def fail_to_save(*_):
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
     monkeypatch.setattr(peers, "POLL_INTERVAL_S", FILE_POLL_S)
     edges = Edges(tmp_path)
-    followed = Peers(str(edges.path), "e0", make_log())
+    members = Peers(str(edges.path), "e0", make_log())
     extension = make_extension(
-        followed, window_s={"pay": WINDOW_S}, journal=str(tmp_path / "journal")
+        members, window_s={"pay": WINDOW_S}, journal=str(tmp_path / "journal")
     )
     async with (
-        Peer(lambda *_: answer()) as peer,
-        running(peer, extension, alone=False),
+        ScriptedPeer(lambda *_: make_response()) as peer,
+        running(peer, extension, owns_event_loop=False),
     ):
-        monkeypatch.setattr(MemberListHistory, "save", refuse)
+        monkeypatch.setattr(MemberListHistory, "save", fail_to_save)
         for epoch in (2, 3):
             edges.write_list(epoch, edges.names)
-            await until(lambda epoch=epoch: followed.ownership.current.epoch == epoch)
+            await until(lambda epoch=epoch: members.ownership.current.epoch == epoch)
--- a/tests/idempotency/test_state_model.py
+++ b/tests/idempotency/test_state_model.py
@@ -1,4 +1,4 @@
-"""Every order of what may happen to one key, and faults that the model must find."""
+"""All event orders of one key, and faults that the model must detect."""
 
 import pytest
 
@@ -24,7 +24,7 @@
         return True
 
 
-class TakesAllForNeverRun(IdempotencyStore):
+class TreatsAllAsNeverRun(IdempotencyStore):
     def finish(self, now_ns, request, response):
         entry = self.running.get(request)
         if entry is not None:
@@ -45,21 +45,21 @@
 
 
 class NeverRunModel(KeyModel):
-    store_class = TakesAllForNeverRun
+    store_class = TreatsAllAsNeverRun
 
 
 class HandOverModel(KeyModel):
     store_class = HandsOverToAll
 
 
-class RecordedTooLateModel(KeyModel):
+class LateRecordModel(KeyModel):
     def start_attempt(self, client):
-        self.journal = None  # the record is still on its way
+        self.journal = None  # the record is not durable yet
         super().start_attempt(client)
 
 
 @pytest.mark.parametrize(
-    "make_model", [EvictionModel, RecordedTooLateModel, NeverRunModel, HandOverModel]
+    "make_model", [EvictionModel, LateRecordModel, NeverRunModel, HandOverModel]
 )
 def test_model_with_an_injected_fault_violates_an_invariant(make_model):
     with pytest.raises(AssertionError):
--- a/tests/idempotency/test_store.py
+++ b/tests/idempotency/test_store.py
@@ -1,4 +1,4 @@
-"""The store's decisions, case by case."""
+"""The store's decisions in single cases."""
 
 import pytest
 
@@ -36,7 +36,7 @@
     assert resolutions == [("b", REPLAY), ("c", REPLAY)]
     assert decide(store, b"k", "d", now=6) == REPLAY
     assert arrive(store, b"k", "e", now=6, fingerprint=b"other") == Verdict.FINGERPRINT_MISMATCH
-    assert arrive(store, b"k", "f", now=5 + 10 * NS_PER_S) == Verdict.NEW, "its window is over"
+    assert arrive(store, b"k", "f", now=5 + 10 * NS_PER_S) == Verdict.NEW, "the window has ended"
 
 
 def test_request_that_never_ran_is_handed_over_to_exactly_one_waiter(store):
@@ -46,7 +46,7 @@
 
     assert resolutions_of(store, 1, "a", None) == [("b", Decision(Verdict.NEW))]
 
-    # In the same turn: one that arrives now waits for the new one.
+    # A request that arrives now waits for the new owner.
     assert arrive(store, b"k", "d", now=1) == Verdict.WAIT
     assert resolutions_of(store, 2, "b", RESPONSE) == [("c", REPLAY), ("d", REPLAY)]
 
@@ -80,7 +80,7 @@
     assert arrive_each(store, b"k", "ab", service_class) == [Verdict.NEW, Verdict.WAIT]
     store.attempt_started("a", "attempt")
     if outcome is not None:
-        store.attempt_ended("a", "attempt", outcome)  # else it is open as the time is up
+        store.attempt_ended("a", "attempt", outcome)  # else it is open when the time limit expires
 
     assert resolutions_of(store, 1, "a", None) == [("b", Decision(verdict))]
 
@@ -103,7 +103,7 @@
     check_invariants(store)
 
 
-def test_waiter_beyond_the_limit_is_rejected_with_advice():
+def test_waiter_beyond_the_limit_is_rejected_with_retry_after():
     limit = 10_000
     store = make_store(waiters=limit)
     assert arrive(store, b"k", "first") == Verdict.NEW
@@ -141,14 +141,15 @@
     assert arrive(store, b"safe", "d", SAFE, now=2) == Verdict.NEW
 
 
-def test_full_store_drops_expired_entries_then_safe_responses_and_nothing_else():
+def test_full_store_evicts_expired_entries_then_safe_ones_and_no_others():
     store = make_store(entries=4)
-    for at, service_class in enumerate((SAFE, UNSAFE, KEYED, SAFE)):
-        assert arrive(store, b"k%d" % at, at, service_class, now=at) == Verdict.NEW
-        store.finish(at, at, RESPONSE)
+    for number, service_class in enumerate((SAFE, UNSAFE, KEYED, SAFE)):
+        key = b"k%d" % number
+        assert arrive(store, key, number, service_class, now=number) == Verdict.NEW
+        store.finish(number, number, RESPONSE)
     now = 2 * NS_PER_S
 
-    # The keyed one's window of a second is over: it goes, though the safe ones are older.
+    # The keyed entry's window of 1 s has ended, so it is removed before an older safe one.
     assert arrive(store, b"new", "n", now=now) == Verdict.NEW
     assert store.table.get(b"k2") is None
     assert store.table.get(b"k0") is not None
@@ -167,7 +168,7 @@
     assert store.table.evicted == 2
 
 
-def test_surge_of_one_tenant_evicts_no_other_tenants_keys():
+def test_surge_of_one_tenant_does_not_evict_keys_of_other_tenants():
     store = make_store(entries=100, quotas=(3.0, 1.0, 1.0))
     for n in range(200):
         decide(store, b"a%d" % n, ("a", n), tenant=0)
@@ -184,7 +185,7 @@
     check_invariants(store)
 
 
-def test_partition_has_room_for_one_entry_however_small_its_quota():
+def test_partition_with_a_tiny_quota_has_capacity_for_one_entry():
     store = make_store(entries=1, size=ENTRY_BYTES, quotas=(1.0, 1e-9))
 
     assert arrive(store, b"k", "a", tenant=None) == Verdict.NEW
--- a/tests/idempotency/test_store_random.py
+++ b/tests/idempotency/test_store_random.py
@@ -1,4 +1,4 @@
-"""Long random runs of the store: its books, its bounds, and no second run within a window."""
+"""Random runs of the store: invariants, limits, and no second execution within a window."""
 
 import random
 from dataclasses import dataclass
@@ -20,11 +20,11 @@
 
 STEPS = 600
 CAPACITY = 30
-ARRIVALS = 0.5  # of the steps
-DEPARTURES = 0.1
+ARRIVAL_PROBABILITY = 0.5  # per step
+DEPARTURE_PROBABILITY = 0.1
 KEYS = 40
-MAX_BODY = 2000
-LARGEST_BODY = 2500  # some are over the limit
+MAX_BODY = 2000  # limit of a stored body
+LARGEST_BODY = 2500  # exclusive; some bodies exceed MAX_BODY
 
 
 @dataclass(frozen=True)
@@ -35,7 +35,7 @@
 
 
 class RandomRun:
-    """Arrivals, attempts, ends and departures in a random order."""
+    """Arrivals, attempts, their ends and departures in random order."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
@@ -51,14 +51,14 @@
         self.running = []
         self.waiting = []
         self.attempted = set()
-        self.may_have_run_until = {}  # by key: until when no other attempt may begin
+        self.may_have_run_until = {}  # by key: the time before which no other attempt may start
 
     def step(self):
         self.now += self.random.randrange(NS_PER_S // 10)
         draw = self.random.random()
-        if draw < ARRIVALS:
+        if draw < ARRIVAL_PROBABILITY:
             self.arrive()
-        elif draw < ARRIVALS + DEPARTURES and self.waiting:
+        elif draw < ARRIVAL_PROBABILITY + DEPARTURE_PROBABILITY and self.waiting:
             self.leave()
         elif self.running:
             self.advance(self.random.choice(self.running))
@@ -83,13 +83,13 @@
         self.store.client_left(client)
 
     def advance(self, client):
-        """Begin a running client's attempt, or end it."""
+        """Start a running client's attempt, or end it."""
         if client in self.attempted:
             self.end(client)
             return
         if client.service_class != SAFE:
             forbidden_until = self.may_have_run_until.get(client.key, -1)
-            assert forbidden_until <= self.now, "a second run within the window"
+            assert forbidden_until <= self.now, "a second execution within the window"
         self.attempted.add(client)
         self.store.attempt_started(client, "attempt")
 
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_books_and_bounds_hold_over_random_runs(seed):
+def test_invariants_and_limits_hold_in_random_runs(seed):
     run = RandomRun(seed)
 
     for _ in range(STEPS):
