--- a/tests/cli/test_every_command.py
+++ b/tests/cli/test_every_command.py
@@ -18,7 +18,7 @@
 from pepperhook.lab import journals
 from tests.cli.commands import ROOT, run
 from tests.control_plane.helpers import SECRET, Serving
-from tests.idempotency.balancers import until
+from tests.idempotency.balancers import wait_until
 from tests.programs import free_port, write_config
 from tests.server.balancers import ENVIRONMENT
 
@@ -227,7 +227,7 @@
             status = ("--service", address, "--keys", tmp_path / "keys")
             return run("control", "status", *status).exit_code == 0
 
-        await asyncio.to_thread(lambda: asyncio.run(until(answers, 0.1)))
+        await asyncio.to_thread(lambda: asyncio.run(wait_until(answers, 0.1)))
         process.send_signal(signal.SIGTERM)
         assert process.wait(START_S) == 0
     finally:
--- a/tests/idempotency/balancers.py
+++ b/tests/idempotency/balancers.py
@@ -67,7 +67,7 @@
     return OpenRequest(*await balancer.send_request(path, b"POST", b"1", Idempotency_Key=key))
 
 
-async def until(condition, interval_s=POLL_INTERVAL_S):
+async def wait_until(condition, interval_s=POLL_INTERVAL_S):
     """Wait until ``condition()`` is true; only the timeout of the test limits the wait."""
     while not condition():
         await asyncio.sleep(interval_s)
@@ -86,4 +86,4 @@
         return make_response(body=b"run %d" % self.runs)
 
     async def wait_for_runs(self, count=1):
-        await until(lambda: self.runs >= count)
+        await wait_until(lambda: self.runs >= count)
--- a/tests/idempotency/test_durability.py
+++ b/tests/idempotency/test_durability.py
@@ -13,7 +13,7 @@
     pay,
     running,
     send_pay,
-    until,
+    wait_until,
 )
 from tests.server.peers import ScriptedPeer, make_response
 from tests.world import loopback
@@ -80,7 +80,7 @@
             if status == 200:
                 break
             # Only the record of the rejected request shows that the disk accepts records again.
-            await until(lambda written=written: journal.statistics.records > written)
+            await wait_until(lambda written=written: journal.statistics.records > written)
         assert status == 200, "the journal did not resume"
     assert extension.record_failures >= 1
 
@@ -97,9 +97,9 @@
         running(peer, extension) as balancer,
     ):
         first = await send_pay(balancer, "k")
-        await until(lambda: store.running)
+        await wait_until(lambda: store.running)
         repeat = asyncio.ensure_future(pay(balancer, "k"))
-        await until(lambda: len(store.waiters))
+        await wait_until(lambda: len(store.waiters))
 
         first.abort()
         # The waiter owns the key, pending its own record, long before the first time limit expires.
--- a/tests/idempotency/test_extension.py
+++ b/tests/idempotency/test_extension.py
@@ -11,7 +11,7 @@
     pay,
     running,
     send_pay,
-    until,
+    wait_until,
 )
 from tests.server.peers import ScriptedPeer, make_response
 from tests.world import loopback
@@ -26,7 +26,7 @@
         first = asyncio.ensure_future(pay(balancer))
         await upstream.wait_for_runs()
         repeat = asyncio.ensure_future(pay(balancer, key='"k1"'))
-        await until(lambda: len(extension.store.waiters))
+        await wait_until(lambda: len(extension.store.waiters))
 
         upstream.release.set()
 
@@ -86,10 +86,10 @@
         first = await send_pay(balancer, "k", "/hold")
         await upstream.wait_for_runs()
         repeat = asyncio.ensure_future(pay(balancer, "k", "/hold"))
-        await until(lambda: len(extension.store.waiters))
+        await wait_until(lambda: len(extension.store.waiters))
 
         first.abort()
-        await until(lambda: balancer.app.counters["clients left"])
+        await wait_until(lambda: balancer.app.counters["clients left"])
         upstream.release.set()
 
         assert await repeat == (200, b"run 1")
@@ -103,7 +103,7 @@
     async with ScriptedPeer(upstream) as peer, running(peer, extension) as balancer:
         await leave_one_by_one(balancer, upstream, extension, "/hold")
 
-        await until(lambda: balancer.app.counters["attempts cancelled"])
+        await wait_until(lambda: balancer.app.counters["attempts cancelled"])
 
         assert await pay(balancer, "k", "/hold") == FAILED
         upstream.release.set()
@@ -127,12 +127,12 @@
     first = await send_pay(balancer, "k", path)
     await upstream.wait_for_runs()
     waiter = await send_pay(balancer, "k", path)
-    await until(lambda: len(extension.store.waiters))
+    await wait_until(lambda: len(extension.store.waiters))
     first.abort()
     await asyncio.sleep(0.05)
     assert not balancer.app.counters["attempts cancelled"]
     waiter.abort()
-    await until(lambda: not len(extension.store.waiters))
+    await wait_until(lambda: not len(extension.store.waiters))
 
 
 class RejectsFirst:
@@ -156,10 +156,10 @@
     upstream, extension = RejectsFirst(), make_extension()
     async with ScriptedPeer(upstream) as peer, running(peer, extension) as balancer:
         first = asyncio.ensure_future(pay(balancer, X_Timeout_Ms="150"))
-        await until(lambda: upstream.runs)
+        await wait_until(lambda: upstream.runs)
         waiters = [asyncio.ensure_future(pay(balancer)) for _ in range(3)]
         short_waiter = asyncio.ensure_future(pay(balancer, X_Timeout_Ms="100"))
-        await until(lambda: len(extension.store.waiters) >= 4)
+        await wait_until(lambda: len(extension.store.waiters) >= 4)
         assert (await short_waiter)[0] == 500, "its time limit expired while the first may run"
 
         upstream.reject.set()
--- a/tests/idempotency/test_peers.py
+++ b/tests/idempotency/test_peers.py
@@ -20,7 +20,7 @@
     pay,
     running,
     send_pay,
-    until,
+    wait_until,
 )
 from tests.server.peers import ScriptedPeer, make_response
 from tests.world import loopback
@@ -115,7 +115,7 @@
                     owner_balancer,
                 )
             ]
-            await until(lambda: len(owner.store.waiters) >= 3)
+            await wait_until(lambda: len(owner.store.waiters) >= 3)
 
             upstream.release.set()
 
@@ -159,7 +159,7 @@
 
             client.abort()
 
-            await until(lambda: owner_balancer.app.counters["clients left"])
+            await wait_until(lambda: owner_balancer.app.counters["clients left"])
             upstream.release.set()
 
 
@@ -205,14 +205,14 @@
             stamp = edge.extension.peers.file.stamp
 
             edges.path.write_text("version = 1\nepoch = 4\n")
-            await until(lambda: edge.extension.peers.file.stamp != stamp, FILE_POLL_S)
+            await wait_until(lambda: edge.extension.peers.file.stamp != stamp, FILE_POLL_S)
 
             assert edge.ownership.current.epoch == 1
             assert (await pay(balancer, key))[0] == 200
 
 
 async def wait_for_epoch(edge, epoch):
-    await until(lambda: edge.ownership.current.epoch == epoch, FILE_POLL_S)
+    await wait_until(lambda: edge.ownership.current.epoch == epoch, FILE_POLL_S)
 
 
 async def test_full_disk_does_not_end_the_watcher_of_the_member_list(tmp_path, monkeypatch):
@@ -237,4 +237,4 @@
         monkeypatch.setattr(MemberListHistory, "save", fail_to_save)
         for epoch in (2, 3):
             edges.write_list(epoch, edges.names)
-            await until(lambda epoch=epoch: members.ownership.current.epoch == epoch)
+            await wait_until(lambda epoch=epoch: members.ownership.current.epoch == epoch)
