--- a/tests/idempotency/balancers.py
+++ b/tests/idempotency/balancers.py
@@ -36,7 +36,7 @@
     return Idempotency(settings, make_config(env=RETRY_AFTER_ENVIRONMENT), make_log(), peers)
 
 
-def running(peer, extension, **options):
+def running_balancer(peer, extension, **options):
     """Return a balancer on loopback whose only upstream is ``peer``."""
     return RunningBalancer(
         [peer.address], extensions=Extensions([extension]), env=RETRY_AFTER_ENVIRONMENT, **options
--- a/tests/idempotency/test_durability.py
+++ b/tests/idempotency/test_durability.py
@@ -11,7 +11,7 @@
     BlockingUpstream,
     make_extension,
     pay,
-    running,
+    running_balancer,
     send_pay,
     wait_until,
 )
@@ -31,7 +31,7 @@
     upstream = BlockingUpstream()
     crashed = directory.with_name("crashed")
     async with ScriptedPeer(upstream) as peer:
-        async with running(peer, make_extension(journal=str(directory))) as balancer:
+        async with running_balancer(peer, make_extension(journal=str(directory))) as balancer:
             upstream.release.set()
             assert (await pay(balancer, "ended"))[1] == b"run 1"
             upstream.release.clear()
@@ -43,7 +43,7 @@
             await open_request
 
         restarted = make_extension(journal=str(crashed))
-        async with running(peer, restarted) as balancer:
+        async with running_balancer(peer, restarted) as balancer:
             assert await pay(balancer, "ended") == (200, b"run 1")
             assert await pay(balancer, "open") == (500, b"broken off\n")
             assert (await pay(balancer, "new"))[0] == 200
@@ -64,7 +64,7 @@
     journal.segments.sync = sync
     async with (
         ScriptedPeer(lambda *_: make_response()) as peer,
-        running(peer, extension) as balancer,
+        running_balancer(peer, extension) as balancer,
     ):
         assert (await pay(balancer, "a"))[0] == 503
         assert not peer.requests
@@ -94,7 +94,7 @@
     store = extension.store
     async with (
         ScriptedPeer(lambda *_: make_response()) as peer,
-        running(peer, extension) as balancer,
+        running_balancer(peer, extension) as balancer,
     ):
         first = await send_pay(balancer, "k")
         await wait_until(lambda: store.running)
--- a/tests/idempotency/test_extension.py
+++ b/tests/idempotency/test_extension.py
@@ -9,7 +9,7 @@
     BlockingUpstream,
     make_extension,
     pay,
-    running,
+    running_balancer,
     send_pay,
     wait_until,
 )
@@ -23,7 +23,7 @@
 @loopback
 async def test_repeat_receives_the_result_while_the_first_request_runs_and_afterwards():
     upstream, extension = BlockingUpstream(), make_extension()
-    async with ScriptedPeer(upstream) as peer, running(peer, extension) as balancer:
+    async with ScriptedPeer(upstream) as peer, running_balancer(peer, extension) as balancer:
         first = asyncio.ensure_future(pay(balancer))
         await upstream.wait_for_runs()
         repeat = asyncio.ensure_future(pay(balancer, key='"k1"'))
@@ -42,7 +42,7 @@
 async def test_key_with_another_body_is_refused_and_another_key_runs():
     upstream = BlockingUpstream()
     upstream.release.set()
-    async with ScriptedPeer(upstream) as peer, running(peer, make_extension()) as balancer:
+    async with ScriptedPeer(upstream) as peer, running_balancer(peer, make_extension()) as balancer:
         assert (await pay(balancer)) == (200, b"run 1")
 
         other_body = await pay(balancer, body=b"2")
@@ -57,7 +57,7 @@
 async def test_key_that_is_too_long_is_refused():
     async with (
         ScriptedPeer(lambda *_: make_response()) as peer,
-        running(peer, make_extension()) as balancer,
+        running_balancer(peer, make_extension()) as balancer,
     ):
         # 10 KB may be refused by the server or by the extension.
         assert (await pay(balancer, key="x" * 10_000))[0] == 400
@@ -73,7 +73,7 @@
     extension = make_extension(require=["pay"])
     async with (
         ScriptedPeer(lambda *_: make_response()) as peer,
-        running(peer, extension) as balancer,
+        running_balancer(peer, extension) as balancer,
     ):
         assert (await balancer.request("/pay", b"POST", b"1"))[0] == 400
         assert (await pay(balancer))[0] == 200
@@ -83,7 +83,7 @@
 @loopback
 async def test_repeat_receives_the_response_after_the_first_client_has_left():
     upstream, extension = BlockingUpstream(), make_extension()
-    async with ScriptedPeer(upstream) as peer, running(peer, extension) as balancer:
+    async with ScriptedPeer(upstream) as peer, running_balancer(peer, extension) as balancer:
         first = await send_pay(balancer, "k", "/hold")
         await upstream.wait_for_runs()
         repeat = asyncio.ensure_future(pay(balancer, "k", "/hold"))
@@ -101,7 +101,7 @@
 @loopback
 async def test_keyed_request_is_cancelled_only_when_all_clients_have_left():
     upstream, extension = BlockingUpstream(), make_extension()
-    async with ScriptedPeer(upstream) as peer, running(peer, extension) as balancer:
+    async with ScriptedPeer(upstream) as peer, running_balancer(peer, extension) as balancer:
         await leave_one_by_one(balancer, upstream, extension, "/hold")
 
         await wait_until(lambda: balancer.app.counters["attempts cancelled"])
@@ -114,7 +114,7 @@
 @loopback
 async def test_unsafe_request_continues_after_all_clients_left_and_a_repeat_receives_its_result():
     upstream, extension = BlockingUpstream(), make_extension()
-    async with ScriptedPeer(upstream) as peer, running(peer, extension) as balancer:
+    async with ScriptedPeer(upstream) as peer, running_balancer(peer, extension) as balancer:
         await leave_one_by_one(balancer, upstream, extension, "/pay")
 
         upstream.release.set()
@@ -155,7 +155,7 @@
 @loopback
 async def test_request_that_never_ran_is_handed_over_to_a_waiter_within_its_time_limit():
     upstream, extension = RejectsFirst(), make_extension()
-    async with ScriptedPeer(upstream) as peer, running(peer, extension) as balancer:
+    async with ScriptedPeer(upstream) as peer, running_balancer(peer, extension) as balancer:
         first = asyncio.ensure_future(pay(balancer, X_Timeout_Ms="150"))
         await wait_until(lambda: upstream.runs)
         waiters = [asyncio.ensure_future(pay(balancer)) for _ in range(3)]
@@ -173,7 +173,7 @@
 @loopback
 async def test_request_whose_time_limit_expired_is_not_run_again():
     upstream = BlockingUpstream()
-    async with ScriptedPeer(upstream) as peer, running(peer, make_extension()) as balancer:
+    async with ScriptedPeer(upstream) as peer, running_balancer(peer, make_extension()) as balancer:
         first = asyncio.ensure_future(pay(balancer, X_Timeout_Ms="150"))
         await upstream.wait_for_runs()
 
@@ -190,7 +190,7 @@
     extension = make_extension(entries=2)
     async with (
         ScriptedPeer(lambda *_: make_response()) as peer,
-        running(peer, extension) as balancer,
+        running_balancer(peer, extension) as balancer,
     ):
         statuses = [(await pay(balancer, f"k{n}"))[0] for n in range(3)]
         assert statuses == [200, 503, 503]
@@ -208,7 +208,7 @@
     extension = make_extension(body_kb=body_kb)
     async with (
         ScriptedPeer(lambda *_: make_response()) as peer,
-        running(peer, extension) as balancer,
+        running_balancer(peer, extension) as balancer,
     ):
         assert await pay(balancer) == (200, b"done")
 
--- a/tests/idempotency/test_peers.py
+++ b/tests/idempotency/test_peers.py
@@ -18,7 +18,7 @@
     make_extension,
     make_log,
     pay,
-    running,
+    running_balancer,
     send_pay,
     wait_until,
 )
@@ -66,7 +66,7 @@
             window_s={"pay": window_s},
             journal=str(self.directory / name),
         )
-        return Edge(running(peer, extension, owns_event_loop=False), extension)
+        return Edge(running_balancer(peer, extension, owns_event_loop=False), extension)
 
     def key_of(self, name):
         """Return a key of /pay that the member ``name`` owns."""
@@ -232,7 +232,7 @@
     )
     async with (
         ScriptedPeer(lambda *_: make_response()) as peer,
-        running(peer, extension, owns_event_loop=False),
+        running_balancer(peer, extension, owns_event_loop=False),
     ):
         monkeypatch.setattr(MemberListHistory, "save", fail_to_save)
         for epoch in (2, 3):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -419,7 +419,7 @@
     )
     async with (
         ScriptedPeer(lambda _, body: make_response(body=b"again " + body)) as peer,
-        balancers.running(peer, extension) as balancer,
+        balancers.running_balancer(peer, extension) as balancer,
     ):
         assert extension.told()["keys"] == 7, "a key that was not executed is dropped"
 
