--- a/tests/idempotency/state_model.py
+++ b/tests/idempotency/state_model.py
@@ -1,7 +1,8 @@
-"""A model of all that can happen to one key, and an explorer of its reachable states.
+"""A model of all event sequences of one key, and an explorer of its reachable states.
 
-A first request, two repeats, one crash, one other key that wants the same place, and one window
-that passes. The store is driven as the extension drives it: recorded, attempted, answered.
+The events are a first request, two repeats, one crash, one request with another key that competes
+for the same capacity, and the end of one window. The model calls the store in the order in which
+the extension does: a request is recorded, attempted and answered.
 """
 
 import copy
@@ -27,50 +28,50 @@
 
 KEY = b"k"
 CLIENTS = 3
-MAX_ATTEMPTS = 2  # of the first request; a second one may follow an attempt that never ran
+MAX_ATTEMPTS = 2  # of the first request; the second one only follows an attempt that never ran
 LIMITS = StoreLimits(max_entries=1, max_bytes=2**20, max_waiters_per_key=2, max_body_bytes=100)
 
 
 class ClientState(Enum):
-    TO_COME = auto()
+    NOT_ARRIVED = auto()
     RUNS = auto()
     WAITS = auto()
     ANSWERED = auto()
     LEFT = auto()
-    LEFT_AND_RUNS = auto()  # its client has left, and others wait for its result
-    LOST = auto()  # in a crash
+    LEFT_AND_RUNS = auto()  # its client has left, but others wait for its result
+    LOST = auto()  # it was open during a crash
 
 
-UNANSWERED = {ClientState.TO_COME, ClientState.RUNS, ClientState.WAITS}
+UNANSWERED = {ClientState.NOT_ARRIVED, ClientState.RUNS, ClientState.WAITS}
 
 
 @dataclass(frozen=True)
 class Attempt:
     owner: Hashable
-    began: int
+    started_ns: int
     outcome: str | None = None
 
 
 @dataclass(frozen=True)
 class LastRecord:
-    """What the journal knows of the key."""
+    """The last record that the journal has on the key."""
 
     kind: RecordKind
-    at: int
+    recorded_ns: int
 
 
 class KeyModel:
-    """One unsafe key in a store with room for one."""
+    """One unsafe key in a store with capacity for one entry."""
 
     store_class = IdempotencyStore
 
     def __init__(self):
         self.store = self.make_store()
         self.now = 0
-        self.clients = [ClientState.TO_COME] * CLIENTS
-        self.is_durable = [False] * CLIENTS  # whether the record that it runs is on the disk
-        self.answers = [0] * CLIENTS
-        self.attempts = []  # of the whole history
+        self.clients = [ClientState.NOT_ARRIVED] * CLIENTS
+        self.is_durable = [False] * CLIENTS  # whether its STARTED record is durable
+        self.answer_counts = [0] * CLIENTS
+        self.attempts = []  # all since the start, across the crash
         self.journal = None
         self.crashes_left = 1
         self.other_keys_left = 1
@@ -80,54 +81,54 @@
         windows = policies(safe_ns=NS_PER_S, unsafe_ns=NS_PER_S, keyed_ns=NS_PER_S)
         return self.store_class(windows, [1.0], LIMITS)
 
-    # What may happen next.
+    # Possible events.
 
-    def moves(self):
-        """The next steps, as names and calls; the names of a crash are ``crash``."""
-        moves = []
-        if ClientState.TO_COME in self.clients:
-            client = self.clients.index(ClientState.TO_COME)
-            moves.append(("arrive", lambda it, client=client: it.arrive(client)))
+    def events(self):
+        """Return the possible events as pairs of name and function; a crash is named ``crash``."""
+        events = []
+        if ClientState.NOT_ARRIVED in self.clients:
+            client = self.clients.index(ClientState.NOT_ARRIVED)
+            events.append(("arrive", lambda model, client=client: model.arrive(client)))
         for client, state in enumerate(self.clients):
             if state is ClientState.RUNS:
-                moves += self.moves_of_running(client)
+                events += self.events_of_running(client)
             if state in (ClientState.RUNS, ClientState.WAITS):
-                moves.append(("leave", lambda it, client=client: it.leave(client)))
+                events.append(("leave", lambda model, client=client: model.leave(client)))
         if self.crashes_left:
-            moves.append(("crash", lambda it: it.crash()))
+            events.append(("crash", lambda model: model.crash()))
         if self.other_keys_left:
-            moves.append(("other key", lambda it: it.other_key()))
+            events.append(("other key", lambda model: model.other_key()))
         if self.windows_left and not self.store.running:
-            moves.append(("window", lambda it: it.pass_window()))
-        return moves
+            events.append(("window", lambda model: model.pass_window()))
+        return events
 
-    def moves_of_running(self, client):
+    def events_of_running(self, client):
         outcomes = [attempt.outcome for attempt in self.attempts if attempt.owner == client]
         may_retry = (
             outcomes[-1:] == [Outcome.OVERLOADED] and len(outcomes) < MAX_ATTEMPTS and client == 0
         )
-        moves = [("time is up", lambda it: it.finish(client, None))]
+        events = [("time limit", lambda model: model.finish(client, None))]
         if not self.is_durable[client]:
-            moves.append(("recorded", lambda it: it.recorded(client)))
+            events.append(("recorded", lambda model: model.recorded(client)))
         elif not outcomes or may_retry:
-            moves.append(("attempt", lambda it: it.start_attempt(client)))
+            events.append(("attempt", lambda model: model.start_attempt(client)))
         if outcomes[-1:] == [None]:
-            moves += [
-                ("end", lambda it, outcome=outcome: it.end_attempt(client, outcome))
+            events += [
+                ("end", lambda model, outcome=outcome: model.end_attempt(client, outcome))
                 for outcome in (Outcome.SERVED, Outcome.OVERLOADED, Outcome.RESET)
             ]
-        return moves
+        return events
 
-    def after(self, move):
-        """The state after a move."""
+    def after(self, event):
+        """Return the state after an event, and check its invariants."""
         state = self.copy()
-        move(state)
+        event(state)
         check_invariants(state.store)
         assert state.store.partitions[0].entries <= LIMITS.max_entries
-        assert max(state.answers) <= 1, "two answers"
+        assert max(state.answer_counts) <= 1, "two answers"
         return state
 
-    # The moves.
+    # Events.
 
     def arrive(self, client):
         verdict = decide(self.store, KEY, client, UNSAFE, self.now).verdict
@@ -141,7 +142,7 @@
     def answer(self, client):
         assert self.clients[client] in UNANSWERED
         self.clients[client] = ClientState.ANSWERED
-        self.answers[client] += 1
+        self.answer_counts[client] += 1
 
     def recorded(self, client):
         self.is_durable[client] = True
@@ -153,7 +154,7 @@
         may_have_run = [
             attempt
             for attempt in self.attempts
-            if attempt.outcome != Outcome.OVERLOADED and self.now < attempt.began + NS_PER_S
+            if attempt.outcome != Outcome.OVERLOADED and self.now < attempt.started_ns + NS_PER_S
         ]
         assert len(may_have_run) <= 1, "two attempts within the window that may have run"
 
@@ -201,22 +202,24 @@
             self.cancel(departure.abandoned)
 
     def cancel(self, client):
-        """What is open is cancelled: it may have run."""
+        """Cancel a client's open attempts, which may have run, and finish its request."""
         for number, attempt in enumerate(self.attempts):
             if attempt.owner == client and attempt.outcome is None:
                 self.note_outcome(number, Outcome.CANCELLED)
         self.finish(client, None)
 
     def crash(self):
-        """The process dies, and begins anew from its journal."""
+        """End the process, and restart it from its journal."""
         self.crashes_left = 0
         for client, state in enumerate(self.clients):
-            if state not in (ClientState.TO_COME, ClientState.ANSWERED):
+            if state not in (ClientState.NOT_ARRIVED, ClientState.ANSWERED):
                 self.clients[client] = ClientState.LOST
         self.store = self.make_store()
         if self.journal is not None:
             entry = self.recovered()
-            self.store.restore({KEY: entry}, lambda it: it, [TenantUsage(None, 1, entry.size)])
+            self.store.restore(
+                {KEY: entry}, lambda record: record, [TenantUsage(None, 1, entry.size)]
+            )
 
     def recovered(self):
         is_completed = self.journal.kind is RecordKind.COMPLETED
@@ -227,7 +230,7 @@
             tenant=None,
             response=RESPONSE if is_completed else None,
             is_completed=is_completed,
-            expires_ns=(self.now if is_interrupted else self.journal.at) + NS_PER_S,
+            expires_ns=(self.now if is_interrupted else self.journal.recorded_ns) + NS_PER_S,
         )
 
     def other_key(self):
@@ -240,18 +243,18 @@
         self.windows_left = 0
         self.now += NS_PER_S
 
-    # Copies and identity.
+    # Copies and comparison.
 
     def copy(self):
-        """A copy that shares nothing that changes; copy.deepcopy takes four times as long."""
-        twin = copy.copy(self)
-        for name in "clients", "is_durable", "answers", "attempts":
-            setattr(twin, name, list(getattr(self, name)))
-        twin.store = copy_store(self.store)
-        return twin
+        """Return a copy that shares no mutable state; copy.deepcopy takes four times as long."""
+        copied = copy.copy(self)
+        for name in "clients", "is_durable", "answer_counts", "attempts":
+            setattr(copied, name, list(getattr(self, name)))
+        copied.store = copy_store(self.store)
+        return copied
 
     def signature(self):
-        """Equal for states from which the same can follow."""
+        """Return a value that is equal for states with the same possible continuations."""
         entry = self.store.table.get(KEY)
         return (
             self.now,
@@ -259,7 +262,7 @@
             tuple(self.store.recovered.records.items()),
             tuple(self.clients),
             tuple(self.is_durable),
-            tuple(self.answers),
+            tuple(self.answer_counts),
             tuple(self.attempts),
             self.crashes_left,
             self.other_keys_left,
@@ -270,7 +273,7 @@
 
 def execution_signature(execution):
     return execution and (
-        execution.owner,
+        execution.request,
         tuple(execution.waiters),
         frozenset(execution.open_attempts),
         execution.has_run,
@@ -279,28 +282,28 @@
 
 
 def copy_store(store):
-    """Copies a store of one partition."""
-    twin = copy.copy(store)
-    twin.counts = dict(store.counts)
-    twin.recovered = copy.copy(store.recovered)
-    twin.recovered.records = dict(store.recovered.records)
+    """Return a copy of a store that has one partition."""
+    copied = copy.copy(store)
+    copied.counts = dict(store.counts)
+    copied.recovered = copy.copy(store.recovered)
+    copied.recovered.records = dict(store.recovered.records)
     partition = copy.copy(store.partitions[0])
-    twin.partitions = [partition]
-    twins = {entry: copy_entry(entry, partition) for entry in all_entries(store)}
+    copied.partitions = [partition]
+    copies = {entry: copy_entry(entry, partition) for entry in all_entries(store)}
 
-    def twins_of(entries):
-        return {key: twins[entry] for key, entry in entries.items()}
+    def copies_of(entries):
+        return {key: copies[entry] for key, entry in entries.items()}
 
-    twin.table = copy.copy(store.table)
-    twin.table.entries = twins_of(store.table.entries)
-    twin.running = twins_of(store.running)
-    twin.waiters = copy.copy(store.waiters)
-    twin.waiters.entry_by_request = twins_of(store.waiters.entry_by_request)
+    copied.table = copy.copy(store.table)
+    copied.table.entries = copies_of(store.table.entries)
+    copied.running = copies_of(store.running)
+    copied.waiters = copy.copy(store.waiters)
+    copied.waiters.entry_by_request = copies_of(store.waiters.entry_by_request)
     partition.expiring = {
-        service_class: deque(twins[entry] for entry in queue)
+        service_class: deque(copies[entry] for entry in queue)
         for service_class, queue in partition.expiring.items()
     }
-    return twin
+    return copied
 
 
 def all_entries(store):
@@ -313,36 +316,36 @@
 
 
 def copy_entry(entry, partition):
-    twin = copy.copy(entry)
-    twin.partition = partition
+    copied = copy.copy(entry)
+    copied.partition = partition
     execution = entry.execution
     if execution is not None:
-        twin.execution = Execution(
-            owner=execution.owner,
+        copied.execution = Execution(
+            request=execution.request,
             waiters=dict(execution.waiters),
             open_attempts=set(execution.open_attempts),
             has_run=execution.has_run,
             is_abandoned=execution.is_abandoned,
         )
-    return twin
+    return copied
 
 
 def explore(make_model):
-    """Visits every reachable state once, breadth first. Returns how many there are."""
+    """Visit every reachable state once, breadth first; return the number of states."""
     first = make_model()
-    seen = {first.signature()}
+    visited = {first.signature()}
     frontier = [first]
     while frontier:
         successors = []
         for state in frontier:
-            moves = state.moves()
-            for _, move in moves:
-                successor = state.after(move)
+            events = state.events()
+            for _, event in events:
+                successor = state.after(event)
                 signature = successor.signature()
-                if signature not in seen:
-                    seen.add(signature)
+                if signature not in visited:
+                    visited.add(signature)
                     successors.append(successor)
-            if all(name == "crash" for name, _ in moves):
+            if all(name == "crash" for name, _ in events):
                 assert not UNANSWERED & set(state.clients), "a client without an answer"
         frontier = successors
-    return len(seen)
+    return len(visited)
