--- a/pepperhook/http2/managed_connection.py
+++ b/pepperhook/http2/managed_connection.py
@@ -16,13 +16,13 @@
 
     # The attributes of client_connections.Connection.
     answered = False  # whether a response was written
-    touched = False  # whether a part of an HTTP/1.1 request was received; never set here
-    before = 0  # value of _request_count at the last response
+    is_message_begun = False  # whether a part of an HTTP/1.1 request was received; never set here
+    requests_before = 0  # value of _request_count at the last response
     ending = False  # whether the connection is closing; received data is discarded
     received_bytes = 0  # HTTP/1.1 only: of an incomplete head
-    ends = 0.0  # when it is closed if still idle, in the event loop's time
+    expires_at = 0.0  # when it is closed if still idle, in the event loop's time
     transport: asyncio.Transport | None = None
 
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether the socket holds unread data or an unread end of file (FIN)."""
         return self.transport is not None and has_unread_data(self.transport)
--- a/pepperhook/http2/protocol_detection.py
+++ b/pepperhook/http2/protocol_detection.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from pepperhook.http2.managed_connection import ManagedConnection
-from pepperhook.server.client_connections import MESSAGE_S
+from pepperhook.server.client_connections import MESSAGE_TIMEOUT_S
 
 if TYPE_CHECKING:
     from pepperhook.server.client_connections import Connections
@@ -33,7 +33,7 @@
         self.make_http1 = make_http1
         self.make_http2 = make_http2
         self.buffer = b""
-        self.ends = connections.loop.time() + MESSAGE_S
+        self.expires_at = connections.loop.time() + MESSAGE_TIMEOUT_S
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection."""
@@ -56,7 +56,7 @@
         self.transport = None
         self.connections.connection_lost(self)
         connection = make_connection()
-        connection.ends = self.ends
+        connection.expires_at = self.expires_at
         transport.set_protocol(connection)
         connection.connection_made(transport)
         connection.data_received(self.buffer)
--- a/pepperhook/http2/server.py
+++ b/pepperhook/http2/server.py
@@ -21,7 +21,7 @@
 from pepperhook.http2.managed_connection import ManagedConnection
 from pepperhook.http2.protocol import Http2Protocol
 from pepperhook.http2.server_stream import ServerStream
-from pepperhook.server.client_connections import MAX_HEAD_BYTES, MESSAGE_S
+from pepperhook.server.client_connections import MAX_HEAD_BYTES, MESSAGE_TIMEOUT_S
 from pepperhook.server.http1_client import MAX_BODY_BYTES, is_closed_by_peer
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
         self.last_stream_id = 0  # the highest id accepted
         self.is_going_away = False  # after a GOAWAY of either side: no new streams
         self.is_closed = False  # closing or closed
-        self.ends = self.loop.time() + MESSAGE_S
+        self.expires_at = self.loop.time() + MESSAGE_TIMEOUT_S
         self._sweep_timer: asyncio.TimerHandle | None = None
         self._goaway_timer: asyncio.TimerHandle | None = None
 
@@ -125,7 +125,7 @@
         self.flush()
 
     def _on_request(self, event: h2.events.RequestReceived) -> None:
-        has_too_many_streams = len(self.connections.streams) >= self.connections.most_streams
+        has_too_many_streams = len(self.connections.streams) >= self.connections.max_streams
         if self.is_going_away or has_too_many_streams:
             # Above the last id of a GOAWAY, or over the limit on streams of all connections
             # together. REFUSED_STREAM tells the client that the request was never executed.
@@ -138,7 +138,7 @@
         self.streams[stream.stream_id] = stream
         self.connections.streams.add(stream)
         if len(self.streams) == 1:
-            self.connections.begun(self)
+            self.connections.request_begun(self)
         self._schedule_sweep()
         stream.handle_headers(event)
 
@@ -239,7 +239,7 @@
         if must_close or self.connections.is_full_of_active:
             self.retire()
         else:
-            self.connections.done(self)
+            self.connections.request_done(self)
 
     def _schedule_sweep(self) -> None:
         if self._sweep_timer is None and self.streams:
--- a/pepperhook/http2/server_stream.py
+++ b/pepperhook/http2/server_stream.py
@@ -12,7 +12,7 @@
 from multidict import CIMultiDict
 
 from pepperhook.http2.protocol import OutgoingStream
-from pepperhook.server.client_connections import MESSAGE_S
+from pepperhook.server.client_connections import MESSAGE_TIMEOUT_S
 from pepperhook.server.http1_client import MAX_BODY_BYTES
 from pepperhook.server.ingress import PLAIN_TEXT, RequestRefusedError
 
@@ -60,7 +60,7 @@
         self.is_reset = False  # by the client, or for a stream error
         self.is_answered = False  # the whole response was written
         # By when the whole request must be received, in the event loop's time.
-        self.deadline = connection.loop.time() + MESSAGE_S
+        self.deadline = connection.loop.time() + MESSAGE_TIMEOUT_S
         # Serves the request, or writes a response of the balancer itself.
         self.task: asyncio.Task[None] | None = None
         # The library returns str, not bytes, as the connection sets a header encoding.
--- a/pepperhook/server/client_connections.py
+++ b/pepperhook/server/client_connections.py
@@ -18,8 +18,8 @@
     from pepperhook.server.config import Address
     from pepperhook.server.metrics import Counters
 
-MESSAGE_S = 2  # in which a message must have come whole, and the first one since connecting
-IDLE_S = 10  # a kept connection may stand idle this long
+MESSAGE_TIMEOUT_S = 2  # in which a message must have come whole, and the first one since connecting
+IDLE_TIMEOUT_S = 10  # a kept connection may stand idle this long
 SWEEP_INTERVAL_S = 0.2  # between looks for those whose time is up
 MAX_HEAD_BYTES = 32 * 1024  # that may come before there is a message
 LINGER_S = 0.4  # from the end of our sending to the close, in which the client may end its own
@@ -40,12 +40,12 @@
         super().__init__(connections, **options)
         self.connections = connections
         self.waited_s = waited_s
-        self.touched = False  # a message has begun to come
+        self.is_message_begun = False  # a message has begun to come
         self.answered = False  # at least one response was written
-        self.ends = self._loop.time() + MESSAGE_S  # when its time is up
+        self.expires_at = self._loop.time() + MESSAGE_TIMEOUT_S  # when its time is up
         self.received_bytes = 0  # of an incomplete head, or since our sending has ended
         self.is_pipelined = False  # a message came before the one before was answered
-        self.before = 0  # messages that came up to the last response
+        self.requests_before = 0  # messages that came up to the last response
         self.ending = False  # our sending has ended: what comes now belongs to no request
 
     def data_received(self, data: bytes) -> None:
@@ -54,13 +54,13 @@
             self._discard(data)
             return
         # Once for each message, or one that comes byte by byte would never be closed to make room.
-        if not self.touched:
-            self.touched = True
+        if not self.is_message_begun:
+            self.is_message_begun = True
             self.connections.data_arrived(self)
         current = self._current_request
         is_early = data and current is not None and current.content.is_eof()
         super().data_received(data)
-        messages = self._request_count - self.before
+        messages = self._request_count - self.requests_before
         if messages > 1 or is_early:
             # Against hundreds of messages lying here for one connection, where clients send one at
             # a time. Nothing more is read; what is in flight already keeps its response.
@@ -80,7 +80,7 @@
         # The library would log a traceback for each message that can't be read, and not count it.
         return partial(self.connections.serve_unreadable, err_info.message)
 
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether something has come that was not read yet."""
         return self.transport is not None and http1_client.has_unread_data(self.transport)
 
@@ -125,9 +125,9 @@
         self.ending: dict[Any, float] = {}  # when they are closed at the latest, oldest first
         # Where more than one protocol is spoken: wraps what makes an HTTP/1.1 connection in what
         # finds out which it is.
-        self.sniff: Callable[[Callable[[], Any]], Any] | None = None
+        self.detect_protocol: Callable[[Callable[[], Any]], Any] | None = None
         self.streams: set[Any] = set()  # requests on multiplexed connections
-        self.most_streams = STREAMS_FACTOR * soft_limit
+        self.max_streams = STREAMS_FACTOR * soft_limit
         self.listener: socket.socket | None = None
         self._resume_timer: asyncio.TimerHandle | None = None
         self._full_since: float | None = None
@@ -180,8 +180,8 @@
         # A last write must not wait for the close.
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connect: Any = partial(Connection, self, waited_s, loop=self.loop, **self.options)
-        if self.sniff is not None:
-            connect = partial(self.sniff, connect)
+        if self.detect_protocol is not None:
+            connect = partial(self.detect_protocol, connect)
         task = self.loop.create_task(self.loop.connect_accepted_socket(connect, accepted))
         self.arriving.add(task)
         task.add_done_callback(self.arriving.discard)
@@ -213,8 +213,8 @@
         """
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
-        for handler in [handler for handler in self.idle if handler.ends < now]:
-            if handler.touched:
+        for handler in [handler for handler in self.idle if handler.expires_at < now]:
+            if handler.is_message_begun:
                 self.reject(handler, "408 Request Timeout")
             elif self.close_idle(handler):
                 self.counters.add("connections idle too long")
@@ -244,12 +244,12 @@
         handler.ending = True
         handler.received_bytes = 0
         unsent = handler.transport.get_write_buffer_size()
-        self.ending[handler] = self.loop.time() + (MESSAGE_S if unsent else LINGER_S)
+        self.ending[handler] = self.loop.time() + (MESSAGE_TIMEOUT_S if unsent else LINGER_S)
         with suppress(OSError, RuntimeError):
             handler.transport.resume_reading()
             handler.transport.write_eof()
 
-    async def retired(self, handler: Any) -> None:
+    async def retire_and_wait(self, handler: Any) -> None:
         """Retire one whose response was just written, and keep the library from closing it."""
         self.retire(handler)
         while handler in self.ending:
@@ -278,16 +278,18 @@
         """Make room for one more if need be, first by those never used; whether there is room."""
         if self._is_full:
             unused = [handler for handler in self.idle if not handler.answered]
-            if not self.close_idle_ones(1, unused):
-                self.close_idle_ones(1)
+            if not self.close_idle_connections(1, unused):
+                self.close_idle_connections(1)
         while self.count >= self.hard_limit and self.ending:
             self.abort(next(iter(self.ending)))
         return self.count < self.hard_limit
 
-    def close_idle_ones(self, limit: int | None = None, among: Iterable[Any] | None = None) -> bool:
+    def close_idle_connections(
+        self, limit: int | None = None, candidates: Iterable[Any] | None = None
+    ) -> bool:
         """Retire idle ones, at most ``limit``, the longest idle first; whether any was."""
         before = len(self.idle)
-        for handler in list(self.idle) if among is None else among:
+        for handler in list(self.idle) if candidates is None else candidates:
             # One just used, or just made, is spared: its next message may be on its way.
             if limit == 0 or self.loop.time() - self.idle[handler] <= MIN_IDLE_S:
                 break
@@ -296,15 +298,15 @@
                 limit -= 1
         return len(self.idle) < before
 
-    def close_idle(self, handler: Any, also_touched: bool = True) -> bool:
+    def close_idle(self, handler: Any, even_if_begun: bool = True) -> bool:
         """Retire an idle one, unless that would lose what has come on it; whether it was.
 
-        ``also_touched``: also one on which a message has begun to come, which is answered by an
+        ``even_if_begun``: also one on which a message has begun to come, which is answered by an
         error.
         """
-        if handler.unread() or (handler.touched and not also_touched):
+        if handler.has_unread_data() or (handler.is_message_begun and not even_if_begun):
             return False
-        if handler.touched:
+        if handler.is_message_begun:
             self.reject(handler, "503 Service Unavailable")
         else:
             handler.retire()
@@ -331,25 +333,25 @@
             now = self.loop.time()
             self.idle[handler] = now
             if handler.answered:
-                handler.ends = now + MESSAGE_S
+                handler.expires_at = now + MESSAGE_TIMEOUT_S
 
-    def begun(self, handler: Any) -> None:
+    def request_begun(self, handler: Any) -> None:
         """Count a connection as busy: a request has begun."""
         self.idle.pop(handler, None)
         self.busy.add(handler)
 
-    def done(self, handler: Any) -> None:
+    def request_done(self, handler: Any) -> None:
         """Count a connection as idle: the response was written."""
         if handler not in self.busy:
             return  # lost or ending meanwhile
         self.busy.discard(handler)
         now = self.loop.time()
         self.idle[handler] = now
-        handler.touched = False
+        handler.is_message_begun = False
         handler.answered = True
         handler.received_bytes = 0
-        handler.ends = now + IDLE_S
-        handler.before = handler._request_count  # the library has no public one
+        handler.expires_at = now + IDLE_TIMEOUT_S
+        handler.requests_before = handler._request_count  # the library has no public one
 
     @property
     def count(self) -> int:
--- a/pepperhook/server/http1_server.py
+++ b/pepperhook/server/http1_server.py
@@ -25,7 +25,7 @@
 NEVER_S = 10**6
 FINAL_CLOSE_S = 0.1  # for what is still open when the time for a graceful shutdown is up
 CLOSE_CHECK_INTERVAL_S = 0.01
-READ_S = 5  # in which a client reads its response, or goes without
+RESPONSE_WRITE_TIMEOUT_S = 5  # in which a client reads its response, or goes without
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
         def make_detector(make_http1: Any) -> ProtocolDetector:
             return ProtocolDetector(self.server, make_http1, make_http2)
 
-        self.server.sniff = make_detector
+        self.server.detect_protocol = make_detector
 
     def _make_request(
         self, message: Any, payload: Any, protocol: Any, writer: Any, task: Any
@@ -110,7 +110,7 @@
         self, request: Any, refusal: RequestRefusedError | None = None
     ) -> web.StreamResponse:
         connection = request.protocol
-        self.server.begun(connection)
+        self.server.request_begun(connection)
         try:
             response = self._refuse(refusal) if refusal else await self._handle(request)
             if self.is_shutting_down or self.server.is_full_of_active:
@@ -121,14 +121,14 @@
             with suppress(ConnectionError):
                 await self._write(request, response)
             if not response.keep_alive:
-                await self.server.retired(connection)
+                await self.server.retire_and_wait(connection)
             return response
         finally:
-            self.server.done(connection)
+            self.server.request_done(connection)
 
     async def _write(self, request: Any, response: web.Response) -> None:
         try:
-            async with asyncio.timeout(READ_S):
+            async with asyncio.timeout(RESPONSE_WRITE_TIMEOUT_S):
                 await response.prepare(request)
                 await response.write_eof()
         except TimeoutError:
@@ -210,7 +210,7 @@
             if request.headers.get("Expect", "").lower() == "100-continue":
                 await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
                 request.writer.output_size = 0
-            async with asyncio.timeout_at(request.protocol.ends):
+            async with asyncio.timeout_at(request.protocol.expires_at):
                 body: bytes = await request.read()
         except web.HTTPRequestEntityTooLarge as error:
             raise RequestRefusedError(
@@ -234,7 +234,7 @@
         loop = self.runtime.loop
         ends_at = loop.time() + within_s
         while (not self.server.stop() or self.server.count) and loop.time() < ends_at:
-            self.server.close_idle_ones()
+            self.server.close_idle_connections()
             await asyncio.sleep(CLOSE_CHECK_INTERVAL_S)
         # Half a message, or a client that does not read its response, is not waited for any longer.
         self.server.stop(at_once=True)
--- a/tests/server/test_closing_connections.py
+++ b/tests/server/test_closing_connections.py
@@ -23,7 +23,7 @@
     ):
         reader, writer, connection = await open_idle_connection(balancer)
         # The bytes arrive just after the balancer has looked for some.
-        monkeypatch.setattr(connection, "unread", lambda: False)
+        monkeypatch.setattr(connection, "has_unread_data", lambda: False)
         writer.write(balancer.make_request() if is_complete else b"GET /look HTTP/1.1\r\n")
 
         assert balancer.connections.close_idle(connection)
@@ -142,7 +142,7 @@
 
 
 async def test_connection_whose_client_does_not_read_its_response_is_closed(monkeypatch):
-    monkeypatch.setattr(http1_server, "READ_S", 0.05)
+    monkeypatch.setattr(http1_server, "RESPONSE_WRITE_TIMEOUT_S", 0.05)
     async with (
         ScriptedPeer(always(make_response(body=b"x" * 65536))) as peer,
         RunningBalancer([peer.address]) as balancer,
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -111,12 +111,12 @@
         idle_reader, idle_writer, _ = await open_idle_connection(balancer)
         reader, writer = await balancer.connect()
         writer.write(message[:30])
-        await wait_until(lambda: any(one.touched for one in connections.idle))
-        [half_read] = [one for one in connections.idle if one.touched]
+        await wait_until(lambda: any(one.is_message_begun for one in connections.idle))
+        [half_read] = [one for one in connections.idle if one.is_message_begun]
         # Long past the time for which a connection just used is spared.
         for connection in connections.idle:
             connections.idle[connection] -= LONG_AGO_S
-        half_read.ends += LONG_AGO_S
+        half_read.expires_at += LONG_AGO_S
 
         shutdown = begin_shutdown(balancer)
         assert await idle_reader.read() == b""
