--- a/pepperhook/__main__.py
+++ b/pepperhook/__main__.py
@@ -1,20 +1,20 @@
-"""Runs one balancer: ``python -m pepperhook``, configured by its environment.
+"""Runs one balancer: ``python -m pepperhook``, configured by environment variables.
 
-``LB_OPERATOR`` names an operator's file, without which no extension is even imported.
+``LB_OPERATOR`` names an operator's file; without it, no extension is imported.
 """
 
 import signal
 
 
 def ignore_early_signals() -> None:
-    """Ignore requests to reload or to log until they can be served: they would end the process."""
+    """Ignore the signals to reload and to log, which end a process that has no handlers yet."""
     for number in (signal.SIGHUP, signal.SIGUSR1):
         signal.signal(number, signal.SIG_IGN)
 
 
 if __name__ == "__main__":
-    # Before the other imports: they take half a second, in which a rolling reload that goes by the
-    # process alone sends its signal.
+    # Before the other imports, which take half a second: a rolling reload that only checks that the
+    # process exists may send its signal in that time.
     ignore_early_signals()
 
 # The imports below follow the call above on purpose.
@@ -35,35 +35,35 @@
 
 
 def reload(app: BalancerApp, log: structured_logging.Log) -> None:
-    """Read the configuration again, and keep the one in force where that is faulty."""
+    """Read the configuration again; keep the current one if the new one is invalid."""
     try:
-        replaced = config.read(os.environ, again=True)
+        replaced = config.read(os.environ, is_reload=True)
         app.reload(replaced)
     except config.ConfigError as error:
         log.error("reload_refused", error=error)
     except Exception:
-        # What is in force stays so, whatever fails.
+        # After any failure the current configuration stays in force.
         log.exception("reload_refused")
 
 
 def load_extensions(
     environ: Mapping[str, str], read_config: config.Config, log: structured_logging.Log
 ) -> extensions.Extensions:
-    """Build what the operator's file turns on. Raises ConfigError where that file can't be used."""
+    """Build the extensions that the operator's file enables. Raises ConfigError for a bad file."""
     path = environ.get("LB_OPERATOR")
     if not path:
         return extensions.NONE
-    # Imported only where there is a file.
+    # Imported only if there is a file.
     from pepperhook import operator_config
 
     return operator_config.build(path, read_config, log)
 
 
 def ignore_late_signals(loop: asyncio.AbstractEventLoop) -> None:
-    """Ignore signals from now on: all is answered, and the process ends.
+    """Ignore signals from now on: all requests are answered, and the process is about to end.
 
-    The loop would set them back to their default as it closes, by which one more SIGTERM, or a
-    SIGHUP, ends the process as if it had crashed.
+    The event loop restores the default handlers when it closes. Another SIGTERM, or a SIGHUP,
+    would then end the process as if it had crashed.
     """
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP):
         loop.remove_signal_handler(number)
@@ -71,7 +71,7 @@
 
 
 async def serve(read_config: config.Config, log: structured_logging.Log, **options: Any) -> None:
-    """Run a balancer until SIGTERM or SIGINT; ``options``: those of BalancerApp."""
+    """Run a balancer until SIGTERM or SIGINT; ``options``: more arguments of BalancerApp."""
     stop = asyncio.Event()
     app = BalancerApp(read_config, log, **options)
     loop = app.runtime.loop
@@ -86,7 +86,7 @@
 
 
 def main(policy_factory: Callable[..., Any] = Balancer) -> int:
-    """Run a balancer; returns the exit code."""
+    """Run a balancer; return the exit code."""
     log = structured_logging.start()
     ignore_early_signals()
     try:
@@ -97,7 +97,7 @@
     except ValueError as error:
         print(f"pepperhook: configuration: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIG
-    # What the start made stays; collecting it again and again would only delay responses.
+    # The objects created so far live as long as the process; collecting them would delay responses.
     gc.freeze()
     try:
         asyncio.run(serve(read_config, log, extensions=loaded, policy_factory=policy_factory))
--- a/pepperhook/server/__init__.py
+++ b/pepperhook/server/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer process on sockets: drives the policy and carries out its actions."""
+"""The balancer process: network I/O, and the execution of the policy's actions."""
--- a/pepperhook/server/app.py
+++ b/pepperhook/server/app.py
@@ -1,4 +1,4 @@
-"""Puts one balancer together, and takes it apart in the reverse order."""
+"""Assembles one balancer process, and shuts it down in the reverse order."""
 
 from __future__ import annotations
 
@@ -24,31 +24,30 @@
     from pepperhook.server.structured_logging import Log
     from pepperhook.settings import Settings
 
-ACCEPT_S = 0.5  # in a graceful shutdown, connections are accepted for a moment more
-SHUTDOWN_MARGIN_S = 0.3  # beyond the longest time limit, for the last responses to be written
-SPARE_DESCRIPTORS = 24  # for the endpoint list, the log and the process itself
+ACCEPT_S = 0.5  # how long a graceful shutdown still accepts connections
+SHUTDOWN_MARGIN_S = 0.3  # added to the longest time limit, to write the last responses
+RESERVED_DESCRIPTORS = 24  # for the endpoint list, the log and the process itself
 PROCESS_MB = 36  # memory of the process itself
-CONNECTION_KB = 160  # memory of a client's connection at the most
+CONNECTION_KB = 160  # maximum memory of a client connection
 NS_PER_MS = 10**6
-# Of a reload: what takes effect only at a restart.
+# Attributes of Config that take effect only at a restart, not at a reload.
 RESTART_SETTINGS = ("listen", "sockets", "settings")
 
 
 @dataclasses.dataclass(frozen=True)
 class SocketBudget:
-    """How the descriptors are divided."""
+    """How the file descriptors are divided between upstreams and clients."""
 
     upstreams: int
     clients: ConnectionLimits
 
     @classmethod
     def of(cls, sockets: int, memory_mb: int | None) -> SocketBudget:
-        """Give two fifths to upstreams, half to clients, and the rest to a rush of these."""
-        usable = sockets - SPARE_DESCRIPTORS
+        """Give 2/5 to upstreams, 1/2 to clients, and 1/10 to bursts of new clients."""
+        usable = sockets - RESERVED_DESCRIPTORS
         clients = usable // 2
         if memory_mb is not None:
-            # Half a request on each of hundreds of connections must not take more memory than there
-            # is.
+            # Incomplete requests on hundreds of connections must not exhaust the memory.
             affordable = (memory_mb - PROCESS_MB) * 1024 // CONNECTION_KB
             clients = max(usable // 8, min(clients, affordable))
         limits = ConnectionLimits(soft=clients, hard=clients + usable // 10)
@@ -56,7 +55,7 @@
 
 
 class BalancerApp:
-    """One balancer process: owns its parts from start to graceful shutdown."""
+    """One balancer process: owns its components from start to graceful shutdown."""
 
     def __init__(
         self,
@@ -65,7 +64,7 @@
         extensions: extension_points.Extensions = extension_points.NONE,
         policy_factory: Callable[[Settings, int, int], Any] = Balancer,
     ) -> None:
-        """Make all parts; nothing runs before ``start``."""
+        """Create all components; nothing runs before ``start``."""
         self.config = config
         self.log = log
         self.extensions = extensions
@@ -117,25 +116,25 @@
         )
 
     def reload(self, config: Config) -> None:
-        """Take over what a replaced file changes, as far as that is possible without a restart.
+        """Apply a replaced configuration file, as far as that is possible without a restart.
 
-        The rest is named in the log.
+        The settings that need a restart are named in the log.
         """
-        waiting = [
+        needs_restart = [
             name for name in RESTART_SETTINGS if getattr(config, name) != getattr(self.config, name)
         ]
         if config.discovery != self.config.discovery:
             self.discovery.move(config.discovery)
         self.config = dataclasses.replace(self.config, discovery=config.discovery)
-        fields = {"wait_for_a_restart": ",".join(waiting)} if waiting else {}
+        fields = {"wait_for_a_restart": ",".join(needs_restart)} if needs_restart else {}
         self.log.info("reloaded", discovery="{}:{}".format(*config.discovery), **fields)
 
     def log_state(self) -> None:
-        """Log the counters, and what the policy believes beside what is open on sockets."""
+        """Log the counters, and the policy's state of each upstream next to that of its sockets."""
         self.log_counters()
         policy = self.runtime.policy
         if not hasattr(policy, "retry_budget"):
-            return  # another policy, of the lab's: it believes nothing of upstreams
+            return  # a baseline policy of the lab, which has no such state
         self.log.info(
             "budget",
             B=round(policy.retry_budget.B, 3),
@@ -151,8 +150,8 @@
 
     def _log_upstream(self, upstream: Upstream, is_member: bool, now: int) -> None:
         def decayed(statistics: Any) -> Any:
-            # Of a copy: decaying in two steps gives other last digits than in one, and a capture
-            # would not replay.
+            # Decay a copy: two decay steps round differently from one, so decaying the policy's own
+            # state here would make a capture impossible to replay exactly.
             return copy.copy(statistics).decay(now)
 
         endpoint = self.upstreams.endpoints.get(upstream)
@@ -173,9 +172,9 @@
         )
 
     async def shut_down(self, accept_s: float = ACCEPT_S) -> None:
-        """Shut down gracefully: accept for ``accept_s`` more, answer what was accepted, close."""
+        """Accept for another ``accept_s``, answer all accepted requests, then close everything."""
         self.log.info("leaving", under_way=len(self.requests.tasks))
-        within_s = self.ingress.longest_s + SHUTDOWN_MARGIN_S - accept_s
+        within_s = self.ingress.max_time_limit_s + SHUTDOWN_MARGIN_S - accept_s
         await asyncio.gather(
             self.http_server.close(accept_s, within_s),
             *(hook(accept_s, within_s) for hook in self.extensions.closing),
--- a/pepperhook/server/attempt_errors.py
+++ b/pepperhook/server/attempt_errors.py
@@ -1,8 +1,8 @@
-"""The ways in which an attempt, or any other exchange with a server, can end without a response.
+"""Errors of an attempt, or of any other exchange with a server, that ends without a response.
 
-Each error class names the outcome that is reported to the policy. What is a ``NotSentError``
-provably never reached the server; of everything else some part may have been executed, but for
-``OverloadedError``, by which the server says that it executed nothing.
+Each error class names the outcome that is reported to the policy. After a ``NotSentError`` the
+request provably never reached the server. ``OverloadedError`` means that the server reported that
+it executed nothing. After any other error the server may have executed the request.
 """
 
 from typing import ClassVar
@@ -12,61 +12,61 @@
 
 
 class AttemptError(PepperhookError):
-    """Base class: no usable response came."""
+    """Base class: no usable response was received."""
 
     outcome: ClassVar[Outcome] = Outcome.RESET
 
 
 class NotSentError(AttemptError):
-    """Nothing was written."""
+    """No byte of the request was written."""
 
     outcome = Outcome.NOT_SENT
 
 
 class SendForbiddenError(NotSentError):
-    """The last check before the first byte was negative."""
+    """The last check before the first byte forbade sending the request."""
 
 
 class SocketLimitError(NotSentError, OSError):
-    """This process has no socket left to connect with, which says nothing about the server.
+    """This process has no socket left to connect with; the server may be healthy.
 
-    An ``OSError``, as the libraries pass on nothing else from where sockets are made.
+    An ``OSError``, because the libraries propagate only that from the creation of a socket.
     """
 
 
 class ConnectFailedError(NotSentError):
-    """No connection came up."""
+    """No connection could be established."""
 
     outcome = Outcome.CONNECT_FAILED
 
 
 class ConnectTimeoutError(ConnectFailedError, TimeoutError):
-    """No connection came up in time."""
+    """No connection was established in time."""
 
 
 class StaleConnectionError(ConnectFailedError):
-    """A kept connection was gone before anything was written; another one may be used."""
+    """A reused connection was unusable before anything was written; another one may be used."""
 
 
 class AttemptTimeoutError(AttemptError, TimeoutError):
-    """The response did not come in time."""
+    """The response did not arrive in time."""
 
     outcome = Outcome.TIMED_OUT
 
 
 class OverloadedError(AttemptError):
-    """The server says that it did not begin to process the request."""
+    """The server reported that it did not begin to process the request."""
 
     outcome = Outcome.OVERLOADED
 
 
 class MalformedResponseError(AttemptError):
-    """A response came that cannot be used: too large, incomplete, or not in the protocol."""
+    """The response cannot be used: too large, incomplete, or a protocol violation."""
 
     outcome = Outcome.MALFORMED_RESPONSE
 
 
 class ConnectionLostError(AttemptError):
-    """The connection broke after something may have been written."""
+    """The connection was lost after a part of the request may have been written."""
 
     outcome = Outcome.RESET
--- a/pepperhook/server/client_connections.py
+++ b/pepperhook/server/client_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections: the listener, their limits, and which are closed to make room."""
+"""Client connections: the listener, limits, timeouts, and closing idle ones to make room."""
 
 from __future__ import annotations
 
@@ -18,42 +18,42 @@
     from pepperhook.server.config import Address
     from pepperhook.server.metrics import Counters
 
-MESSAGE_TIMEOUT_S = 2  # in which a message must have come whole, and the first one since connecting
-IDLE_TIMEOUT_S = 10  # a kept connection may stand idle this long
-SWEEP_INTERVAL_S = 0.2  # between looks for those whose time is up
-MAX_HEAD_BYTES = 32 * 1024  # that may come before there is a message
-LINGER_S = 0.4  # from the end of our sending to the close, in which the client may end its own
-MAX_DISCARDED_BYTES = 256 * 1024  # that are read and dropped in that time; more lie unread
-MIN_IDLE_S = 0.1  # a connection just made or used is not closed to make room
-BACKLOG = 1024  # connections that the machine holds for this process
-MAX_ACCEPTS = 16  # that are accepted in one turn of the event loop
-ACCEPT_PAUSE_S = 0.02  # between looks for room for new connections
-STREAMS_FACTOR = 4  # requests at once on multiplexed connections, times the limit on connections
-CROWDED_FRACTION = 0.9  # of the limit that may be at work; what is beyond gets its answer at once
+MESSAGE_TIMEOUT_S = 2  # to receive a whole message; for the first one, from connecting
+IDLE_TIMEOUT_S = 10  # after which an idle keep-alive connection is closed
+SWEEP_INTERVAL_S = 0.2  # between checks for expired connections
+MAX_HEAD_BYTES = 32 * 1024  # of an incomplete request head
+LINGER_S = 0.4  # to wait for the client's FIN after ours, before the connection is closed
+MAX_DISCARDED_BYTES = 256 * 1024  # read and discarded in that time; the rest is left unread
+MIN_IDLE_S = 0.1  # a connection created or used more recently is not closed to make room
+BACKLOG = 1024  # connections that the kernel queues for this process
+MAX_ACCEPTS = 16  # in one iteration of the event loop
+ACCEPT_PAUSE_S = 0.02  # before accepting is tried again after a failure
+STREAMS_FACTOR = 4  # concurrent multiplexed requests, as a multiple of the connection limit
+CROWDED_FRACTION = 0.9  # of the soft limit that may be busy; requests beyond it are refused
 
 
 class Connection(web.RequestHandler):
-    """One HTTP/1.1 connection; reports at once that data came, which is handled a turn later."""
+    """One HTTP/1.1 connection; notifies ``Connections`` of data before the library handles it."""
 
     def __init__(self, connections: Connections, waited_s: float, **options: Any) -> None:
-        """``waited_s``: how long it may have waited to be accepted; ``options``: the library's."""
+        """``waited_s``: how long it may have waited to be accepted; ``options``: aiohttp's."""
         super().__init__(connections, **options)
         self.connections = connections
         self.waited_s = waited_s
-        self.is_message_begun = False  # a message has begun to come
+        self.is_message_begun = False  # a part of a message was received
         self.answered = False  # at least one response was written
-        self.expires_at = self._loop.time() + MESSAGE_TIMEOUT_S  # when its time is up
-        self.received_bytes = 0  # of an incomplete head, or since our sending has ended
-        self.is_pipelined = False  # a message came before the one before was answered
-        self.requests_before = 0  # messages that came up to the last response
-        self.ending = False  # our sending has ended: what comes now belongs to no request
+        self.expires_at = self._loop.time() + MESSAGE_TIMEOUT_S  # in the loop's time
+        self.received_bytes = 0  # of an incomplete head, or since the connection is closing
+        self.is_pipelined = False  # a message arrived before the previous one was answered
+        self.requests_before = 0  # value of _request_count at the last response
+        self.ending = False  # our side is closed: received data is discarded
 
     def data_received(self, data: bytes) -> None:
-        """Hand on what belongs to one message at a time."""
+        """Pass data to the library; refuse pipelining and heads that are too long."""
         if self.ending:
             self._discard(data)
             return
-        # Once for each message, or one that comes byte by byte would never be closed to make room.
+        # Only once a message: a client that sends byte by byte must not count as recently used.
         if not self.is_message_begun:
             self.is_message_begun = True
             self.connections.data_arrived(self)
@@ -62,8 +62,8 @@
         super().data_received(data)
         messages = self._request_count - self.requests_before
         if messages > 1 or is_early:
-            # Against hundreds of messages lying here for one connection, where clients send one at
-            # a time. Nothing more is read; what is in flight already keeps its response.
+            # A pipelining client could queue hundreds of messages here. Stop reading, but still
+            # answer the request in flight.
             self.is_pipelined = self.is_pipelined or len(self._messages) == messages
             self.close()
         elif not messages:
@@ -74,14 +74,14 @@
     def _discard(self, data: bytes) -> None:
         self.received_bytes += len(data)
         if self.received_bytes > MAX_DISCARDED_BYTES and self.transport is not None:
-            self.transport.pause_reading()  # against a core spent on what is thrown away
+            self.transport.pause_reading()  # discarding must not use up a core
 
     def _make_error_handler(self, err_info: Any) -> Any:
-        # The library would log a traceback for each message that can't be read, and not count it.
+        # The library would log a traceback for each unreadable message, and not count it.
         return partial(self.connections.serve_unreadable, err_info.message)
 
     def has_unread_data(self) -> bool:
-        """Whether something has come that was not read yet."""
+        """Whether the socket holds unread data or an unread end of file (FIN)."""
         return self.transport is not None and http1_client.has_unread_data(self.transport)
 
     def retire(self) -> None:
@@ -89,16 +89,16 @@
         self.connections.retire(self)
 
     def is_client_waiting(self) -> bool:
-        """Whether the client has not ended its sending; an end may lie here unread."""
+        """Whether the client has not closed its sending side; finds a close after unread data."""
         return self.transport is not None and not http1_client.is_closed_by_peer(self.transport)
 
 
 class Connections(web.Server):
-    """Clients' connections, bounded.
+    """All client connections, within limits.
 
-    Over ``soft_limit`` those that stand idle longest make room and every response closes its
-    connection; at ``hard_limit`` new ones wait. So descriptors never run out, which would stop all
-    accepting for a second at a time.
+    Above ``soft_limit`` the longest idle connections are closed and every response closes its
+    connection; at ``hard_limit`` new connections wait to be accepted. Descriptors therefore never
+    run out, which would stop all accepting for a second at a time.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
         request_factory: Any,
         **options: Any,
     ) -> None:
-        """``options``: the library's, for each connection."""
+        """``options``: those that aiohttp takes for each connection."""
         super().__init__(handler, request_factory=request_factory, handler_cancellation=True)
         self.loop = asyncio.get_running_loop()
         self.options = options
@@ -119,12 +119,12 @@
         self.serve_unreadable = serve_unreadable
         self.soft_limit = soft_limit
         self.hard_limit = hard_limit
-        self.idle: dict[Any, float] = {}  # since when, the longest idle first
+        self.idle: dict[Any, float] = {}  # and the time since; longest idle first
         self.busy: set[Any] = set()  # with a request in flight
         self.arriving: set[asyncio.Task[Any]] = set()
-        self.ending: dict[Any, float] = {}  # when they are closed at the latest, oldest first
-        # Where more than one protocol is spoken: wraps what makes an HTTP/1.1 connection in what
-        # finds out which it is.
+        self.ending: dict[Any, float] = {}  # closing, with the deadline; oldest first
+        # If HTTP/2 is enabled: takes the factory of HTTP/1.1 connections and returns a connection
+        # that detects the protocol.
         self.detect_protocol: Callable[[Callable[[], Any]], Any] | None = None
         self.streams: set[Any] = set()  # requests on multiplexed connections
         self.max_streams = STREAMS_FACTOR * soft_limit
@@ -136,7 +136,7 @@
     # Accepting.
 
     def listen(self, address: Address) -> Address:
-        """Begin to accept; returns the address, with the port that was chosen where it was 0."""
+        """Start to accept; return the bound address, with the actual port if that was 0."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.listener = socket.create_server(address, family=family, backlog=BACKLOG)
         self.listener.setblocking(False)
@@ -146,20 +146,20 @@
         return host, port
 
     def _accept(self) -> bool:
-        """Accept some of those that wait; whether none waits any more."""
+        """Accept up to MAX_ACCEPTS connections; return whether the backlog is empty."""
         assert self.listener is not None
         now = self.loop.time()
         for _ in range(MAX_ACCEPTS):
             try:
                 if not self._make_room():
-                    raise OSError(EMFILE, "connections of clients are at their bound")
+                    raise OSError(EMFILE, "the limit on client connections is reached")
                 accepted, _address = self.listener.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 self._full_since = None
                 return True
             except OSError:
-                # The system has none left, or the limit is reached: against asking it in every
-                # turn.
+                # No descriptor or no room is left: retrying in each iteration of the event loop
+                # would waste the core.
                 self._pause_accepting(self.listener, now)
                 return False
             self._connect(accepted, 0 if self._full_since is None else now - self._full_since)
@@ -177,7 +177,7 @@
 
     def _connect(self, accepted: socket.socket, waited_s: float) -> None:
         accepted.setblocking(False)
-        # A last write must not wait for the close.
+        # Else Nagle's algorithm could delay a last write until the close.
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connect: Any = partial(Connection, self, waited_s, loop=self.loop, **self.options)
         if self.detect_protocol is not None:
@@ -187,10 +187,9 @@
         task.add_done_callback(self.arriving.discard)
 
     def stop(self, at_once: bool = False) -> bool:
-        """Stop accepting, once no connection waits to be accepted; whether it has stopped.
+        """Stop accepting once the backlog is empty, or ``at_once``; return whether it has stopped.
 
-        A connection that the machine had accepted for this process would be reset, with the message
-        on it.
+        Closing the listener resets the connections in the backlog, and their messages are lost.
         """
         if self.listener is None:
             return True
@@ -206,10 +205,10 @@
     # Closing.
 
     def _sweep(self) -> None:
-        """End those whose time is up.
+        """Close expired connections.
 
-        Against some that send nothing, or never end what they send, keeping the room of others and
-        what was reserved for them.
+        Clients that send nothing, or never complete a message, must not hold descriptors and
+        memory that other clients need.
         """
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
@@ -218,11 +217,11 @@
                 self.reject(handler, "408 Request Timeout")
             elif self.close_idle(handler):
                 self.counters.add("connections idle too long")
-        for handler in [handler for handler, ends in self.ending.items() if ends < now]:
+        for handler in [handler for handler, deadline in self.ending.items() if deadline < now]:
             self.abort(handler)
 
     def reject(self, handler: Any, status: str) -> None:
-        """End one on which a message began that will not be read to its end."""
+        """Answer an incomplete message with ``status`` and close its connection."""
         self.counters.add("not taken")
         if handler.transport is not None:
             handler.transport.write(
@@ -231,11 +230,11 @@
         self.retire(handler)
 
     def retire(self, handler: Any) -> None:
-        """Close a connection gracefully; the one way for idle, evicted, refused and last ones.
+        """Close a connection gracefully. All connections that this side closes end here.
 
-        Our sending ends, what still comes is read and dropped, and it is closed once the client has
-        ended its own, or a while later. Closed at once, what comes in that moment would be answered
-        by a reset, which takes a response just written with it.
+        Close the sending side, discard what is still received, and close the socket once the client
+        has closed its side, or after LINGER_S. Closing the socket at once would answer data that
+        arrives in that moment with a reset, and the client could lose a response just written.
         """
         self.idle.pop(handler, None)
         self.busy.discard(handler)
@@ -250,18 +249,21 @@
             handler.transport.write_eof()
 
     async def retire_and_wait(self, handler: Any) -> None:
-        """Retire one whose response was just written, and keep the library from closing it."""
+        """Retire a connection after its last response; return when it is closed.
+
+        The library closes the connection at once when its handler returns.
+        """
         self.retire(handler)
         while handler in self.ending:
             await asyncio.sleep(SWEEP_INTERVAL_S)  # cancelled when the connection is lost
 
     def abort(self, handler: Any) -> None:
-        """Close one whose time to linger is over."""
+        """Close a retired connection immediately."""
         if self.ending.pop(handler, None) is not None and handler.transport is not None:
             handler.transport.abort()
 
     def go_away(self) -> None:
-        """Tell clients on multiplexed connections to begin nothing new there."""
+        """Announce on multiplexed connections that no new request is accepted there."""
         for handler in list(self.connections):
             if hasattr(handler, "go_away"):
                 handler.go_away()
@@ -275,7 +277,10 @@
     # Making room.
 
     def _make_room(self) -> bool:
-        """Make room for one more if need be, first by those never used; whether there is room."""
+        """Make room for one more connection if needed; return whether there is room.
+
+        Idle connections that never had a response are closed first.
+        """
         if self._is_full:
             unused = [handler for handler in self.idle if not handler.answered]
             if not self.close_idle_connections(1, unused):
@@ -287,22 +292,22 @@
     def close_idle_connections(
         self, limit: int | None = None, candidates: Iterable[Any] | None = None
     ) -> bool:
-        """Retire idle ones, at most ``limit``, the longest idle first; whether any was."""
+        """Retire at most ``limit`` idle connections, longest idle first; return whether any was."""
         before = len(self.idle)
         for handler in list(self.idle) if candidates is None else candidates:
-            # One just used, or just made, is spared: its next message may be on its way.
+            # A client that connected or was answered just now may be sending its next message.
             if limit == 0 or self.loop.time() - self.idle[handler] <= MIN_IDLE_S:
                 break
-            # One with something unread is answered first.
+            # close_idle skips connections with unread data, which are served first.
             if self.close_idle(handler, limit is not None) and limit is not None:
                 limit -= 1
         return len(self.idle) < before
 
     def close_idle(self, handler: Any, even_if_begun: bool = True) -> bool:
-        """Retire an idle one, unless that would lose what has come on it; whether it was.
+        """Retire an idle connection unless it has unread data; return whether it was retired.
 
-        ``even_if_begun``: also one on which a message has begun to come, which is answered by an
-        error.
+        ``even_if_begun``: retire it also after a part of a message was received, which is answered
+        with status 503.
         """
         if handler.has_unread_data() or (handler.is_message_begun and not even_if_begun):
             return False
@@ -312,7 +317,7 @@
             handler.retire()
         return True
 
-    # What happens on connections.
+    # Events of connections.
 
     def connection_made(self, handler: Any, transport: asyncio.Transport) -> None:
         """Count a new connection as idle."""
@@ -320,14 +325,14 @@
         self.idle[handler] = self.loop.time()
 
     def connection_lost(self, handler: Any, exc: BaseException | None = None) -> None:
-        """Forget a connection."""
+        """Remove a connection."""
         self.idle.pop(handler, None)
         self.busy.discard(handler)
         self.ending.pop(handler, None)
         super().connection_lost(handler, exc)
 
     def data_arrived(self, handler: Any) -> None:
-        """Move an idle connection to the end, as the one used last."""
+        """Record that a message begins on an idle connection, as the most recently used one."""
         if handler in self.idle:
             del self.idle[handler]
             now = self.loop.time()
@@ -336,14 +341,14 @@
                 handler.expires_at = now + MESSAGE_TIMEOUT_S
 
     def request_begun(self, handler: Any) -> None:
-        """Count a connection as busy: a request has begun."""
+        """Record that a request has begun: the connection is busy."""
         self.idle.pop(handler, None)
         self.busy.add(handler)
 
     def request_done(self, handler: Any) -> None:
-        """Count a connection as idle: the response was written."""
+        """Record that the response was written: the connection is idle."""
         if handler not in self.busy:
-            return  # lost or ending meanwhile
+            return  # lost or retired in the meantime
         self.busy.discard(handler)
         now = self.loop.time()
         self.idle[handler] = now
@@ -351,11 +356,11 @@
         handler.answered = True
         handler.received_bytes = 0
         handler.expires_at = now + IDLE_TIMEOUT_S
-        handler.requests_before = handler._request_count  # the library has no public one
+        handler.requests_before = handler._request_count  # the library has no public counter
 
     @property
     def count(self) -> int:
-        """All connections that hold a descriptor."""
+        """The number of connections that hold a descriptor."""
         return len(self.idle) + len(self.busy) + len(self.arriving) + len(self.ending)
 
     @property
@@ -364,10 +369,10 @@
 
     @property
     def is_full_of_active(self) -> bool:
-        """Whether it is full of connections that are used, and not of some that may make room."""
+        """Whether it is full, and no idle connection is one that never had a response."""
         return self._is_full and all(handler.answered for handler in self.idle)
 
     @property
     def is_crowded(self) -> bool:
-        """Whether so many requests are in flight that new ones must be refused."""
+        """Whether so many connections are busy that new requests must be refused."""
         return len(self.busy) > CROWDED_FRACTION * self.soft_limit
--- a/pepperhook/server/config.py
+++ b/pepperhook/server/config.py
@@ -20,12 +20,12 @@
 
 
 class ConfigError(PepperhookError, ValueError):
-    """The configuration cannot be used; the text names the key."""
+    """The configuration cannot be used; the message names the key."""
 
 
 @dataclass
 class Config:
-    """Everything that the platform decides about one balancer."""
+    """What the platform configures for one balancer."""
 
     name: str
     listen: Address
@@ -33,15 +33,15 @@
     seed: int
     sockets: int
     memory_mb: int | None
-    known: dict[str, Any] | None  # an endpoint list to begin with, in discovery's form
+    known: dict[str, Any] | None  # initial endpoint list, in the discovery service's format
     settings: Settings
     names: Names
 
 
-def read(environ: Mapping[str, str], again: bool = False) -> Config:
-    """Read the configuration that the environment points to. Raises ConfigError.
+def read(environ: Mapping[str, str], is_reload: bool = False) -> Config:
+    """Read the environment variables and the file that LB_CONFIG names. Raises ConfigError.
 
-    ``again``: the file was replaced while this process runs.
+    ``is_reload``: the file was replaced while the process was running.
     """
     path = environ.get("LB_CONFIG")
     document = _read_document(path) if path else {}
@@ -52,12 +52,12 @@
     return Config(
         name=str(environ.get("LB_NAME") or document.get("name") or "balancer"),
         listen=parse_address("listen", environ.get("LB_LISTEN") or document.get("listen")),
-        discovery=_discovery_address(environ, document, again),
+        discovery=_discovery_address(environ, document, is_reload),
         seed=_seed(document.get("seed", "0")),
         sockets=_sockets(document.get("limits")),
         memory_mb=_memory_mb(document.get("limits")),
         known=_known_list(document.get("known")),
-        # On sockets the list is always polled, also where the simulator would push changes.
+        # A process always polls the list, even if the settings are for a simulator that pushes it.
         settings=replace(decoded, polls_endpoints=True),
         names=_from_settings(settings.read_names, environment),
     )
@@ -77,27 +77,30 @@
     except (OSError, ValueError) as error:
         raise ConfigError(f"LB_CONFIG: {path}: {error}") from error
     if not isinstance(document, dict):
-        raise ConfigError(f"LB_CONFIG: {path}: an object is wanted")
+        raise ConfigError(f"LB_CONFIG: {path}: must be a JSON object")
     return document
 
 
 def _discovery_address(
-    environ: Mapping[str, str], document: dict[str, Any], again: bool
+    environ: Mapping[str, str], document: dict[str, Any], is_reload: bool
 ) -> Address:
-    # The environment is that of the start: a service that moved since then is named by the file
-    # alone.
-    at_start = environ.get("LB_DISCOVERY")
-    in_file = document.get("discovery")
-    return parse_address("discovery", (in_file or at_start) if again else (at_start or in_file))
+    # The environment does not change while the process runs, so at a reload only the file can name
+    # a new address.
+    from_environment = environ.get("LB_DISCOVERY")
+    from_file = document.get("discovery")
+    return parse_address(
+        "discovery",
+        (from_file or from_environment) if is_reload else (from_environment or from_file),
+    )
 
 
 def parse_address(key: str, text: object) -> Address:
-    """Return host and port of ``HOST:PORT``. Raises ConfigError, which names ``key``."""
+    """Parse ``HOST:PORT``. Raises ConfigError, which names ``key``."""
     if not isinstance(text, str):
-        raise ConfigError(f"{key}: an address HOST:PORT is wanted")
+        raise ConfigError(f"{key}: must be an address HOST:PORT")
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
-        raise ConfigError(f"{key}: an address HOST:PORT is wanted, not {text!r:.60}")
+        raise ConfigError(f"{key}: must be an address HOST:PORT, not {text!r:.60}")
     return host.strip("[]"), int(port)
 
 
@@ -107,35 +110,35 @@
     try:
         return int(value, 16)
     except (TypeError, ValueError) as error:
-        raise ConfigError(f"seed: a hexadecimal number is wanted, not {value!r:.60}") from error
+        raise ConfigError(f"seed: must be a hexadecimal number, not {value!r:.60}") from error
 
 
 def _sockets(limits: Any) -> int:
     if limits is not None and not isinstance(limits, dict):
-        raise ConfigError("limits: an object is wanted")
-    wanted = (limits or {}).get("sockets", DEFAULT_SOCKETS)
-    if not isinstance(wanted, int) or isinstance(wanted, bool) or wanted < MIN_SOCKETS:
+        raise ConfigError("limits: must be an object")
+    sockets = (limits or {}).get("sockets", DEFAULT_SOCKETS)
+    if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < MIN_SOCKETS:
         raise ConfigError(
-            f"limits.sockets: a whole number from {MIN_SOCKETS} up is wanted, not {wanted!r:.40}"
+            f"limits.sockets: must be an integer of at least {MIN_SOCKETS}, not {sockets!r:.40}"
         )
-    allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    return wanted if allowed == resource.RLIM_INFINITY else min(wanted, allowed)
+    max_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    return sockets if max_descriptors == resource.RLIM_INFINITY else min(sockets, max_descriptors)
 
 
 def _memory_mb(limits: Any) -> int | None:
-    wanted = (limits or {}).get("memory_mb")
-    if wanted is None:
+    memory_mb = (limits or {}).get("memory_mb")
+    if memory_mb is None:
         return None
-    if not isinstance(wanted, int) or isinstance(wanted, bool) or wanted < 1:
+    if not isinstance(memory_mb, int) or isinstance(memory_mb, bool) or memory_mb < 1:
         raise ConfigError(
-            f"limits.memory_mb: a whole number from 1 up is wanted, not {wanted!r:.40}"
+            f"limits.memory_mb: must be an integer of at least 1, not {memory_mb!r:.40}"
         )
-    return wanted
+    return memory_mb
 
 
 def _known_list(value: Any) -> dict[str, Any] | None:
     if value is None:
         return None
     if not isinstance(value, dict) or not isinstance(value.get("hosts", []), list):
-        raise ConfigError("known: a list of upstreams in discovery's form is wanted")
+        raise ConfigError("known: must be an endpoint list in the discovery service's format")
     return value
--- a/pepperhook/server/endpoint_discovery.py
+++ b/pepperhook/server/endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""Keeps the endpoint list up to date, by a watch and by polls, both as the policy asks."""
+"""Polls and watches the endpoint list, as the policy's actions request it."""
 
 from __future__ import annotations
 
@@ -34,13 +34,11 @@
 NS_PER_S = 1e9
 MAX_LIST_BYTES = 4 * 1024 * 1024
 MAX_CONNECTIONS = 4
-WATCH_MARGIN_S = 0.5  # that a response may take beyond the wait that was asked for
-FETCH_TIMEOUT_S = 2.5  # the service itself gives a poll up that it could not answer in two seconds
-WATCH_HELD_S = (
-    POLL_TIMEOUT / NS_PER_S
-)  # a poll that lasts longer is not queued, but held as a watch
-# A response without changes that comes this soon is followed by a pause.
-EARLY_RESPONSE_S = 0.05
+WATCH_MARGIN_S = 0.5  # that a response may take beyond the requested wait
+FETCH_TIMEOUT_S = 2.5  # the service drops polls that it could not answer in two seconds
+# A watch poll that is open for longer is not queued at the service, but waits for a change.
+WATCH_HELD_S = POLL_TIMEOUT / NS_PER_S
+EARLY_RESPONSE_S = 0.05  # a response without changes within this time is followed by a pause
 EARLY_RESPONSE_PAUSE_S = 0.1
 MAX_RETRY_AFTER_S = 60.0
 
@@ -48,14 +46,14 @@
 
 
 class PollKind(Enum):
-    """What runs in the background; one of each at a time."""
+    """The kinds of background polls; at most one of each runs at a time."""
 
-    WATCH = "watch"  # changes from now on, until it breaks
-    FETCH = "fetch"  # the whole list once
+    WATCH = "watch"  # long polls for changes, one after another, until one fails
+    FETCH = "fetch"  # one poll for the whole list
 
 
 class EndpointDiscovery:
-    """Polls the discovery service and reports what it says to the policy and the upstream pool."""
+    """Polls the discovery service and passes updates to the policy and the upstream pool."""
 
     def __init__(
         self,
@@ -66,7 +64,7 @@
         upstreams: UpstreamPool,
         extensions: extension_points.Extensions = extension_points.NONE,
     ) -> None:
-        """Prepare to poll the service that ``config`` names."""
+        """Prepare to poll the service that ``config`` names; nothing is sent yet."""
         self.runtime = runtime
         self.log = log
         self.counters = counters
@@ -75,11 +73,11 @@
         self.zones = config.names.zones
         self.kinds = config.names.kinds
         self.known: dict[str, Upstream] = {}
-        self.unreadable: dict[str, str] = {}  # upstreams whose rows cannot be read: why
+        self.unreadable: dict[str, str] = {}  # name of each upstream with an unreadable row: reason
         self.version: int | None = None
         self.tasks: dict[PollKind, asyncio.Task[None]] = {}
-        self.ready = False  # whether any list was ever known
-        self.wait_s = 0.0  # that a poll of the watch waits for a change
+        self.ready = False  # whether a list was ever applied
+        self.wait_s = 0.0  # how long a poll of the watch waits for a change
         self.closing: set[asyncio.Task[None]] = set()
         self.is_closed = False
         self.url: str
@@ -94,13 +92,14 @@
     def move(self, address: Address) -> None:
         """Poll another service from now on.
 
-        The list as known stays in force until the new service has sent its own, whole, as its
-        versions say nothing of the old one's. What the old one still sends is not heard.
+        The current list stays in force until the new service has sent its whole list, because its
+        versions are not comparable with those of the old one. Responses of the old service are
+        discarded.
         """
         if self.is_closed:
-            return  # this process is shutting down, and needs no list any more
+            return  # the process is shutting down and needs no list any more
         old_session = self.session
-        self._open(address)  # all that can fail, before anything changes
+        self._open(address)  # the only step that can fail comes before any change
         for task in self.tasks.values():
             task.cancel()
         self.tasks.clear()
@@ -111,7 +110,7 @@
         self.runtime.call_policy(self.runtime.policy.endpoint_service_moved)
 
     def start_watch(self, wait_ns: int) -> None:
-        """Follow the changes from now on, until the watch breaks; each poll waits for one."""
+        """Watch for changes until a poll fails; each poll waits up to ``wait_ns`` for one."""
         self.wait_s = wait_ns / NS_PER_S
         if PollKind.WATCH not in self.tasks:
             self._start(PollKind.WATCH, self._watch())
@@ -127,12 +126,12 @@
         task.add_done_callback(partial(self._poll_ended, kind))
 
     def _poll_ended(self, kind: PollKind, task: asyncio.Task[None]) -> None:
-        """Report every end to the policy that it was not told of yet.
+        """Report to the policy a poll that ended by an error that ``_poll`` did not report.
 
-        Else it would take the watch for open, and the list for fresh, for good.
+        Otherwise the policy would consider the watch open, and the list current, forever.
         """
         if self.tasks.get(kind) is not task:
-            return  # replaced after a move, or closed
+            return  # cancelled by move
         del self.tasks[kind]
         error = asyncio.CancelledError() if task.cancelled() else task.exception()
         if error is not None and not self.is_closed:
@@ -140,7 +139,7 @@
             self._poll_failed(error)
 
     async def _watch(self) -> None:
-        """Poll again at once after each response, as a gap would begin a new watch."""
+        """Poll again immediately after each response: a gap would start a new watch."""
         is_going = True
         while is_going:
             started_at_s = self.runtime.loop.time()
@@ -148,8 +147,8 @@
             is_going = await self._poll(self._watch_query())
             is_early = self.runtime.loop.time() < started_at_s + EARLY_RESPONSE_S
             if is_going and self.version == version_before and is_early:
-                # Against polling without end a service that does not wait; the watch outlives the
-                # pause.
+                # A service that does not wait must not be polled in a tight loop. The pause is
+                # short enough for the watch to continue.
                 await asyncio.sleep(EARLY_RESPONSE_PAUSE_S)
 
     def _watch_query(self) -> Query:
@@ -161,9 +160,9 @@
         await self._poll({})
 
     async def _poll(self, query: Query) -> bool:
-        """Poll once; whether a watch may go on."""
+        """Poll once; return whether a watch may continue."""
         self.counters.add("list asked")
-        held = self._confirm_when_held() if query else None
+        confirm_timer = self._confirm_when_held() if query else None
         try:
             body = await http1_client.retry_stale_connections(lambda: self._request(query))
             self._apply(endpoint_list.parse(body, self.zones, self.kinds))
@@ -171,8 +170,8 @@
             self._poll_failed(error)
             return False
         finally:
-            if held is not None:
-                held.cancel()
+            if confirm_timer is not None:
+                confirm_timer.cancel()
         return True
 
     def _confirm_when_held(self) -> asyncio.TimerHandle:
@@ -201,13 +200,13 @@
         )
 
     def apply(self, document: object) -> None:
-        """Apply one list or one set of changes, or nothing of it. Raises MalformedListError."""
+        """Apply a list or set of changes from parsed JSON. Raises MalformedListError."""
         self._apply(endpoint_list.decode(document, self.zones, self.kinds))
 
     def _apply(self, update: EndpointList) -> None:
         if not update.is_whole and self.version is not None and update.version < self.version:
-            # Against changes of a list that began anew, laid over one that knew more: the whole of
-            # it is wanted.
+            # The service has restarted and counts versions from the start, so its changes do not
+            # refer to the current list. Request the whole list at the next poll.
             self.version = None
             raise MalformedListError(f"seq: changes up to {update.version} of an older list")
         self._note_unreadable(update)
@@ -227,10 +226,10 @@
         self.ready = True
 
     def _apply_without_unnamed(self, update: EndpointList) -> None:
-        """Apply the rows that have a name, and let the next poll ask for the whole list.
+        """Apply the rows that have a name, and make the next poll fetch the whole list.
 
-        Something changed that has no name here, so the changes confirm nothing, and their version
-        is not reached.
+        A row without a readable name may be about any upstream. So the changes do not confirm the
+        list, and their version is not taken over.
         """
         rows = self._rows(update)
         self.runtime.call_policy(self.runtime.policy.endpoints_corrected, rows)
@@ -244,7 +243,7 @@
             hook(self.runtime.now(), self.known.values())
 
     def _note_unreadable(self, update: EndpointList) -> None:
-        """Count and log rows that cannot be read, each once until it changes."""
+        """Count and log unreadable rows; a row with a name only once until its fault changes."""
         before = self.unreadable
         for row in update.unreadable:
             if before.get(row.name) != row.reason:
@@ -258,20 +257,20 @@
         self.unreadable = kept | {row.name: row.reason for row in update.unreadable}
 
     def _log_update(self, update: EndpointList) -> None:
-        """Log what a list changed, so that a late notification shows in the log."""
+        """Log the rows of an update, so that the log shows late notifications."""
         rows = " ".join(f"{listed.name}:{listed.state}" for listed in update.endpoints)
         self.log.debug("list_applied", version=update.version, whole=update.is_whole, rows=rows)
 
     def _rows(self, update: EndpointList) -> list[EndpointUpdate]:
-        """Return what the policy learns of a list, by way of the extensions."""
+        """Return the updates for the policy, after the extensions have adjusted them."""
         rows = [self._update_upstream(listed) for listed in update.endpoints]
-        rows += [self._hold_back(row) for row in update.unreadable if row.name in self.known]
+        rows += [self._mark_not_ready(row) for row in update.unreadable if row.name in self.known]
         for hook in self.extensions.lists:
             rows = hook(rows)
         return rows
 
-    def _hold_back(self, row: UnreadableRow) -> EndpointUpdate:
-        """Take an upstream for not ready whose row cannot be read: the row may say so."""
+    def _mark_not_ready(self, row: UnreadableRow) -> EndpointUpdate:
+        """Treat an upstream with an unreadable row as draining: the row may announce a drain."""
         upstream = self.known[row.name]
         state = UpstreamState.GONE if row.is_gone else UpstreamState.DRAINING
         return EndpointUpdate(upstream, state, upstream.started_at)
@@ -279,7 +278,7 @@
     def _update_upstream(self, listed: ListedEndpoint) -> EndpointUpdate:
         upstream = self.known.get(listed.name)
         if upstream is None:
-            # By its name, which is the same at every balancer: rings have one order.
+            # By name, not by dial address, so that the rings of all balancers have the same order.
             upstream = self.known[listed.name] = Upstream(listed.name.encode())
         upstream.zone = listed.zone
         upstream.kind = listed.kind
@@ -295,7 +294,7 @@
                 self.upstreams.remove_endpoint(upstream)
 
     async def close(self) -> None:
-        """Stop polling and close the connections."""
+        """Cancel the polls and close the connections."""
         self.is_closed = True
         tasks = list(self.tasks.values())
         for task in tasks:
@@ -305,16 +304,16 @@
 
 
 class ListRefusedError(PepperhookError):
-    """The service answered without a list; ``retry_after_ns``: when it wants to be polled again."""
+    """The service answered without a list; ``retry_after_ns``: the wait it requests, or 0."""
 
     def __init__(self, status: int, retry_after: str | None) -> None:
-        """Describe a response with a status that is not OK, and its Retry-After header."""
+        """``status``: not 200; ``retry_after``: the value of the Retry-After header."""
         super().__init__(f"status {status}")
         self.retry_after_ns = _parse_retry_after(retry_after)
 
 
 def _parse_retry_after(value: str | None) -> int:
-    """Return a Retry-After header in nanoseconds; 0 where it is absent or no number of seconds."""
+    """Return a Retry-After header in nanoseconds; 0 if it is absent or not a number of seconds."""
     try:
         seconds = float(value or 0)
     except ValueError:
@@ -323,7 +322,7 @@
 
 
 def _failure(error: BaseException) -> PollFailure:
-    """Return how a poll failed, for the policy."""
+    """Return the policy's classification of a failed poll."""
     if isinstance(error, TimeoutError):
         return PollFailure.SILENT
     if isinstance(error, (ConnectFailedError, ConnectionLostError)):
--- a/pepperhook/server/endpoint_list.py
+++ b/pepperhook/server/endpoint_list.py
@@ -1,7 +1,7 @@
-"""Decodes what the discovery service sends: the whole endpoint list, or the changes to it.
+"""Decodes responses of the discovery service: the whole endpoint list, or changes to it.
 
-A row that cannot be read costs its own upstream alone: it may say that this one drains, so it
-counts as not ready. A row without a readable name is about an unknown upstream.
+An unreadable row affects only its own upstream, which counts as not ready, because the row may
+announce a drain. A row without a readable name may be about any upstream.
 """
 
 import json
@@ -13,20 +13,20 @@
 from pepperhook.errors import PepperhookError
 
 NS_PER_MS = 10**6
-MAX_TIME_MS = 9 * 10**12  # in nanoseconds it fits into 64 bits, as captures store it
-MAX_BLOCK = 2**63 - 1  # as captures store it
+MAX_TIME_MS = 9 * 10**12  # as nanoseconds it fits into the 64 bits that captures store
+MAX_BLOCK = 2**63 - 1  # captures store 64 bits
 MAX_SHARE = 1e9
 MAX_PORT = 65535
 STATES = {str(state): state for state in UpstreamState}
 
 
 class MalformedListError(PepperhookError, ValueError):
-    """A response that is no endpoint list."""
+    """A response is not an endpoint list."""
 
 
 @dataclass(slots=True)
 class ListedEndpoint:
-    """One row of the list."""
+    """One readable row of the list."""
 
     name: str
     address: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnreadableRow:
-    """A row of which only the name can be read, or that and its state."""
+    """A row of which only the name, and perhaps the state, can be read."""
 
     name: str
     reason: str
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """One list, or one set of changes."""
+    """A whole list, or a set of changes."""
 
     version: int
     is_whole: bool
@@ -60,7 +60,7 @@
 
 
 def parse(data: bytes, zones: Mapping[str, int], kinds: Mapping[str, int]) -> EndpointList:
-    """Parse one response; ``zones`` and ``kinds``: their numbers. Raises MalformedListError."""
+    """Parse one response; ``zones``, ``kinds``: numbers by name. Raises MalformedListError."""
     try:
         document = json.loads(data, parse_constant=_refuse_constant)
     except (ValueError, RecursionError) as error:
@@ -69,39 +69,39 @@
 
 
 def _refuse_constant(name: str) -> NoReturn:
-    raise ValueError(f"{name} is no JSON")
+    raise ValueError(f"{name} is not valid JSON")
 
 
 def decode(document: object, zones: Mapping[str, int], kinds: Mapping[str, int]) -> EndpointList:
-    """Decode a list that was parsed already, as ``parse`` does. Raises MalformedListError."""
+    """Decode a list from parsed JSON; otherwise like ``parse``. Raises MalformedListError."""
     if not isinstance(document, dict) or not isinstance(document.get("hosts"), list):
-        raise MalformedListError("hosts: a list is wanted")
+        raise MalformedListError("hosts: must be a list")
     version = document.get("seq")
     if type(version) is not int:
-        raise MalformedListError("seq: a number is wanted")
+        raise MalformedListError("seq: must be an integer")
     is_whole = document.get("whole")
     if not isinstance(is_whole, (bool, int, type(None))):
-        raise MalformedListError("whole: true or false is wanted")
+        raise MalformedListError("whole: must be true or false")
     decoded = EndpointList(version, bool(is_whole), [], [], [])
     for row in document["hosts"]:
         _add_row(decoded, row, zones, kinds)
     if decoded.is_whole and document["hosts"] and not decoded.endpoints:
-        # Of another format: the list in hand is the better one.
-        reasons = [f"{known.name}: {known.reason}" for known in decoded.unreadable]
-        raise MalformedListError(f"no row can be read: {[*reasons, *decoded.unnamed_reasons][0]}")
+        # Probably another format; the current list is more useful.
+        reasons = [f"{row.name}: {row.reason}" for row in decoded.unreadable]
+        raise MalformedListError(f"no readable row: {[*reasons, *decoded.unnamed_reasons][0]}")
     return decoded
 
 
 def _add_row(
     decoded: EndpointList, row: object, zones: Mapping[str, int], kinds: Mapping[str, int]
 ) -> None:
-    """Add one row to what it is: readable, readable by its name, or neither."""
+    """Decode one row, and add it to the endpoints, the unreadable rows or the unnamed ones."""
     try:
         name = _name(row)
     except ValueError as error:
         decoded.unnamed_reasons.append(str(error))
         return
-    assert isinstance(row, dict)  # it has a name
+    assert isinstance(row, dict)  # _name has checked it
     try:
         decoded.endpoints.append(_decode_row(name, row, zones, kinds))
     except ValueError as error:
@@ -110,9 +110,9 @@
 
 
 def _name(row: object) -> str:
-    """Return a row's name. Raises ValueError where it has none that can be read."""
+    """Return a row's name. Raises ValueError if it has no readable name."""
     if not isinstance(row, dict):
-        raise ValueError("host: a row is wanted")
+        raise ValueError("host: the row is not an object")
     return _text(row, "host")
 
 
@@ -125,7 +125,7 @@
         raise ValueError(f"health: {row['health']!r:.40}")
     address = _text(row, "dial")
     if state is not UpstreamState.GONE and not _is_address(address):
-        raise ValueError(f"dial: an address HOST:PORT is wanted, not {address!r:.60}")
+        raise ValueError(f"dial: must be an address HOST:PORT, not {address!r:.60}")
     return ListedEndpoint(
         name=name,
         address=address,
@@ -140,10 +140,10 @@
 
 
 def _text(row: dict[Any, Any], key: str) -> str:
-    """Return a text without lone surrogates, which JSON permits and UTF-8 does not."""
+    """Return a required string without lone surrogates, which JSON permits and UTF-8 does not."""
     value = _optional_text(row, key)
     if value is None:
-        raise ValueError(f"{key}: a text is wanted")
+        raise ValueError(f"{key}: must be a string")
     return value
 
 
@@ -152,18 +152,18 @@
     if value is None:
         return None
     if not isinstance(value, str):
-        raise ValueError(f"{key}: a text is wanted")
-    value.encode()  # UnicodeEncodeError, which is a ValueError, for a lone surrogate
+        raise ValueError(f"{key}: must be a string")
+    value.encode()  # raises UnicodeEncodeError, a ValueError, for a lone surrogate
     return value
 
 
 def _number(
-    row: dict[Any, Any], key: str, default: float, least: float, most: float
+    row: dict[Any, Any], key: str, default: float, minimum: float, maximum: float
 ) -> float | int:
     value: object = row.get(key, default)
-    # Of NaN no comparison is true.
-    if type(value) not in (int, float) or not least <= value <= most:  # type: ignore[operator]
-        raise ValueError(f"{key}: a number from {least:g} to {most:g} is wanted")
+    # The comparison is false for NaN.
+    if type(value) not in (int, float) or not minimum <= value <= maximum:  # type: ignore[operator]
+        raise ValueError(f"{key}: must be a number from {minimum:g} to {maximum:g}")
     number: float | int = value  # type: ignore[assignment]
     return number
 
--- a/pepperhook/server/extensions.py
+++ b/pepperhook/server/extensions.py
@@ -1,11 +1,9 @@
-"""The hook points, where extensions take part in the lifecycle of requests.
+"""Hook points at which extensions take part in the lifecycle of the process and of requests.
 
-The operator's file turns extensions on.
-
-The server knows no extension by name. An extension is one object with any of the methods of
-``Extension``; what it lacks costs nothing. No extension goes round the policy: the policy says
-which upstream and whether to retry, and an extension that answers or rejects does so only before
-the policy has the request.
+The operator's file enables extensions. The server does not depend on any particular one: an
+extension is an object with any subset of the methods of ``Extension``, and a hook point that it
+does not implement costs nothing. Extensions do not bypass the policy, which selects upstreams and
+decides on retries; an extension may answer or reject a request only before the policy has it.
 """
 
 from __future__ import annotations
@@ -45,72 +43,75 @@
 class Extension(Protocol):
     """All hook points; an extension implements those that it needs.
 
-    ``reads`` names headers of requests, whose values come in ``RequestMessage.read_headers`` along
-    with the client's address; ``reads_back`` headers of responses, which come in
-    ``UpstreamResponse.read_headers``. Times are in nanoseconds.
+    ``reads`` names the request headers whose values an extension gets in
+    ``RequestMessage.read_headers``, together with the client's address; ``reads_back`` names the
+    response headers that it gets in ``UpstreamResponse.read_headers``. ``now`` is in nanoseconds.
     """
 
     reads: tuple[str, ...]
     reads_back: tuple[str, ...]
 
-    # The process, in the order of the calls.
+    # Hook points of the process, in the order of the calls.
 
     def hold(self) -> None:
-        """Take what only one process may have, before the start. Raises ValueError."""
+        """Lock resources that only one process may use, before the start. Raises ValueError."""
 
     def born(self, app: BalancerApp, policy: Any, now: int) -> Any:
-        """Return what stands in the policy's place: itself, or a proxy. It has had no call yet."""
+        """Return the policy to use: ``policy``, which has had no call yet, or a proxy of it."""
 
     def started(self, app: BalancerApp) -> None:
-        """The balancer is up, and accepts no requests yet."""
+        """Start the extension; the policy runs, and requests are not accepted yet."""
 
     async def closing(self, accept_s: float, within_s: float) -> None:
-        """Shut down gracefully: answer what the extension accepted by a listener of its own."""
+        """Shut the extension's own listener down while the server's one shuts down gracefully.
+
+        Accept for ``accept_s`` more, then answer what was accepted within ``within_s``, in seconds.
+        """
 
     async def left(self) -> None:
-        """Give back what the extension owns; all requests are answered."""
+        """Release all resources; every request has been answered."""
 
     def told(self) -> dict[str, Any]:
-        """Return fields for the log where an operator asks for counters."""
+        """Return the extension's counters, as fields of a log line."""
 
-    # The endpoint list.
+    # Hook points of the endpoint list.
 
     def lists(self, rows: list[EndpointUpdate]) -> list[EndpointUpdate]:
-        """Return the updates for the policy, with other states where the extension knows better."""
+        """Return the updates for the policy; the extension may override the states of upstreams."""
 
     def listed(self, now: int, upstreams: Iterable[Upstream]) -> None:
-        """The endpoint list has changed."""
+        """Take note that the policy has got a changed endpoint list; ``upstreams``: all of it."""
 
-    # A request, in the order of the calls.
+    # Hook points of a request, in the order of the calls.
 
     def arrived(
         self, now: int, request: Request, message: RequestMessage
     ) -> EarlyResult | asyncio.Future[EarlyResult]:
-        """Answer a request before the policy has it, or refuse it; None passes it on.
+        """Answer or refuse a request before the policy has it; None passes it on.
 
-        A future is waited for, as long as the request's deadline and its client allow.
+        A future is awaited until the request's deadline, or until its client leaves.
         """
 
     def dispatching(self, now: int, attempt: Attempt, headers: list[Header]) -> bool | None:
-        """Add to the headers of an attempt about to be written; True: it must not be sent."""
+        """Add headers to an attempt that is about to be sent; True: it must not be sent."""
 
     def ended(
         self, now: int, attempt: Attempt, outcome: Outcome, response: UpstreamResponse | None
     ) -> None:
-        """An attempt has ended; the policy is notified next."""
+        """Take note that an attempt has ended; the policy is notified after this call."""
 
     def answered(self, now: int, request: Request, response: FinalResponse) -> None:
-        """The final response is about to be given; may add to its headers."""
+        """Take note of the final response before it is sent; may add headers to it."""
 
     def leaving(self, now: int, request: Request) -> bool:
-        """The client has left; True keeps the request until ``RequestLifecycles.leave``."""
+        """Handle the client's leaving; True keeps the request until ``RequestLifecycles.leave``."""
 
     def over(self, now: int, request: Request) -> None:
-        """The lifecycle of the request ends; called once for each that arrived."""
+        """Release the state of a request whose lifecycle ends; called once for each request."""
 
 
 class Extensions:
-    """The hooks of all extensions; each tuple keeps the order of the operator's file."""
+    """The hooks of all enabled extensions; each tuple has the order of the operator's file."""
 
     __slots__ = ("all", "reads", "reads_back", "h2", *POINTS)
 
@@ -134,7 +135,7 @@
     told: tuple[Any, ...]
 
     def __init__(self, extensions: Iterable[Any] = (), h2: Http2Table | None = None) -> None:
-        """Collect the hooks of ``extensions``; ``h2``: the settings of HTTP/2, where it is on."""
+        """Collect the hooks of ``extensions``; ``h2``: the settings of HTTP/2 if it is enabled."""
         self.all = tuple(extensions)
         self.h2 = h2
         self.reads = self._names("reads")
@@ -151,8 +152,8 @@
 
 
 def listed_name(extension: Any) -> str:
-    """Return the name by which the log and ``pepperhook check`` list an extension.
+    """Return the name of an extension in the log and in the output of ``pepperhook check``.
 
-    It is ``listed_as`` where the extension has that, else the name of its class in lower case.
+    It is the attribute ``listed_as``, or else the class name in lower case.
     """
     return str(getattr(extension, "listed_as", type(extension).__name__.lower()))
--- a/pepperhook/server/http1_client.py
+++ b/pepperhook/server/http1_client.py
@@ -1,6 +1,6 @@
 """Sends HTTP/1.1 requests: each once, with one response or one typed error.
 
-No request is sent again by the library behind the caller's back, and no response is taken for that
+It keeps the library, aiohttp, from retrying requests by itself, and from taking a response as that
 to another request.
 """
 
@@ -28,9 +28,9 @@
 )
 
 MAX_BODY_BYTES = 64 * 1024
-MAX_STALE_CONNECTIONS = 20  # kept connections in a row that may turn out to be stale
-CONNECTION_REST_S = 0.01  # between the end of a response and the next request on its connection
-# Else the library rounds timeouts above five seconds up, and responses come late.
+MAX_STALE_CONNECTIONS = 20  # tried in a row for one request
+CONNECTION_REST_S = 0.01  # from the end of a response to the next request on its connection
+# Otherwise the library rounds timeouts above five seconds up, and responses come late.
 CEIL_THRESHOLD_S = 10**9
 SWITCHING_PROTOCOLS = 101
 MIN_FINAL_STATUS = 200
@@ -38,8 +38,8 @@
 
 Result = TypeVar("Result")
 
-# What the library's errors mean; the first that fits counts. A malformed response leaves the
-# connection as it is; a broken one gives other errors, or a cause of its own.
+# Typed errors for those of the library; the first match counts. ClientResponseError means a
+# malformed response on an intact connection; a lost one raises other errors, or sets a cause.
 LIBRARY_ERRORS: tuple[tuple[type[Exception], type[AttemptError]], ...] = (
     (aiohttp.ConnectionTimeoutError, ConnectTimeoutError),
     (aiohttp.ClientConnectorError, ConnectFailedError),
@@ -58,95 +58,96 @@
     for library_class, error_class in LIBRARY_ERRORS:
         if isinstance(error, library_class):
             return error_class(str(error))
-    raise TypeError(f"{type(error).__name__} is no error of the library") from error
+    raise TypeError(f"{type(error).__name__} is not an error of aiohttp") from error
 
 
 class ResponseReader(ResponseHandler):
-    """Reads one response for each request, within a timeout, and nothing behind it.
+    """Reads exactly one response for each request, within a timeout.
 
-    The library's parser throws a good response away if noise comes with it in one read, and keeps a
-    second one for the next request. So it gets heads and bodies one by one, and nothing of what is
-    beyond the response's length.
+    The library's parser discards a valid response if invalid bytes follow it in the same read, and
+    takes a second response as that to the next request. So it is given one head or body at a time,
+    and nothing beyond the end of the response.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, read_timeout_s: float | None) -> None:
-        """Make the reader of one connection; no timeout where ``read_timeout_s`` is None."""
+        """Create the reader of one connection; ``read_timeout_s``: None for no timeout."""
         super().__init__(loop)
         self.read_timeout_s = read_timeout_s
         self.read_timer: asyncio.TimerHandle | None = None
-        self.answered_at = 0.0
+        self.completed_at = 0.0  # end of the last response, in the loop's time
         self.body: Any = None  # the library's reader of the response's body
-        self.left: float | None = 0  # bytes of the body still to come; None before the head is read
-        self.head_tail = b""  # the last bytes of an incomplete head, where its end may begin
+        # Bytes of the body still to be received; None before the head is read.
+        self.remaining: float | None = 0
+        self.head_tail = b""  # last bytes of an incomplete head, which may begin HEAD_END
         self.is_head_begun = False
 
     def set_response_params(self, **params: Any) -> None:
         """Expect a response: a request is about to be written."""
         self.body = None
-        self.left = None
+        self.remaining = None
         self.head_tail = b""
         self.is_head_begun = False
         super().set_response_params(**params)
 
     @property
     def is_complete(self) -> bool:
-        """Whether the response has been read to its end."""
-        return self.left == 0 or (self.body is not None and self.body.is_eof())
+        """Whether the whole response has been read."""
+        return self.remaining == 0 or (self.body is not None and self.body.is_eof())
 
     def data_received(self, data: bytes) -> None:
-        """Give the parser what belongs to the response, and close the connection over the rest."""
+        """Pass the bytes of the response to the parser; close the connection if others follow."""
         if not data:
-            super().data_received(data)  # the library goes on after a pause
+            super().data_received(data)  # the library resumes after a pause
         rest = self._parse(data)
         if self.exception() is not None and self.body is not None and not self.body.is_eof():
-            # Else it would look like a broken connection.
-            self.body.set_exception(MalformedResponseError("the body can't be read"))
+            # Otherwise the error would look like a lost connection.
+            self.body.set_exception(MalformedResponseError("the body cannot be parsed"))
         if rest and self.transport is not None:
-            # It belongs to no request, and nothing that comes after it could be told from it.
+            # Further bytes belong to no request, and a later response could not be told from them.
             self.force_close()
             self.transport.close()
         self._update_read_timer()
 
     def _parse(self, data: bytes) -> bytes:
-        """Parse piece by piece; return what is left behind the response."""
+        """Parse piece by piece; return the bytes after the end of the response."""
         while data and not self.is_complete and self.exception() is None:
             piece = data[: self._piece_size(data)]
             data = data[len(piece) :]
-            if self.left is not None:
-                self.left -= len(piece)
+            if self.remaining is not None:
+                self.remaining -= len(piece)
             self.head_tail = (self.head_tail + piece)[-(len(HEAD_END) - 1) :]
             self.is_head_begun = True
             super().data_received(piece)
             if self.is_complete:
-                self.answered_at = self._loop.time()
+                self.completed_at = self._loop.time()
         return data
 
     def cancel_request(self) -> None:
-        """Expect nothing: the request is not written after all."""
+        """Expect no response: the request is not written after all."""
         self.body = None
-        self.left = 0
+        self.remaining = 0
 
     def _piece_size(self, data: bytes) -> int:
-        """Return how many bytes belong together: a head, or what is left of a body."""
-        if self.left is not None:
-            return int(min(self.left, len(data)))
+        """Return the number of bytes up to the end of the head or body being read."""
+        if self.remaining is not None:
+            return int(min(self.remaining, len(data)))
         end = (self.head_tail + data).find(HEAD_END)
         return len(data) if end < 0 else end + len(HEAD_END) - len(self.head_tail)
 
     def feed_data(self, data: Any, size: int = 0) -> None:
-        """Take a head from the parser."""
+        """Read the length of the body from a head that the parser has completed."""
         message, payload = data
         self.head_tail = b""
         self.is_head_begun = False
         if message.code >= MIN_FINAL_STATUS or message.code == SWITCHING_PROTOCOLS:
             length = message.headers.get("Content-Length")
             self.body = payload
-            self.left = inf if length is None else int(length)
+            self.remaining = inf if length is None else int(length)
         super().feed_data(data, size)
 
     def _update_read_timer(self) -> None:
-        """Keep half a response on an open connection from holding its attempt to the end."""
-        is_begun = not self.is_complete and (self.is_head_begun or self.left is not None)
+        """Limit the time for a response that has begun, so that it cannot stall its attempt."""
+        is_begun = not self.is_complete and (self.is_head_begun or self.remaining is not None)
         if self.read_timer is None and is_begun and self.read_timeout_s is not None:
             self.read_timer = self._loop.call_later(self.read_timeout_s, self._read_timed_out)
         elif self.read_timer is not None and not is_begun:
@@ -154,7 +155,7 @@
 
     def _read_timed_out(self) -> None:
         self.read_timer = None
-        error = MalformedResponseError("the rest of the answer did not come")
+        error = MalformedResponseError("the rest of the response did not arrive")
         if self.body is not None:
             self.body.set_exception(error)
         self.set_exception(error)
@@ -165,39 +166,38 @@
             self.read_timer = None
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End the connection."""
+        """Cancel the timer of a lost connection."""
         self._cancel_read_timer()
         super().connection_lost(exc)
 
 
 class Connector(aiohttp.TCPConnector):
-    """Makes connections that read responses as ResponseReader does."""
+    """Opens connections that read responses with ResponseReader."""
 
     def __init__(self, read_timeout_s: float | None, **options: Any) -> None:
-        """Pass ``options`` on to the library."""
+        """``options``: those of aiohttp.TCPConnector."""
         super().__init__(use_dns_cache=False, **options)
         self._factory: Any = partial(ResponseReader, self._loop, read_timeout_s)
 
 
 class Request(aiohttp.ClientRequest):
-    """Sends only on a connection on which nothing has come unasked.
+    """A request that is sent only on a connection without unsolicited data.
 
-    The library hands what came on a kept connection while it stood idle to the next request as its
-    response: one client would get what was another's. An end of the connection that was not read
-    yet shows here, too.
+    The library takes data that arrived on an idle connection as the response to the next request,
+    so one client would get another's response. The check also finds an unread FIN.
 
-    This is the one place that writes to an upstream, so it makes the last check before the first
-    byte, ``may_write``. A connection may be long in coming up, and what held when it was asked for
-    need not hold any more.
+    This is the only place that writes to an upstream, so it makes the last check before the first
+    byte, ``may_write``: connecting takes time, in which the upstream may have started to drain or
+    the client may have left.
     """
 
     may_write: Callable[[], bool] | None = None
 
     async def send(self, conn: Any) -> aiohttp.ClientResponse:
         """Write the request. Raises StaleConnectionError or SendForbiddenError before that."""
-        # Against a second response, some milliseconds behind the first, being taken for that to the
-        # next request.
-        rest_s = conn.protocol.answered_at + CONNECTION_REST_S - self.loop.time()
+        # A second response that arrives some milliseconds after the first must not be taken as that
+        # to the next request.
+        rest_s = conn.protocol.completed_at + CONNECTION_REST_S - self.loop.time()
         if rest_s > 0:
             await asyncio.sleep(rest_s)
         if (
@@ -206,10 +206,10 @@
             or conn.protocol.is_head_begun
             or has_unread_data(conn.transport)
         ):
-            raise StaleConnectionError("something came on the connection unasked")
+            raise StaleConnectionError("unsolicited data or FIN on the connection")
         if self.may_write is not None and not self.may_write():
             conn.protocol.cancel_request()
-            conn.release()  # it is as good as before, and was not free
+            conn.release()  # nothing was written, so it can be reused
             raise SendForbiddenError
         return await super().send(conn)
 
@@ -221,12 +221,12 @@
 
 
 def has_unread_data(transport: Any) -> bool:
-    """Whether something has come, if only the end, that was not read yet."""
+    """Whether the socket holds unread data or an unread end of file (FIN)."""
     return not transport.is_closing() and _is_ready(transport, select.POLLIN)
 
 
 def is_closed_by_peer(transport: Any) -> bool:
-    """Whether the peer has ended its sending, or reset, also where unread data lies before that."""
+    """Whether the peer has closed its sending side or reset, even if unread data precedes that."""
     return bool(transport.is_closing()) or _is_ready(transport, select.POLLRDHUP)
 
 
@@ -235,9 +235,10 @@
     request: aiohttp.ClientRequest,
     handler: aiohttp.ClientHandlerType,
 ) -> aiohttp.ClientResponse:
-    """Keep the library from resending a GET when a kept connection drops, uncounted.
+    """Keep the library from retrying a GET by itself when a reused connection is lost.
 
-    It sends again after the errors caught here, so they leave as types that it does not know.
+    Such retries would not be counted as attempts. The library retries after the errors caught here,
+    so they are replaced by types that it does not know.
     """
     request.may_write = may_write  # type: ignore[attr-defined]  # the session makes a Request
     try:
@@ -245,30 +246,28 @@
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
         raise
     except aiohttp.ClientConnectionResetError as error:
-        # Raised where the transport was closing before a request without a body was written, which
-        # is done in one piece. With a body the library reports another error, as some of it may
-        # have gone out.
+        # Raised if the transport was already closing before a request without a body, which is
+        # written in one piece. With a body, of which a part may have been sent, the library raises
+        # another error.
         raise StaleConnectionError(str(error)) from error
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
         raise ConnectionLostError(str(error)) from error
 
 
 async def retry_stale_connections(exchange: Callable[[], Awaitable[Result]]) -> Result:
-    """Make the exchange on the first connection that is not stale.
-
-    Nothing was sent on those before."""
+    """Run ``exchange`` until its connection is not stale; nothing is sent on stale ones."""
     for _ in range(MAX_STALE_CONNECTIONS):
         try:
             return await exchange()
         except StaleConnectionError:
             continue
-    raise StaleConnectionError(f"{MAX_STALE_CONNECTIONS} connections in a row were spent")
+    raise StaleConnectionError(f"{MAX_STALE_CONNECTIONS} connections in a row were stale")
 
 
 def make_session(read_timeout_s: float | None = None, **connections: Any) -> aiohttp.ClientSession:
-    """Make a session that sends requests as they are.
+    """Create a session that sends requests unchanged.
 
-    No redirects, cookies, proxies, decompression, quoting or headers of its own.
+    It adds no redirects, cookies, proxies, decompression, quoting or headers.
 
     ``read_timeout_s``: how long a response may take from its first byte to its last.
     """
@@ -285,12 +284,12 @@
 
 
 def make_timeout(total_s: float, connect_s: float | None = None) -> aiohttp.ClientTimeout:
-    """Return exact timeouts in the library's form."""
+    """Return timeouts, in seconds, that the library does not round up."""
     return aiohttp.ClientTimeout(total=total_s, connect=connect_s, ceil_threshold=CEIL_THRESHOLD_S)
 
 
 def _has_known_end(response: aiohttp.ClientResponse) -> bool:
-    """Whether the response tells its length, and so whether it is complete."""
+    """Whether the end of the response can be determined, by Content-Length or chunks."""
     return response.content_length is not None or (
         "chunked" in response.headers.get("Transfer-Encoding", "").lower()
     )
@@ -298,7 +297,7 @@
 
 async def read_body(response: aiohttp.ClientResponse, max_bytes: int = MAX_BODY_BYTES) -> bytes:
     """Read the whole body. Raises MalformedResponseError above ``max_bytes``."""
-    # Leaving the response half read closes its connection.
+    # The connection of a partly read response is closed, not reused.
     if (response.content_length or 0) > max_bytes:
         raise MalformedResponseError(f"over {max_bytes} bytes")
     body = bytearray()
@@ -316,9 +315,9 @@
     read: Callable[[aiohttp.ClientResponse], Awaitable[Result]],
     **options: Any,
 ) -> Result:
-    """Send one request and return what ``read`` makes of the response. Raises AttemptError.
+    """Send one request and return the result of ``read(response)``. Raises AttemptError.
 
-    The one place that calls the library to send, so its errors become typed ones here.
+    All requests are sent here, so this converts the errors of the library to typed ones.
     """
     try:
         async with session.request(method, url, allow_redirects=False, **options) as response:
@@ -332,17 +331,17 @@
 async def _read_response(response: aiohttp.ClientResponse) -> tuple[int, Any, bytes]:
     body = await read_body(response)
     if response.status == MIN_FINAL_STATUS and not _has_known_end(response):
-        raise MalformedResponseError("nothing tells where the answer ends")
+        raise MalformedResponseError("the response has neither a Content-Length nor chunks")
     return response.status, response.headers, body
 
 
 class Http1Client:
-    """The connections to one server, which are of no use to any other."""
+    """The connections to one server; they are not shared with other servers."""
 
     def __init__(
         self, address: str, connect_timeout_s: float, session: aiohttp.ClientSession
     ) -> None:
-        """Take over ``session``, which holds the connections to ``address`` alone."""
+        """Take over ``session``, which must be used for ``address`` only."""
         self.address = address
         self.connect_timeout_s = connect_timeout_s
         self.session = session
@@ -356,9 +355,9 @@
         timeout_s: float,
         may_write: Callable[[], bool] | None = None,
     ) -> tuple[int, Any, bytes]:
-        """Send one request; returns status, headers and body of the response. Raises AttemptError.
+        """Send one request; return status, headers and body of the response. Raises AttemptError.
 
-        SendForbiddenError where ``may_write``, called just before the first byte, returns False.
+        ``may_write`` is called just before the first byte; SendForbiddenError if it returns False.
         """
         return await exchange(
             self.session,
--- a/pepperhook/server/http1_server.py
+++ b/pepperhook/server/http1_server.py
@@ -1,4 +1,4 @@
-"""Serves HTTP/1.1: turns clients' messages into requests, and final responses into bytes."""
+"""The HTTP/1.1 server: parses messages into requests, and writes final responses."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
     from pepperhook.server.metrics import Counters
     from pepperhook.server.runtime import Runtime
 
-NEVER_S = 10**6
-FINAL_CLOSE_S = 0.1  # for what is still open when the time for a graceful shutdown is up
+NO_TIMEOUT_S = 10**6
+FINAL_CLOSE_S = 0.1  # for connections that are still open after a graceful shutdown
 CLOSE_CHECK_INTERVAL_S = 0.01
-RESPONSE_WRITE_TIMEOUT_S = 5  # in which a client reads its response, or goes without
+RESPONSE_WRITE_TIMEOUT_S = 5  # for a client to read its response
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """Bounds on clients' connections."""
+    """Limits on the number of client connections."""
 
-    # Above, those that stand idle longest make room, and each response closes its connection.
+    # Above it, the longest idle connections are closed, and each response closes its connection.
     soft: int
-    hard: int  # above, new ones wait
+    hard: int  # at it, new connections wait to be accepted
 
 
 class Http1Server:
-    """The listener for clients; also for HTTP/2 where that is enabled."""
+    """The listener for clients; also for HTTP/2 if that is enabled."""
 
     def __init__(
         self,
@@ -48,14 +48,14 @@
         listen: Address,
         limits: ConnectionLimits,
     ) -> None:
-        """Prepare to listen on ``listen``; ``open`` begins."""
+        """Prepare to listen on ``listen``; ``open`` starts to."""
         self.runtime = runtime
         self.counters = counters
         self.ingress = ingress
         self.listen = listen
         self.is_shutting_down = False
-        self.address: Address | None = None  # where it listens
-        # Connections has times of its own: the library's knows no limit for a head or a body.
+        self.address: Address | None = None  # the bound address
+        # Connections has its own timeouts, as aiohttp's do not limit the time for a head or a body.
         self.server = Connections(
             self._serve,
             self._serve_unreadable,
@@ -64,14 +64,14 @@
             limits.hard,
             self._make_request,
             access_log=None,
-            keepalive_timeout=NEVER_S,
+            keepalive_timeout=NO_TIMEOUT_S,
             lingering_time=0,
             auto_decompress=False,
         )
 
     def enable_http2(self, max_streams: int) -> None:
-        """Let new connections be of either protocol from now on."""
-        # Imported only where it is on.
+        """Detect the protocol of each new connection from now on."""
+        # Imported only if it is enabled.
         from pepperhook.http2.protocol_detection import ProtocolDetector
         from pepperhook.http2.server import ServerConnection
 
@@ -103,7 +103,7 @@
         )
 
     def open(self) -> None:
-        """Begin to listen."""
+        """Start to listen."""
         self.address = self.server.listen(self.listen)
 
     async def _serve(
@@ -117,7 +117,7 @@
                 response.force_close()
             if refusal or connection.is_pipelined or not request.content.is_eof():
                 response.force_close()
-            # Written here, so that no connection counts as idle before its response is out.
+            # Written here, so that the connection does not count as idle before that.
             with suppress(ConnectionError):
                 await self._write(request, response)
             if not response.keep_alive:
@@ -132,8 +132,7 @@
                 await response.prepare(request)
                 await response.write_eof()
         except TimeoutError:
-            # Against a client that does not read holding its connection, and what it asked for, for
-            # good.
+            # A client that does not read must not hold its connection and its response forever.
             self.counters.add("answers not read")
             if request.transport is not None:
                 request.transport.abort()
@@ -152,7 +151,7 @@
 
     async def _forward(self, request: Any) -> web.Response:
         if self.server.is_crowded:
-            # There are no sockets to work for it with; nothing was sent, so a retry is harmless.
+            # No sockets are left to serve the request; nothing was sent, so a retry is harmless.
             raise RequestRefusedError(HTTPStatus.SERVICE_UNAVAILABLE, "too many connections")
         if request.protocol.is_pipelined:
             raise RequestRefusedError(
@@ -189,11 +188,11 @@
         return response
 
     async def _read_message(self, request: Any) -> RequestMessage:
-        """Read the whole message; half of one is given up when its time is up."""
+        """Read the whole message. Raises RequestRefusedError if it times out or is malformed."""
         body = await self._read_body(request)
         target = request.raw_path
         if not target.startswith("/"):
-            target = request.rel_url.raw_path_qs  # the absolute form names this balancer first
+            target = request.rel_url.raw_path_qs  # without the authority
         return self.ingress.message(
             request.method,
             target,
@@ -226,17 +225,20 @@
         return body
 
     async def close(self, accept_s: float, within_s: float) -> None:
-        """Accept briefly, answer all that was accepted, close connections after that."""
+        """Accept for another ``accept_s``, answer accepted requests, then close all connections.
+
+        ``within_s``: for the answers, after ``accept_s``.
+        """
         self.is_shutting_down = True
         self.ingress.begin_shutdown(accept_s + within_s)
         self.server.go_away()
         await asyncio.sleep(accept_s)
         loop = self.runtime.loop
-        ends_at = loop.time() + within_s
-        while (not self.server.stop() or self.server.count) and loop.time() < ends_at:
+        deadline = loop.time() + within_s
+        while (not self.server.stop() or self.server.count) and loop.time() < deadline:
             self.server.close_idle_connections()
             await asyncio.sleep(CLOSE_CHECK_INTERVAL_S)
-        # Half a message, or a client that does not read its response, is not waited for any longer.
+        # Incomplete messages, and clients that do not read their response, get no more time.
         self.server.stop(at_once=True)
         await self.server.shutdown(FINAL_CLOSE_S)
 
--- a/pepperhook/server/ingress.py
+++ b/pepperhook/server/ingress.py
@@ -1,8 +1,8 @@
-"""Validates what clients send, makes requests of it, and encodes final responses, for any protocol.
+"""Validates clients' messages, creates requests from them, and encodes final responses.
 
-A protocol's server turns bytes into a method, a path and headers, and calls ``Ingress`` in turn;
-nothing here knows the wire. What a head shows to be wrong is refused before a body is waited for:
-an upstream would reject it, and look faulty for it.
+The server of each protocol decodes a method, a path and headers, and calls ``Ingress``, which does
+not depend on the protocol. A message with an invalid head is refused before its body is read. If it
+were forwarded, the upstream would reject it, and would look faulty.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
     from pepperhook.server.runtime import Runtime
     from pepperhook.server.structured_logging import Log
 
-REFUSAL_LOG_INTERVAL_S = 1  # between log lines on refused requests
+REFUSAL_LOG_INTERVAL_S = 1  # minimum time between log lines about refused requests
 MAX_REQUEST_ID_LENGTH = 256
 MAX_NUMBER_DIGITS = 15
 FORWARDED_HEADERS = ("X-Request-ID", "Idempotency-Key", "Content-Type")
-SINGLE_HEADERS = (  # those that decide something here, so that none may come twice
+SINGLE_HEADERS = (  # evaluated here, so that repeating one would be ambiguous
     "X-Request-ID",
     "X-Timeout-Ms",
     "X-Tenant-Id",
@@ -42,9 +42,9 @@
     "Content-Type",
     "Transfer-Encoding",
 )
-# Kept back from a time limit: for the way from and to the client, and for a busy core.
+# Subtracted from the time limit, for the network to and from the client, and for a busy core.
 TIME_LIMIT_MARGIN_NS = 25 * 10**6
-LATENESS_FACTOR = 3  # times that lateness meets a request: accepting, reading, writing the response
+LATENESS_FACTOR = 3  # lateness can delay accepting, reading, and writing the response
 NS_PER_S = 1e9
 NS_PER_MS = 10**6
 NS_PER_US = 1000
@@ -56,27 +56,27 @@
 
 
 class RequestRefusedError(PepperhookError):
-    """No request was accepted: a status, one plain sentence, and headers that belong to them."""
+    """A message was not accepted as a request; has the status, text and headers of the response."""
 
     def __init__(self, status: int, text: str, **headers: str) -> None:
-        """Describe the response that the client gets."""
+        """Describe the response to the client."""
         super().__init__(text)
         self.status = int(status)
         self.headers = headers
 
 
 class RequestIdRegistry:
-    """The ids in flight, and recent ones: a copy read just after the end runs twice, too."""
+    """The request ids in flight, and recent ones: a late duplicate must not be executed again."""
 
     def __init__(self, keep_s: float, loop: asyncio.AbstractEventLoop) -> None:
-        """``keep_s``: how long an id is known after its end."""
+        """``keep_s``: how long an id is kept after the end of its request."""
         self.keep_s = keep_s
         self.loop = loop
         self.known: set[object] = set()
-        self.ended: deque[tuple[float, object]] = deque()  # with the time when it is forgotten
+        self.ended: deque[tuple[float, object]] = deque()  # with its expiry time
 
     def begin(self, request_id: object) -> None:
-        """Register an id. Raises RequestRefusedError if it is known."""
+        """Register an id. Raises RequestRefusedError if it is in use or was used recently."""
         now = self.loop.time()
         while self.ended and self.ended[0][0] < now:
             self.known.discard(self.ended.popleft()[1])
@@ -87,12 +87,12 @@
         self.known.add(request_id)
 
     def end(self, request_id: object) -> None:
-        """Forget an id after a while."""
+        """Let an id expire after ``keep_s``."""
         self.ended.append((self.loop.time() + self.keep_s, request_id))
 
 
 class Ingress:
-    """Accepts requests; one for all protocols, as an id is in flight once, however it came."""
+    """Accepts requests of all protocols; one instance, since ids are unique across protocols."""
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
         discovery: EndpointDiscovery,
         extensions: extension_points.Extensions = extension_points.NONE,
     ) -> None:
-        """Read from ``config`` the names of service classes and tenants, and the time limits."""
+        """Take the names of service classes and tenants, and the time limits, from ``config``."""
         self.runtime = runtime
         self.log = log
         self.counters = counters
@@ -114,34 +114,36 @@
         self.service_classes = config.names.service_classes
         self.tenants = config.names.tenants
         self.settings = config.settings
-        self.longest_s = 0.0  # the longest time limit so far
-        self.closes_at_ns: int | None = None  # in a shutdown: when connections are closed
+        self.max_time_limit_s = (
+            0.0  # of all settings since the start, as older requests may be in flight
+        )
+        self.closes_at_ns: int | None = None  # when a shutdown closes the connections
         self.ids = RequestIdRegistry(0.0, runtime.loop)
         self._unlogged_refusals = 0
         self._log_refusals_at = 0.0
         self.update_settings()
 
     def update_settings(self) -> None:
-        """Follow changed settings; what was accepted under a longer time limit still has that."""
-        longest_ns = max(known.time_limit_ns for known in self.settings.service_classes)
-        self.longest_s = max(self.longest_s, longest_ns / NS_PER_S)
-        self.ids.keep_s = self.longest_s
+        """Apply changed settings; requests in flight keep their time limits."""
+        max_ns = max(each.time_limit_ns for each in self.settings.service_classes)
+        self.max_time_limit_s = max(self.max_time_limit_s, max_ns / NS_PER_S)
+        self.ids.keep_s = self.max_time_limit_s
 
     def begin_shutdown(self, closes_in_s: float) -> None:
-        """Let requests that are accepted from now on be answered before connections are closed."""
+        """Limit the deadlines of new requests to the time when connections are closed."""
         self.closes_at_ns = self.runtime.now() + int(closes_in_s * NS_PER_S)
 
     def health(self) -> tuple[int, str]:
-        """Return status and text for whoever asks whether requests may come."""
+        """Return status and text of the response to a health check of this balancer."""
         if self.discovery.ready:
             return HTTPStatus.OK.value, "serving\n"
         return HTTPStatus.SERVICE_UNAVAILABLE.value, "no list of upstreams yet\n"
 
     def service_class(self, method: str, path: str, headers: Any, has_body: bool) -> ServiceClass:
-        """Return the service class that a head asks for. Raises RequestRefusedError.
+        """Validate a head and return its service class. Raises RequestRefusedError.
 
-        ``path``: as it came, its escapes not undone, as a name may hold what separates it;
-        ``has_body``: whether the head announces a body.
+        ``path``: still percent-encoded, as a name may contain a slash; ``has_body``: whether the
+        head announces a body.
         """
         for name in SINGLE_HEADERS:
             if len(headers.getall(name, ())) > 1:
@@ -160,8 +162,8 @@
 
     def _find_service_class(self, path: str) -> ServiceClass:
         name = path.partition("?")[0].split("/", 2)[1] if path.startswith("/") else ""
-        # As it came, where a client writes a name with a % in it as it is; else with escapes
-        # undone.
+        # First the undecoded name, for clients that send a name with a % unescaped; then the
+        # decoded one.
         number = self.service_classes.get(name, self.service_classes.get(unquote(name)))
         if number is None:
             raise RequestRefusedError(
@@ -178,7 +180,10 @@
         client_address: str | None,
         is_client_waiting: Callable[[], bool] | None = None,
     ) -> RequestMessage:
-        """Return what is forwarded, with what extensions read of it. Raises RequestRefusedError."""
+        """Return the message to forward, with the headers for extensions.
+
+        Raises RequestRefusedError if a forwarded header is not ASCII.
+        """
         forwarded = [(name, headers[name]) for name in FORWARDED_HEADERS if name in headers]
         for name, value in forwarded:
             if not value.isascii():
@@ -194,23 +199,23 @@
         return message
 
     def request(self, headers: Any, service_class: ServiceClass, waited_s: float) -> Request:
-        """Return what the policy needs; ``waited_s``: how long it may have waited to be read."""
+        """Create the request; ``waited_s``: how long it may have waited before it was read."""
         limit_ns = service_class.time_limit_ns
-        asked_ms = _whole_number(headers, "X-Timeout-Ms")
-        if asked_ms is not None:
-            limit_ns = min(limit_ns, asked_ms * NS_PER_MS)
+        timeout_ms = _whole_number(headers, "X-Timeout-Ms")
+        if timeout_ms is not None:
+            limit_ns = min(limit_ns, timeout_ms * NS_PER_MS)
         now_ns = self.runtime.now()
         if self.closes_at_ns is not None:
             limit_ns = min(limit_ns, max(0, self.closes_at_ns - now_ns))
-        # Counted from the sending, which nobody reports: the way here is in the margin; a core that
-        # is late may have let it lie as long, and may let the response lie; the first one on a
-        # connection may have waited to be accepted.
-        lost_ns = (
+        # The time limit runs from when the client sent the request, which is not known. The margin
+        # allows for the network; lateness, for delays of this process in reading the request and
+        # writing the response; waited_s, for the time that the connection waited to be accepted.
+        delays_ns = (
             int(waited_s * NS_PER_S)
             + min(limit_ns // 2, TIME_LIMIT_MARGIN_NS)
             + LATENESS_FACTOR * self.runtime.lateness_ns()
         )
-        deadline = now_ns + max(0, limit_ns - lost_ns)
+        deadline = now_ns + max(0, limit_ns - delays_ns)
         cost_us = _whole_number(headers, "X-Cost")
         return Request(
             headers["X-Request-ID"],
@@ -223,7 +228,7 @@
         )
 
     def _tenant(self, name: str | None) -> int | None:
-        """Find a tenant by name; the library reads UTF-8, where clients may write Latin-1."""
+        """Find a tenant by name; the library decodes UTF-8, but clients may send Latin-1."""
         if name is None:
             return None
         if name in self.tenants:
@@ -234,10 +239,10 @@
     async def handle(self, request: Request, message: RequestMessage) -> FinalResponse:
         """Return the final response. Raises RequestRefusedError.
 
-        Cancelling the call reports that the client has left.
+        Cancelling this coroutine reports that the client has left.
         """
         if request.deadline <= self.runtime.now():
-            # It lay here too long. Against a core that is short of time doing more than answering.
+            # It waited too long; a core that is late should not spend more on it than the response.
             self.counters.add("too late")
             return FinalResponse(ResponseKind.REJECTED)
         self.ids.begin(request.id)
@@ -253,7 +258,7 @@
         self._unlogged_refusals += 1
         now_s = self.runtime.loop.time()
         if now_s >= self._log_refusals_at:
-            # Against a client that repeats the same at once filling the log, and the core with it.
+            # A client that retries in a tight loop must not fill the log or use up the core.
             self.log.info(
                 "not_taken", status=error.status, why=error, count=self._unlogged_refusals
             )
@@ -288,14 +293,14 @@
 
 
 def _check_method(service_class: ServiceClass, method: str, has_body: bool) -> None:
-    wanted = "GET" if service_class.effect == Effect.SAFE else "POST"
-    if method != wanted:
+    expected = "GET" if service_class.effect == Effect.SAFE else "POST"
+    if method != expected:
         raise RequestRefusedError(
             HTTPStatus.METHOD_NOT_ALLOWED,
-            f"{wanted} is wanted for this service grade",
-            Allow=wanted,
+            f"{expected} is wanted for this service grade",
+            Allow=expected,
         )
-    if wanted == "GET" and has_body:
+    if expected == "GET" and has_body:
         raise _bad_request("no body is wanted with GET")
 
 
--- a/pepperhook/server/lifecycle_events.py
+++ b/pepperhook/server/lifecycle_events.py
@@ -1,4 +1,4 @@
-"""What happens to a request in flight: events, and the policy's actions for it."""
+"""The events of a request in flight; the policy's actions for it are events, too."""
 
 from asyncio import Queue
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has ended, with a response where a whole one came."""
+    """An attempt has ended; ``response`` is set if a whole one was received."""
 
     attempt: Attempt
     outcome: Outcome
@@ -19,12 +19,12 @@
 
 @dataclass(slots=True)
 class ClientLeft:
-    """Nobody waits for the response any more."""
+    """The client has left and does not wait for the response any more."""
 
 
 @dataclass(slots=True)
 class Overdue:
-    """The deadline has passed, and the policy has not ended the request."""
+    """The deadline has passed, but the policy has not ended the request."""
 
 
 LifecycleEvent = (
--- a/pepperhook/server/messages.py
+++ b/pepperhook/server/messages.py
@@ -1,41 +1,41 @@
-"""The messages between clients, balancer and upstreams, whatever protocol carries them."""
+"""Messages between clients, balancer and upstreams, independent of the protocol."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import StrEnum
 
 Header = tuple[str, str]
-ReadHeaders = dict[str, list[str]]  # by name, all values as they came
+ReadHeaders = dict[str, list[str]]  # all values of each header, by its name
 
 
 @dataclass(slots=True)
 class RequestMessage:
-    """A client's request as it is forwarded: the bytes that came."""
+    """A client's message as it is forwarded, with its body unchanged."""
 
     method: str
     target: str
     headers: list[Header]
     body: bytes
-    read_headers: ReadHeaders | None = None  # what extensions read of it
-    client_address: str | None = None  # set where extensions read headers
-    is_client_waiting: Callable[[], bool] | None = None  # as its connection shows at the moment
+    read_headers: ReadHeaders | None = None  # those that extensions read
+    client_address: str | None = None  # set if extensions read headers
+    is_client_waiting: Callable[[], bool] | None = None  # checks its connection
 
 
 @dataclass(slots=True)
 class UpstreamResponse:
-    """A whole response of an upstream."""
+    """A complete response of an upstream."""
 
     body: bytes
     content_type: str | None
-    read_headers: ReadHeaders | None = None  # what extensions read of it
+    read_headers: ReadHeaders | None = None  # those that extensions read
 
 
 class ResponseKind(StrEnum):
-    """How a request ended, as its client learns it."""
+    """The result of a request, as reported to its client."""
 
     SERVED = "served"  # with an upstream's response
-    REJECTED = "rejected"  # harmless to retry
-    FAILED = "failed"  # with no promise that nothing was executed
+    REJECTED = "rejected"  # a retry is harmless
+    FAILED = "failed"  # may have been executed
 
 
 @dataclass(slots=True)
@@ -45,5 +45,5 @@
     kind: ResponseKind
     body: bytes = b""
     content_type: str | None = None
-    retry_after_ns: int = 0  # of a rejected one: advice when to retry; 0: none
+    retry_after_ns: int = 0  # advice for rejected requests; 0: none
     headers: list[Header] | None = None  # added by extensions
--- a/pepperhook/server/metrics.py
+++ b/pepperhook/server/metrics.py
@@ -1,4 +1,4 @@
-"""Counts events by name; printed on request and at exit."""
+"""Counters of events by name, logged on request and at exit."""
 
 from collections import Counter
 from typing import TYPE_CHECKING
@@ -8,10 +8,10 @@
 
 
 class Counters:
-    """Counters that come into being at their first count."""
+    """Counters that are created at their first count."""
 
     def __init__(self, log: "Log") -> None:
-        """Begin with no counts."""
+        """Start without counters."""
         self.log = log
         self.counts: Counter[str] = Counter()
 
@@ -20,7 +20,7 @@
         self.counts[name] += 1
 
     def __getitem__(self, name: str) -> int:
-        """Return a count; 0 where nothing was counted."""
+        """Return a count; 0 if nothing was counted."""
         return self.counts[name]
 
     def log_all(self) -> None:
--- a/pepperhook/server/request_lifecycle.py
+++ b/pepperhook/server/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle of a request, to its final response and the end of its last attempt."""
+"""The lifecycle of a request, until its final response and the end of its last attempt."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     from pepperhook.server.runtime import Runtime
     from pepperhook.server.structured_logging import Log
 
-OVERDUE_S = 0.015  # past the deadline, within which the policy's own final response comes
+OVERDUE_S = 0.015  # past the deadline, to wait for the policy's own final response
 NS_PER_S = 1e9
 
 ResponseFuture = asyncio.Future[FinalResponse]
 
 
 class RequestLifecycles:
-    """Owns the requests in flight: one task each, which ends with the request."""
+    """The requests in flight; each is handled by one task, which ends with it."""
 
     def __init__(
         self,
@@ -38,17 +38,17 @@
         counters: Counters,
         extensions: extension_points.Extensions = extension_points.NONE,
     ) -> None:
-        """Begin with no request in flight."""
+        """Start without requests in flight."""
         self.runtime = runtime
         self.log = log
         self.counters = counters
         self.extensions = extensions
         self.tasks: set[asyncio.Task[None]] = set()
-        # Whether the attempts of a client that has left are cancelled. Else they run to their end.
+        # Whether attempts are cancelled when their client leaves. Otherwise they run to their end.
         self.cancels_abandoned = False
 
     def begin(self, request: Request, message: RequestMessage) -> ResponseFuture:
-        """Start a request; returns its final response.
+        """Start the lifecycle of a request; return the future of its final response.
 
         Cancelling the future reports that the client has left.
         """
@@ -60,13 +60,13 @@
         return response
 
     def leave(self, request: Request) -> None:
-        """Abandon a request that an extension kept in flight after its client had left."""
+        """Report that nobody waits any more for a request that an extension kept in flight."""
         inbox = self.runtime.inboxes.get(request)
         if inbox is not None:
             inbox.put_nowait(ClientLeft())
 
     async def close(self) -> None:
-        """End the requests that are still in flight when the time for a graceful shutdown is up."""
+        """Cancel the requests that are still in flight at the end of a graceful shutdown."""
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
@@ -74,7 +74,7 @@
 
 
 class RequestLifecycle:
-    """One request in flight; handles its events in their order."""
+    """One request in flight; handles its events in the order of their arrival."""
 
     __slots__ = (
         "_cancels_abandoned",
@@ -96,7 +96,7 @@
         message: RequestMessage,
         response: ResponseFuture,
     ) -> None:
-        """Prepare the lifecycle; ``run`` carries it out."""
+        """Prepare the lifecycle; ``run`` executes it."""
         self._runtime = owner.runtime
         self._log = owner.log
         self._counters = owner.counters
@@ -109,15 +109,15 @@
         self._open_attempts: set[Attempt] = set()
 
     async def run(self) -> None:
-        """Handle events until the request is answered and no attempt is open."""
+        """Handle events until the final response is set and no attempt is open."""
         self._runtime.inboxes[self._request] = self._inbox
         self._response.add_done_callback(self._response_done)
         try:
             if not self._response.done() and not (
-                self._extensions.arrived and await self._answered_by_extension()
+                self._extensions.arrived and await self._ended_before_policy()
             ):
                 self._runtime.call_policy(self._runtime.policy.accept, self._request)
-            # Events are handled after the response too: the policy relies on each attempt's end.
+            # Events are also handled after the response: the policy needs the end of each attempt.
             while not self._response.done() or self._open_attempts or not self._inbox.empty():
                 self._handle(await self._next_event())
         finally:
@@ -129,7 +129,7 @@
 
     async def _next_event(self) -> LifecycleEvent:
         if self._open_attempts or not self._inbox.empty():
-            return await self._inbox.get()  # an attempt always ends by itself
+            return await self._inbox.get()  # an attempt ends at its own timeout at the latest
         deadline_s = (self._request.deadline - self._runtime.offset) / NS_PER_S
         try:
             async with asyncio.timeout_at(deadline_s + OVERDUE_S):
@@ -190,22 +190,22 @@
         if not self._request.finished:
             self._runtime.call_policy(self._runtime.policy.client_left, self._request)
         for attempt in self._open_attempts:
-            # An attempt that is still connecting must not be sent for a client that has left, also
-            # where attempts may not be cancelled.
+            # An attempt that is still connecting must not be sent for a client that has left, even
+            # if attempts are not cancelled.
             self._runtime.upstreams.cancel(attempt, if_unwritten=not self._cancels_abandoned)
 
     def _kept_by_extension(self) -> bool:
-        """Whether an extension keeps the request in flight, as others wait for its result.
+        """Whether an extension keeps the request in flight, since others wait for its result.
 
-        A finished one is not kept: nothing would end it before its deadline.
+        A finished request is not kept: nothing would end its lifecycle before its deadline.
         """
         if self._request.finished:
             return False
-        # A list: each extension must hear of it, whatever the one before says.
+        # A list, not a generator: every extension must be notified, even after one returned True.
         return any([hook(self._runtime.now(), self._request) for hook in self._extensions.leaving])
 
     def _overdue(self) -> None:
-        # Against a fault of the policy, or a late event loop, leaving a request without a response.
+        # A fault of the policy, or a late event loop, must not leave a request without a response.
         self._log.warning("operation_overdue", id=self._request.id)
         self._respond(FinalResponse(ResponseKind.FAILED))
 
@@ -229,14 +229,14 @@
         for hook in self._extensions.over:
             hook(self._runtime.now(), self._request)
 
-    async def _answered_by_extension(self) -> bool:
-        """Ask the extensions for a response; whether one, or the client, ended the request."""
+    async def _ended_before_policy(self) -> bool:
+        """Call the ``arrived`` hooks; return whether one, or the client, ended the request."""
         for hook in self._extensions.arrived:
             result = hook(self._runtime.now(), self._request, self._message)
             if asyncio.isfuture(result):
-                result = await self._awaited_result(result)
+                result = await self._await_result(result)
             if result is not None or self._response.done():
-                # The policy never had the request, and must not be notified of its end.
+                # The policy never got the request, so it must not be notified of its end.
                 self._request.finished = True
                 if isinstance(result, Exception):
                     if not self._response.done():
@@ -246,13 +246,13 @@
                 return True
         return False
 
-    async def _awaited_result(self, result: asyncio.Future[Any]) -> Any:
-        """Wait for an extension's result, for as long as the deadline and the client allow."""
-        left_s = (self._request.deadline - self._runtime.now()) / NS_PER_S
+    async def _await_result(self, result: asyncio.Future[Any]) -> Any:
+        """Wait for an extension's result until the deadline, or until the client leaves."""
+        remaining_s = (self._request.deadline - self._runtime.now()) / NS_PER_S
         try:
             await asyncio.wait(
                 (result, self._response),
-                timeout=max(0, left_s),
+                timeout=max(0, remaining_s),
                 return_when=asyncio.FIRST_COMPLETED,
             )
             if result.done() and not result.cancelled():
--- a/pepperhook/server/runtime.py
+++ b/pepperhook/server/runtime.py
@@ -1,4 +1,4 @@
-"""Drives the policy: one clock, one way in, and one place that carries out its actions."""
+"""Runs the policy: provides its clock, makes all calls to it, and executes its actions."""
 
 import asyncio
 import time
@@ -24,39 +24,39 @@
 
 
 class Runtime:
-    """Calls the policy, hands each action to whom it belongs, and keeps the policy's timer."""
+    """Calls the policy, dispatches its actions, and manages its wake-up timer."""
 
-    # Set by ``start``. Any: recorders and shadows stand in for the policy.
+    # Set by ``start``. Any, because recorders and shadows may replace the policy.
     policy: Any
     upstreams: "UpstreamPool"
     discovery: "EndpointDiscovery"
 
     def __init__(self, log: "Log", counters: "Counters") -> None:
-        """Set the clock; nothing runs before ``start``."""
+        """Initialise the clock; nothing runs before ``start``."""
         self.log = log
         self.counters = counters
         self.loop = asyncio.get_running_loop()
-        # One clock for all: never set back, and set to Unix time once, in which the endpoint list
-        # gives the start times of upstreams.
+        # Added to the monotonic clock to get Unix time, in which the endpoint list states the start
+        # times of upstreams. Computed once, so that the clock never goes back.
         self.offset = time.time_ns() - time.monotonic_ns()
         self.supervisor = Supervisor(self.report_fault)
         self.inboxes: dict[Request, Inbox] = {}  # of the requests in flight
-        self.worst_lateness = (0, 0)  # in nanoseconds, and when it was measured
+        self.worst_lateness = (0, 0)  # in nanoseconds, with the time of the measurement
         self._wake_timer: asyncio.TimerHandle | None = None
         self._wake_at = 0
         self._heartbeat_timer: asyncio.TimerHandle | None = None
 
     def now(self) -> int:
-        """Return the time in nanoseconds."""
+        """Return the Unix time in nanoseconds, on a clock that never goes back."""
         return time.monotonic_ns() + self.offset
 
     def report_fault(self, task: str, error: BaseException) -> None:
-        """Log and count that background work ended by an error that nobody foresaw."""
+        """Log and count an unexpected error that ended background work."""
         self.counters.add("background faults")
         self.log.error("background_fault", task=task, **exception_fields(error))
 
     def start(self, policy: Any, upstreams: "UpstreamPool", discovery: "EndpointDiscovery") -> None:
-        """Begin to drive the policy."""
+        """Start to run the policy."""
         self.policy = policy
         self.upstreams = upstreams
         self.discovery = discovery
@@ -75,30 +75,30 @@
             self.log.debug("event_loop_late", ms=lateness // NS_PER_MS)
 
     def lateness_ns(self) -> int:
-        """Return how late the event loop has lately been: the worst case, decaying."""
+        """Return the worst recent lateness of the event loop, decaying by LATENESS_HALF_LIFE_NS."""
         worst, measured_at = self.worst_lateness
         return int(worst * 0.5 ** ((self.now() - measured_at) / LATENESS_HALF_LIFE_NS))
 
     def call_policy(self, call: Callable[..., list[actions.Action]], *arguments: Any) -> bool:
-        """Make one call to the policy and carry out its actions, in their order.
+        """Make one call to the policy and execute its actions in order.
 
-        Returns whether the policy made it without a fault.
+        Return whether the call succeeded; a fault of the policy is logged and counted.
         """
-        is_sound = True
+        succeeded = True
         try:
             results = call(self.now(), *arguments)
         except Exception:
-            is_sound = False
-            # What it had decided before it failed is kept, or requests would hang on it.
+            succeeded = False
+            # Execute what it had decided before the fault; otherwise requests would hang.
             results = self.policy.actions
             self.policy.actions = []
             self.counters.add("faults of the module")
             self.log.exception("module_fault", call=call.__name__)
         for action in results:
-            self._carry_out(action)
-        return is_sound
+            self._execute(action)
+        return succeeded
 
-    def _carry_out(self, action: actions.Action) -> None:
+    def _execute(self, action: actions.Action) -> None:
         match action:
             case actions.RejectRequest() | actions.FailRequest():
                 self._deliver(action.request, action)
@@ -116,7 +116,7 @@
                 self.log.info("note", text=text)
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Make the policy's last check before a first byte; where it fails, nothing is written."""
+        """Make the policy's last check before the first byte; if it raises, nothing is written."""
         try:
             return bool(self.policy.may_send(self.now(), attempt))
         except Exception:
@@ -136,7 +136,7 @@
         if inbox is not None:
             inbox.put_nowait(action)
         elif isinstance(action, actions.StartAttempt):
-            # Against an attempt that nobody makes staying in the policy's records for good.
+            # Nobody sends this attempt; without its end the policy would count it as open forever.
             self.loop.call_soon(
                 self.call_policy,
                 self.policy.attempt_ended,
@@ -147,9 +147,9 @@
             )
 
     def _health_check_ended(
-        self, upstream: Upstream, outcome: Outcome, took_ns: int, report: LoadReport | None
+        self, upstream: Upstream, outcome: Outcome, duration_ns: int, report: LoadReport | None
     ) -> None:
-        arguments: list[Any] = [upstream, outcome, took_ns]
+        arguments: list[Any] = [upstream, outcome, duration_ns]
         if report is not None:
             arguments.append(report)
         self.call_policy(self.policy.health_check_ended, *arguments)
--- a/pepperhook/server/structured_logging.py
+++ b/pepperhook/server/structured_logging.py
@@ -1,4 +1,4 @@
-"""The balancer's log: one line an event on standard error, as key=value pairs."""
+"""The balancer's log: one line of key=value pairs per event, on standard error."""
 
 import json
 import logging
@@ -18,7 +18,7 @@
 
 
 class KeyValueFormatter(logging.Formatter):
-    """Writes time, level, event, the fields in their order, and of an exception what and where."""
+    """Formats time, level, event, the fields in order, and an exception's error and location."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the line for ``record``."""
@@ -35,47 +35,47 @@
 
 
 def exception_fields(error: BaseException) -> dict[str, object]:
-    """Return the fields for an error: what it is, and where it was raised."""
+    """Return the log fields of an error: its type and message, and where it was raised."""
     fields: dict[str, object] = {"error": f"{type(error).__name__}: {error}"}
-    where = error.__traceback__
-    while where is not None and where.tb_next is not None:
-        where = where.tb_next
-    if where is not None:
-        fields["at"] = f"{where.tb_frame.f_code.co_filename}:{where.tb_lineno}"
+    innermost = error.__traceback__
+    while innermost is not None and innermost.tb_next is not None:
+        innermost = innermost.tb_next
+    if innermost is not None:
+        fields["at"] = f"{innermost.tb_frame.f_code.co_filename}:{innermost.tb_lineno}"
     return fields
 
 
 class Log:
-    """Logs events with fields, kept apart from those of the logging library."""
+    """Logs events with fields, separate from the attributes of the logging library."""
 
     def __init__(self, logger: logging.Logger) -> None:
-        """Write to ``logger``."""
+        """Log to ``logger``."""
         self.logger = logger
 
     def info(self, event: str, **pairs: Any) -> None:
-        """Log an ordinary event."""
+        """Log a normal event."""
         self.logger.info(event, extra={"pairs": pairs})
 
     def debug(self, event: str, **pairs: Any) -> None:
-        """Log a detail, which costs nothing where debugging is off."""
+        """Log a detail if debugging is enabled."""
         if self.logger.isEnabledFor(logging.DEBUG):
             self.logger.debug(event, extra={"pairs": pairs})
 
     def warning(self, event: str, **pairs: Any) -> None:
-        """Log what an operator should know of."""
+        """Log a problem that an operator should know about."""
         self.logger.warning(event, extra={"pairs": pairs})
 
     def error(self, event: str, **pairs: Any) -> None:
-        """Log what an operator must act on."""
+        """Log a problem that an operator must act on."""
         self.logger.error(event, extra={"pairs": pairs})
 
     def exception(self, event: str, **pairs: Any) -> None:
-        """Log an event with the exception being handled."""
+        """Log an error with the exception that is being handled."""
         self.logger.exception(event, extra={"pairs": pairs})
 
 
 def start(stream: TextIO | None = None) -> Log:
-    """Log to ``stream``, by default standard error; ``LB_LOG=debug`` adds details."""
+    """Start logging to ``stream``, by default standard error; ``LB_LOG=debug`` adds details."""
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(handlers=[handler], level=logging.INFO, force=True)
--- a/pepperhook/server/upstream_pool.py
+++ b/pepperhook/server/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Sends attempts and health checks to upstreams, and owns the connections there."""
+"""Sends attempts and health checks to upstreams, and owns the connections to them."""
 
 from __future__ import annotations
 
@@ -32,10 +32,11 @@
 HTTP2 = "h2"
 
 IDLE_FRACTION = 0.45  # of the time after which an upstream closes an idle connection
-# From the first byte of a response to its last: it is one write, and stalls are shorter.
+# From the first byte of a response to its last. Upstreams write a response at once, and stalls
+# are shorter than this.
 RESPONSE_READ_TIMEOUT_S = 0.4
-LATE_CONNECT_FACTOR = 1.5  # times the connect timeout that its end may take to be noticed
-HEALTH_CHECK_FACTOR = 4  # times the connect timeout that a health check may take
+LATE_CONNECT_FACTOR = 1.5  # times the connect timeout; beyond it, this process was stalled
+HEALTH_CHECK_FACTOR = 4  # timeout of a health check, as a multiple of the connect timeout
 NS_PER_S = 1e9
 MS_PER_S = 1000
 
@@ -45,7 +46,7 @@
 
 
 class Client(Protocol):
-    """Connections to one upstream, in one protocol."""
+    """The connections to one upstream, over one protocol."""
 
     def request(
         self,
@@ -56,7 +57,7 @@
         timeout_s: float,
         may_write: Callable[[], bool] | None = None,
     ) -> Awaitable[tuple[int, Any, bytes]]:
-        """Send one request; status, headers and body of its response. Raises AttemptError."""
+        """Send one request; return status, headers and body. Raises AttemptError."""
 
     async def close(self) -> None:
         """Close all connections."""
@@ -64,7 +65,7 @@
 
 @dataclass(slots=True)
 class UpstreamEndpoint:
-    """Where an upstream listens, since when, and the connections there."""
+    """The address and start time of an upstream, and the connections to it."""
 
     address: str
     started_at: int
@@ -74,7 +75,7 @@
 
 
 class UpstreamPool:
-    """All upstreams of the endpoint list, with their connections, attempts and health checks."""
+    """The upstreams of the endpoint list, with their connections, attempts and health checks."""
 
     def __init__(
         self,
@@ -85,7 +86,7 @@
         max_sockets: int,
         extensions: extension_points.Extensions = extension_points.NONE,
     ) -> None:
-        """Begin without upstreams; connections are opened as they are needed."""
+        """Start without upstreams; connections are opened when they are needed."""
         self.runtime = runtime
         self.log = log
         self.counters = counters
@@ -99,14 +100,15 @@
         self.sockets: WeakSet[socket.socket] = WeakSet()
         self.closing: set[asyncio.Task[None]] = set()
         self.connect_timeout_s = settings.connect_timeout_ns / NS_PER_S
-        # The figures of a load report: by their names on the wire, those that the policy knows.
+        # The figures of a load report: name on the wire -> name in the policy.
         self.report_figures: dict[str, str] = {}
         if settings.report_source == "probe":
             self.report_figures = dict(
                 zip(settings.report_names, settings.report_figures, strict=False)
             )
-        # Against writing on a connection that the upstream closes as idle, which ends as a reset.
-        # The library looks for idle ones only once in that time, so some stand for twice as long.
+        # Idle connections must be closed before the upstream closes them: a request written on one
+        # that it is closing ends with a reset. The library checks for idle connections only once in
+        # the timeout, so some stay open for twice as long.
         self.idle_timeout_s = IDLE_FRACTION * settings.keepalive_ns / NS_PER_S
 
     # Endpoints.
@@ -114,10 +116,10 @@
     def update_endpoint(
         self, upstream: Upstream, address: str, started_at: int, protocol: str | None = None
     ) -> None:
-        """Set where an upstream listens.
+        """Set the address and start time of an upstream.
 
-        A new instance at an old address gets new connections: an instance that vanished leaves some
-        that look sound, and what is sent on them is never answered.
+        A new instance at an old address gets new connections. Those to an instance that vanished
+        still look usable, but requests sent on them are never answered.
         """
         endpoint = self.endpoints.get(upstream)
         if endpoint is None or (endpoint.address, endpoint.started_at) != (address, started_at):
@@ -126,14 +128,14 @@
             self.endpoints[upstream] = UpstreamEndpoint(address, started_at, client)
 
     def remove_endpoint(self, upstream: Upstream) -> None:
-        """Send nothing new to where an upstream listened; open attempts may still end well."""
+        """Start no new attempts at an upstream; those in flight may still be served."""
         endpoint = self.endpoints.pop(upstream, None)
         if endpoint is not None:
             endpoint.is_removed = True
             self._close_if_unused(endpoint)
 
     def _close_if_unused(self, endpoint: UpstreamEndpoint) -> None:
-        """Close the connections of a removed endpoint; no other place does."""
+        """Close the connections of a removed endpoint once nothing is in flight there."""
         if endpoint.is_removed and not endpoint.in_flight:
             task = self.runtime.loop.create_task(endpoint.client.close())
             self.closing.add(task)
@@ -141,7 +143,7 @@
 
     def _make_client(self, address: str, protocol: str | None) -> Client:
         if self.http2 is not None and (protocol or self.http2.upstreams) == HTTP2:
-            # Imported only where it is on.
+            # Imported only if it is enabled.
             from pepperhook.http2.client import Http2Client
 
             return Http2Client(
@@ -163,44 +165,44 @@
         return http1_client.Http1Client(address, self.connect_timeout_s, session)
 
     def _make_socket(self, address_info: tuple[Any, ...]) -> socket.socket:
-        """Make a socket, within the limit for all connections to upstreams.
+        """Create a socket, within the limit for all connections to upstreams, idle ones included.
 
-        Against their taking the descriptors of clients' connections; idle ones count, too.
+        The limit keeps them from using up the descriptors of client connections.
         """
-        open_sockets = [known for known in self.sockets if known.fileno() != -1]
+        open_sockets = [each for each in self.sockets if each.fileno() != -1]
         if len(open_sockets) >= self.max_sockets:
             self.counters.add("connections over the bound")
-            raise SocketLimitError(EMFILE, "connections to upstreams are at their bound")
+            raise SocketLimitError(EMFILE, "the limit on connections to upstreams is reached")
         try:
-            made = socket.socket(*address_info[:3])
+            created = socket.socket(*address_info[:3])
         except OSError as error:
-            # Against the system's lack of descriptors making an upstream look unreachable.
+            # Running out of descriptors must not make an upstream look unreachable.
             raise SocketLimitError(error.errno, str(error)) from error
-        self.sockets.add(made)
-        return made
+        self.sockets.add(created)
+        return created
 
     # Attempts.
 
     def send(
         self, attempt: Attempt, timeout_ns: int, message: RequestMessage, inbox: Inbox
     ) -> None:
-        """Start an attempt; ``inbox`` gets AttemptEnded exactly once, whatever happens."""
+        """Start an attempt; ``inbox`` always gets AttemptEnded exactly once."""
         task = self.runtime.loop.create_task(self._run_attempt(attempt, timeout_ns, message))
         self.tasks[attempt] = task
-        # A callback, as a task that is cancelled before its first step never runs.
+        # A callback, because a task that is cancelled before its first step never runs.
         task.add_done_callback(partial(self._attempt_ended, attempt, inbox))
         self.counters.add("attempts started")
 
     def cancel(self, attempt: Attempt, if_unwritten: bool = False) -> None:
-        """Cancel an attempt; with ``if_unwritten`` only where nothing of it was sent."""
+        """Cancel an attempt; with ``if_unwritten``, only if nothing of it was written."""
         task = self.tasks.get(attempt)
         if task is not None and not (if_unwritten and attempt in self.written):
             task.cancel()
 
     def _may_write(self, attempt: Attempt, message: RequestMessage) -> bool:
-        """Make the last check before the first byte: the client's connection, then the policy's.
+        """Make the last check before the first byte: of the client's connection, then the policy's.
 
-        Against forwarding a request whose client has left, where that lies unread on a busy core.
+        On a busy core the client's close may still be unread; its request must not be forwarded.
         """
         if (
             message.is_client_waiting is not None
@@ -232,21 +234,24 @@
     async def _run_attempt(
         self, attempt: Attempt, timeout_ns: int, message: RequestMessage
     ) -> AttemptResult:
-        """Return the outcome and what was received; what is not surely unsent may have run."""
+        """Return the outcome and the response; every error becomes an outcome.
+
+        Unless nothing was certainly sent, the request may have been executed.
+        """
         endpoint = self.endpoints.get(attempt.upstream)
         started_at = self.runtime.now()
         ends_at = attempt.sent_at + timeout_ns
         if endpoint is None or ends_at <= started_at or not self.runtime.may_send(attempt):
-            return Outcome.NOT_SENT, None  # the list has changed since, or this process was late
+            return Outcome.NOT_SENT, None  # the list has changed, or this process is late
         endpoint.in_flight += 1
         try:
             return await http1_client.retry_stale_connections(
                 lambda: self._exchange(endpoint, attempt, message, ends_at)
             )
         except ConnectTimeoutError as error:
-            # Against taking an upstream for unreachable where this process stood still.
-            took_ns = self.runtime.now() - started_at
-            is_late = took_ns > LATE_CONNECT_FACTOR * self.connect_timeout_s * NS_PER_S
+            # A stall of this process must not make an upstream look unreachable.
+            duration_ns = self.runtime.now() - started_at
+            is_late = duration_ns > LATE_CONNECT_FACTOR * self.connect_timeout_s * NS_PER_S
             return (Outcome.NOT_SENT if is_late else error.outcome), None
         except AttemptError as error:
             return error.outcome, None
@@ -289,7 +294,7 @@
     # Health checks.
 
     def check_health(self, upstream: Upstream, report_result: HealthCheckCallback) -> None:
-        """Start a health check; ``report_result`` is called once."""
+        """Start a health check or load query; ``report_result`` is called once."""
         task = self.runtime.loop.create_task(self._run_health_check(upstream, report_result))
         self.health_checks.add(task)
         task.add_done_callback(self.health_checks.discard)
@@ -330,7 +335,7 @@
         return Outcome.SERVED, report
 
     async def close(self) -> None:
-        """Cancel what is in flight and close all connections."""
+        """Cancel attempts and health checks, and close all connections."""
         tasks: list[asyncio.Task[Any]] = [*self.tasks.values(), *self.health_checks]
         for task in tasks:
             task.cancel()
@@ -349,7 +354,7 @@
 
 
 def _decode_load_report(body: bytes, figures: dict[str, str]) -> LoadReport | None:
-    """Return all the figures by the policy's names; None where one is missing or no number."""
+    """Return the figures by the policy's names; None if one is missing or not a valid number."""
     try:
         values = json.loads(body)
     except ValueError:
@@ -358,9 +363,9 @@
         values = dict(zip(figures, values, strict=False))
     if not isinstance(values, dict) or not all(_is_amount(values.get(name)) for name in figures):
         return None
-    return {known: float(values[name]) for name, known in figures.items()}
+    return {policy_name: float(values[name]) for name, policy_name in figures.items()}
 
 
 def _is_amount(value: object) -> bool:
-    # NaN, which the JSON reader lets through, compares as false.
+    # The comparison is false for NaN, which the JSON parser accepts.
     return type(value) in (int, float) and value >= 0  # type: ignore[operator]
