--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Runs tests that are coroutines, and passes over the failures that KNOWN-RED.txt lists."""
+"""Runs coroutine tests, and reports failures that KNOWN-RED.txt lists as expected."""
 
 import asyncio
 import inspect
@@ -13,7 +13,7 @@
 
 
 def pytest_configure(config):
-    """Read the list; a malformed one, or one that names no test, ends the run."""
+    """Read KNOWN-RED.txt; stop the run if an entry is malformed or names no existing test."""
     try:
         config.stash[LISTED] = known_red.load()
     except known_red.MalformedEntryError as error:
@@ -22,10 +22,10 @@
 
 
 def pytest_collection_modifyitems(config, items):
-    """End the run where an entry names a case that its file, collected here, does not have."""
+    """Stop the run if an entry names a test case that its collected file does not have."""
     files = {item.nodeid.partition("::")[0] for item in items}
     if config.option.keyword or any("::" in argument for argument in config.args):
-        return  # a part of the tests was asked for
+        return  # only a part of the files is collected
     for entry in config.stash[LISTED]:
         is_collected = entry.test.partition("::")[0] in files
         if is_collected and not any(entry.covers(item.nodeid) for item in items):
@@ -48,7 +48,7 @@
 
 
 def pytest_terminal_summary(terminalreporter, config):
-    """Print what became of the listed tests."""
+    """Print the outcomes of the listed tests."""
     if config.stash[OUTCOMES]:
         terminalreporter.section("KNOWN-RED.txt")
         for line in config.stash[OUTCOMES]:
@@ -56,7 +56,7 @@
 
 
 class Release(asyncio.Event):
-    """An event that holds the responses of scripted peers back until a test sets it."""
+    """An event that delays the responses of scripted peers until a test sets it."""
 
     def then(self, response):
         """Return a script that responds once the event is set."""
@@ -70,13 +70,13 @@
 
 @pytest.fixture
 def release():
-    """Hold responses back until ``release.set()``."""
+    """Return an event; scripts of ``release.then`` respond after ``release.set()``."""
     return Release()
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem):
-    """Run a test that is a coroutine; one that hangs fails."""
+    """Run a coroutine test, with a timeout."""
     test = pyfuncitem.obj
     if not inspect.iscoroutinefunction(test):
         return None
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -1,4 +1,4 @@
-"""Starts balancers as processes, with their configuration on disk."""
+"""Starts balancers as processes, with a configuration file."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 
 
 def write_config(directory, **replaced):
-    """Write a configuration, and return the environment that names it."""
+    """Write a configuration file; return the environment variables that name it."""
     content = {
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:9",
@@ -24,18 +24,18 @@
 
 
 def free_port():
-    """Return a port of the loopback interface that nothing listens at."""
-    with socket.socket() as held:
-        held.bind(("127.0.0.1", 0))
-        return held.getsockname()[1]
+    """Return a port of the loopback interface on which nothing listens."""
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        return listener.getsockname()[1]
 
 
 def start_program(environ, *arguments):
-    """Start a balancer, or Python with ``arguments``, in an environment of its own."""
-    kept = {name: os.environ[name] for name in ("PATH", "PYTHONPATH") if name in os.environ}
+    """Start a balancer, or Python with ``arguments``, with ``environ`` and few other variables."""
+    inherited = {name: os.environ[name] for name in ("PATH", "PYTHONPATH") if name in os.environ}
     return subprocess.Popen(
         [sys.executable, *(arguments or ("-B", "-m", "pepperhook"))],
-        env={**kept, **environ},
+        env={**inherited, **environ},
         text=True,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
--- a/tests/server/balancers.py
+++ b/tests/server/balancers.py
@@ -35,23 +35,23 @@
 
 
 def with_permissions(**replaced):
-    """Return the environment with other permissions."""
+    """Return ENVIRONMENT with these permissions replaced."""
     return ENVIRONMENT | {"permissions": ENVIRONMENT["permissions"] | replaced}
 
 
 def with_service_classes(**replaced):
-    """Return the environment with these values in each service class."""
+    """Return ENVIRONMENT with these values replaced in each service class."""
     rows = [row | replaced for row in ENVIRONMENT["serviceGrades"]]
     return ENVIRONMENT | {"serviceGrades": rows}
 
 
 def polling(within_us):
-    """Return the environment of a balancer that polls its endpoint list."""
+    """Return ENVIRONMENT for a balancer that polls its endpoint list every ``within_us``."""
     return ENVIRONMENT | {"discovery": "ask", "safety": {"askWithinUs": within_us}}
 
 
 def endpoint_rows(addresses, **replaced):
-    """Return rows of an endpoint list: ready upstreams with the ids h0, h1 and so on."""
+    """Return rows of an endpoint list: ready upstreams named h0, h1 and so on."""
     return [
         {
             "host": f"h{number}",
@@ -67,7 +67,7 @@
 
 
 def endpoint_list(version, rows, whole=True):
-    """Return an endpoint list, or the changes since the version before."""
+    """Return an endpoint list; with ``whole=False``, changes since the previous version."""
     return {"seq": version, "whole": whole, "hosts": rows}
 
 
@@ -98,7 +98,7 @@
 
 
 class RunningBalancer:
-    """A balancer on loopback before scripted upstreams; what it leaves open is checked at its end.
+    """A balancer on loopback with scripted upstreams; at its end, checks that nothing is left open.
 
     ``owns_event_loop``: whether all tasks of the event loop must have ended with it.
     """
@@ -121,8 +121,8 @@
         log = structured_logging.Log(logging.getLogger("test"))
         self.app = BalancerApp(make_config(self.known, **self.configuration), log, self.extensions)
         if not self.measures_lateness:
-            # A balancer that stood still rejects what has little time left, as it should, and a
-            # busy machine stands still at any time: no verdict may depend on that.
+            # A balancer that was stalled correctly rejects requests with little time left. A busy
+            # machine can stall at any time, and no test result may depend on that.
             self.app.runtime.lateness_ns = lambda: 0
         await self.app.start()
         self.port = self.app.http_server.address[1]
@@ -137,7 +137,7 @@
         """Check that no task, socket or attempt outlives the balancer."""
         app = self.app
         assert not app.requests.tasks and not app.runtime.inboxes and not app.upstreams.tasks
-        assert not any(known.fileno() != -1 for known in app.upstreams.sockets)
+        assert not any(each.fileno() != -1 for each in app.upstreams.sockets)
         listed = app.runtime.policy.subset.ring.listed
         assert not any(upstream.in_flight for upstream in listed)
         if self.owns_event_loop:
@@ -152,17 +152,17 @@
 
     @property
     def policy(self):
-        """The policy that is in force."""
+        """The policy in use."""
         return self.app.runtime.policy
 
     @property
     def ready_upstreams(self):
-        """The upstreams that the endpoint list has as ready."""
+        """The upstreams that are ready by the endpoint list."""
         return self.policy.subset.ring.ready
 
     @property
     def connections(self):
-        """The server's connections of clients."""
+        """The server's client connections."""
         return self.app.http_server.server
 
     async def request(self, path="/look", method=b"GET", body=b"", **headers):
@@ -189,7 +189,7 @@
 
     @staticmethod
     def make_request(path="/look", method=b"GET", body=b"", **headers):
-        """Return the bytes of a request; a header that is None is left out."""
+        """Return the bytes of a request; a header with the value None is omitted."""
         values = {
             "X-Request-ID": f"{next(REQUEST_IDS):08x}",
             "X-Timeout-Ms": "2000",
@@ -205,16 +205,16 @@
         return method + b" " + path.encode() + b" HTTP/1.1\r\n" + lines + b"\r\n" + body
 
     async def read_response(self, reader):
-        """Return status and body of a response; its head is kept as ``response_head``."""
+        """Return status and body of a response; store its head as ``response_head``."""
         head, body = await asyncio.wait_for(read_message(reader), RESPONSE_TIMEOUT_S)
         self.response_head = head
         return int(head.split()[1]), body
 
 
 async def open_idle_connection(balancer):
-    """Open a connection that has had one response.
+    """Open a connection, and get one response on it.
 
-    Returns its reader and writer, and the balancer's side of it.
+    Return its reader, its writer, and the balancer's connection object.
     """
     reader, writer = await balancer.send_request()
     assert (await balancer.read_response(reader))[0] == 200
--- a/tests/server/peers.py
+++ b/tests/server/peers.py
@@ -6,11 +6,11 @@
 
 
 class ScriptedPeer:
-    """An HTTP peer that responds by a script.
+    """An HTTP peer whose responses a script decides.
 
-    ``script(head, body)``, a function or a coroutine, returns the bytes to write, after which the
-    connection is kept. None leaves the client waiting; the bytes of a tuple are written before
-    the connection is closed.
+    ``script(head, body)``, a function or a coroutine, returns the bytes to write; the connection
+    stays open after them. If it returns a tuple, the connection is closed after its bytes; if it
+    returns None, the peer does not respond.
     """
 
     def __init__(self, script):
@@ -28,7 +28,7 @@
         self.close()
 
     async def listen(self, port=0):
-        """Accept connections, at any free port if none is named."""
+        """Accept connections on ``port``; 0: on a free one."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", port)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
@@ -53,7 +53,7 @@
             writer.close()
 
     async def respond(self, reader, writer):
-        """Respond to the next request; return whether the connection is kept."""
+        """Respond to the next request; return whether the connection stays open."""
         head, body = await read_message(reader)
         self.requests.append((head, body))
         response = self.script(head, body)
@@ -73,21 +73,21 @@
 
 
 async def read_message(reader):
-    """Return the head, as it came, and the body of one message."""
+    """Return the bytes of the head and of the body of one message."""
     head = await reader.readuntil(b"\r\n\r\n")
-    length = [line for line in head.split(b"\r\n") if line.lower().startswith(b"content-length:")]
-    return head, await reader.readexactly(int(length[0].split(b":")[1])) if length else b""
+    lengths = [line for line in head.split(b"\r\n") if line.lower().startswith(b"content-length:")]
+    return head, await reader.readexactly(int(lengths[0].split(b":")[1])) if lengths else b""
 
 
 def make_response(status=200, body=b"done", headers=b""):
-    """Return the bytes of a response; ``headers`` are whole lines."""
+    """Return the bytes of a response; ``headers``: complete header lines."""
     return wire.answer(status, body, headers)
 
 
 def header_value(head, name):
     """Return the value of the first header of this name, or None."""
-    found = [line for line in head.split(b"\r\n") if line.lower().startswith(name.lower() + b":")]
-    return found[0].split(b":", 1)[1].strip() if found else None
+    lines = [line for line in head.split(b"\r\n") if line.lower().startswith(name.lower() + b":")]
+    return lines[0].split(b":", 1)[1].strip() if lines else None
 
 
 def request_target(head):
--- a/tests/server/test_attempt_outcomes.py
+++ b/tests/server/test_attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""Which outcome an attempt has after what the upstream sent, and what the client gets."""
+"""The outcome of an attempt by the upstream's response, and the response to the client."""
 
 import asyncio
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("response, outcome", OUTCOMES)
-async def test_response_of_the_upstream_decides_outcome_and_status(response, outcome):
+async def test_response_of_the_upstream_determines_outcome_and_status(response, outcome):
     async with (
         ScriptedPeer(always(response)) as peer,
         RunningBalancer([peer.address]) as balancer,
@@ -35,14 +35,14 @@
         status = await balancer.status("/pay", b"POST", b"1", X_Timeout_Ms="300")
 
         assert balancer.counters[f"attempts {outcome}"] >= 1
-        # A rejection promises that a retry is harmless: only after what was never executed.
+        # A 503 promises that a retry is harmless, so it requires that nothing was executed.
         assert status == {Outcome.SERVED: 200, Outcome.OVERLOADED: 503}.get(outcome, 500)
         assert outcome == Outcome.OVERLOADED or len(peer.requests) == 1
         if outcome == Outcome.TIMED_OUT:
             await wait_until(lambda: peer.closed_connections)
 
 
-async def test_refused_connection_was_never_executed():
+async def test_request_is_rejected_after_a_refused_connection():
     async with ScriptedPeer(always(make_response())) as peer:
         pass
     async with RunningBalancer([peer.address]) as balancer:
@@ -104,7 +104,8 @@
 async def test_client_gets_exactly_the_response_to_its_request_or_none(
     response, outcome, in_two_parts
 ):
-    # A sound response was lost to the bytes behind it, and half of one held its attempt for long.
+    # Bytes after a valid response caused its loss, and an incomplete response kept its attempt open
+    # until the attempt's timeout.
     splits = in_two_parts and isinstance(response, bytes)
     peer_type = FirstInTwoParts if splits else ScriptedPeer
     async with peer_type(always(response)) as peer, RunningBalancer([peer.address]) as balancer:
--- a/tests/server/test_client_connections.py
+++ b/tests/server/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections: bounds, clients that send too slowly or too much, and accepting."""
+"""Client connections: limits, clients that send too slowly or too much, and accepting."""
 
 import asyncio
 import contextlib
@@ -11,9 +11,9 @@
 
 
 async def send_incomplete(balancer, beginning, keeps_sending):
-    """Send half a request, and read until the balancer closes the connection.
+    """Send an incomplete request, and read until the balancer closes the connection.
 
-    A client that reads nothing for a while gives up, and leaves its connection open.
+    A client that receives nothing for a while returns, and leaves its connection open.
     """
     reader, writer = await balancer.connect()
     writer.write(beginning)
@@ -30,7 +30,7 @@
 
 
 async def test_connections_with_incomplete_requests_are_closed_and_others_served():
-    # Hundreds of connections were kept for minutes, and the memory of what they never completed.
+    # Hundreds of connections with incomplete requests stayed open for minutes and used up memory.
     async with (
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address], sockets=128) as balancer,
@@ -163,15 +163,15 @@
 
 
 async def test_requests_that_arrive_byte_by_byte_do_not_keep_others_out():
-    # Lateness is taken off the limit of what waits for room; no busy machine uses this one up.
+    # Lateness is subtracted from time limits; this one is long enough for a busy machine.
     env = with_service_classes(timeLimitUs=60000000)
-    is_over = asyncio.Event()
+    is_done = asyncio.Event()
 
     async def send_slowly(balancer):
         with contextlib.suppress(OSError):
             _, writer = await balancer.connect()
             for at in range(5000):
-                if is_over.is_set() or writer.is_closing():
+                if is_done.is_set() or writer.is_closing():
                     break
                 writer.write(b"GET /look HTTP/1.1\r\nA: "[at : at + 1] or b"x")
                 await asyncio.sleep(0.02)
@@ -184,12 +184,12 @@
         clients = [asyncio.ensure_future(send_slowly(balancer)) for _ in range(60)]
         for _ in range(5):
             assert await balancer.status(X_Timeout_Ms="60000") == 200
-        is_over.set()
+        is_done.set()
         await asyncio.gather(*clients)
 
 
 class WithoutDescriptors:
-    """A listener whose first calls of accept fail for want of a descriptor."""
+    """A listener whose first calls of accept fail because no descriptor is left."""
 
     def __init__(self, listener, failures):
         self.listener = listener
--- a/tests/server/test_closing_connections.py
+++ b/tests/server/test_closing_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections that are closed while bytes arrive or responses are not read."""
+"""Client connections that are closed while data arrives or responses are not read."""
 
 import asyncio
 import contextlib
@@ -22,13 +22,13 @@
         RunningBalancer([peer.address]) as balancer,
     ):
         reader, writer, connection = await open_idle_connection(balancer)
-        # The bytes arrive just after the balancer has looked for some.
+        # The bytes arrive just after the balancer has checked for unread data.
         monkeypatch.setattr(connection, "has_unread_data", lambda: False)
         writer.write(balancer.make_request() if is_complete else b"GET /look HTTP/1.1\r\n")
 
         assert balancer.connections.close_idle(connection)
 
-        assert await reader.read() == b"", "an end, and no ConnectionResetError"
+        assert await reader.read() == b"", "FIN, not a reset"
         writer.write(b"still more" * 100)
         assert balancer.connections.ending
         assert balancer.counters["taken"] == len(peer.requests) == 1
@@ -36,7 +36,7 @@
         await wait_until(lambda: not balancer.connections.count)
 
 
-async def test_connection_whose_client_never_closes_its_side_is_closed_a_while_later():
+async def test_connection_whose_client_never_closes_its_side_is_closed_after_a_timeout():
     async with (
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address]) as balancer,
@@ -55,7 +55,7 @@
 
 
 async def test_last_response_of_a_connection_is_whole_although_more_bytes_arrive(monkeypatch):
-    # The client has its response unread while more of its bytes reach the balancer, which closes.
+    # While the client has not read its response, more of its bytes reach the closing balancer.
     body = b"x" * 30000
     async with (
         ScriptedPeer(always(make_response(body=body))) as peer,
@@ -81,7 +81,7 @@
         writer.close()
 
 
-async def test_reading_of_a_closing_connection_stops_at_a_bound_of_bytes():
+async def test_reading_of_a_closing_connection_stops_at_a_limit_of_bytes():
     async with (
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address]) as balancer,
@@ -118,11 +118,11 @@
 
 
 def has_no_delay(transport):
-    found = transport.get_extra_info("socket")
-    return found.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+    connection_socket = transport.get_extra_info("socket")
+    return connection_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-async def test_last_writes_are_not_delayed_by_the_system():
+async def test_connections_have_tcp_nodelay():
     async with (
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address]) as balancer,
--- a/tests/server/test_config.py
+++ b/tests/server/test_config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: defaults, the environment, and faults by their key."""
+"""The platform's configuration: defaults, environment variables, and errors with their key."""
 
 from dataclasses import replace
 
@@ -50,11 +50,11 @@
 
 @pytest.mark.parametrize("key, replaced", FAULTS)
 def test_a_fault_is_reported_in_one_line_by_its_key(tmp_path, key, replaced):
-    with pytest.raises(config.ConfigError) as problem:
+    with pytest.raises(config.ConfigError) as raised:
         config.read(write_config(tmp_path, **replaced))
 
-    assert f"{key}:" in str(problem.value)
-    assert "\n" not in str(problem.value)
+    assert f"{key}:" in str(raised.value)
+    assert "\n" not in str(raised.value)
 
 
 def test_the_environment_overrides_the_file_and_the_rest_has_defaults(tmp_path):
@@ -72,7 +72,7 @@
     read = config.read(write_config(tmp_path))
 
     classes = read.settings.service_classes
-    assert [one.effect for one in classes] == [Effect.SAFE, Effect.UNSAFE, Effect.KEYED]
+    assert [each.effect for each in classes] == [Effect.SAFE, Effect.UNSAFE, Effect.KEYED]
     assert classes[0].objective_ns == classes[0].time_limit_ns == 2 * 10**9
     assert classes[0].priority_weight == 1.0
     assert read.names == Names(
@@ -83,7 +83,7 @@
     )
 
 
-def test_the_server_reads_the_same_settings_as_other_hosts(tmp_path):
+def test_the_server_reads_the_same_settings_as_other_hosts_but_polls(tmp_path):
     read = config.read(write_config(tmp_path))
 
     assert read.settings == replace(settings.read(ENVIRONMENT), polls_endpoints=True)
--- a/tests/server/test_connecting_attempts.py
+++ b/tests/server/test_connecting_attempts.py
@@ -1,4 +1,4 @@
-"""What happens while the connection of an attempt comes up: a connector waits for the test."""
+"""Events while the connection of an attempt is being established, which the test delays."""
 
 import asyncio
 
@@ -23,22 +23,22 @@
 HTTP2_CANCEL = 8
 
 
-class HeldConnections:
-    """Holds connections to upstreams back, after they were wanted, until they are released."""
+class DelayedConnections:
+    """Delays connections to upstreams until ``released`` is set; ``requested``: one was started."""
 
     def __init__(self, balancer):
-        self.wanted, self.released = asyncio.Event(), asyncio.Event()
+        self.requested, self.released = asyncio.Event(), asyncio.Event()
         for endpoint in balancer.app.upstreams.endpoints.values():
             connector = endpoint.client.session.connector
-            connector.connect = self.hold_before(connector.connect)
+            connector.connect = self.delay(connector.connect)
 
-    def hold_before(self, connect):
-        async def held(*arguments, **named):
-            self.wanted.set()
+    def delay(self, connect):
+        async def delayed_connect(*arguments, **named):
+            self.requested.set()
             await self.released.wait()
             return await connect(*arguments, **named)
 
-        return held
+        return delayed_connect
 
 
 def change_state(balancer, upstream_id, state):
@@ -49,15 +49,15 @@
     balancer.app.discovery.apply(endpoint_list(2, [row], whole=False))
 
 
-async def release_and_finish(balancer, held):
-    """Let the connections come up, and wait for the end of all requests."""
-    held.released.set()
+async def release_and_finish(balancer, delayed):
+    """Let the connections be established, and wait for the end of all requests."""
+    delayed.released.set()
     await wait_until(lambda: not balancer.app.requests.tasks)
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
 async def test_request_is_served_by_another_upstream_if_the_selected_one_leaves(state):
-    # It got a first byte as late as a connection may take to come up.
+    # Its request was sent as late as connecting took, although the list had changed since.
     async with (
         ScriptedPeer(always(make_response())) as first,
         ScriptedPeer(always(make_response())) as second,
@@ -65,19 +65,19 @@
             [first.address, second.address], env=with_permissions(maxDispatches=1)
         ) as balancer,
     ):
-        held = HeldConnections(balancer)
+        delayed = DelayedConnections(balancer)
         response = asyncio.ensure_future(balancer.status("/pay", b"POST", b"1"))
-        await held.wanted.wait()
+        await delayed.requested.wait()
         [attempt] = balancer.app.upstreams.tasks
         selected = attempt.upstream.address.decode()
 
         change_state(balancer, selected, state)
-        held.released.set()
+        delayed.released.set()
 
         assert await response == 200
-        leaving, other = (first, second) if selected == "h0" else (second, first)
-        assert not leaving.requests and len(other.requests) == 1
-        # It uses neither the retry budget, nor one of the attempts that the settings allow.
+        removed, other = (first, second) if selected == "h0" else (second, first)
+        assert not removed.requests and len(other.requests) == 1
+        # The unsent attempt counts neither against the retry budget nor against maxDispatches.
         budget = balancer.policy.retry_budget
         assert balancer.counters["attempts not sent"] == 1
         assert (budget.B, budget.f) == (retry_budget.B0, 0.0)
@@ -96,14 +96,14 @@
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address], env=with_service_classes(**service_class)) as balancer,
     ):
-        held = HeldConnections(balancer)
+        delayed = DelayedConnections(balancer)
         _, writer = await balancer.send_request(path, method, body)
-        await held.wanted.wait()
+        await delayed.requested.wait()
         [request] = balancer.app.runtime.inboxes
 
         writer.close()
         await wait_until(lambda: request.finished)
-        await release_and_finish(balancer, held)
+        await release_and_finish(balancer, delayed)
 
         assert await balancer.status() == 200
         assert len(peer.requests) == 1
@@ -113,14 +113,14 @@
 
 @pytest.mark.parametrize("resets", [False, True])
 async def test_request_is_never_written_if_its_clients_leaving_is_still_unread(resets):
-    # A busy core, or paused reading, sent on what nobody waits for.
+    # A request was forwarded although its client had left, as the close was not read yet.
     async with (
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address]) as balancer,
     ):
-        held = HeldConnections(balancer)
+        delayed = DelayedConnections(balancer)
         _, writer = await balancer.send_request()
-        await held.wanted.wait()
+        await delayed.requested.wait()
         [connection] = balancer.connections.busy
         connection.transport.pause_reading()
 
@@ -129,27 +129,27 @@
         else:
             writer.close()
         await wait_until(lambda: http1_client.is_closed_by_peer(connection.transport))
-        await release_and_finish(balancer, held)
+        await release_and_finish(balancer, delayed)
 
         assert not peer.requests
         assert balancer.counters["clients gone before the first byte"] == 1
         connection.transport.resume_reading()
 
 
-async def test_request_is_never_written_if_its_client_ends_its_side_behind_more_bytes():
+async def test_request_is_never_written_if_its_client_sends_more_bytes_and_closes_its_side():
     async with (
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address]) as balancer,
     ):
-        held = HeldConnections(balancer)
+        delayed = DelayedConnections(balancer)
         _, writer = await balancer.send_request()
-        await held.wanted.wait()
+        await delayed.requested.wait()
         [request] = balancer.app.runtime.inboxes
 
-        writer.write(b"more that nobody asked for")
+        writer.write(b"unsolicited")
         writer.write_eof()
         await wait_until(lambda: request.finished)
-        await release_and_finish(balancer, held)
+        await release_and_finish(balancer, delayed)
 
         assert await balancer.status() == 200
         assert len(peer.requests) == 1
@@ -162,20 +162,20 @@
         RunningBalancer([peer.address], Extensions(h2=Http2Table())) as balancer,
         ScriptedClient(balancer.port) as client,
     ):
-        held = HeldConnections(balancer)
+        delayed = DelayedConnections(balancer)
         stream_id = client.request("/pay", "POST", b"1")
-        await held.wanted.wait()
+        await delayed.requested.wait()
         [request] = balancer.app.runtime.inboxes
 
         client.reset(stream_id, HTTP2_CANCEL)
         await wait_until(lambda: request.finished)
-        await release_and_finish(balancer, held)
+        await release_and_finish(balancer, delayed)
 
         assert await client.response(client.request()) == (200, b"done")
         assert len(peer.requests) == 1
 
 
-async def test_upstream_that_drains_while_its_http2_connection_comes_up_gets_no_stream():
+async def test_upstream_that_drains_while_an_http2_connection_is_acquired_gets_no_stream():
     async with (
         ScriptedUpstream() as upstream,
         RunningBalancer([upstream.address], Extensions(h2=Http2Table(upstreams="h2"))) as balancer,
@@ -184,13 +184,13 @@
         acquire = endpoint.client.acquire_connection
         acquired, released = asyncio.Event(), asyncio.Event()
 
-        async def hold_after_acquiring(ends):
-            connection = await acquire(ends)
+        async def acquire_and_wait(deadline):
+            connection = await acquire(deadline)
             acquired.set()
             await released.wait()
             return connection
 
-        endpoint.client.acquire_connection = hold_after_acquiring
+        endpoint.client.acquire_connection = acquire_and_wait
         response = asyncio.ensure_future(
             balancer.status("/pay", b"POST", b"1", X_Timeout_Ms="1000")
         )
--- a/tests/server/test_endpoint_discovery.py
+++ b/tests/server/test_endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""The host of the endpoint list: what it reports to the policy of each poll."""
+"""EndpointDiscovery: polls and watches, and what it reports to the policy."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 
 
 class PolicyCalls:
-    """What the policy was told of polls, each as it comes."""
+    """Records the failures and confirmations of polls that the policy is notified of."""
 
     def __init__(self, monkeypatch):
         self.failures = asyncio.Queue()
@@ -60,7 +60,9 @@
         (None, PollFailure.SILENT, 0),
     ],
 )
-async def test_policy_is_told_how_a_poll_failed(response, failure, retry_after_ns, monkeypatch):
+async def test_policy_is_notified_of_the_kind_of_a_failed_poll(
+    response, failure, retry_after_ns, monkeypatch
+):
     monkeypatch.setattr(endpoint_discovery, "FETCH_TIMEOUT_S", 0.2)
     calls = PolicyCalls(monkeypatch)
     async with (
@@ -72,21 +74,21 @@
 
 async def test_service_that_refuses_connections_is_unreachable(monkeypatch):
     calls = PolicyCalls(monkeypatch)
-    async with ScriptedPeer(always(make_response())) as gone:
+    async with ScriptedPeer(always(make_response())) as closed:
         pass
-    async with RunningBalancer(discovery=gone.address, env=ASKED):
+    async with RunningBalancer(discovery=closed.address, env=ASKED):
         assert (await calls.failures.get())[0] is PollFailure.UNREACHABLE
 
 
-async def test_answer_without_changes_confirms_the_list(monkeypatch):
+async def test_response_without_changes_confirms_the_list(monkeypatch):
     calls = PolicyCalls(monkeypatch)
-    first = asyncio.Event()
+    is_confirmed = asyncio.Event()
 
     def script(head, _):
-        if b"since" in head and first.is_set():
+        if b"since" in head and is_confirmed.is_set():
             return None
         if b"since" in head:
-            first.set()
+            is_confirmed.set()
             return UNCHANGED
         return ONE_ENDPOINT
 
@@ -99,7 +101,7 @@
         assert calls.failures.empty()
 
 
-async def test_poll_that_is_held_confirms_the_list_as_of_its_beginning(monkeypatch):
+async def test_long_poll_without_a_response_confirms_the_list_as_of_its_start(monkeypatch):
     monkeypatch.setattr(endpoint_discovery, "WATCH_HELD_S", 0.05)
     calls = PolicyCalls(monkeypatch)
 
@@ -116,7 +118,7 @@
         assert await calls.confirmations.get() == 50_000_000
 
 
-async def test_balancer_without_a_list_polls_at_its_start_and_one_with_a_list_at_its_turn(
+async def test_balancer_polls_at_its_start_only_if_it_has_no_list(
     monkeypatch,
 ):
     monkeypatch.setattr(endpoints, "MIN_ROUND", 10**6 * SECOND)
@@ -137,7 +139,7 @@
         assert not service.requests
 
 
-async def test_health_is_good_once_the_list_is_known_and_the_watch_resumes_after_failures():
+async def test_balancer_is_healthy_once_it_has_a_list_and_the_watch_resumes_after_failures():
     targets, is_failing = [], False
 
     async def script(head, _):
@@ -222,7 +224,7 @@
         assert await balancer.status() == 200
 
 
-async def test_changes_of_a_restarted_service_are_not_applied_to_the_list_of_a_later_version():
+async def test_changes_of_a_restarted_service_are_not_applied_to_a_list_of_a_higher_version():
     targets = []
 
     def script(head, _):
@@ -231,7 +233,7 @@
             rows = endpoint_rows([peer.address, peer.address])
             return make_response(body=encode_endpoint_list(50, rows))
         if len(targets) == 2:
-            # It counts from one again: its changes say nothing of what is known here.
+            # It counts versions from one again, so its changes do not refer to the current list.
             gone = endpoint_rows([peer.address], health="gone")
             return make_response(body=encode_endpoint_list(3, gone, whole=False))
         if len(targets) == 3:
@@ -244,11 +246,11 @@
         RunningBalancer(discovery=service.address, env=polling(within_us=800000)) as balancer,
     ):
         await wait_until(lambda: len(targets) >= 4)
-        assert targets[2] == b"/catalog/members", "the whole list is wanted"
+        assert targets[2] == b"/catalog/members", "the whole list is fetched"
         assert balancer.app.discovery.version == 4
         assert await balancer.status() == 200
 
-        # A whole list of a lower version is the list as it now is.
+        # A whole list is applied even if its version is lower.
         rows = endpoint_rows([peer.address, peer.address])
         balancer.app.discovery.apply(endpoint_list(2, rows))
         assert len(balancer.ready_upstreams) == 2
--- a/tests/server/test_endpoint_service_change.py
+++ b/tests/server/test_endpoint_service_change.py
@@ -1,4 +1,4 @@
-"""A configuration is reloaded that names another service of the endpoint list."""
+"""A reload of a configuration that names another discovery service."""
 
 import asyncio
 import dataclasses
@@ -25,7 +25,7 @@
 
 
 def fail(*_, **__):
-    raise RuntimeError("not foreseen")
+    raise RuntimeError("unexpected")
 
 
 def is_watch(head):
@@ -33,7 +33,7 @@
 
 
 class ReplacedService(ScriptedPeer):
-    """A service whose watch ends after the reload, with a newer version than the list's."""
+    """A service whose watch returns a newer list after the reload has replaced the service."""
 
     def __init__(self, addresses):
         super().__init__(self.respond_to_poll)
@@ -47,7 +47,7 @@
 
 
 class FailingOnce(ScriptedPeer):
-    """A service that fails its first poll, and then has a list of version 4."""
+    """A service that fails the first poll, and then returns a list of version 4."""
 
     def __init__(self, addresses):
         super().__init__(self.respond_to_poll)
@@ -79,7 +79,7 @@
         assert await balancer.status() == 200, "the old list is in force"
         await wait_until(lambda: len(new_service.requests) >= 3)
 
-        # The policy's own next poll after a failure would be half a minute later.
+        # Without the reload, the policy would poll again half a minute after a failure.
         targets = new_service.targets()
         assert targets[:2] == [b"/catalog/members"] * 2
         assert targets[2].startswith(b"/catalog/members?since=4&")
@@ -146,19 +146,24 @@
 
 
 async def test_old_service_stays_in_force_if_the_move_fails(monkeypatch):
-    # Against a reload that is in force by half: the old polls ended, and no new ones.
+    # A reload that failed halfway would end the old polls without starting new ones.
     async with ScriptedPeer(always(list_response(1, ["127.0.0.1:9"]))) as service:
         balancer = RunningBalancer(discovery=service.address, env=RARELY_POLLING)
         async with balancer:
             await wait_until(lambda: balancer.app.discovery.ready)
             discovery = balancer.app.discovery
-            before = discovery.url, discovery.session, discovery.version, dict(discovery.tasks)
+            state_before = (
+                discovery.url,
+                discovery.session,
+                discovery.version,
+                dict(discovery.tasks),
+            )
             replaced = dataclasses.replace(balancer.app.config, discovery=("127.0.0.1", 9))
             monkeypatch.setattr(program.config, "read", lambda *_, **__: replaced)
             monkeypatch.setattr(endpoint_discovery.http1_client, "make_session", fail)
 
             program.reload(balancer.app, balancer.app.log)
 
-            after = discovery.url, discovery.session, discovery.version, dict(discovery.tasks)
-            assert after == before
+            state_after = discovery.url, discovery.session, discovery.version, dict(discovery.tasks)
+            assert state_after == state_before
             assert not any(task.cancelling() for task in discovery.tasks.values())
--- a/tests/server/test_endpoint_watch_failures.py
+++ b/tests/server/test_endpoint_watch_failures.py
@@ -1,4 +1,4 @@
-"""A drain is noticed after every way in which the watch before it can end."""
+"""A drain is noticed however the watch before it has failed."""
 
 import json
 
@@ -32,14 +32,14 @@
 
 
 def indent(encoded_rows):
-    """Return a list of version 5 as a service may indent it."""
+    """Return a list of version 5 with white space, as a service may send it."""
     rows = encoded_rows.replace(b",", b",\n   ")
     return b'{\r\n  "seq": 5,\n\t"whole": true,\n  "hosts":\n' + rows + b"\n}\n"
 
 
 @pytest.fixture
 def short_intervals(monkeypatch):
-    """Let the watch time out, and the policy poll again, within 100 ms."""
+    """Make the watch time out, and the policy poll again, within 100 ms."""
     monkeypatch.setattr(endpoint_discovery, "WATCH_MARGIN_S", 0.1)
     monkeypatch.setattr(endpoints, "MIN_ROUND", 100 * MILLISECOND)
     monkeypatch.setattr(endpoints, "NOTIFIED_AFTER", 100 * MILLISECOND)
@@ -48,7 +48,7 @@
 
 
 class FailingWatch(ScriptedPeer):
-    """A service whose first watch ends in a given way; the next list has the first one draining."""
+    """A service whose first watch ends as given; in its next list the first upstream drains."""
 
     def __init__(self, addresses, ending):
         super().__init__(self.respond_to_poll)
--- a/tests/server/test_extensions.py
+++ b/tests/server/test_extensions.py
@@ -1,4 +1,4 @@
-"""The hook points: their order, and what an extension may do at them."""
+"""The hook points: the order of the calls, and their effects on requests."""
 
 from pepperhook.server.extensions import NONE, POINTS, Extensions, listed_name
 from pepperhook.server.messages import FinalResponse, ResponseKind
@@ -7,9 +7,9 @@
 
 
 class Spy:
-    """Has most hook points, and records their calls.
+    """Implements most hook points, and records their calls.
 
-    ``early_response`` is what it answers requests with, ``refuses_attempts`` has it hold all back.
+    ``early_response``: its answer to all requests; ``refuses_attempts``: forbids to send attempts.
     """
 
     def __init__(self, early_response=None, refuses_attempts=False):
@@ -49,12 +49,12 @@
     listed_as = "informer"
 
 
-def test_without_extensions_no_point_has_hooks():
+def test_without_extensions_no_hook_point_has_hooks():
     assert all(getattr(NONE, point) == () for point in POINTS)
 
 
-def test_an_extension_is_listed_by_its_class_or_by_the_name_that_it_states():
-    assert [listed_name(one) for one in (Spy(), NamedSpy())] == ["spy", "informer"]
+def test_an_extension_is_listed_by_its_class_name_or_by_listed_as():
+    assert [listed_name(extension) for extension in (Spy(), NamedSpy())] == ["spy", "informer"]
 
 
 async def test_an_extension_is_called_at_each_point_in_order():
@@ -90,7 +90,7 @@
         status, _ = await balancer.request("/pay", b"POST", b"1", X_Timeout_Ms="300")
 
     assert answered == (200, b"known")
-    # What was never written never ran, so even an unsafe request is rejected and not failed.
+    # No attempt was sent, so even an unsafe request is rejected, not failed.
     assert status == 503
     assert not peer.requests
     assert "ended not sent" in spy.calls
--- a/tests/server/test_http1_client.py
+++ b/tests/server/test_http1_client.py
@@ -1,4 +1,4 @@
-"""Requests to upstreams over HTTP/1.1, and the reuse of connections."""
+"""Requests to upstreams over HTTP/1.1, and reuse of connections."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 async def test_request_and_response_are_forwarded_byte_for_byte():
-    body, response_body = bytes(range(256)) * 8, b"\x00\x1f\x8b kept as it is"
+    body, response_body = bytes(range(256)) * 8, b"\x00\x1f\x8b unchanged"
     response = make_response(body=response_body, headers=b"Content-Encoding: gzip\r\n")
     target = "/hold/a%2Fb//c;d?q=%41+b&&z='%22&e="
     async with (
@@ -45,7 +45,7 @@
 
 
 async def test_each_message_at_the_upstream_is_one_attempt_when_reused_connections_drop():
-    # The client library sent a GET again by itself.
+    # The client library retried a GET by itself.
     responses = iter([make_response()] + [(b"",)] * 50)
     async with (
         ScriptedPeer(lambda *_: next(responses)) as peer,
@@ -89,13 +89,13 @@
         for writer in list(peer.writers):
             writer.close()
 
-        # The end of each connection has come, but the balancer had no turn to read it.
+        # Each connection has received a FIN, but the event loop had no chance to read it.
         assert await balancer.status("/pay", b"POST", b"1") == 200
         assert balancer.counters["attempts reset"] == 0
 
 
 class UnrequestedBytes(ScriptedPeer):
-    """A peer that writes more after each response."""
+    """A peer that writes unsolicited bytes after each response."""
 
     def __init__(self, unrequested):
         super().__init__(None)
@@ -121,7 +121,7 @@
     ],
 )
 async def test_bytes_that_nobody_requested_are_no_response_to_the_next_request(unrequested):
-    # One client got another's response, or the rest of it.
+    # A client got the response to another client's request, or a part of it.
     async with (
         UnrequestedBytes(unrequested) as peer,
         RunningBalancer([peer.address]) as balancer,
@@ -130,14 +130,14 @@
             peer.written.clear()
             assert await balancer.request() == (200, b"own %d" % number)
             await peer.written.wait()
-            await asyncio.sleep(0.01 * (number % 2))  # They are read already, or not yet.
+            await asyncio.sleep(0.01 * (number % 2))  # read already, or not yet
 
         assert peer.connections == 5
         assert balancer.counters["attempts started"] == 5
 
 
 class SecondResponse(ScriptedPeer):
-    """A peer that has another response to each request, written when a test wants it."""
+    """A peer with a second response to each request, sent when the test calls write_second."""
 
     def __init__(self):
         super().__init__(None)
@@ -150,12 +150,12 @@
         return True
 
 
-async def test_second_response_some_milliseconds_late_is_not_taken_for_the_next_one(monkeypatch):
+async def test_second_response_some_milliseconds_later_is_not_taken_as_the_next_one(monkeypatch):
     async with SecondResponse() as peer, RunningBalancer([peer.address]) as balancer:
         sleep = asyncio.sleep
 
         async def sleep_while_it_arrives(duration_s):
-            # The time for which a connection rests: the second response comes in it.
+            # This is the rest between two requests, in which the second response arrives.
             assert 0 < duration_s <= http1_client.CONNECTION_REST_S
             if peer.write_second is not None:
                 peer.write_second()
--- a/tests/server/test_ingress.py
+++ b/tests/server/test_ingress.py
@@ -1,4 +1,4 @@
-"""Which requests are accepted, and as whose."""
+"""Which requests are accepted, and with which service class and tenant."""
 
 from urllib.parse import quote
 
@@ -31,7 +31,7 @@
         (503, "/look", b"GET", {"X_Timeout_Ms": "0"}),
     ],
 )
-async def test_request_gets_the_status_of_its_fault_and_only_a_sound_one_is_forwarded(
+async def test_invalid_request_gets_its_status_and_only_a_valid_one_is_forwarded(
     status, path, method, message
 ):
     async with (
@@ -65,7 +65,7 @@
 async def test_ambiguous_message_or_wrong_method_is_refused_and_counted(
     status, path, method, message
 ):
-    # An ambiguous message may hide another one from the balancer, or from the upstream.
+    # Ambiguous framing allows request smuggling: balancer and upstream see different messages.
     async with (
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address]) as balancer,
@@ -77,7 +77,7 @@
         assert await balancer.status() == 200
 
 
-async def test_request_id_in_use_or_used_lately_is_refused(release):
+async def test_request_id_in_use_or_used_recently_is_refused(release):
     async with (
         ScriptedPeer(release.then(make_response())) as peer,
         RunningBalancer([peer.address]) as balancer,
@@ -89,18 +89,18 @@
         release.set()
         assert (await balancer.read_response(reader))[0] == 200
         writer.close()
-        # One that crosses the end of the first would be executed twice.
+        # Otherwise a copy that arrives just after the end of the first would be executed again.
         assert await balancer.status("/pay", b"POST", b"1", X_Request_ID="one") == 409
         assert len(peer.requests) == 1
 
         ids = balancer.app.ingress.ids
-        ids.ended = type(ids.ended)((0, known) for _, known in ids.ended)
+        ids.ended = type(ids.ended)((0, request_id) for _, request_id in ids.ended)
         assert await balancer.status() == 200
         assert "one" not in ids.known
 
 
 def record_accepted_requests(balancer, monkeypatch):
-    """Return a list to which each request is added that the balancer accepts."""
+    """Return a list to which each accepted request is added."""
     accepted, begin = [], balancer.app.requests.begin
 
     def recording_begin(request, message):
@@ -142,7 +142,7 @@
         for name in NAMES:
             assert await balancer.status(f"/{quote(name, safe='')}/x?a=%2F") == 200
         assert await balancer.status("/plus%20") == 404
-        # By clients that escape nothing; what that makes ambiguous is the name as it came.
+        # From clients that do not escape names: an ambiguous name is taken undecoded.
         for name in ("plus+", "gift-card%2F", "seat.hold~1", "bilet(gr)"):
             assert await balancer.status(f"/{name}") == 200
 
@@ -186,5 +186,5 @@
             assert (await balancer.read_response(reader))[0] == 200
         writer.close()
 
-    found = [(request.tenant, request.service_class.number) for request in accepted]
-    assert found == [(0, 0), (1, 1), (None, 0), (0, 1)]
+    received = [(request.tenant, request.service_class.number) for request in accepted]
+    assert received == [(0, 0), (1, 1), (None, 0), (0, 1)]
--- a/tests/server/test_load_reports.py
+++ b/tests/server/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load queries on sockets: which responses of an upstream are used."""
+"""Load queries over HTTP: which responses of an upstream are used."""
 
 import pytest
 
@@ -21,7 +21,7 @@
         (b"busy 0", False),
     ],
 )
-async def test_usable_load_report_is_kept_and_another_one_counted(report, is_usable):
+async def test_usable_load_report_is_stored_and_an_unusable_one_counted(report, is_usable):
     def is_load_query(head):
         return request_target(head).startswith(b"/_load")
 
--- a/tests/server/test_malformed_endpoint_lists.py
+++ b/tests/server/test_malformed_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""A response that is no endpoint list costs one poll, never the watch; an odd row its upstream."""
+"""A malformed list fails one poll but not the watch; a malformed row affects its upstream."""
 
 import asyncio
 import json
@@ -58,19 +58,19 @@
 
 @pytest.fixture
 def short_rounds(monkeypatch):
-    """Let the policy poll again within 100 ms."""
+    """Make the policy poll again within 100 ms."""
     monkeypatch.setattr(endpoints, "MIN_ROUND", 100 * MILLISECOND)
     monkeypatch.setattr(endpoints, "NOTIFIED_AFTER", 100 * MILLISECOND)
     monkeypatch.setattr(endpoints, "LONGEST_ROUNDS", {})
 
 
 class OddService(ScriptedPeer):
-    """A service whose second response has an odd row, and whose third drains an upstream."""
+    """A service whose second response has a malformed row, and whose third drains an upstream."""
 
     def __init__(self, odd_pair):
         super().__init__(self.respond_to_poll)
         self.odd_pair = odd_pair
-        self.goes_on = asyncio.Event()  # to the third response
+        self.goes_on = asyncio.Event()  # gates the third response
         self.goes_on.set()
 
     async def respond_to_poll(self, *_):
@@ -79,7 +79,7 @@
             case 1:
                 return make_response(body=encode_endpoint_list(1, rows))
             case 2:
-                # The last of two equal keys counts.
+                # The last of two equal keys takes effect.
                 odd_row = json.dumps(rows[0])[:-1] + f", {self.odd_pair}}}"
                 head = '{"seq": 2, "whole": false, "hosts": ['
                 return make_response(body=f"{head}{odd_row}]}}".encode())
@@ -101,7 +101,9 @@
 
 @pytest.mark.usefixtures("short_rounds")
 @pytest.mark.parametrize("odd_pair", NO_JSON)
-async def test_watch_goes_on_after_a_response_that_is_no_list_and_notices_the_next_drain(odd_pair):
+async def test_watch_continues_after_a_response_that_is_no_list_and_notices_the_next_drain(
+    odd_pair,
+):
     async with OddService(odd_pair) as service, follow(service) as balancer:
         async with asyncio.timeout(5):
             await wait_until(lambda: balancer.app.discovery.version == 3)
@@ -112,8 +114,8 @@
 
 @pytest.mark.usefixtures("short_rounds")
 @pytest.mark.parametrize("odd_pair", ODD_ROWS)
-async def test_upstream_of_a_row_that_cannot_be_read_is_not_ready_and_the_watch_goes_on(odd_pair):
-    # Against an odd row that is a drain, and against one that costs the list.
+async def test_upstream_of_an_unreadable_row_is_not_ready_and_the_watch_continues(odd_pair):
+    # The row may announce a drain, and must not prevent the use of the other rows.
     async with OddService(odd_pair) as service, follow(service) as balancer:
         service.goes_on.clear()
         async with asyncio.timeout(5):
@@ -130,7 +132,7 @@
 @pytest.mark.usefixtures("short_rounds")
 @pytest.mark.parametrize("odd_pair", UNNAMED_ROWS)
 async def test_whole_list_is_fetched_where_a_changed_row_has_no_name(odd_pair):
-    # Against a drain of an upstream that the row would have named.
+    # The row may announce the drain of any upstream.
     async with OddService(odd_pair) as service, follow(service) as balancer:
         async with asyncio.timeout(5):
             await wait_until(lambda: balancer.app.discovery.version == 3)
@@ -142,8 +144,8 @@
 
 
 @pytest.mark.parametrize("odd_pair", [*ODD_ROWS, *UNNAMED_ROWS])
-async def test_balancer_starts_with_a_list_in_which_one_row_cannot_be_read(odd_pair):
-    # Against one registration with a typo that keeps a whole deployment from starting.
+async def test_balancer_starts_with_a_list_in_which_one_row_is_unreadable(odd_pair):
+    # One registration with a typo must not keep a whole deployment from starting.
     async with ScriptedPeer(always(make_response())) as upstream:
         rows = [json.dumps(row) for row in endpoint_rows([upstream.address] * 3)]
         rows[2] = rows[2][:-1] + f", {odd_pair}}}"
@@ -160,7 +162,7 @@
             assert await balancer.status() == 200
 
 
-async def test_row_that_cannot_be_read_is_counted_once_until_it_changes():
+async def test_unreadable_row_is_counted_once_until_it_changes():
     async with RunningBalancer(["127.0.0.1:9", "127.0.0.1:10"]) as balancer:
         discovery = balancer.app.discovery
         rows = endpoint_rows(["127.0.0.1:9", "127.0.0.1:10"])
@@ -181,7 +183,7 @@
 
 
 @pytest.mark.usefixtures("short_rounds")
-async def test_policy_is_told_of_an_end_of_the_watch_that_nobody_foresaw(monkeypatch):
+async def test_policy_is_notified_when_an_unexpected_error_ends_the_watch(monkeypatch):
     failures = []
     rows = endpoint_rows(["127.0.0.1:9"])
 
@@ -202,7 +204,7 @@
 
         def break_once(*_):
             monkeypatch.setattr(endpoint_list, "parse", plain_parse)
-            raise AssertionError("not foreseen")
+            raise AssertionError("unexpected")
 
         monkeypatch.setattr(policy, "on_endpoint_poll_failed", note_failure)
         monkeypatch.setattr(endpoint_list, "parse", break_once)
@@ -213,7 +215,7 @@
         assert balancer.counters["background faults"] == 1
 
 
-# Decoding alone.
+# Decoding without a balancer.
 
 texts = st.text(st.characters(), max_size=8) | st.sampled_from(["ready", "z", "127.0.0.1:9"])
 numbers = st.integers() | st.floats() | st.just(10**30) | st.just(-(10**400))
@@ -235,7 +237,7 @@
 
 
 def decode(data, function="parse"):
-    """Return the list, or None where there is none; nothing else may come of it."""
+    """Return the list, or None if it is malformed; any other error fails the test."""
     try:
         return getattr(endpoint_list, function)(data, ZONES, KINDS)
     except MalformedListError:
@@ -265,7 +267,7 @@
 
 
 def check_list(decoded):
-    """Check that the rest of the program can use all that a list holds."""
+    """Check the types and ranges on which users of a list rely."""
     assert isinstance(decoded.version, int)
     for row in decoded.endpoints:
         row.name.encode()
@@ -277,7 +279,7 @@
         assert row.protocol is None or isinstance(row.protocol, str)
 
 
-def test_a_sound_list_is_decoded_whole():
+def test_a_valid_list_is_decoded_completely():
     rows = endpoint_rows(["127.0.0.1:9"], block=2, share=0.5, born_ms=1500, protocol="h2")
 
     decoded = endpoint_list.parse(encode_endpoint_list(4, rows), ZONES, KINDS)
--- a/tests/server/test_process.py
+++ b/tests/server/test_process.py
@@ -1,4 +1,4 @@
-"""The balancer as a process: signals while it leaves, and few descriptors."""
+"""The balancer as a process: signals during a shutdown, and few descriptors."""
 
 import asyncio
 import signal
@@ -31,11 +31,11 @@
         )
 
     async def wait_for_event(self, event):
-        """Read the log until a line with this event."""
+        """Read the log up to a line with this event."""
         line = ""
         while f"event={event}" not in line:
             line = await asyncio.to_thread(self.process.stderr.readline)
-            assert line, "the process has ended"
+            assert line, "the process has exited"
 
     def signal(self, *numbers):
         """Send signals, one after another."""
@@ -43,12 +43,12 @@
             self.process.send_signal(number)
 
     async def read_rest_of_log(self):
-        """Wait for the end of the process, and return what it has logged since."""
+        """Wait for the end of the process; return the rest of its log."""
         _, log = await asyncio.to_thread(self.process.communicate, timeout=EXIT_TIMEOUT_S)
         return log
 
 
-async def test_signals_change_nothing_while_it_leaves(tmp_path, release):
+async def test_signals_change_nothing_during_a_shutdown(tmp_path, release):
     async with (
         ScriptedPeer(release.then(make_response())) as peer,
         ScriptedPeer(always(None)) as other_service,
@@ -75,7 +75,7 @@
         assert "Traceback" not in log
 
 
-async def test_endpoint_list_gets_a_descriptor_while_clients_hold_all_of_theirs(tmp_path):
+async def test_endpoint_list_gets_a_descriptor_while_clients_use_all_of_theirs(tmp_path):
     def script(head, _):
         if b"since" in request_target(head):
             return None
@@ -104,11 +104,11 @@
         service.close()
 
 
-async def test_signals_at_the_very_end_do_not_end_it_as_if_it_had_crashed(tmp_path):
-    """Found by the soak: "crash: balancer 1 ended with -15", at a second SIGTERM near the end.
+async def test_signals_at_the_end_of_a_shutdown_do_not_change_the_exit_code(tmp_path):
+    """A second SIGTERM near the end of a shutdown ended the process with -15, as after a crash.
 
-    The event loop sets signals back to their default as it closes, and the interpreter takes some
-    hundredths of a second more to end.
+    The event loop restores the default handlers when it closes, and the interpreter takes some
+    hundredths of a second more to exit.
     """
     balancer = BalancerProcess(write_config(tmp_path))
     await balancer.wait_for_event("started")
--- a/tests/server/test_request_lifecycle.py
+++ b/tests/server/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""One final response per request, and nothing left behind, over many requests on sockets."""
+"""Many requests over HTTP: one final response for each, and no state left after them."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 class ExecutionCount:
-    """A script that responds at random, and counts how often each request was executed."""
+    """A script with random responses, which counts the executions of each request."""
 
     RESPONSES = [make_response()] * 6 + [
         make_response(500),
@@ -38,7 +38,7 @@
 
 
 async def send_random_request(balancer, draw, request_id):
-    """Send a request; return its path and its status, None where the client leaves."""
+    """Send a random request; return its path and status, None if the client leaves."""
     path, method = draw.choice([("/look", b"GET"), ("/pay", b"POST"), ("/hold", b"POST")])
     key = {"Idempotency_Key": f"k{request_id}"} if path == "/hold" else {}
     reader, writer = await balancer.send_request(path, method, X_Request_ID=request_id, **key)
@@ -47,7 +47,7 @@
         return path, None
     status, _ = await balancer.read_response(reader)
     writer.write_eof()
-    assert await reader.read() == b"", "nothing comes after the one response"
+    assert await reader.read() == b"", "nothing follows the response"
     writer.close()
     return path, status
 
@@ -88,7 +88,7 @@
         assert counters["attempts started"] > counters["taken"] * 0.8
 
 
-async def test_client_that_leaves_leaves_nothing_behind(release):
+async def test_requests_of_clients_that_left_are_not_kept(release):
     async with (
         ScriptedPeer(release.then(make_response())) as peer,
         RunningBalancer([peer.address]) as balancer,
@@ -113,8 +113,8 @@
 
 async def test_state_stays_bounded_over_many_new_ids_keys_tenants_and_upstreams():
     draw = random.Random(8)
-    sound = make_response(body=b"own")
-    responses = [make_response()] * 8 + [make_response(500), b"noise", sound + b"x", (b"",)]
+    valid = make_response(body=b"own")
+    responses = [make_response()] * 8 + [make_response(500), b"noise", valid + b"x", (b"",)]
     async with (
         ScriptedPeer(lambda *_: draw.choice(responses)) as peer,
         RunningBalancer([peer.address]) as balancer,
@@ -145,5 +145,5 @@
         assert not app.runtime.inboxes and not app.upstreams.tasks
         assert not balancer.policy.admission.queue
         assert sum(known.fileno() != -1 for known in app.upstreams.sockets) <= 4
-        assert ids.known == {identity for _, identity in ids.ended}
+        assert ids.known == {request_id for _, request_id in ids.ended}
         assert len(ids.ended) == TURNS * REQUESTS_PER_TURN
--- a/tests/server/test_runtime.py
+++ b/tests/server/test_runtime.py
@@ -1,4 +1,4 @@
-"""The policy's host: its faults, attempts that nobody sends, and the lateness of the process."""
+"""Runtime: faults of the policy, attempts that nobody sends, and lateness of the process."""
 
 import asyncio
 import time
@@ -9,9 +9,9 @@
 from tests.server.peers import ScriptedPeer, always, header_value, make_response
 
 
-async def test_fault_of_the_policy_ends_one_request_and_the_balancer_goes_on(monkeypatch):
+async def test_fault_of_the_policy_fails_one_request_and_the_balancer_continues(monkeypatch):
     def fail(*_):
-        raise ZeroDivisionError("made to fail")
+        raise ZeroDivisionError("injected")
 
     async with (
         ScriptedPeer(always(make_response())) as peer,
@@ -41,7 +41,7 @@
         assert not peer.requests
 
 
-async def test_lateness_of_the_process_is_taken_off_the_time_limit():
+async def test_lateness_of_the_process_is_subtracted_from_the_time_limit():
     async with (
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address], measures_lateness=True) as balancer,
@@ -54,14 +54,14 @@
         assert len(peer.requests) == 1
         assert balancer.counters["too late"] == 1
 
-        for lateness_ns, most_ms in ((200 * MILLISECOND, 1000), (0, 1500)):
+        for lateness_ns, max_ms in ((200 * MILLISECOND, 1000), (0, 1500)):
             runtime.worst_lateness = (lateness_ns, runtime.now() + SECOND // 10)
             assert await balancer.status(X_Timeout_Ms="1500") == 200
             head, _ = peer.requests[-1]
-            assert most_ms - 400 < int(header_value(head, b"X-Timeout-Ms")) < most_ms
+            assert max_ms - 400 < int(header_value(head, b"X-Timeout-Ms")) < max_ms
 
 
-async def test_request_that_waited_while_the_process_stood_still_is_rejected_and_later_ones_not():
+async def test_request_that_waited_during_a_stall_is_rejected_and_later_ones_are_served():
     async with (
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address], measures_lateness=True) as balancer,
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A balancer that leaves: what it has accepted is answered, and nothing else is begun."""
+"""Graceful shutdown: accepted requests are answered, and no others are started."""
 
 import asyncio
 import contextlib
@@ -13,12 +13,12 @@
 
 
 def begin_shutdown(balancer, accept_s=0):
-    """Begin to leave, and accept connections for a while."""
+    """Begin to shut down; connections are accepted for another ``accept_s``."""
     return asyncio.ensure_future(balancer.app.http_server.close(accept_s, DEADLINE_S))
 
 
 def says_close(balancer):
-    """Whether the last response says that the connection is closed after it."""
+    """Whether the last response has ``Connection: close``."""
     return header_value(balancer.response_head, b"Connection") == b"close"
 
 
@@ -69,7 +69,7 @@
                 writer.write(self.balancer.make_request())
                 status, _ = await self.balancer.read_response(reader)
             except (OSError, asyncio.IncompleteReadError) as error:
-                # A reused connection may be closed while the request is unread, but never a new
+                # A reused connection may be closed before its request is read, but never a new
                 # one, and never within a response.
                 assert on_this_connection and not getattr(error, "partial", b"")
                 return
@@ -81,7 +81,7 @@
             await asyncio.sleep(0.01)
 
 
-async def test_no_response_is_lost_when_it_leaves_under_load():
+async def test_no_response_is_lost_in_a_shutdown_under_load():
     async def script(*_):
         await asyncio.sleep(0.02)
         return make_response()
@@ -94,7 +94,7 @@
         shutdown = begin_shutdown(balancer, accept_s=1)
         await asyncio.sleep(0.1)
         for client in clients:
-            client.connects = False  # as whoever distributes clients takes it out
+            client.connects = False  # as when clients are directed to other balancers
         await asyncio.gather(shutdown, *running)
 
         responses = sum(client.responses for client in clients)
@@ -111,9 +111,9 @@
         idle_reader, idle_writer, _ = await open_idle_connection(balancer)
         reader, writer = await balancer.connect()
         writer.write(message[:30])
-        await wait_until(lambda: any(one.is_message_begun for one in connections.idle))
-        [half_read] = [one for one in connections.idle if one.is_message_begun]
-        # Long past the time for which a connection just used is spared.
+        await wait_until(lambda: any(each.is_message_begun for each in connections.idle))
+        [half_read] = [each for each in connections.idle if each.is_message_begun]
+        # Idle for longer than MIN_IDLE_S, so that they may be closed.
         for connection in connections.idle:
             connections.idle[connection] -= LONG_AGO_S
         half_read.expires_at += LONG_AGO_S
@@ -137,7 +137,7 @@
         RunningBalancer([peer.address]) as balancer,
     ):
         connections, waiting = balancer.connections, []
-        # As on a core that has no turn for them.
+        # As on a core that is too busy to accept them.
         connections.loop.remove_reader(connections.listener)
         for _ in range(40):
             waiting.append(await balancer.send_request(X_Timeout_Ms="20000"))
--- a/tests/server/test_structured_logging.py
+++ b/tests/server/test_structured_logging.py
@@ -1,4 +1,4 @@
-"""Log lines of keys and values."""
+"""Log lines of key=value pairs."""
 
 import logging
 
@@ -11,7 +11,7 @@
     return [formatter.format(record) for record in caplog.records]
 
 
-def test_each_event_is_one_line_of_pairs_with_quoted_values(caplog):
+def test_each_event_is_one_line_of_key_value_pairs_with_quoted_values(caplog):
     log = structured_logging.Log(logging.getLogger("test"))
     counters = Counters(log)
     with caplog.at_level(logging.INFO):
--- a/tests/server/test_supervision.py
+++ b/tests/server/test_supervision.py
@@ -1,12 +1,11 @@
-"""Long-lived background work survives an error that nobody foresaw.
-
-What happened: one message ended a task for the rest of the process's life, and nobody saw it. A
-version or a view whose MAC is not ASCII made ``hmac.compare_digest`` raise TypeError, a heartbeat's
-answer that is no JSON raised ValueError, a full disk raised OSError in the watcher of idempotency
-peers. The balancer followed no configuration any more and served on; the log had no line of it,
-only "Task exception was never retrieved" at the end of the process. Now such work runs under
-one supervisor, which logs ``background_fault`` with the task's name, counts it and begins the work
-again with backoff.
+"""Long-lived background work continues after an unexpected error.
+
+One message could end a task for the rest of the process's life, without a line in the log but "Task
+exception was never retrieved" at the end of the process. A version or view with a MAC that is not
+ASCII raised TypeError in ``hmac.compare_digest``, a heartbeat response that is not JSON raised
+ValueError, and a full disk raised OSError in the task that watches the idempotency peers. The
+balancer went on serving, but did not follow its configuration. The supervisor logs
+``background_fault`` with the task's name, counts it, and restarts the work with backoff.
 """
 
 import asyncio
@@ -39,19 +38,19 @@
 
 
 async def until(condition):
-    """Wait until a condition holds; fail where it never does."""
+    """Wait until a condition is true; fail after WAIT_S."""
     async with asyncio.timeout(WAIT_S):
         await wait_until(condition, 0.005)
 
 
-def breaking_once(function):
-    """Return a function that raises at its first call, and a list of its calls."""
+def fail_once(function):
+    """Return a wrapper of ``function`` that raises at its first call, and a list of its calls."""
     calls = []
 
     def call(*arguments, **named):
         calls.append(arguments)
         if len(calls) == 1:
-            raise AssertionError("not foreseen")
+            raise AssertionError("unexpected")
         return function(*arguments, **named)
 
     return call, calls
@@ -60,20 +59,20 @@
 # The supervisor.
 
 
-async def test_work_that_fails_is_reported_and_begun_again_with_growing_waits(monkeypatch):
+async def test_work_that_fails_is_reported_and_restarted_with_growing_delays(monkeypatch):
     monkeypatch.setattr(supervision, "FIRST_RESTART_S", 0.001)
-    faults, begun = [], []
+    faults, starts = [], []
 
     async def work():
-        begun.append(asyncio.get_running_loop().time())
-        if len(begun) < 5:
-            raise ValueError(len(begun))
+        starts.append(asyncio.get_running_loop().time())
+        if len(starts) < 5:
+            raise ValueError(len(starts))
 
     await Supervisor(lambda name, error: faults.append((name, error.args))).start("work", work)
 
     assert faults == [("work", (number,)) for number in (1, 2, 3, 4)]
-    waits = [after - before for before, after in zip(begun, begun[1:], strict=False)]
-    assert all(wait >= 0.001 * 2**at for at, wait in enumerate(waits))
+    delays = [after - before for before, after in zip(starts, starts[1:], strict=False)]
+    assert all(delay >= 0.001 * 2**at for at, delay in enumerate(delays))
 
 
 async def test_work_that_is_cancelled_ends_and_is_no_fault():
@@ -123,11 +122,11 @@
 
 @pytest.mark.usefixtures("short_restarts")
 @pytest.mark.parametrize("name", LONG_LIVED)
-async def test_long_lived_task_survives_an_error_that_nobody_foresaw(name, tmp_path, monkeypatch):
+async def test_long_lived_task_survives_an_unexpected_error(name, tmp_path, monkeypatch):
     make, owner, method = LONG_LIVED[name]
     monkeypatch.setattr(peers, "POLL_INTERVAL_S", 0.01)
-    broken, calls = breaking_once(getattr(owner, method))
-    monkeypatch.setattr(owner, method, broken)
+    failing, calls = fail_once(getattr(owner, method))
+    monkeypatch.setattr(owner, method, failing)
     async with (
         ScriptedPeer(always(make_response())) as upstream,
         Serving(tmp_path / "service") as service,
@@ -143,7 +142,7 @@
         assert await balancer.status() == 200
 
 
-def test_all_long_lived_tasks_of_a_balancer_are_in_the_test_above():
+def test_every_supervised_task_of_a_balancer_is_in_long_lived():
     package = Path(supervision.__file__).parents[1]
     started = set()
     for path in package.rglob("*.py"):
@@ -155,15 +154,15 @@
 
 
 @pytest.mark.usefixtures("short_restarts")
-async def test_gossip_goes_on_after_its_socket_was_closed_by_itself():
-    # Against a view of the fleet that stays as it was for the rest of a process's life.
+async def test_gossip_continues_after_its_transport_has_closed_itself():
+    # Otherwise the view of the fleet would stay unchanged for the rest of the process's life.
     extension = make_gossip(0, [free_port(), free_port()])
     async with RunningBalancer(
         ["127.0.0.1:9"], Extensions([extension]), owns_event_loop=False
     ) as balancer:
         await until(lambda: extension.transport is not None)
         first = extension.transport
-        first.sendto(b"x", ("a\0b", 9))  # the transport closes itself over a TypeError
+        first.sendto(b"x", ("a\0b", 9))  # raises TypeError, at which the transport closes itself
         await until(lambda: extension.transport is not first)
         sent = extension.counters.datagrams_out
         await until(lambda: extension.counters.datagrams_out > sent)
@@ -172,10 +171,10 @@
 
 
 @pytest.mark.usefixtures("short_restarts")
-async def test_control_service_survives_an_error_that_nobody_foresaw(tmp_path, monkeypatch):
+async def test_control_service_survives_an_unexpected_error(tmp_path, monkeypatch):
     monkeypatch.setattr("pepperhook.control_plane.service.TICK_INTERVAL_S", 0.01)
-    broken, calls = breaking_once(ControlService.tick)
-    monkeypatch.setattr(ControlService, "tick", broken)
+    failing, calls = fail_once(ControlService.tick)
+    monkeypatch.setattr(ControlService, "tick", failing)
     service = ControlService(HistoryStore(tmp_path / "s"), KEYS)
     service.start()
 
@@ -185,10 +184,10 @@
     await service.stop()
 
 
-async def test_writer_of_captures_survives_an_error_that_nobody_foresaw(tmp_path, monkeypatch):
+async def test_capture_writer_survives_an_unexpected_error(tmp_path, monkeypatch):
     extension = Capture(CaptureTable(folder=str(tmp_path)), make_config(), make_log())
-    broken, calls = breaking_once(SegmentWriter._execute)
-    monkeypatch.setattr(SegmentWriter, "_execute", broken)
+    failing, calls = fail_once(SegmentWriter._execute)
+    monkeypatch.setattr(SegmentWriter, "_execute", failing)
     async with (
         ScriptedPeer(always(make_response())) as upstream,
         RunningBalancer([upstream.address], Extensions([extension])) as balancer,
--- a/tests/server/test_upstream_pool.py
+++ b/tests/server/test_upstream_pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: whose they are, how many, and what must not be written on one."""
+"""Connections to upstreams: to which instance, how many, and which attempts are not sent."""
 
 import asyncio
 
@@ -25,13 +25,13 @@
 
 
 def send(balancer, attempt, timeout_ns, inbox):
-    """Send a request to the upstream of the attempt; its end comes into ``inbox``."""
+    """Send a request to the upstream of the attempt; ``inbox`` gets AttemptEnded."""
     message = RequestMessage("GET", "/", [], b"")
     balancer.app.upstreams.send(attempt, timeout_ns, message, inbox)
 
 
 async def test_new_upstream_at_the_address_of_a_gone_one_gets_connections_of_its_own():
-    # What has left the address held the connection, and got the attempts that were sent on it.
+    # The connection led to the instance that had left the address, and attempts were sent on it.
     async with (
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address]) as balancer,
@@ -73,7 +73,7 @@
         assert not balancer.app.requests.tasks
 
 
-async def test_attempts_beyond_the_bound_of_connections_are_not_sent():
+async def test_attempts_beyond_the_limit_on_connections_are_not_sent():
     async with (
         ScriptedPeer(always(None)) as peer,
         RunningBalancer([peer.address], sockets=64) as balancer,
@@ -85,7 +85,7 @@
 
         outcomes = [(await inbox.get()).outcome for _ in range(30)]
 
-        # Not "connect failed": that would say of the upstream what is true of this process.
+        # Not "connect failed", which would blame the upstream for a limit of this process.
         assert outcomes.count(Outcome.NOT_SENT) == 30 - 16
         assert outcomes.count(Outcome.TIMED_OUT) == 16 == len(peer.requests)
 
@@ -95,10 +95,10 @@
     [
         (UpstreamState.DRAINING, 0),
         (UpstreamState.GONE, 0),
-        pytest.param(None, -SECOND, id="timed out before it is written"),
+        pytest.param(None, -SECOND, id="timed out before it was written"),
     ],
 )
-async def test_attempt_overtaken_by_a_change_or_its_timeout_is_not_sent(state, sent_after_ns):
+async def test_attempt_is_not_sent_after_a_list_change_or_its_timeout(state, sent_after_ns):
     async with (
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address]) as balancer,
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The program as an operator starts it: signals, exit codes and its log."""
+"""The program as an operator starts it: signals, exit codes and the log."""
 
 import asyncio
 import os
@@ -9,9 +9,10 @@
 import pytest
 
 from tests.programs import free_port, start_program, write_config
-from tests.world import Peer, Running, answer, header, hosts, loopback
+from tests.server.balancers import RunningBalancer, endpoint_rows
+from tests.server.peers import ScriptedPeer, header_value, make_response
 
-# Sends the process a signal as the named modules are imported.
+# Sends the process a signal when one of the named modules is imported.
 SIGNAL_AT_IMPORT = """
 import os, runpy, sys
 class Signals:
@@ -26,24 +27,24 @@
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGUSR1])
 def test_a_signal_during_the_imports_does_not_end_the_process(tmp_path, number):
-    # A rolling reload in the lab ended the new process by a signal that came before its handlers.
-    done = subprocess.run(
+    # A rolling reload ended the new process by a signal sent before the handlers were set.
+    completed = subprocess.run(
         [sys.executable, "-c", SIGNAL_AT_IMPORT.format(number=int(number))],
         env={**os.environ, "LB_CONFIG": str(tmp_path / "none")},
         capture_output=True,
         text=True,
     )
 
-    assert done.returncode == 2
-    assert "pepperhook: configuration" in done.stderr
+    assert completed.returncode == 2
+    assert "pepperhook: configuration" in completed.stderr
 
 
 def test_without_an_operators_file_neither_its_package_nor_msgspec_is_imported():
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", LIST_LOADED_MODULES], capture_output=True, text=True, check=True
     )
 
-    loaded = done.stdout.split()
+    loaded = completed.stdout.split()
     assert "pepperhook.server.app" in loaded
     assert not {"msgspec", "tomllib", "pepperhook.operator_config"} & set(loaded)
 
@@ -61,36 +62,36 @@
     assert err.startswith("pepperhook: configuration: ")
 
 
-@loopback
 async def test_the_program_serves_and_ends_cleanly_at_sigterm(tmp_path):
     release = asyncio.Event()
 
     async def respond(*_):
         await release.wait()
-        return answer()
+        return make_response()
 
-    async with Peer(respond) as peer:
-        balancer = Running()
+    async with ScriptedPeer(respond) as peer:
+        balancer = RunningBalancer()
         balancer.port = port = free_port()
-        known = {"seq": 1, "whole": True, "hosts": hosts([peer.dial])}
+        known = {"seq": 1, "whole": True, "hosts": endpoint_rows([peer.address])}
         environ = write_config(tmp_path, known=known) | {"LB_LISTEN": f"127.0.0.1:{port}"}
         process = start_program(environ)
-        await started(process, port)
-        assert (await balancer.ask("/_health"))[0] == 200
-        connections = [await balancer.send()]
-        while not peer.seen:
+        await wait_until_started(process, port)
+        assert (await balancer.request("/_health"))[0] == 200
+        connections = [await balancer.send_request()]
+        while not peer.requests:
             await asyncio.sleep(0.01)
 
         process.send_signal(signal.SIGUSR1)
         read_until(process, "event=counters attempts_started=1 ")
         process.send_signal(signal.SIGTERM)
         read_until(process, "event=leaving")
-        connections.append(await balancer.send())  # clients still connect for a moment
+        # Connections are still accepted for ACCEPT_S.
+        connections.append(await balancer.send_request())
         release.set()
 
         for reader, writer in connections:
-            assert (await balancer.answer(reader))[0] == 200
-            assert header(balancer.head, b"Connection") == b"close"
+            assert (await balancer.read_response(reader))[0] == 200
+            assert header_value(balancer.response_head, b"Connection") == b"close"
             writer.close()
         out, err = await asyncio.to_thread(process.communicate, timeout=60)
 
@@ -101,8 +102,8 @@
     assert "level=error" not in err
 
 
-async def started(process, port):
-    """Wait until the program accepts connections; it has a list from its configuration."""
+async def wait_until_started(process, port):
+    """Wait until the program accepts connections; its configuration has an endpoint list."""
     lines = [await asyncio.to_thread(process.stderr.readline) for _ in range(2)]
     assert "event=list_known" in lines[0]
     assert f"event=started name=balancer listen=127.0.0.1:{port}" in lines[1]
@@ -111,37 +112,36 @@
 def read_until(process, text):
     """Read the log up to a line with ``text``, and return the line."""
     while text not in (line := process.stderr.readline()):
-        assert line, "the program has ended"
+        assert line, "the program has exited"
     return line
 
 
-@loopback
-async def test_at_sighup_a_replaced_file_is_taken_and_a_faulty_one_is_refused(tmp_path):
+async def test_at_sighup_a_replaced_file_is_applied_and_a_faulty_one_is_refused(tmp_path):
     def respond(head, _):
         if b"since" in head:
             return None
-        return answer(body=b'{"seq":1,"whole":true,"hosts":[]}')
+        return make_response(body=b'{"seq":1,"whole":true,"hosts":[]}')
 
-    async def line_with(event):
+    async def wait_for_event(event):
         return await asyncio.to_thread(read_until, process, f"event={event}")
 
-    async with Peer(respond) as first, Peer(respond) as second:
-        environ = write_config(tmp_path, discovery=first.dial)
-        addresses = {"LB_DISCOVERY": first.dial, "LB_LISTEN": f"127.0.0.1:{free_port()}"}
+    async with ScriptedPeer(respond) as first, ScriptedPeer(respond) as second:
+        environ = write_config(tmp_path, discovery=first.address)
+        addresses = {"LB_DISCOVERY": first.address, "LB_LISTEN": f"127.0.0.1:{free_port()}"}
         process = start_program({**environ, **addresses})
-        await line_with("list_known")
+        await wait_for_event("list_known")
 
         for seed, event in (
             ("xyz", 'reload_refused error="seed: '),
-            ("ff", f"reloaded discovery={second.dial}"),
+            ("ff", f"reloaded discovery={second.address}"),
         ):
-            write_config(tmp_path, discovery=second.dial, seed=seed)
-            assert not second.seen
+            write_config(tmp_path, discovery=second.address, seed=seed)
+            assert not second.requests
             process.send_signal(signal.SIGHUP)
-            await line_with(event)
-        while len(second.seen) < 2:
+            await wait_for_event(event)
+        while len(second.requests) < 2:
             await asyncio.sleep(0.01)
 
         process.send_signal(signal.SIGTERM)
-        await line_with("ended")
+        await wait_for_event("ended")
         assert process.wait(60) == 0
