--- a/pepperhook/server/client_connections.py
+++ b/pepperhook/server/client_connections.py
@@ -187,7 +187,7 @@
         task.add_done_callback(self.arriving.discard)
 
     def stop(self, at_once: bool = False) -> bool:
-        """Stop accepting once the backlog is empty, or ``at_once``; return whether it has stopped.
+        """Stop accepting when the backlog is empty, or ``at_once``; return whether it has stopped.
 
         Closing the listener resets the connections in the backlog, and their messages are lost.
         """
--- a/pepperhook/server/extensions.py
+++ b/pepperhook/server/extensions.py
@@ -63,7 +63,7 @@
         """Start the extension; the policy runs, and requests are not accepted yet."""
 
     async def closing(self, accept_s: float, within_s: float) -> None:
-        """Shut the extension's own listener down while the server's one shuts down gracefully.
+        """Shut down the extension's own listener gracefully, at the same time as the server's.
 
         Accept for ``accept_s`` more, then answer what was accepted within ``within_s``, in seconds.
         """
@@ -80,7 +80,7 @@
         """Return the updates for the policy; the extension may override the states of upstreams."""
 
     def listed(self, now: int, upstreams: Iterable[Upstream]) -> None:
-        """Take note that the policy has got a changed endpoint list; ``upstreams``: all of it."""
+        """Handle a changed endpoint list, which the policy already has; ``upstreams``: all."""
 
     # Hook points of a request, in the order of the calls.
 
@@ -98,10 +98,10 @@
     def ended(
         self, now: int, attempt: Attempt, outcome: Outcome, response: UpstreamResponse | None
     ) -> None:
-        """Take note that an attempt has ended; the policy is notified after this call."""
+        """Handle the end of an attempt; the policy is notified after this call."""
 
     def answered(self, now: int, request: Request, response: FinalResponse) -> None:
-        """Take note of the final response before it is sent; may add headers to it."""
+        """Handle the final response before it is sent; may add headers to it."""
 
     def leaving(self, now: int, request: Request) -> bool:
         """Handle the client's leaving; True keeps the request until ``RequestLifecycles.leave``."""
--- a/pepperhook/server/http1_client.py
+++ b/pepperhook/server/http1_client.py
@@ -103,7 +103,7 @@
             # Otherwise the error would look like a lost connection.
             self.body.set_exception(MalformedResponseError("the body cannot be parsed"))
         if rest and self.transport is not None:
-            # Further bytes belong to no request, and a later response could not be told from them.
+            # Further bytes belong to no request, and would be mixed up with later responses.
             self.force_close()
             self.transport.close()
         self._update_read_timer()
--- a/tests/server/test_attempt_outcomes.py
+++ b/tests/server/test_attempt_outcomes.py
@@ -50,15 +50,15 @@
         assert balancer.counters["attempts connect failed"] >= 1
 
 
-SOUND = make_response(body=b"own")
-ODD_BUT_REUSABLE = make_response(body=b"own", headers=b"X-Server-Load: \x01\xff;=\r\n")
-ODD_RESPONSES = [
-    (SOUND + b"\x00\xffnoise", Outcome.SERVED),
-    (SOUND + make_response(body=b"other"), Outcome.SERVED),
-    (b"HTTP/1.1 102 X\r\n\r\nHTTP/1.1 103 X\r\nLink: x\r\n\r\n" + SOUND + b"x", Outcome.SERVED),
-    (ODD_BUT_REUSABLE, Outcome.SERVED),
+VALID = make_response(body=b"own")
+UNUSUAL_BUT_REUSABLE = make_response(body=b"own", headers=b"X-Server-Load: \x01\xff;=\r\n")
+UNUSUAL_RESPONSES = [
+    (VALID + b"\x00\xffnoise", Outcome.SERVED),
+    (VALID + make_response(body=b"other"), Outcome.SERVED),
+    (b"HTTP/1.1 102 X\r\n\r\nHTTP/1.1 103 X\r\nLink: x\r\n\r\n" + VALID + b"x", Outcome.SERVED),
+    (UNUSUAL_BUT_REUSABLE, Outcome.SERVED),
     (
-        b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nown\r\n0\r\n\r\n" + SOUND,
+        b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nown\r\n0\r\n\r\n" + VALID,
         Outcome.SERVED,
     ),
     (
@@ -81,8 +81,8 @@
         Outcome.MALFORMED_RESPONSE,
     ),
     (b"HTTP/1.1 200 X\r\nA: b\r\nC:", Outcome.MALFORMED_RESPONSE),
-    (b"noise" + SOUND, Outcome.MALFORMED_RESPONSE),
-    (b"HTTP/1.1 101 X\r\nUpgrade: a\r\nConnection: upgrade\r\n\r\n" + SOUND, Outcome.ERROR),
+    (b"noise" + VALID, Outcome.MALFORMED_RESPONSE),
+    (b"HTTP/1.1 101 X\r\nUpgrade: a\r\nConnection: upgrade\r\n\r\n" + VALID, Outcome.ERROR),
 ]
 
 
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("in_two_parts", [False, True])
-@pytest.mark.parametrize("response, outcome", ODD_RESPONSES)
+@pytest.mark.parametrize("response, outcome", UNUSUAL_RESPONSES)
 async def test_client_gets_exactly_the_response_to_its_request_or_none(
     response, outcome, in_two_parts
 ):
@@ -116,5 +116,5 @@
             assert (status, body) == (200, b"own")
         else:
             assert status == 500
-        if response != ODD_BUT_REUSABLE:
+        if response != UNUSUAL_BUT_REUSABLE:
             await wait_until(lambda: peer.closed_connections)
--- a/tests/server/test_endpoint_discovery.py
+++ b/tests/server/test_endpoint_discovery.py
@@ -19,7 +19,7 @@
 from tests.server.peers import ScriptedPeer, always, make_response, request_target
 
 SECOND = 10**9
-ASKED = polling(within_us=10**9)
+POLLING = polling(within_us=10**9)
 ONE_ENDPOINT = make_response(body=encode_endpoint_list(1, endpoint_rows(["127.0.0.1:9"])))
 UNCHANGED = make_response(body=encode_endpoint_list(1, [], whole=False))
 
@@ -67,7 +67,7 @@
     calls = PolicyCalls(monkeypatch)
     async with (
         ScriptedPeer(always(response)) as service,
-        RunningBalancer(discovery=service.address, env=ASKED),
+        RunningBalancer(discovery=service.address, env=POLLING),
     ):
         assert await calls.failures.get() == (failure, retry_after_ns)
 
@@ -76,7 +76,7 @@
     calls = PolicyCalls(monkeypatch)
     async with ScriptedPeer(always(make_response())) as closed:
         pass
-    async with RunningBalancer(discovery=closed.address, env=ASKED):
+    async with RunningBalancer(discovery=closed.address, env=POLLING):
         assert (await calls.failures.get())[0] is PollFailure.UNREACHABLE
 
 
@@ -94,7 +94,7 @@
 
     async with (
         ScriptedPeer(script) as service,
-        RunningBalancer(discovery=service.address, env=ASKED),
+        RunningBalancer(discovery=service.address, env=POLLING),
     ):
         assert await calls.confirmations.get() == 0, "the whole list"
         assert await calls.confirmations.get() == 0, "no changes"
@@ -112,7 +112,7 @@
 
     async with (
         ScriptedPeer(script) as service,
-        RunningBalancer(discovery=service.address, env=ASKED),
+        RunningBalancer(discovery=service.address, env=POLLING),
     ):
         assert await calls.confirmations.get() == 0, "the whole list"
         assert await calls.confirmations.get() == 50_000_000
@@ -126,13 +126,13 @@
 
     async with (
         ScriptedPeer(always(ONE_ENDPOINT)) as service,
-        RunningBalancer(discovery=service.address, env=ASKED),
+        RunningBalancer(discovery=service.address, env=POLLING),
     ):
         await wait_until(lambda: service.requests)
 
     async with (
         ScriptedPeer(always(ONE_ENDPOINT)) as service,
-        RunningBalancer(["127.0.0.1:9"], discovery=service.address, env=ASKED) as balancer,
+        RunningBalancer(["127.0.0.1:9"], discovery=service.address, env=POLLING) as balancer,
     ):
         assert balancer.app.discovery.ready and not balancer.app.discovery.tasks
         assert balancer.known["hosts"] == endpoint_rows(["127.0.0.1:9"])
--- a/tests/server/test_malformed_endpoint_lists.py
+++ b/tests/server/test_malformed_endpoint_lists.py
@@ -26,12 +26,12 @@
 
 ZONES = {"z": 0}
 KINDS = {"m": 0}
-NO_JSON = [
+INVALID_JSON = [
     '"born_ms": NaN',
     '"born_ms": -Infinity',
     '"share": NaN',
 ]
-ODD_ROWS = [
+UNREADABLE_ROWS = [
     '"health": ["x"]',
     '"health": {"state": "ready"}',
     '"health": "warming"',
@@ -64,12 +64,12 @@
     monkeypatch.setattr(endpoints, "LONGEST_ROUNDS", {})
 
 
-class OddService(ScriptedPeer):
+class MalformedRowService(ScriptedPeer):
     """A service whose second response has a malformed row, and whose third drains an upstream."""
 
-    def __init__(self, odd_pair):
+    def __init__(self, malformed_pair):
         super().__init__(self.respond_to_poll)
-        self.odd_pair = odd_pair
+        self.malformed_pair = malformed_pair
         self.goes_on = asyncio.Event()  # gates the third response
         self.goes_on.set()
 
@@ -80,9 +80,9 @@
                 return make_response(body=encode_endpoint_list(1, rows))
             case 2:
                 # The last of two equal keys takes effect.
-                odd_row = json.dumps(rows[0])[:-1] + f", {self.odd_pair}}}"
+                malformed_row = json.dumps(rows[0])[:-1] + f", {self.malformed_pair}}}"
                 head = '{"seq": 2, "whole": false, "hosts": ['
-                return make_response(body=f"{head}{odd_row}]}}".encode())
+                return make_response(body=f"{head}{malformed_row}]}}".encode())
             case 3:
                 await self.goes_on.wait()
                 drained = [rows[0] | {"health": "draining"}, rows[1]]
@@ -100,11 +100,11 @@
 
 
 @pytest.mark.usefixtures("short_rounds")
-@pytest.mark.parametrize("odd_pair", NO_JSON)
+@pytest.mark.parametrize("malformed_pair", INVALID_JSON)
 async def test_watch_continues_after_a_response_that_is_no_list_and_notices_the_next_drain(
-    odd_pair,
+    malformed_pair,
 ):
-    async with OddService(odd_pair) as service, follow(service) as balancer:
+    async with MalformedRowService(malformed_pair) as service, follow(service) as balancer:
         async with asyncio.timeout(5):
             await wait_until(lambda: balancer.app.discovery.version == 3)
 
@@ -113,10 +113,10 @@
 
 
 @pytest.mark.usefixtures("short_rounds")
-@pytest.mark.parametrize("odd_pair", ODD_ROWS)
-async def test_upstream_of_an_unreadable_row_is_not_ready_and_the_watch_continues(odd_pair):
+@pytest.mark.parametrize("malformed_pair", UNREADABLE_ROWS)
+async def test_upstream_of_an_unreadable_row_is_not_ready_and_the_watch_continues(malformed_pair):
     # The row may announce a drain, and must not prevent the use of the other rows.
-    async with OddService(odd_pair) as service, follow(service) as balancer:
+    async with MalformedRowService(malformed_pair) as service, follow(service) as balancer:
         service.goes_on.clear()
         async with asyncio.timeout(5):
             await wait_until(lambda: balancer.app.discovery.version == 2)
@@ -130,10 +130,10 @@
 
 
 @pytest.mark.usefixtures("short_rounds")
-@pytest.mark.parametrize("odd_pair", UNNAMED_ROWS)
-async def test_whole_list_is_fetched_where_a_changed_row_has_no_name(odd_pair):
+@pytest.mark.parametrize("malformed_pair", UNNAMED_ROWS)
+async def test_whole_list_is_fetched_where_a_changed_row_has_no_name(malformed_pair):
     # The row may announce the drain of any upstream.
-    async with OddService(odd_pair) as service, follow(service) as balancer:
+    async with MalformedRowService(malformed_pair) as service, follow(service) as balancer:
         async with asyncio.timeout(5):
             await wait_until(lambda: balancer.app.discovery.version == 3)
 
@@ -143,12 +143,12 @@
         assert balancer.counters["list failed"] == 0
 
 
-@pytest.mark.parametrize("odd_pair", [*ODD_ROWS, *UNNAMED_ROWS])
-async def test_balancer_starts_with_a_list_in_which_one_row_is_unreadable(odd_pair):
+@pytest.mark.parametrize("malformed_pair", [*UNREADABLE_ROWS, *UNNAMED_ROWS])
+async def test_balancer_starts_with_a_list_in_which_one_row_is_unreadable(malformed_pair):
     # One registration with a typo must not keep a whole deployment from starting.
     async with ScriptedPeer(always(make_response())) as upstream:
         rows = [json.dumps(row) for row in endpoint_rows([upstream.address] * 3)]
-        rows[2] = rows[2][:-1] + f", {odd_pair}}}"
+        rows[2] = rows[2][:-1] + f", {malformed_pair}}}"
         data = f'{{"seq": 1, "whole": true, "hosts": [{", ".join(rows)}]}}'.encode()
         respond = [make_response(body=data)]
         async with (
@@ -176,8 +176,8 @@
 async def test_upstream_of_an_unreadable_row_that_says_gone_is_gone():
     async with RunningBalancer(["127.0.0.1:9", "127.0.0.1:10"]) as balancer:
         discovery = balancer.app.discovery
-        odd = endpoint_rows(["127.0.0.1:9"], health="gone", share="x")
-        discovery.apply(make_endpoint_list(2, odd, whole=False))
+        unreadable = endpoint_rows(["127.0.0.1:9"], health="gone", share="x")
+        discovery.apply(make_endpoint_list(2, unreadable, whole=False))
 
         assert list(discovery.known) == ["h1"]
 
@@ -228,10 +228,15 @@
 keys = st.sampled_from(
     ["host", "dial", "site", "class", "block", "health", "share", "born_ms", "protocol"]
 )
-sound_row = st.just(endpoint_rows(["127.0.0.1:9"])[0])
-odd_rows = st.builds(lambda row, odd: row | odd, sound_row, st.dictionaries(keys, values))
+valid_row = st.just(endpoint_rows(["127.0.0.1:9"])[0])
+malformed_rows = st.builds(
+    lambda row, changes: row | changes, valid_row, st.dictionaries(keys, values)
+)
 documents = values | st.fixed_dictionaries(
-    {"seq": st.just(1) | values, "hosts": st.lists(sound_row | odd_rows | values, max_size=3)},
+    {
+        "seq": st.just(1) | values,
+        "hosts": st.lists(valid_row | malformed_rows | values, max_size=3),
+    },
     optional={"whole": values},
 )
 
