--- a/pepperhook/__main__.py
+++ b/pepperhook/__main__.py
@@ -52,7 +52,7 @@
     """Build the extensions that the operator's file enables. Raises ConfigError for a bad file."""
     path = environ.get("LB_OPERATOR")
     if not path:
-        return extensions.NONE
+        return extensions.NO_EXTENSIONS
     # Imported only if there is a file.
     from pepperhook import operator_config
 
--- a/pepperhook/http2/server.py
+++ b/pepperhook/http2/server.py
@@ -236,7 +236,7 @@
         if self.transport is None or self.is_closed:
             return
         must_close = self.is_going_away or self.is_shutting_down()
-        if must_close or self.connections.is_full_of_active:
+        if must_close or self.connections.is_full_without_unused:
             self.retire()
         else:
             self.connections.request_done(self)
--- a/pepperhook/idempotency/extension.py
+++ b/pepperhook/idempotency/extension.py
@@ -247,7 +247,7 @@
     def leave(self, abandoned: Any) -> None:
         """End a request that was kept going only for others, which have left now, too."""
         if abandoned is not None:
-            self._host.requests.leave(abandoned)
+            self._host.requests.abandon(abandoned)
 
     def _finish(self, now_ns: int, request: Any, response: StoredResponse | None) -> None:
         entry = self.store.running[request]
--- a/pepperhook/membership/extension.py
+++ b/pepperhook/membership/extension.py
@@ -236,7 +236,7 @@
         if self.transport is None or self.transport.is_closing():
             return
         runtime = self.node.runtime
-        runtime.supervisor.guard("gossip", self._do_what_is_due)
+        runtime.supervisor.run_step("gossip", self._do_what_is_due)
         if self._timer is not None:
             self._timer.cancel()
         delay_s = (self.protocol.next_deadline() - self.now()) / NS_PER_S
--- a/pepperhook/server/app.py
+++ b/pepperhook/server/app.py
@@ -61,7 +61,7 @@
         self,
         config: Config,
         log: Log,
-        extensions: extension_points.Extensions = extension_points.NONE,
+        extensions: extension_points.Extensions = extension_points.NO_EXTENSIONS,
         policy_factory: Callable[[Settings, int, int], Any] = Balancer,
     ) -> None:
         """Create all components; nothing runs before ``start``."""
@@ -124,7 +124,7 @@
             name for name in RESTART_SETTINGS if getattr(config, name) != getattr(self.config, name)
         ]
         if config.discovery != self.config.discovery:
-            self.discovery.move(config.discovery)
+            self.discovery.change_service(config.discovery)
         self.config = dataclasses.replace(self.config, discovery=config.discovery)
         fields = {"wait_for_a_restart": ",".join(needs_restart)} if needs_restart else {}
         self.log.info("reloaded", discovery="{}:{}".format(*config.discovery), **fields)
@@ -134,7 +134,7 @@
         self.log_counters()
         policy = self.runtime.policy
         if not hasattr(policy, "retry_budget"):
-            return  # a baseline policy of the lab, which has no such state
+            return  # a baseline policy for experiments, which has no such state
         self.log.info(
             "budget",
             B=round(policy.retry_budget.B, 3),
@@ -154,6 +154,10 @@
             # state here would make a capture impossible to replay exactly.
             return copy.copy(statistics).decay(now)
 
+        # slow: latency score; faults: decayed fraction of failures; warm: not in slow start; dark:
+        # unreachable; out: attempts in flight by the policy; on_sockets: attempts and health checks
+        # in flight on connections; given_up: attempts abandoned recently that may still run; room:
+        # completed work per time, which is an average concurrency.
         endpoint = self.upstreams.endpoints.get(upstream)
         self.log.info(
             "upstream",
@@ -192,4 +196,4 @@
         """Log the counters of the balancer and of its extensions."""
         self.counters.log_all()
         for hook in self.extensions.told:
-            self.log.info("part", **hook())
+            self.log.info("part", **hook())  # the counters of one extension
--- a/pepperhook/server/client_connections.py
+++ b/pepperhook/server/client_connections.py
@@ -29,7 +29,7 @@
 MAX_ACCEPTS = 16  # in one iteration of the event loop
 ACCEPT_PAUSE_S = 0.02  # before accepting is tried again after a failure
 STREAMS_FACTOR = 4  # concurrent multiplexed requests, as a multiple of the connection limit
-CROWDED_FRACTION = 0.9  # of the soft limit that may be busy; requests beyond it are refused
+MAX_BUSY_FRACTION = 0.9  # of the soft limit that may be busy; requests beyond it are refused
 
 
 class Connection(web.RequestHandler):
@@ -99,6 +99,8 @@
     Above ``soft_limit`` the longest idle connections are closed and every response closes its
     connection; at ``hard_limit`` new connections wait to be accepted. Descriptors therefore never
     run out, which would stop all accepting for a second at a time.
+
+    To retire a connection is to close it gracefully; until it is closed, it is in ``ending``.
     """
 
     def __init__(
@@ -119,9 +121,9 @@
         self.serve_unreadable = serve_unreadable
         self.soft_limit = soft_limit
         self.hard_limit = hard_limit
-        self.idle: dict[Any, float] = {}  # and the time since; longest idle first
+        self.idle: dict[Any, float] = {}  # with the time when it became idle; longest idle first
         self.busy: set[Any] = set()  # with a request in flight
-        self.arriving: set[asyncio.Task[Any]] = set()
+        self.arriving: set[asyncio.Task[Any]] = set()  # create the transport of a connection
         self.ending: dict[Any, float] = {}  # closing, with the deadline; oldest first
         # If HTTP/2 is enabled: takes the factory of HTTP/1.1 connections and returns a connection
         # that detects the protocol.
@@ -298,7 +300,7 @@
             # A client that connected or was answered just now may be sending its next message.
             if limit == 0 or self.loop.time() - self.idle[handler] <= MIN_IDLE_S:
                 break
-            # close_idle skips connections with unread data, which are served first.
+            # close_idle skips connections with unread data, whose requests are still to be served.
             if self.close_idle(handler, limit is not None) and limit is not None:
                 limit -= 1
         return len(self.idle) < before
@@ -368,11 +370,11 @@
         return self.count - len(self.ending) >= self.soft_limit
 
     @property
-    def is_full_of_active(self) -> bool:
-        """Whether it is full, and no idle connection is one that never had a response."""
+    def is_full_without_unused(self) -> bool:
+        """Whether the soft limit is reached, and every idle connection has had a response."""
         return self._is_full and all(handler.answered for handler in self.idle)
 
     @property
-    def is_crowded(self) -> bool:
+    def has_too_many_busy(self) -> bool:
         """Whether so many connections are busy that new requests must be refused."""
-        return len(self.busy) > CROWDED_FRACTION * self.soft_limit
+        return len(self.busy) > MAX_BUSY_FRACTION * self.soft_limit
--- a/pepperhook/server/endpoint_discovery.py
+++ b/pepperhook/server/endpoint_discovery.py
@@ -36,7 +36,8 @@
 MAX_CONNECTIONS = 4
 WATCH_MARGIN_S = 0.5  # that a response may take beyond the requested wait
 FETCH_TIMEOUT_S = 2.5  # the service drops polls that it could not answer in two seconds
-# A watch poll that is open for longer is not queued at the service, but waits for a change.
+# A watch that is open for longer is not queued at the service, but held until there is a change.
+# So the list was current when the poll was sent.
 WATCH_HELD_S = POLL_TIMEOUT / NS_PER_S
 EARLY_RESPONSE_S = 0.05  # a response without changes within this time is followed by a pause
 EARLY_RESPONSE_PAUSE_S = 0.1
@@ -62,7 +63,7 @@
         counters: Counters,
         config: Config,
         upstreams: UpstreamPool,
-        extensions: extension_points.Extensions = extension_points.NONE,
+        extensions: extension_points.Extensions = extension_points.NO_EXTENSIONS,
     ) -> None:
         """Prepare to poll the service that ``config`` names; nothing is sent yet."""
         self.runtime = runtime
@@ -89,7 +90,7 @@
         self.session = http1_client.make_session(limit=MAX_CONNECTIONS)
         self.url = f"http://{host}:{port}/catalog/members"
 
-    def move(self, address: Address) -> None:
+    def change_service(self, address: Address) -> None:
         """Poll another service from now on.
 
         The current list stays in force until the new service has sent its whole list, because its
@@ -131,7 +132,7 @@
         Otherwise the policy would consider the watch open, and the list current, forever.
         """
         if self.tasks.get(kind) is not task:
-            return  # cancelled by move
+            return  # cancelled by change_service
         del self.tasks[kind]
         error = asyncio.CancelledError() if task.cancelled() else task.exception()
         if error is not None and not self.is_closed:
@@ -139,16 +140,16 @@
             self._poll_failed(error)
 
     async def _watch(self) -> None:
-        """Poll again immediately after each response: a gap would start a new watch."""
-        is_going = True
-        while is_going:
+        """Poll again immediately after each response; to the policy this is one watch."""
+        continues = True
+        while continues:
             started_at_s = self.runtime.loop.time()
             version_before = self.version
-            is_going = await self._poll(self._watch_query())
+            continues = await self._poll(self._watch_query())
             is_early = self.runtime.loop.time() < started_at_s + EARLY_RESPONSE_S
-            if is_going and self.version == version_before and is_early:
-                # A service that does not wait must not be polled in a tight loop. The pause is
-                # short enough for the watch to continue.
+            if continues and self.version == version_before and is_early:
+                # A service that does not wait must not be polled in a tight loop. To the policy,
+                # the watch continues during the pause.
                 await asyncio.sleep(EARLY_RESPONSE_PAUSE_S)
 
     def _watch_query(self) -> Query:
@@ -253,11 +254,15 @@
             self.counters.add("list rows unreadable")
             self.log.warning("list_row_unreadable", why=reason)
         readable = {listed.name for listed in update.endpoints}
-        kept = {} if update.is_whole else {n: why for n, why in before.items() if n not in readable}
-        self.unreadable = kept | {row.name: row.reason for row in update.unreadable}
+        unchanged = (
+            {}
+            if update.is_whole
+            else {name: reason for name, reason in before.items() if name not in readable}
+        )
+        self.unreadable = unchanged | {row.name: row.reason for row in update.unreadable}
 
     def _log_update(self, update: EndpointList) -> None:
-        """Log the rows of an update, so that the log shows late notifications."""
+        """Log the rows of an update, so that the log shows when each change was received."""
         rows = " ".join(f"{listed.name}:{listed.state}" for listed in update.endpoints)
         self.log.debug("list_applied", version=update.version, whole=update.is_whole, rows=rows)
 
@@ -270,7 +275,10 @@
         return rows
 
     def _mark_not_ready(self, row: UnreadableRow) -> EndpointUpdate:
-        """Treat an upstream with an unreadable row as draining: the row may announce a drain."""
+        """Treat an upstream with an unreadable row as draining, or as gone if the row says so.
+
+        The unreadable part may announce a drain.
+        """
         upstream = self.known[row.name]
         state = UpstreamState.GONE if row.is_gone else UpstreamState.DRAINING
         return EndpointUpdate(upstream, state, upstream.started_at)
@@ -278,7 +286,8 @@
     def _update_upstream(self, listed: ListedEndpoint) -> EndpointUpdate:
         upstream = self.known.get(listed.name)
         if upstream is None:
-            # By name, not by dial address, so that the rings of all balancers have the same order.
+            # By name, which is the same at every balancer, not by dial address, so that the rings
+            # from which they choose their subsets have the same order.
             upstream = self.known[listed.name] = Upstream(listed.name.encode())
         upstream.zone = listed.zone
         upstream.kind = listed.kind
--- a/pepperhook/server/extensions.py
+++ b/pepperhook/server/extensions.py
@@ -46,6 +46,7 @@
     ``reads`` names the request headers whose values an extension gets in
     ``RequestMessage.read_headers``, together with the client's address; ``reads_back`` names the
     response headers that it gets in ``UpstreamResponse.read_headers``. ``now`` is in nanoseconds.
+    ``leaving`` is about a client that leaves, ``left`` about the end of the process.
     """
 
     reads: tuple[str, ...]
@@ -54,7 +55,10 @@
     # Hook points of the process, in the order of the calls.
 
     def hold(self) -> None:
-        """Lock resources that only one process may use, before the start. Raises ValueError."""
+        """Acquire what only one process may use, such as a journal or folder, before the start.
+
+        Raises ValueError, with a message of one line, if that is impossible.
+        """
 
     def born(self, app: BalancerApp, policy: Any, now: int) -> Any:
         """Return the policy to use: ``policy``, which has had no call yet, or a proxy of it."""
@@ -104,7 +108,7 @@
         """Handle the final response before it is sent; may add headers to it."""
 
     def leaving(self, now: int, request: Request) -> bool:
-        """Handle the client's leaving; True keeps the request until ``RequestLifecycles.leave``."""
+        """Handle a client's leaving; True keeps the request until ``RequestLifecycles.abandon``."""
 
     def over(self, now: int, request: Request) -> None:
         """Release the state of a request whose lifecycle ends; called once for each request."""
@@ -138,17 +142,17 @@
         """Collect the hooks of ``extensions``; ``h2``: the settings of HTTP/2 if it is enabled."""
         self.all = tuple(extensions)
         self.h2 = h2
-        self.reads = self._names("reads")
-        self.reads_back = self._names("reads_back")
+        self.reads = self._header_names("reads")
+        self.reads_back = self._header_names("reads_back")
         for point in POINTS:
             hooks = (getattr(extension, point, None) for extension in self.all)
             setattr(self, point, tuple(hook for hook in hooks if hook is not None))
 
-    def _names(self, attribute: str) -> tuple[str, ...]:
+    def _header_names(self, attribute: str) -> tuple[str, ...]:
         return tuple(name for extension in self.all for name in getattr(extension, attribute, ()))
 
 
-NONE = Extensions()
+NO_EXTENSIONS = Extensions()
 
 
 def listed_name(extension: Any) -> str:
--- a/pepperhook/server/http1_client.py
+++ b/pepperhook/server/http1_client.py
@@ -29,8 +29,11 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_STALE_CONNECTIONS = 20  # tried in a row for one request
-CONNECTION_REST_S = 0.01  # from the end of a response to the next request on its connection
-# Otherwise the library rounds timeouts above five seconds up, and responses come late.
+REUSE_DELAY_S = (
+    0.01  # minimum time from the end of a response to the next request on its connection
+)
+# The library rounds timeouts above this threshold up, by default above five seconds; then
+# timeouts would end late.
 CEIL_THRESHOLD_S = 10**9
 SWITCHING_PROTOCOLS = 101
 MIN_FINAL_STATUS = 200
@@ -76,7 +79,7 @@
         self.read_timer: asyncio.TimerHandle | None = None
         self.completed_at = 0.0  # end of the last response, in the loop's time
         self.body: Any = None  # the library's reader of the response's body
-        # Bytes of the body still to be received; None before the head is read.
+        # Bytes of the body still to be received; None before the head is read, inf if unknown.
         self.remaining: float | None = 0
         self.head_tail = b""  # last bytes of an incomplete head, which may begin HEAD_END
         self.is_head_begun = False
@@ -97,12 +100,12 @@
     def data_received(self, data: bytes) -> None:
         """Pass the bytes of the response to the parser; close the connection if others follow."""
         if not data:
-            super().data_received(data)  # the library resumes after a pause
-        rest = self._parse(data)
+            super().data_received(data)  # the library resumes parsing after a pause of reading
+        surplus = self._parse(data)
         if self.exception() is not None and self.body is not None and not self.body.is_eof():
             # Otherwise the error would look like a lost connection.
             self.body.set_exception(MalformedResponseError("the body cannot be parsed"))
-        if rest and self.transport is not None:
+        if surplus and self.transport is not None:
             # Further bytes belong to no request, and would be mixed up with later responses.
             self.force_close()
             self.transport.close()
@@ -197,9 +200,9 @@
         """Write the request. Raises StaleConnectionError or SendForbiddenError before that."""
         # A second response that arrives some milliseconds after the first must not be taken as that
         # to the next request.
-        rest_s = conn.protocol.completed_at + CONNECTION_REST_S - self.loop.time()
-        if rest_s > 0:
-            await asyncio.sleep(rest_s)
+        delay_s = conn.protocol.completed_at + REUSE_DELAY_S - self.loop.time()
+        if delay_s > 0:
+            await asyncio.sleep(delay_s)
         if (
             conn.transport is None
             or conn.protocol.should_close
--- a/pepperhook/server/http1_server.py
+++ b/pepperhook/server/http1_server.py
@@ -113,7 +113,7 @@
         self.server.request_begun(connection)
         try:
             response = self._refuse(refusal) if refusal else await self._handle(request)
-            if self.is_shutting_down or self.server.is_full_of_active:
+            if self.is_shutting_down or self.server.is_full_without_unused:
                 response.force_close()
             if refusal or connection.is_pipelined or not request.content.is_eof():
                 response.force_close()
@@ -150,7 +150,7 @@
             return self._refuse(error)
 
     async def _forward(self, request: Any) -> web.Response:
-        if self.server.is_crowded:
+        if self.server.has_too_many_busy:
             # No sockets are left to serve the request; nothing was sent, so a retry is harmless.
             raise RequestRefusedError(HTTPStatus.SERVICE_UNAVAILABLE, "too many connections")
         if request.protocol.is_pipelined:
--- a/pepperhook/server/ingress.py
+++ b/pepperhook/server/ingress.py
@@ -44,15 +44,15 @@
 )
 # Subtracted from the time limit, for the network to and from the client, and for a busy core.
 TIME_LIMIT_MARGIN_NS = 25 * 10**6
-LATENESS_FACTOR = 3  # lateness can delay accepting, reading, and writing the response
+LATENESS_FACTOR = 3  # steps that lateness can delay: accepting, reading, writing the response
 NS_PER_S = 1e9
 NS_PER_MS = 10**6
 NS_PER_US = 1000
 
 PLAIN_TEXT = "text/plain; charset=utf-8"
 DEFAULT_CONTENT_TYPE = "application/octet-stream"
-REJECTED_BODY = b"shed\n"
-FAILED_BODY = b"broken off\n"
+REJECTED_BODY = b"shed\n"  # a retry is harmless
+FAILED_BODY = b"broken off\n"  # may have been executed
 
 
 class RequestRefusedError(PepperhookError):
@@ -102,7 +102,7 @@
         config: Config,
         requests: RequestLifecycles,
         discovery: EndpointDiscovery,
-        extensions: extension_points.Extensions = extension_points.NONE,
+        extensions: extension_points.Extensions = extension_points.NO_EXTENSIONS,
     ) -> None:
         """Take the names of service classes and tenants, and the time limits, from ``config``."""
         self.runtime = runtime
@@ -125,7 +125,7 @@
 
     def update_settings(self) -> None:
         """Apply changed settings; requests in flight keep their time limits."""
-        max_ns = max(each.time_limit_ns for each in self.settings.service_classes)
+        max_ns = max(service_class.time_limit_ns for service_class in self.settings.service_classes)
         self.max_time_limit_s = max(self.max_time_limit_s, max_ns / NS_PER_S)
         self.ids.keep_s = self.max_time_limit_s
 
@@ -242,7 +242,8 @@
         Cancelling this coroutine reports that the client has left.
         """
         if request.deadline <= self.runtime.now():
-            # It waited too long; a core that is late should not spend more on it than the response.
+            # Its deadline has passed while it waited to be read. On a core that is late, only the
+            # response should use CPU time.
             self.counters.add("too late")
             return FinalResponse(ResponseKind.REJECTED)
         self.ids.begin(request.id)
--- a/pepperhook/server/request_lifecycle.py
+++ b/pepperhook/server/request_lifecycle.py
@@ -22,7 +22,7 @@
     from pepperhook.server.runtime import Runtime
     from pepperhook.server.structured_logging import Log
 
-OVERDUE_S = 0.015  # past the deadline, to wait for the policy's own final response
+DEADLINE_GRACE_S = 0.015  # how long after the deadline to wait for the policy's final response
 NS_PER_S = 1e9
 
 ResponseFuture = asyncio.Future[FinalResponse]
@@ -36,7 +36,7 @@
         runtime: Runtime,
         log: Log,
         counters: Counters,
-        extensions: extension_points.Extensions = extension_points.NONE,
+        extensions: extension_points.Extensions = extension_points.NO_EXTENSIONS,
     ) -> None:
         """Start without requests in flight."""
         self.runtime = runtime
@@ -59,7 +59,7 @@
         task.add_done_callback(self.tasks.discard)
         return response
 
-    def leave(self, request: Request) -> None:
+    def abandon(self, request: Request) -> None:
         """Report that nobody waits any more for a request that an extension kept in flight."""
         inbox = self.runtime.inboxes.get(request)
         if inbox is not None:
@@ -132,7 +132,7 @@
             return await self._inbox.get()  # an attempt ends at its own timeout at the latest
         deadline_s = (self._request.deadline - self._runtime.offset) / NS_PER_S
         try:
-            async with asyncio.timeout_at(deadline_s + OVERDUE_S):
+            async with asyncio.timeout_at(deadline_s + DEADLINE_GRACE_S):
                 return await self._inbox.get()
         except TimeoutError:
             return Overdue()
@@ -230,7 +230,7 @@
             hook(self._runtime.now(), self._request)
 
     async def _ended_before_policy(self) -> bool:
-        """Call the ``arrived`` hooks; return whether one, or the client, ended the request."""
+        """Call the ``arrived`` hooks; return whether a hook or the client ended the request."""
         for hook in self._extensions.arrived:
             result = hook(self._runtime.now(), self._request, self._message)
             if asyncio.isfuture(result):
--- a/pepperhook/server/runtime.py
+++ b/pepperhook/server/runtime.py
@@ -17,7 +17,7 @@
     from pepperhook.server.structured_logging import Log
     from pepperhook.server.upstream_pool import UpstreamPool
 
-HEARTBEAT_S = 0.025  # between measurements of how late the event loop is
+LATENESS_INTERVAL_S = 0.025  # between measurements of the event loop's lateness
 LATENESS_HALF_LIFE_NS = 500 * 10**6
 NS_PER_S = 1e9
 NS_PER_MS = 10**6
@@ -44,7 +44,7 @@
         self.worst_lateness = (0, 0)  # in nanoseconds, with the time of the measurement
         self._wake_timer: asyncio.TimerHandle | None = None
         self._wake_at = 0
-        self._heartbeat_timer: asyncio.TimerHandle | None = None
+        self._lateness_timer: asyncio.TimerHandle | None = None
 
     def now(self) -> int:
         """Return the Unix time in nanoseconds, on a clock that never goes back."""
@@ -61,15 +61,17 @@
         self.upstreams = upstreams
         self.discovery = discovery
         self.call_policy(policy.wake)
-        self._schedule_heartbeat(self.now())
+        self._schedule_measurement(self.now())
 
-    def _schedule_heartbeat(self, now: int) -> None:
-        self._heartbeat_timer = self.loop.call_later(HEARTBEAT_S, self._heartbeat, now)
+    def _schedule_measurement(self, now: int) -> None:
+        self._lateness_timer = self.loop.call_later(
+            LATENESS_INTERVAL_S, self._measure_lateness, now
+        )
 
-    def _heartbeat(self, previous: int) -> None:
+    def _measure_lateness(self, previous: int) -> None:
         now = self.now()
-        self._schedule_heartbeat(now)
-        lateness = max(0, now - previous - int(HEARTBEAT_S * NS_PER_S))
+        self._schedule_measurement(now)
+        lateness = max(0, now - previous - int(LATENESS_INTERVAL_S * NS_PER_S))
         if lateness > self.lateness_ns():
             self.worst_lateness = (lateness, now)
             self.log.debug("event_loop_late", ms=lateness // NS_PER_MS)
@@ -92,7 +94,7 @@
             # Execute what it had decided before the fault; otherwise requests would hang.
             results = self.policy.actions
             self.policy.actions = []
-            self.counters.add("faults of the module")
+            self.counters.add("faults of the module")  # the policy
             self.log.exception("module_fault", call=call.__name__)
         for action in results:
             self._execute(action)
@@ -121,7 +123,7 @@
             return bool(self.policy.may_send(self.now(), attempt))
         except Exception:
             self.counters.add("faults of the module")
-            self.log.exception("module_fault", call="goes")
+            self.log.exception("module_fault", call="goes")  # the log's name of may_send
             return False
 
     def _deliver(
@@ -136,7 +138,8 @@
         if inbox is not None:
             inbox.put_nowait(action)
         elif isinstance(action, actions.StartAttempt):
-            # Nobody sends this attempt; without its end the policy would count it as open forever.
+            # The request has no lifecycle that would send the attempt. Unless its end is reported,
+            # the policy counts it as open forever.
             self.loop.call_soon(
                 self.call_policy,
                 self.policy.attempt_ended,
@@ -168,6 +171,6 @@
 
     def close(self) -> None:
         """Cancel the timers."""
-        for timer in (self._wake_timer, self._heartbeat_timer):
+        for timer in (self._wake_timer, self._lateness_timer):
             if timer is not None:
                 timer.cancel()
--- a/pepperhook/server/supervision.py
+++ b/pepperhook/server/supervision.py
@@ -14,8 +14,8 @@
 class Supervisor:
     """Runs long-lived tasks, and reports each fault with the task's name.
 
-    Without it, one unexpected message could end the task that follows the configuration or the
-    members, while the process goes on serving with outdated data.
+    Without it, one unexpected message could end the task that receives the configuration or the
+    list of members, while the process continues to serve with outdated data.
     """
 
     def __init__(self, report: ReportFault) -> None:
@@ -29,7 +29,7 @@
         """
         return asyncio.get_running_loop().create_task(self._run(name, work), name=name)
 
-    def guard(self, name: str, step: Callable[[], None]) -> None:
+    def run_step(self, name: str, step: Callable[[], None]) -> None:
         """Run one step of periodic work; report its error instead of raising it.
 
         For work on timers: an error that propagates would keep the next timer from being set.
--- a/pepperhook/server/upstream_pool.py
+++ b/pepperhook/server/upstream_pool.py
@@ -35,7 +35,9 @@
 # From the first byte of a response to its last. Upstreams write a response at once, and stalls
 # are shorter than this.
 RESPONSE_READ_TIMEOUT_S = 0.4
-LATE_CONNECT_FACTOR = 1.5  # times the connect timeout; beyond it, this process was stalled
+LATE_CONNECT_FACTOR = (
+    1.5  # times the connect timeout; if connecting took longer, this process was stalled
+)
 HEALTH_CHECK_FACTOR = 4  # timeout of a health check, as a multiple of the connect timeout
 NS_PER_S = 1e9
 MS_PER_S = 1000
@@ -84,7 +86,7 @@
         counters: Counters,
         settings: Settings,
         max_sockets: int,
-        extensions: extension_points.Extensions = extension_points.NONE,
+        extensions: extension_points.Extensions = extension_points.NO_EXTENSIONS,
     ) -> None:
         """Start without upstreams; connections are opened when they are needed."""
         self.runtime = runtime
@@ -169,7 +171,7 @@
 
         The limit keeps them from using up the descriptors of client connections.
         """
-        open_sockets = [each for each in self.sockets if each.fileno() != -1]
+        open_sockets = [known for known in self.sockets if known.fileno() != -1]
         if len(open_sockets) >= self.max_sockets:
             self.counters.add("connections over the bound")
             raise SocketLimitError(EMFILE, "the limit on connections to upstreams is reached")
@@ -236,7 +238,7 @@
     ) -> AttemptResult:
         """Return the outcome and the response; every error becomes an outcome.
 
-        Unless nothing was certainly sent, the request may have been executed.
+        The request may have been executed, unless it is certain that nothing was sent.
         """
         endpoint = self.endpoints.get(attempt.upstream)
         started_at = self.runtime.now()
@@ -361,11 +363,13 @@
         return None
     if isinstance(values, list):
         values = dict(zip(figures, values, strict=False))
-    if not isinstance(values, dict) or not all(_is_amount(values.get(name)) for name in figures):
+    if not isinstance(values, dict) or not all(
+        _is_non_negative_number(values.get(name)) for name in figures
+    ):
         return None
     return {policy_name: float(values[name]) for name, policy_name in figures.items()}
 
 
-def _is_amount(value: object) -> bool:
+def _is_non_negative_number(value: object) -> bool:
     # The comparison is false for NaN, which the JSON parser accepts.
     return type(value) in (int, float) and value >= 0  # type: ignore[operator]
--- a/tests/server/balancers.py
+++ b/tests/server/balancers.py
@@ -8,7 +8,7 @@
 from pepperhook import settings as settings_reader
 from pepperhook.server import config, structured_logging
 from pepperhook.server.app import BalancerApp
-from pepperhook.server.extensions import NONE
+from pepperhook.server.extensions import NO_EXTENSIONS
 from tests.server.peers import read_message
 
 REQUEST_IDS = itertools.count()
@@ -106,7 +106,7 @@
     def __init__(
         self,
         addresses=(),
-        extensions=NONE,
+        extensions=NO_EXTENSIONS,
         measures_lateness=False,
         owns_event_loop=True,
         **configuration,
--- a/tests/server/test_client_connections.py
+++ b/tests/server/test_client_connections.py
@@ -97,7 +97,7 @@
         assert await balancer.status() == 200
 
 
-async def test_refused_connections_make_room_where_it_is_short():
+async def test_refused_connections_do_not_use_up_the_connection_limit():
     async with (
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address]) as balancer,
@@ -119,7 +119,7 @@
             writer.close()
 
 
-async def test_incomplete_message_is_no_request():
+async def test_incomplete_message_is_neither_accepted_nor_forwarded():
     async with (
         ScriptedPeer(always(make_response())) as peer,
         RunningBalancer([peer.address]) as balancer,
@@ -162,7 +162,7 @@
         assert len(peer.requests) == 2
 
 
-async def test_requests_that_arrive_byte_by_byte_do_not_keep_others_out():
+async def test_requests_that_arrive_byte_by_byte_do_not_prevent_others_from_being_served():
     # Lateness is subtracted from time limits; this one is long enough for a busy machine.
     env = with_service_classes(timeLimitUs=60000000)
     is_done = asyncio.Event()
--- a/tests/server/test_closing_connections.py
+++ b/tests/server/test_closing_connections.py
@@ -54,7 +54,9 @@
         writer.close()
 
 
-async def test_last_response_of_a_connection_is_whole_although_more_bytes_arrive(monkeypatch):
+async def test_last_response_of_a_connection_is_sent_completely_while_more_bytes_arrive(
+    monkeypatch,
+):
     # While the client has not read its response, more of its bytes reach the closing balancer.
     body = b"x" * 30000
     async with (
--- a/tests/server/test_config.py
+++ b/tests/server/test_config.py
@@ -83,7 +83,7 @@
     )
 
 
-def test_the_server_reads_the_same_settings_as_other_hosts_but_polls(tmp_path):
+def test_settings_of_the_server_differ_from_those_read_only_in_polling(tmp_path):
     read = config.read(write_config(tmp_path))
 
     assert read.settings == replace(settings.read(ENVIRONMENT), polls_endpoints=True)
--- a/tests/server/test_connecting_attempts.py
+++ b/tests/server/test_connecting_attempts.py
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("resets", [False, True])
-async def test_request_is_never_written_if_its_clients_leaving_is_still_unread(resets):
+async def test_request_is_never_written_if_its_client_has_left_but_the_close_is_unread(resets):
     # A request was forwarded although its client had left, as the close was not read yet.
     async with (
         ScriptedPeer(always(make_response())) as peer,
--- a/tests/server/test_endpoint_service_change.py
+++ b/tests/server/test_endpoint_service_change.py
@@ -119,7 +119,7 @@
         await wait_until(lambda: not old_service.writers)
 
 
-async def test_old_list_is_in_force_until_an_unavailable_new_service_comes_up():
+async def test_old_list_is_in_force_until_the_new_service_is_available():
     is_up = asyncio.Event()
 
     def script(head, _):
@@ -145,7 +145,7 @@
         assert balancer.policy.endpoints.is_watching
 
 
-async def test_old_service_stays_in_force_if_the_move_fails(monkeypatch):
+async def test_old_service_is_kept_if_the_change_to_a_new_one_fails(monkeypatch):
     # A reload that failed halfway would end the old polls without starting new ones.
     async with ScriptedPeer(always(list_response(1, ["127.0.0.1:9"]))) as service:
         balancer = RunningBalancer(discovery=service.address, env=RARELY_POLLING)
--- a/tests/server/test_endpoint_watch_failures.py
+++ b/tests/server/test_endpoint_watch_failures.py
@@ -79,7 +79,7 @@
 
 @pytest.mark.usefixtures("short_intervals")
 @pytest.mark.parametrize("ending", SILENT + FAILING)
-async def test_drain_is_noticed_after_the_watch_has_failed_or_fallen_silent(ending):
+async def test_drain_is_noticed_after_the_watch_has_failed_or_timed_out(ending):
     async with (
         ScriptedPeer(always(make_response())) as first,
         ScriptedPeer(always(make_response())) as second,
--- a/tests/server/test_extensions.py
+++ b/tests/server/test_extensions.py
@@ -1,6 +1,6 @@
 """The hook points: the order of the calls, and their effects on requests."""
 
-from pepperhook.server.extensions import NONE, POINTS, Extensions, listed_name
+from pepperhook.server.extensions import NO_EXTENSIONS, POINTS, Extensions, listed_name
 from pepperhook.server.messages import FinalResponse, ResponseKind
 from tests.server.balancers import RunningBalancer
 from tests.server.peers import ScriptedPeer, always, make_response
@@ -50,14 +50,14 @@
 
 
 def test_without_extensions_no_hook_point_has_hooks():
-    assert all(getattr(NONE, point) == () for point in POINTS)
+    assert all(getattr(NO_EXTENSIONS, point) == () for point in POINTS)
 
 
 def test_an_extension_is_listed_by_its_class_name_or_by_listed_as():
     assert [listed_name(extension) for extension in (Spy(), NamedSpy())] == ["spy", "informer"]
 
 
-async def test_an_extension_is_called_at_each_point_in_order():
+async def test_hooks_of_an_extension_are_called_in_order():
     spy = Spy()
     async with (
         ScriptedPeer(always(make_response())) as peer,
--- a/tests/server/test_http1_client.py
+++ b/tests/server/test_http1_client.py
@@ -120,7 +120,7 @@
         make_response() + b"GET",
     ],
 )
-async def test_bytes_that_nobody_requested_are_no_response_to_the_next_request(unrequested):
+async def test_unsolicited_bytes_are_not_used_as_the_response_to_the_next_request(unrequested):
     # A client got the response to another client's request, or a part of it.
     async with (
         UnrequestedBytes(unrequested) as peer,
@@ -150,24 +150,24 @@
         return True
 
 
-async def test_second_response_some_milliseconds_later_is_not_taken_as_the_next_one(monkeypatch):
+async def test_late_second_response_is_not_used_for_the_next_request(monkeypatch):
     async with SecondResponse() as peer, RunningBalancer([peer.address]) as balancer:
         sleep = asyncio.sleep
 
         async def sleep_while_it_arrives(duration_s):
-            # This is the rest between two requests, in which the second response arrives.
-            assert 0 < duration_s <= http1_client.CONNECTION_REST_S
+            # The second response arrives during the delay between two requests.
+            assert 0 < duration_s <= http1_client.REUSE_DELAY_S
             if peer.write_second is not None:
                 peer.write_second()
                 peer.write_second = None
             await sleep(duration_s)
 
         def patched_sleep(duration_s):
-            rests = 0 < duration_s <= http1_client.CONNECTION_REST_S
-            return sleep_while_it_arrives(duration_s) if rests else sleep(duration_s)
+            is_reuse_delay = 0 < duration_s <= http1_client.REUSE_DELAY_S
+            return sleep_while_it_arrives(duration_s) if is_reuse_delay else sleep(duration_s)
 
         monkeypatch.setattr(http1_client.asyncio, "sleep", patched_sleep)
-        monkeypatch.setattr(http1_client, "CONNECTION_REST_S", 0.9)
+        monkeypatch.setattr(http1_client, "REUSE_DELAY_S", 0.9)
 
         for number in range(5):
             received = await balancer.request(X_Request_ID=f"id{number}")
--- a/tests/server/test_malformed_endpoint_lists.py
+++ b/tests/server/test_malformed_endpoint_lists.py
@@ -57,7 +57,7 @@
 
 
 @pytest.fixture
-def short_rounds(monkeypatch):
+def short_poll_intervals(monkeypatch):
     """Make the policy poll again within 100 ms."""
     monkeypatch.setattr(endpoints, "MIN_ROUND", 100 * MILLISECOND)
     monkeypatch.setattr(endpoints, "NOTIFIED_AFTER", 100 * MILLISECOND)
@@ -70,8 +70,8 @@
     def __init__(self, malformed_pair):
         super().__init__(self.respond_to_poll)
         self.malformed_pair = malformed_pair
-        self.goes_on = asyncio.Event()  # gates the third response
-        self.goes_on.set()
+        self.third_response_allowed = asyncio.Event()
+        self.third_response_allowed.set()
 
     async def respond_to_poll(self, *_):
         rows = endpoint_rows(["127.0.0.1:9", "127.0.0.1:10"])
@@ -84,13 +84,13 @@
                 head = '{"seq": 2, "whole": false, "hosts": ['
                 return make_response(body=f"{head}{malformed_row}]}}".encode())
             case 3:
-                await self.goes_on.wait()
+                await self.third_response_allowed.wait()
                 drained = [rows[0] | {"health": "draining"}, rows[1]]
                 return make_response(body=encode_endpoint_list(3, drained))
         return None
 
 
-def follow(service):
+def make_polling_balancer(service):
     """Return a balancer that polls the service."""
     return RunningBalancer(discovery=service.address, env=polling(within_us=10**9))
 
@@ -99,12 +99,15 @@
     return sorted(upstream.address for upstream in balancer.ready_upstreams)
 
 
-@pytest.mark.usefixtures("short_rounds")
+@pytest.mark.usefixtures("short_poll_intervals")
 @pytest.mark.parametrize("malformed_pair", INVALID_JSON)
 async def test_watch_continues_after_a_response_that_is_no_list_and_notices_the_next_drain(
     malformed_pair,
 ):
-    async with MalformedRowService(malformed_pair) as service, follow(service) as balancer:
+    async with (
+        MalformedRowService(malformed_pair) as service,
+        make_polling_balancer(service) as balancer,
+    ):
         async with asyncio.timeout(5):
             await wait_until(lambda: balancer.app.discovery.version == 3)
 
@@ -112,16 +115,19 @@
         assert balancer.counters["list failed"] == 1
 
 
-@pytest.mark.usefixtures("short_rounds")
+@pytest.mark.usefixtures("short_poll_intervals")
 @pytest.mark.parametrize("malformed_pair", UNREADABLE_ROWS)
 async def test_upstream_of_an_unreadable_row_is_not_ready_and_the_watch_continues(malformed_pair):
     # The row may announce a drain, and must not prevent the use of the other rows.
-    async with MalformedRowService(malformed_pair) as service, follow(service) as balancer:
-        service.goes_on.clear()
+    async with (
+        MalformedRowService(malformed_pair) as service,
+        make_polling_balancer(service) as balancer,
+    ):
+        service.third_response_allowed.clear()
         async with asyncio.timeout(5):
             await wait_until(lambda: balancer.app.discovery.version == 2)
             assert ready_names(balancer) == [b"h1"]
-            service.goes_on.set()
+            service.third_response_allowed.set()
             await wait_until(lambda: balancer.app.discovery.version == 3)
 
         assert ready_names(balancer) == [b"h1"]
@@ -129,11 +135,14 @@
         assert balancer.counters["list failed"] == 0
 
 
-@pytest.mark.usefixtures("short_rounds")
+@pytest.mark.usefixtures("short_poll_intervals")
 @pytest.mark.parametrize("malformed_pair", UNNAMED_ROWS)
 async def test_whole_list_is_fetched_where_a_changed_row_has_no_name(malformed_pair):
     # The row may announce the drain of any upstream.
-    async with MalformedRowService(malformed_pair) as service, follow(service) as balancer:
+    async with (
+        MalformedRowService(malformed_pair) as service,
+        make_polling_balancer(service) as balancer,
+    ):
         async with asyncio.timeout(5):
             await wait_until(lambda: balancer.app.discovery.version == 3)
 
@@ -153,7 +162,7 @@
         respond = [make_response(body=data)]
         async with (
             ScriptedPeer(lambda *_: respond.pop() if respond else None) as service,
-            follow(service) as balancer,
+            make_polling_balancer(service) as balancer,
         ):
             async with asyncio.timeout(5):
                 await wait_until(lambda: balancer.app.discovery.ready)
@@ -173,7 +182,7 @@
         assert balancer.counters["list rows unreadable"] == 3
 
 
-async def test_upstream_of_an_unreadable_row_that_says_gone_is_gone():
+async def test_upstream_is_removed_by_an_unreadable_row_with_state_gone():
     async with RunningBalancer(["127.0.0.1:9", "127.0.0.1:10"]) as balancer:
         discovery = balancer.app.discovery
         unreadable = endpoint_rows(["127.0.0.1:9"], health="gone", share="x")
@@ -182,7 +191,7 @@
         assert list(discovery.known) == ["h1"]
 
 
-@pytest.mark.usefixtures("short_rounds")
+@pytest.mark.usefixtures("short_poll_intervals")
 async def test_policy_is_notified_when_an_unexpected_error_ends_the_watch(monkeypatch):
     failures = []
     rows = endpoint_rows(["127.0.0.1:9"])
@@ -251,7 +260,7 @@
 
 @settings(max_examples=600, deadline=None)
 @given(documents)
-def test_any_document_is_a_list_or_a_malformed_one(document):
+def test_any_document_is_decoded_or_raises_malformed_list_error(document):
     for decoded in (
         decode(json.dumps(document).encode()),
         decode(document, "decode"),
@@ -262,7 +271,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=60))
-def test_any_bytes_are_a_list_or_a_malformed_one(data):
+def test_any_bytes_are_decoded_or_raise_malformed_list_error(data):
     assert decode(data) is None or isinstance(decode(data), EndpointList)
 
 
--- a/tests/server/test_objectives.py
+++ b/tests/server/test_objectives.py
@@ -21,7 +21,7 @@
         assert balancer.counters["attempts cancelled"] == 1 == len(peer.requests)
 
 
-async def test_marked_retry_is_a_sample_of_how_long_clients_wait():
+async def test_marked_retry_adds_a_sample_to_client_waits():
     env = environment(500000, goal={"tail": 0.3}, callers={"marksRetry": True})
     async with (
         ScriptedPeer(always(None)) as peer,
--- a/tests/server/test_process.py
+++ b/tests/server/test_process.py
@@ -48,7 +48,7 @@
         return log
 
 
-async def test_signals_change_nothing_during_a_shutdown(tmp_path, release):
+async def test_signals_during_a_shutdown_do_not_change_its_course(tmp_path, release):
     async with (
         ScriptedPeer(release.then(make_response())) as peer,
         ScriptedPeer(always(None)) as other_service,
@@ -105,7 +105,7 @@
 
 
 async def test_signals_at_the_end_of_a_shutdown_do_not_change_the_exit_code(tmp_path):
-    """A second SIGTERM near the end of a shutdown ended the process with -15, as after a crash.
+    """A second SIGTERM near the end of a shutdown ended the process with exit code -15.
 
     The event loop restores the default handlers when it closes, and the interpreter takes some
     hundredths of a second more to exit.
--- a/tests/server/test_request_lifecycle.py
+++ b/tests/server/test_request_lifecycle.py
@@ -88,7 +88,7 @@
         assert counters["attempts started"] > counters["taken"] * 0.8
 
 
-async def test_requests_of_clients_that_left_are_not_kept(release):
+async def test_requests_of_clients_that_left_are_removed(release):
     async with (
         ScriptedPeer(release.then(make_response())) as peer,
         RunningBalancer([peer.address]) as balancer,
--- a/tests/server/test_supervision.py
+++ b/tests/server/test_supervision.py
@@ -37,7 +37,7 @@
 WAIT_S = 10
 
 
-async def until(condition):
+async def wait_until_or_fail(condition):
     """Wait until a condition is true; fail after WAIT_S."""
     async with asyncio.timeout(WAIT_S):
         await wait_until(condition, 0.005)
@@ -136,18 +136,18 @@
             owns_event_loop=False,
         ) as balancer,
     ):
-        await until(lambda: len(calls) > 1)
+        await wait_until_or_fail(lambda: len(calls) > 1)
 
         assert balancer.counters["background faults"] == 1
         assert await balancer.status() == 200
 
 
-def test_every_supervised_task_of_a_balancer_is_in_long_lived():
+def test_every_supervised_task_of_a_balancer_is_covered_by_the_test_above():
     package = Path(supervision.__file__).parents[1]
     started = set()
     for path in package.rglob("*.py"):
         text = path.read_text(encoding="utf-8")
-        for call in ("supervisor.start(", "supervisor.guard("):
+        for call in ("supervisor.start(", "supervisor.run_step("):
             started |= {part.split('"')[1] for part in text.split(call)[1:]}
 
     assert started == set(LONG_LIVED)
@@ -155,17 +155,17 @@
 
 @pytest.mark.usefixtures("short_restarts")
 async def test_gossip_continues_after_its_transport_has_closed_itself():
-    # Otherwise the view of the fleet would stay unchanged for the rest of the process's life.
+    # If gossip ended with its transport, the view of the other balancers would never change again.
     extension = make_gossip(0, [free_port(), free_port()])
     async with RunningBalancer(
         ["127.0.0.1:9"], Extensions([extension]), owns_event_loop=False
     ) as balancer:
-        await until(lambda: extension.transport is not None)
+        await wait_until_or_fail(lambda: extension.transport is not None)
         first = extension.transport
         first.sendto(b"x", ("a\0b", 9))  # raises TypeError, at which the transport closes itself
-        await until(lambda: extension.transport is not first)
+        await wait_until_or_fail(lambda: extension.transport is not first)
         sent = extension.counters.datagrams_out
-        await until(lambda: extension.counters.datagrams_out > sent)
+        await wait_until_or_fail(lambda: extension.counters.datagrams_out > sent)
 
         assert balancer.counters["background faults"] == 1
 
@@ -178,7 +178,7 @@
     service = ControlService(HistoryStore(tmp_path / "s"), KEYS)
     service.start()
 
-    await until(lambda: len(calls) > 2)
+    await wait_until_or_fail(lambda: len(calls) > 2)
 
     assert service.background_faults == 1
     await service.stop()
@@ -193,5 +193,5 @@
         RunningBalancer([upstream.address], Extensions([extension])) as balancer,
     ):
         assert await balancer.status() == 200
-        await until(lambda: len(calls) > 1 and extension.ring.error is None)
+        await wait_until_or_fail(lambda: len(calls) > 1 and extension.ring.error is None)
     assert list(tmp_path.glob("*.rec"))
--- a/tests/world.py
+++ b/tests/world.py
@@ -9,7 +9,7 @@
 import asyncio
 from functools import wraps
 
-from pepperhook.server.extensions import NONE
+from pepperhook.server.extensions import NO_EXTENSIONS
 from pepperhook.units import MILLISECOND as MS
 from pepperhook.units import SECOND as S
 from tests.conftest import ASYNC_TEST_TIMEOUT_S
@@ -78,7 +78,9 @@
     message = staticmethod(RunningBalancer.make_request)
     answer = RunningBalancer.read_response
 
-    def __init__(self, dials=(), parts=NONE, real_lateness=False, alone=True, **configuration):
+    def __init__(
+        self, dials=(), parts=NO_EXTENSIONS, real_lateness=False, alone=True, **configuration
+    ):
         super().__init__(dials, parts, real_lateness, alone, **configuration)
 
 
