--- a/pepperhook/server/app.py
+++ b/pepperhook/server/app.py
@@ -157,7 +157,7 @@
         # slow: latency score; faults: decayed fraction of failures; warm: not in slow start; dark:
         # unreachable; out: attempts in flight by the policy; on_sockets: attempts and health checks
         # in flight on connections; given_up: attempts abandoned recently that may still run; room:
-        # completed work per time, which is an average concurrency.
+        # the concurrency served lately, by Little's law.
         endpoint = self.upstreams.endpoints.get(upstream)
         self.log.info(
             "upstream",
