--- a/pepperhook/idempotency/extension.py
+++ b/pepperhook/idempotency/extension.py
@@ -264,7 +264,7 @@
     def leave(self, abandoned: Any) -> None:
         """End a running request that was continued only for waiters, if all of them have left."""
         if abandoned is not None:
-            self._host.requests.leave(abandoned)
+            self._host.requests.abandon(abandoned)
 
     def _finish(self, now_ns: int, request: Any, response: StoredResponse | None) -> None:
         entry = self.store.running[request]
--- a/tests/server/test_endpoint_discovery.py
+++ b/tests/server/test_endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""The host of the endpoint list: what it reports to the policy of each poll."""
+"""EndpointDiscovery: polls and watches, and what it reports to the policy."""
 
 import asyncio
 
@@ -19,13 +19,13 @@
 from tests.server.peers import ScriptedPeer, always, make_response, request_target
 
 SECOND = 10**9
-ASKED = polling(within_us=10**9)
+POLLING = polling(within_us=10**9)
 ONE_ENDPOINT = make_response(body=encode_endpoint_list(1, endpoint_rows(["127.0.0.1:9"])))
 UNCHANGED = make_response(body=encode_endpoint_list(1, [], whole=False))
 
 
 class PolicyCalls:
-    """What the policy was told of polls, each as it comes."""
+    """Records the failures and confirmations of polls that the policy is notified of."""
 
     def __init__(self, monkeypatch):
         self.failures = asyncio.Queue()
@@ -60,46 +60,48 @@
         (None, PollFailure.SILENT, 0),
     ],
 )
-async def test_policy_is_told_how_a_poll_failed(response, failure, retry_after_ns, monkeypatch):
+async def test_policy_is_notified_of_the_kind_of_a_failed_poll(
+    response, failure, retry_after_ns, monkeypatch
+):
     monkeypatch.setattr(endpoint_discovery, "FETCH_TIMEOUT_S", 0.2)
     calls = PolicyCalls(monkeypatch)
     async with (
         ScriptedPeer(always(response)) as service,
-        RunningBalancer(discovery=service.address, env=ASKED),
+        RunningBalancer(discovery=service.address, env=POLLING),
     ):
         assert await calls.failures.get() == (failure, retry_after_ns)
 
 
 async def test_service_that_refuses_connections_is_unreachable(monkeypatch):
     calls = PolicyCalls(monkeypatch)
-    async with ScriptedPeer(always(make_response())) as gone:
+    async with ScriptedPeer(always(make_response())) as closed:
         pass
-    async with RunningBalancer(discovery=gone.address, env=ASKED):
+    async with RunningBalancer(discovery=closed.address, env=POLLING):
         assert (await calls.failures.get())[0] is PollFailure.UNREACHABLE
 
 
-async def test_answer_without_changes_confirms_the_list(monkeypatch):
+async def test_response_without_changes_confirms_the_list(monkeypatch):
     calls = PolicyCalls(monkeypatch)
-    first = asyncio.Event()
+    is_confirmed = asyncio.Event()
 
     def script(head, _):
-        if b"since" in head and first.is_set():
+        if b"since" in head and is_confirmed.is_set():
             return None
         if b"since" in head:
-            first.set()
+            is_confirmed.set()
             return UNCHANGED
         return ONE_ENDPOINT
 
     async with (
         ScriptedPeer(script) as service,
-        RunningBalancer(discovery=service.address, env=ASKED),
+        RunningBalancer(discovery=service.address, env=POLLING),
     ):
         assert await calls.confirmations.get() == 0, "the whole list"
         assert await calls.confirmations.get() == 0, "no changes"
         assert calls.failures.empty()
 
 
-async def test_poll_that_is_held_confirms_the_list_as_of_its_beginning(monkeypatch):
+async def test_long_poll_without_a_response_confirms_the_list_as_of_its_start(monkeypatch):
     monkeypatch.setattr(endpoint_discovery, "WATCH_HELD_S", 0.05)
     calls = PolicyCalls(monkeypatch)
 
@@ -110,13 +112,13 @@
 
     async with (
         ScriptedPeer(script) as service,
-        RunningBalancer(discovery=service.address, env=ASKED),
+        RunningBalancer(discovery=service.address, env=POLLING),
     ):
         assert await calls.confirmations.get() == 0, "the whole list"
         assert await calls.confirmations.get() == 50_000_000
 
 
-async def test_balancer_without_a_list_polls_at_its_start_and_one_with_a_list_at_its_turn(
+async def test_balancer_polls_at_its_start_only_if_it_has_no_list(
     monkeypatch,
 ):
     monkeypatch.setattr(endpoints, "MIN_ROUND", 10**6 * SECOND)
@@ -124,20 +126,20 @@
 
     async with (
         ScriptedPeer(always(ONE_ENDPOINT)) as service,
-        RunningBalancer(discovery=service.address, env=ASKED),
+        RunningBalancer(discovery=service.address, env=POLLING),
     ):
         await wait_until(lambda: service.requests)
 
     async with (
         ScriptedPeer(always(ONE_ENDPOINT)) as service,
-        RunningBalancer(["127.0.0.1:9"], discovery=service.address, env=ASKED) as balancer,
+        RunningBalancer(["127.0.0.1:9"], discovery=service.address, env=POLLING) as balancer,
     ):
         assert balancer.app.discovery.ready and not balancer.app.discovery.tasks
         assert balancer.known["hosts"] == endpoint_rows(["127.0.0.1:9"])
         assert not service.requests
 
 
-async def test_health_is_good_once_the_list_is_known_and_the_watch_resumes_after_failures():
+async def test_balancer_is_healthy_once_it_has_a_list_and_the_watch_resumes_after_failures():
     targets, is_failing = [], False
 
     async def script(head, _):
@@ -222,7 +224,7 @@
         assert await balancer.status() == 200
 
 
-async def test_changes_of_a_restarted_service_are_not_applied_to_the_list_of_a_later_version():
+async def test_changes_of_a_restarted_service_are_not_applied_to_a_list_of_a_higher_version():
     targets = []
 
     def script(head, _):
@@ -231,7 +233,7 @@
             rows = endpoint_rows([peer.address, peer.address])
             return make_response(body=encode_endpoint_list(50, rows))
         if len(targets) == 2:
-            # It counts from one again: its changes say nothing of what is known here.
+            # It counts versions from one again, so its changes do not refer to the current list.
             gone = endpoint_rows([peer.address], health="gone")
             return make_response(body=encode_endpoint_list(3, gone, whole=False))
         if len(targets) == 3:
@@ -244,11 +246,11 @@
         RunningBalancer(discovery=service.address, env=polling(within_us=800000)) as balancer,
     ):
         await wait_until(lambda: len(targets) >= 4)
-        assert targets[2] == b"/catalog/members", "the whole list is wanted"
+        assert targets[2] == b"/catalog/members", "the whole list is fetched"
         assert balancer.app.discovery.version == 4
         assert await balancer.status() == 200
 
-        # A whole list of a lower version is the list as it now is.
+        # A whole list is applied even if its version is lower.
         rows = endpoint_rows([peer.address, peer.address])
         balancer.app.discovery.apply(endpoint_list(2, rows))
         assert len(balancer.ready_upstreams) == 2
--- a/tests/server/test_malformed_endpoint_lists.py
+++ b/tests/server/test_malformed_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""A response that is no endpoint list costs one poll, never the watch; an odd row its upstream."""
+"""A malformed list fails one poll but not the watch; a malformed row affects its upstream."""
 
 import asyncio
 import json
@@ -26,12 +26,12 @@
 
 ZONES = {"z": 0}
 KINDS = {"m": 0}
-NO_JSON = [
+INVALID_JSON = [
     '"born_ms": NaN',
     '"born_ms": -Infinity',
     '"share": NaN',
 ]
-ODD_ROWS = [
+UNREADABLE_ROWS = [
     '"health": ["x"]',
     '"health": {"state": "ready"}',
     '"health": "warming"',
@@ -57,21 +57,21 @@
 
 
 @pytest.fixture
-def short_rounds(monkeypatch):
-    """Let the policy poll again within 100 ms."""
+def short_poll_intervals(monkeypatch):
+    """Make the policy poll again within 100 ms."""
     monkeypatch.setattr(endpoints, "MIN_ROUND", 100 * MILLISECOND)
     monkeypatch.setattr(endpoints, "NOTIFIED_AFTER", 100 * MILLISECOND)
     monkeypatch.setattr(endpoints, "LONGEST_ROUNDS", {})
 
 
-class OddService(ScriptedPeer):
-    """A service whose second response has an odd row, and whose third drains an upstream."""
+class MalformedRowService(ScriptedPeer):
+    """A service whose second response has a malformed row, and whose third drains an upstream."""
 
-    def __init__(self, odd_pair):
+    def __init__(self, malformed_pair):
         super().__init__(self.respond_to_poll)
-        self.odd_pair = odd_pair
-        self.goes_on = asyncio.Event()  # to the third response
-        self.goes_on.set()
+        self.malformed_pair = malformed_pair
+        self.third_response_allowed = asyncio.Event()
+        self.third_response_allowed.set()
 
     async def respond_to_poll(self, *_):
         rows = endpoint_rows(["127.0.0.1:9", "127.0.0.1:10"])
@@ -79,18 +79,18 @@
             case 1:
                 return make_response(body=encode_endpoint_list(1, rows))
             case 2:
-                # The last of two equal keys counts.
-                odd_row = json.dumps(rows[0])[:-1] + f", {self.odd_pair}}}"
+                # The last of two equal keys takes effect.
+                malformed_row = json.dumps(rows[0])[:-1] + f", {self.malformed_pair}}}"
                 head = '{"seq": 2, "whole": false, "hosts": ['
-                return make_response(body=f"{head}{odd_row}]}}".encode())
+                return make_response(body=f"{head}{malformed_row}]}}".encode())
             case 3:
-                await self.goes_on.wait()
+                await self.third_response_allowed.wait()
                 drained = [rows[0] | {"health": "draining"}, rows[1]]
                 return make_response(body=encode_endpoint_list(3, drained))
         return None
 
 
-def follow(service):
+def make_polling_balancer(service):
     """Return a balancer that polls the service."""
     return RunningBalancer(discovery=service.address, env=polling(within_us=10**9))
 
@@ -99,10 +99,15 @@
     return sorted(upstream.address for upstream in balancer.ready_upstreams)
 
 
-@pytest.mark.usefixtures("short_rounds")
-@pytest.mark.parametrize("odd_pair", NO_JSON)
-async def test_watch_goes_on_after_a_response_that_is_no_list_and_notices_the_next_drain(odd_pair):
-    async with OddService(odd_pair) as service, follow(service) as balancer:
+@pytest.mark.usefixtures("short_poll_intervals")
+@pytest.mark.parametrize("malformed_pair", INVALID_JSON)
+async def test_watch_continues_after_a_response_that_is_no_list_and_notices_the_next_drain(
+    malformed_pair,
+):
+    async with (
+        MalformedRowService(malformed_pair) as service,
+        make_polling_balancer(service) as balancer,
+    ):
         async with asyncio.timeout(5):
             await wait_until(lambda: balancer.app.discovery.version == 3)
 
@@ -110,16 +115,19 @@
         assert balancer.counters["list failed"] == 1
 
 
-@pytest.mark.usefixtures("short_rounds")
-@pytest.mark.parametrize("odd_pair", ODD_ROWS)
-async def test_upstream_of_a_row_that_cannot_be_read_is_not_ready_and_the_watch_goes_on(odd_pair):
-    # Against an odd row that is a drain, and against one that costs the list.
-    async with OddService(odd_pair) as service, follow(service) as balancer:
-        service.goes_on.clear()
+@pytest.mark.usefixtures("short_poll_intervals")
+@pytest.mark.parametrize("malformed_pair", UNREADABLE_ROWS)
+async def test_upstream_of_an_unreadable_row_is_not_ready_and_the_watch_continues(malformed_pair):
+    # The row may announce a drain, and must not prevent the use of the other rows.
+    async with (
+        MalformedRowService(malformed_pair) as service,
+        make_polling_balancer(service) as balancer,
+    ):
+        service.third_response_allowed.clear()
         async with asyncio.timeout(5):
             await wait_until(lambda: balancer.app.discovery.version == 2)
             assert ready_names(balancer) == [b"h1"]
-            service.goes_on.set()
+            service.third_response_allowed.set()
             await wait_until(lambda: balancer.app.discovery.version == 3)
 
         assert ready_names(balancer) == [b"h1"]
@@ -127,11 +135,14 @@
         assert balancer.counters["list failed"] == 0
 
 
-@pytest.mark.usefixtures("short_rounds")
-@pytest.mark.parametrize("odd_pair", UNNAMED_ROWS)
-async def test_whole_list_is_fetched_where_a_changed_row_has_no_name(odd_pair):
-    # Against a drain of an upstream that the row would have named.
-    async with OddService(odd_pair) as service, follow(service) as balancer:
+@pytest.mark.usefixtures("short_poll_intervals")
+@pytest.mark.parametrize("malformed_pair", UNNAMED_ROWS)
+async def test_whole_list_is_fetched_where_a_changed_row_has_no_name(malformed_pair):
+    # The row may announce the drain of any upstream.
+    async with (
+        MalformedRowService(malformed_pair) as service,
+        make_polling_balancer(service) as balancer,
+    ):
         async with asyncio.timeout(5):
             await wait_until(lambda: balancer.app.discovery.version == 3)
 
@@ -141,17 +152,17 @@
         assert balancer.counters["list failed"] == 0
 
 
-@pytest.mark.parametrize("odd_pair", [*ODD_ROWS, *UNNAMED_ROWS])
-async def test_balancer_starts_with_a_list_in_which_one_row_cannot_be_read(odd_pair):
-    # Against one registration with a typo that keeps a whole deployment from starting.
+@pytest.mark.parametrize("malformed_pair", [*UNREADABLE_ROWS, *UNNAMED_ROWS])
+async def test_balancer_starts_with_a_list_in_which_one_row_is_unreadable(malformed_pair):
+    # One registration with a typo must not keep a whole deployment from starting.
     async with ScriptedPeer(always(make_response())) as upstream:
         rows = [json.dumps(row) for row in endpoint_rows([upstream.address] * 3)]
-        rows[2] = rows[2][:-1] + f", {odd_pair}}}"
+        rows[2] = rows[2][:-1] + f", {malformed_pair}}}"
         data = f'{{"seq": 1, "whole": true, "hosts": [{", ".join(rows)}]}}'.encode()
         respond = [make_response(body=data)]
         async with (
             ScriptedPeer(lambda *_: respond.pop() if respond else None) as service,
-            follow(service) as balancer,
+            make_polling_balancer(service) as balancer,
         ):
             async with asyncio.timeout(5):
                 await wait_until(lambda: balancer.app.discovery.ready)
@@ -160,7 +171,7 @@
             assert await balancer.status() == 200
 
 
-async def test_row_that_cannot_be_read_is_counted_once_until_it_changes():
+async def test_unreadable_row_is_counted_once_until_it_changes():
     async with RunningBalancer(["127.0.0.1:9", "127.0.0.1:10"]) as balancer:
         discovery = balancer.app.discovery
         rows = endpoint_rows(["127.0.0.1:9", "127.0.0.1:10"])
@@ -171,17 +182,17 @@
         assert balancer.counters["list rows unreadable"] == 3
 
 
-async def test_upstream_of_an_unreadable_row_that_says_gone_is_gone():
+async def test_upstream_is_removed_by_an_unreadable_row_with_state_gone():
     async with RunningBalancer(["127.0.0.1:9", "127.0.0.1:10"]) as balancer:
         discovery = balancer.app.discovery
-        odd = endpoint_rows(["127.0.0.1:9"], health="gone", share="x")
-        discovery.apply(make_endpoint_list(2, odd, whole=False))
+        unreadable = endpoint_rows(["127.0.0.1:9"], health="gone", share="x")
+        discovery.apply(make_endpoint_list(2, unreadable, whole=False))
 
         assert list(discovery.known) == ["h1"]
 
 
-@pytest.mark.usefixtures("short_rounds")
-async def test_policy_is_told_of_an_end_of_the_watch_that_nobody_foresaw(monkeypatch):
+@pytest.mark.usefixtures("short_poll_intervals")
+async def test_policy_is_notified_when_an_unexpected_error_ends_the_watch(monkeypatch):
     failures = []
     rows = endpoint_rows(["127.0.0.1:9"])
 
@@ -202,7 +213,7 @@
 
         def break_once(*_):
             monkeypatch.setattr(endpoint_list, "parse", plain_parse)
-            raise AssertionError("not foreseen")
+            raise AssertionError("unexpected")
 
         monkeypatch.setattr(policy, "on_endpoint_poll_failed", note_failure)
         monkeypatch.setattr(endpoint_list, "parse", break_once)
@@ -213,7 +224,7 @@
         assert balancer.counters["background faults"] == 1
 
 
-# Decoding alone.
+# Decoding without a balancer.
 
 texts = st.text(st.characters(), max_size=8) | st.sampled_from(["ready", "z", "127.0.0.1:9"])
 numbers = st.integers() | st.floats() | st.just(10**30) | st.just(-(10**400))
@@ -226,16 +237,21 @@
 keys = st.sampled_from(
     ["host", "dial", "site", "class", "block", "health", "share", "born_ms", "protocol"]
 )
-sound_row = st.just(endpoint_rows(["127.0.0.1:9"])[0])
-odd_rows = st.builds(lambda row, odd: row | odd, sound_row, st.dictionaries(keys, values))
+valid_row = st.just(endpoint_rows(["127.0.0.1:9"])[0])
+malformed_rows = st.builds(
+    lambda row, changes: row | changes, valid_row, st.dictionaries(keys, values)
+)
 documents = values | st.fixed_dictionaries(
-    {"seq": st.just(1) | values, "hosts": st.lists(sound_row | odd_rows | values, max_size=3)},
+    {
+        "seq": st.just(1) | values,
+        "hosts": st.lists(valid_row | malformed_rows | values, max_size=3),
+    },
     optional={"whole": values},
 )
 
 
 def decode(data, function="parse"):
-    """Return the list, or None where there is none; nothing else may come of it."""
+    """Return the list, or None if it is malformed; any other error fails the test."""
     try:
         return getattr(endpoint_list, function)(data, ZONES, KINDS)
     except MalformedListError:
@@ -244,7 +260,7 @@
 
 @settings(max_examples=600, deadline=None)
 @given(documents)
-def test_any_document_is_a_list_or_a_malformed_one(document):
+def test_any_document_is_decoded_or_raises_malformed_list_error(document):
     for decoded in (
         decode(json.dumps(document).encode()),
         decode(document, "decode"),
@@ -255,7 +271,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=60))
-def test_any_bytes_are_a_list_or_a_malformed_one(data):
+def test_any_bytes_are_decoded_or_raise_malformed_list_error(data):
     assert decode(data) is None or isinstance(decode(data), EndpointList)
 
 
@@ -265,7 +281,7 @@
 
 
 def check_list(decoded):
-    """Check that the rest of the program can use all that a list holds."""
+    """Check the types and ranges on which users of a list rely."""
     assert isinstance(decoded.version, int)
     for row in decoded.endpoints:
         row.name.encode()
@@ -277,7 +293,7 @@
         assert row.protocol is None or isinstance(row.protocol, str)
 
 
-def test_a_sound_list_is_decoded_whole():
+def test_a_valid_list_is_decoded_completely():
     rows = endpoint_rows(["127.0.0.1:9"], block=2, share=0.5, born_ms=1500, protocol="h2")
 
     decoded = endpoint_list.parse(encode_endpoint_list(4, rows), ZONES, KINDS)
