--- a/pepperhook/control_plane/auth.py
+++ b/pepperhook/control_plane/auth.py
@@ -12,7 +12,7 @@
 from pepperhook.errors import PepperhookError
 from pepperhook.key_ring import KeyRing
 
-MAX_CLOCK_SKEW_S = 60.0  # between a request's time and the service's
+MAX_CLOCK_SKEW_S = 60.0  # between a request's timestamp and the service's clock
 MAX_REMEMBERED_NONCES = 200_000
 NONCE_BYTES = 12
 
@@ -23,11 +23,11 @@
 
 
 class RequestDeniedError(PepperhookError, ValueError):
-    """The request is not authentic, not fresh, or beyond what its sender may ask."""
+    """The request is not authentic, is not fresh, or exceeds its sender's limits."""
 
 
 def signed_bytes(method: str, path: str, sent_at: str, nonce: str, body: bytes) -> bytes:
-    """Return what the MAC of a request covers."""
+    """Return the bytes that the MAC of a request covers."""
     return b"\n".join((method.encode(), path.encode(), sent_at.encode(), nonce.encode(), body))
 
 
@@ -56,10 +56,10 @@
         """Accept requests signed by any of ``keys``; ``clock`` gives Unix seconds."""
         self._keys = keys
         self._clock = clock
-        self._seen_nonces: dict[str, float] = {}  # when each was used, oldest first
+        self._used_nonces: dict[str, float] = {}  # Unix time of use by nonce, oldest first
 
     def authenticate(self, method: str, path: str, headers: Mapping[str, str], body: bytes) -> None:
-        """Raise RequestDeniedError unless the request is authentic, fresh and new."""
+        """Raise RequestDeniedError unless the request is authentic, fresh and not a replay."""
         key_id = headers.get(KEY_HEADER, "")
         sent_at = headers.get(TIME_HEADER, "")
         nonce = headers.get(NONCE_HEADER, "")
@@ -78,28 +78,28 @@
             skew = now - float(sent_at)
         except ValueError as error:
             raise RequestDeniedError(f"{TIME_HEADER}: not a time") from error
-        # Stated by what is allowed, as no comparison with NaN is true.
+        # Not written as ``>``: every comparison with NaN is false, and NaN must be denied.
         if not abs(skew) <= MAX_CLOCK_SKEW_S:
             raise RequestDeniedError(f"clocks differ by {skew:.0f} s, or the request is a replay")
 
     def _use_nonce(self, nonce: str, now: float) -> None:
-        if nonce in self._seen_nonces:
+        if nonce in self._used_nonces:
             raise RequestDeniedError("the nonce was used before")
-        self._forget_old_nonces(now)
-        if len(self._seen_nonces) >= MAX_REMEMBERED_NONCES:
+        self._drop_old_nonces(now)
+        if len(self._used_nonces) >= MAX_REMEMBERED_NONCES:
             raise RequestDeniedError("too many requests at once")
-        self._seen_nonces[nonce] = now
+        self._used_nonces[nonce] = now
 
-    def _forget_old_nonces(self, now: float) -> None:
-        """Drop nonces of requests that are too old to pass anyway, seldom enough to be cheap."""
-        if not self._seen_nonces:
+    def _drop_old_nonces(self, now: float) -> None:
+        """Drop nonces of requests that are denied for their age; runs rarely enough to be cheap."""
+        if not self._used_nonces:
             return
-        oldest = next(iter(self._seen_nonces.values()))
-        full = len(self._seen_nonces) >= MAX_REMEMBERED_NONCES
+        oldest = next(iter(self._used_nonces.values()))
+        full = len(self._used_nonces) >= MAX_REMEMBERED_NONCES
         if full or oldest < now - 4 * MAX_CLOCK_SKEW_S:
             keep_since = now - 2 * MAX_CLOCK_SKEW_S
-            self._seen_nonces = {
+            self._used_nonces = {
                 nonce: used_at
-                for nonce, used_at in self._seen_nonces.items()
+                for nonce, used_at in self._used_nonces.items()
                 if used_at > keep_since
             }
--- a/pepperhook/control_plane/balancer_settings.py
+++ b/pepperhook/control_plane/balancer_settings.py
@@ -1,7 +1,7 @@
 """Builds the policy's settings from a document.
 
-Beside ``balancer_view`` this is the only module of the control plane that knows how the policy's
-settings are laid out.
+Apart from ``balancer_view``, this is the only module of the control plane that depends on the
+layout of the policy's settings.
 """
 
 from dataclasses import replace
@@ -29,26 +29,26 @@
 
 
 def with_fleet_position(settings: Settings, index: int, fleet_size: int) -> Settings:
-    """Return settings that place the balancer at ``index`` of ``fleet_size``."""
+    """Return settings for the balancer with this index in a fleet of ``fleet_size`` balancers."""
     return replace(settings, index=index, fleet_size=fleet_size)
 
 
-def build_settings(document: Document, start: Settings, names: Names) -> Settings:
-    """Return the settings that a document makes of those the balancer was started with.
+def build_settings(document: Document, startup: Settings, names: Names) -> Settings:
+    """Return the settings of ``startup``, with the overrides of a document.
 
-    ``start`` is not changed. Service classes without an override are the same objects, and those
-    with one are new objects, so that requests under way keep the class they were admitted under.
+    ``startup`` is not changed. Service classes without an override are the same objects, and those
+    with one are new objects, so that running requests keep the class they were admitted under.
     """
-    service_classes = list(start.service_classes)
+    service_classes = list(startup.service_classes)
     for name, override in document.service_classes.items():
         number = names.service_classes[name]
         service_classes[number] = _override_service_class(service_classes[number], override)
-    tenants = list(start.tenants)
+    tenants = list(startup.tenants)
     for name, tenant_override in document.tenants.items():
         number = names.tenants[name]
         tenants[number] = _override_tenant(tenants[number], tenant_override)
     limits = _limit_settings(document.limits)
-    return replace(start, service_classes=service_classes, tenants=tenants, **limits)
+    return replace(startup, service_classes=service_classes, tenants=tenants, **limits)
 
 
 def _override_service_class(current: ServiceClass, override: ServiceClassOverride) -> ServiceClass:
@@ -61,19 +61,19 @@
         "effect": None if override.effect is None else POLICY_EFFECTS[override.effect],
         "repeat_group": None if override.group is None else RepeatGroup(override.group),
     }
-    service_class = replace(current, **_without_none(changes))
-    # A shorter time limit alone shortens the latency objective with it.
+    service_class = replace(current, **_drop_unset(changes))
+    # A time limit below the latency objective also lowers the objective.
     service_class.objective_ns = min(service_class.objective_ns, service_class.time_limit_ns)
     return service_class
 
 
 def _override_tenant(current: TenantQuota, override: TenantOverride) -> TenantQuota:
     changes = {"share": override.share, "quota_per_s": override.quota_per_s}
-    return replace(current, **_without_none(changes))
+    return replace(current, **_drop_unset(changes))
 
 
 def _limit_settings(limits: LimitOverrides) -> dict[str, Any]:
-    return _without_none(
+    return _drop_unset(
         {
             "max_attempts": limits.max_attempts,
             "may_advise_retry_after": limits.may_send_retry_after,
@@ -83,7 +83,7 @@
     )
 
 
-def _without_none(changes: dict[str, Any]) -> dict[str, Any]:
+def _drop_unset(changes: dict[str, Any]) -> dict[str, Any]:
     return {key: value for key, value in changes.items() if value is not None}
 
 
--- a/pepperhook/control_plane/balancer_view.py
+++ b/pepperhook/control_plane/balancer_view.py
@@ -1,4 +1,4 @@
-"""Reads from the running policy what the safety checks need to know of one balancer."""
+"""Reads the state that a balancer's safety checks need from the running policy."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -9,25 +9,25 @@
 from pepperhook.domain import ServiceClass, Upstream
 from pepperhook.settings import Names, Settings
 
-MIN_LATENCY_SAMPLES = 20  # responses of a service class below which its latency says nothing
+MIN_LATENCY_SAMPLES = 20  # with fewer responses, the latency of a service class is not used
 
 
 def read_balancer_view(
     policy: Any,
-    start: Settings,
+    startup: Settings,
     names: Names,
     extensions: Iterable[str],
     endpoints: ListedEndpoints,
 ) -> BalancerView:
-    """Return what the balancer knows at this moment.
+    """Return the balancer's present state.
 
-    ``start`` are the settings that it was started with, as a document overrides these.
+    ``startup`` are the settings that it was started with, which a document overrides.
     """
     times = policy.service_times
     now = policy.now
     return BalancerView(
         service_classes={
-            name: _service_class_state(start.service_classes[number])
+            name: _service_class_state(startup.service_classes[number])
             for name, number in names.service_classes.items()
         },
         tenants=frozenset(names.tenants),
@@ -38,7 +38,7 @@
         },
         in_flight=policy.capacity.level.mean,
         usual_latency_ms={
-            name: times.mean_service_time(now, start.service_classes[number]) / NS_PER_MS
+            name: times.mean_service_time(now, startup.service_classes[number]) / NS_PER_MS
             for name, number in names.service_classes.items()
             if times.durations[number].weight >= MIN_LATENCY_SAMPLES
         },
@@ -54,10 +54,10 @@
 
 
 def _capacity(policy: Any, upstream: Upstream) -> float:
-    """Return how many attempts an upstream can have in flight, by the policy's own reckoning.
+    """Return how many attempts an upstream can have in flight, as computed by the policy.
 
-    That is this balancer's part of it, or the mean concurrency that it was seen to complete
-    (Little's law), whichever is larger.
+    That is this balancer's fair share of it, or the mean concurrency that it completed (Little's
+    law), whichever is larger.
     """
     concurrency = 0.0
     if upstream.is_known:
--- a/pepperhook/control_plane/document.py
+++ b/pepperhook/control_plane/document.py
@@ -1,8 +1,8 @@
 """The schema of a configuration document: what a version may change on a running balancer.
 
-A document is whole: a key that is left out has the value that the balancer was started with, so a
+A document is complete: an absent key has the value that the balancer was started with, so a
 document is never applied on top of another one. The names of the keys are part of the users'
-interface; attributes here carry the field's terms and map to them.
+interface; attributes with another name are mapped to their key.
 """
 
 from enum import StrEnum
@@ -14,7 +14,7 @@
 from pepperhook.errors import PepperhookError
 from pepperhook.operator_config.schema import Fraction, RateLimitTable
 
-# As far as a deployment's own settings go, whose unit is a microsecond.
+# The range of a deployment's settings, whose unit is the microsecond.
 Milliseconds = Annotated[float, Meta(ge=0, le=4.6e12)]
 PositiveMilliseconds = Annotated[float, Meta(ge=0.001, le=4.6e12)]
 Weight = Annotated[float, Meta(ge=0, le=4.6e18)]
@@ -25,7 +25,7 @@
 
 
 class InvalidDocumentError(PepperhookError, ValueError):
-    """The document does not match its schema; the text names the key."""
+    """The document does not match its schema; the message names the key."""
 
 
 class Effect(StrEnum):
@@ -59,7 +59,7 @@
     """Overrides for one upstream, by its name in the endpoint list."""
 
     weight: Annotated[float, Meta(gt=0, le=4)] = 1.0  # multiplies its chance to be selected
-    drain: bool = False  # treated as if the endpoint list said that it is draining
+    drain: bool = False  # treated as draining where the endpoint list has it as ready
 
 
 class LimitOverrides(Struct, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
@@ -75,13 +75,13 @@
 
 
 class ExtensionOverrides(Struct, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
-    """Settings of extensions that are on; none is turned on or off while a balancer runs."""
+    """Settings of enabled extensions; none is enabled or disabled while a balancer runs."""
 
     rate_limits: RateLimitTable | None = field(default=None, name="customers")
 
 
 class Document(Struct, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
-    """A whole configuration, as overrides of what a balancer was started with."""
+    """A complete configuration, as overrides of the settings a balancer was started with."""
 
     version: Literal[1]
     service_classes: dict[Name, ServiceClassOverride] = field(default_factory=dict, name="grades")
--- a/pepperhook/control_plane/extension.py
+++ b/pepperhook/control_plane/extension.py
@@ -1,7 +1,7 @@
-"""A balancer's end of the control plane, on the server's hook points.
+"""The balancer's side of the control plane, as an extension of the server.
 
-Receives versions, applies those that pass its checks, and reports what became of them. Without the
-service it goes on with what it runs, and starts from the last good version on disk.
+Receives versions, applies those that pass its checks, and reports the result. While the service is
+unreachable, the balancer keeps its version, and starts from the last good version on disk.
 """
 
 import asyncio
@@ -29,13 +29,14 @@
 from pepperhook.server.messages import ResponseKind
 from pepperhook.server.structured_logging import Log
 
-HEARTBEAT_INTERVAL_S = 2.0  # varied by a quarter either way
+HEARTBEAT_INTERVAL_S = 2.0  # jittered by up to a quarter in either direction
 
 
 class Control:
-    """The extension that an operator's file turns on by its table ``control``.
+    """The extension that the table ``control`` of an operator's file enables.
 
-    Its name is that of the table, as the log and ``pepperhook check`` list extensions by it.
+    The log and ``pepperhook check`` list extensions by class name, so the class is named after the
+    table.
     """
 
     def __init__(
@@ -46,10 +47,10 @@
         extensions: Iterable[tuple[str, Any]] = (),
         gossip: Any = None,
     ) -> None:
-        """Prepare; nothing is connected before ``started``.
+        """Create the components; no connection is opened before ``started``.
 
-        ``extensions`` are those whose settings a document may change, with their names there;
-        ``gossip`` is the membership extension, if it is on.
+        ``extensions`` are those whose settings a document may change, by their names in it;
+        ``gossip`` is the membership extension, if it is enabled.
         """
         tier = config.settings.tier
         host, port = config.listen
@@ -78,7 +79,7 @@
             self._connect_gossip(gossip)
 
     def _connect_gossip(self, gossip: Any) -> None:
-        """Have gossip spread the running version, and take the position from it if it may."""
+        """Publish the running version by gossip, and use its position if its settings say so."""
         gossip.config_version = lambda: self.applier.running_number
         if gossip.settings.sets_fleet_position:
             self.applier.position = gossip.position
@@ -87,7 +88,7 @@
     # Hook points of the server.
 
     def started(self, node: Any) -> None:
-        """Restore the last good version and begin to follow the service."""
+        """Restore the last good version and start the connection to the service."""
         self.applier.attach(node)
         self.applier.restore(self.last_good)
         connection = ServiceConnection(self._address, self._keys)
@@ -96,11 +97,11 @@
         handle = partial(self._handle, connection)
         self._tasks = [
             supervisor.start("control stream", partial(self.stream.run, connection, handle)),
-            supervisor.start("control heartbeats", partial(self._report, connection)),
+            supervisor.start("control heartbeats", partial(self._run_heartbeats, connection)),
         ]
 
     async def left(self) -> None:
-        """Stop following; a version that is being written is written to its end."""
+        """Stop all tasks, finish writing the last good version, and close the connection."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -109,12 +110,12 @@
             await self._connection.close()
 
     def lists(self, rows: list[EndpointUpdate]) -> list[EndpointUpdate]:
-        """Return changed rows of the endpoint list as the document overrides them."""
+        """Return changed rows of the endpoint list with the document's overrides."""
         self.applier.endpoints.update(rows)
         return override_states(rows, self.applier.document)
 
     def listed(self, _now: int, upstreams: list[Any]) -> None:
-        """Give upstreams that are new in the endpoint list their weights."""
+        """Set the document's weights on upstreams that are new in the endpoint list."""
         self.applier.correct_weights(upstreams)
 
     def answered(self, now: int, request: Any, answer: Any) -> None:
@@ -142,7 +143,7 @@
             **({"rejected_reason": rejection.reason} if rejection else {}),
         }
 
-    # Messages of the service, and reports to it.
+    # Messages from the service, and heartbeats to it.
 
     async def _handle(self, connection: ServiceConnection, message: StreamMessage) -> None:
         if isinstance(message, Version):
@@ -155,8 +156,8 @@
             if self.position.update(now, message.epoch, message.members):
                 self.applier.update_policy()
 
-    async def _report(self, connection: ServiceConnection) -> None:
-        """Send heartbeats at intervals, and take a smaller fleet size when it has settled."""
+    async def _run_heartbeats(self, connection: ServiceConnection) -> None:
+        """Send heartbeats at intervals, and lower the fleet size once a smaller view is stable."""
         while True:
             if self.stream.connected:
                 try:
--- a/pepperhook/control_plane/fleet_position.py
+++ b/pepperhook/control_plane/fleet_position.py
@@ -1,23 +1,23 @@
-"""One balancer's position in its tier, by the views that the control service streams.
+"""One balancer's position in its tier, from the membership views that the control service streams.
 
-Plain decisions without I/O. Index and fleet size determine a balancer's subset of the upstreams
-and its part of their capacity. A smaller fleet size gives every balancer a larger part of each
-upstream, so while views may differ the larger number is the safe one.
+Logic without I/O. Index and fleet size determine a balancer's subset of the upstreams and its
+share of their capacity. A smaller fleet size gives every balancer a larger share of each upstream,
+so while balancers may have different views, the larger size is the safe one.
 """
 
 from collections.abc import Collection
 
 from pepperhook.control_plane.member_registry import DEFAULT_LEASE_NS
 
-# By then every member has the new view, or has lost its lease.
+# After this time every member has received the new view or lost its lease.
 SETTLE_NS = 2 * DEFAULT_LEASE_NS
 
 
 class FleetPosition:
-    """Raises the fleet size at once, and lowers it when a view has stood for ``SETTLE_NS``."""
+    """Raises the fleet size at once, and lowers it after an unchanged view for ``SETTLE_NS``."""
 
     def __init__(self, name: str, configured_size: int) -> None:
-        """Begin with the size that the settings say, and without an index."""
+        """Begin with the configured fleet size and without an index."""
         self.name = name
         self.count = configured_size
         self.index: int | None = None
@@ -26,7 +26,7 @@
         self._view_since_ns = 0
 
     def update(self, now: int, epoch: int, names: Collection[str]) -> bool:
-        """Take a view; tell whether it is newer than the last and this balancer is in it."""
+        """Use a view if it is newer than the last and contains this balancer; return whether so."""
         if epoch <= self._epoch or self.name not in names:
             return False
         self._epoch = epoch
@@ -37,7 +37,7 @@
         return True
 
     def settle(self, now: int) -> bool:
-        """Lower the fleet size if the view has stood for long enough; tell whether it fell."""
+        """Lower the fleet size if the view is unchanged for long enough; return whether it fell."""
         if not self.view or self.count <= len(self.view):
             return False
         if now - self._view_since_ns < SETTLE_NS:
--- a/pepperhook/control_plane/frames.py
+++ b/pepperhook/control_plane/frames.py
@@ -1,12 +1,13 @@
-"""The format of the version stream, for either end, without I/O.
+"""Encodes and decodes the version stream, for both sides, without I/O.
 
     frame = length:u32 crc:u32 kind:u8 payload
 
 Integers are big-endian; length and checksum cover kind and payload.
 
-A version travels as a BEGIN frame, any number of CHUNK frames and an END frame. It counts only once
-END has come and size and checksum match, so a stream that breaks earlier leaves nothing behind. The
-chunks carry the whole version, or a merge patch (RFC 7396) of a version that the reader has.
+A version is sent as a BEGIN frame, any number of CHUNK frames and an END frame. A reader accepts it
+only after END and if size and checksum match, so a stream that breaks earlier gives no partial
+version. The chunks carry the complete version, or a merge patch (RFC 7396) of one that the reader
+has.
 """
 
 import struct
@@ -39,7 +40,7 @@
 
 
 class StreamError(PepperhookError, ValueError):
-    """The bytes are not a valid stream; the connection must be made anew."""
+    """The bytes are not a valid stream; the reader must reconnect."""
 
 
 class BeginVersion(Struct):
@@ -48,20 +49,20 @@
     number: int
     size: int  # bytes of all chunks
     crc: int  # of the same bytes
-    base: int = 0  # number of the version that the chunks are a patch of; 0: they are whole
+    base: int = 0  # number of the version that the chunks patch; 0: they are a complete version
 
 
 class StreamHeartbeat(Struct):
     """Sent at intervals, so that a reader notices a dead stream."""
 
-    desired_version: int = field(name="wanted")  # number that this member is to run
+    desired_version: int = field(name="wanted")  # number of the version that this member is to run
     sent_at_ms: int = field(name="at_ms")  # Unix time
 
 
 class MembershipView(Struct):
-    """The members of the reader's tier at present."""
+    """The present members of the reader's tier."""
 
-    epoch: int  # grows with each change
+    epoch: int  # increases with each change
     members: list[str]
 
 
@@ -108,8 +109,8 @@
     def __init__(self, known_version: KnownVersions) -> None:
         """Begin a stream.
 
-        ``known_version`` returns a version that the reader has by its number, or None; patches are
-        applied to these.
+        ``known_version`` returns a version by its number if the reader has it, or None; patches are
+        applied to it.
         """
         self._known_version = known_version
         self._buffer = bytearray()
@@ -118,7 +119,7 @@
         self._chunk_bytes = 0
 
     def feed(self, data: bytes) -> list[StreamMessage]:
-        """Take more bytes and return the messages that they complete. Raises StreamError."""
+        """Add received bytes and return the messages they complete. Raises StreamError."""
         self._buffer += data
         messages: list[StreamMessage] = []
         while (body := self._next_body()) is not None:
@@ -128,19 +129,19 @@
         return messages
 
     def _next_body(self) -> bytes | None:
-        """Take the kind and payload of one complete frame from the buffer."""
+        """Remove one complete frame from the buffer; return its kind and payload, or None."""
         if len(self._buffer) < FRAME_HEADER.size:
             return None
         length, checksum = FRAME_HEADER.unpack_from(self._buffer)
         if not 0 < length <= MAX_FRAME_BYTES:
-            raise StreamError(f"a frame of {length} bytes")
+            raise StreamError(f"invalid frame length: {length} bytes")
         end = FRAME_HEADER.size + length
         if len(self._buffer) < end:
             return None
         body = bytes(self._buffer[FRAME_HEADER.size : end])
         del self._buffer[:end]
         if crc32(body) != checksum:
-            raise StreamError("a frame's checksum is wrong")
+            raise StreamError("frame checksum mismatch")
         return body
 
     def _decode(self, kind: int, payload: bytes) -> StreamMessage | None:
@@ -157,44 +158,44 @@
                 case FrameKind.VIEW:
                     return msgspec.json.decode(payload, type=MembershipView)
         except msgspec.MsgspecError as error:
-            raise StreamError(f"a frame of kind {kind}: {error}") from error
+            raise StreamError(f"invalid frame of kind {kind}: {error}") from error
         return None
 
     def _begin_version(self, announced: BeginVersion) -> None:
         if announced.size > MAX_VERSION_BYTES:
-            raise StreamError(f"a version of {announced.size} bytes")
+            raise StreamError(f"version of {announced.size} bytes is too large")
         self._announced = announced
         self._chunks = []
         self._chunk_bytes = 0
 
     def _add_chunk(self, payload: bytes) -> None:
         if self._announced is None:
-            raise StreamError("a chunk without a version")
+            raise StreamError("CHUNK frame without a BEGIN frame")
         self._chunk_bytes += len(payload)
         if self._chunk_bytes > self._announced.size:
-            raise StreamError("more chunks than were announced")
+            raise StreamError("chunks exceed the announced size")
         self._chunks.append(payload)
 
     def assemble_version(self) -> Version:
-        """Return the version that was received since BEGIN. Raises StreamError, MsgspecError."""
+        """Return the version that was received since BEGIN. Raises StreamError and MsgspecError."""
         announced = self._announced
         content = b"".join(self._chunks)
         self._announced = None
         self._chunks = []
         if announced is None or len(content) != announced.size or crc32(content) != announced.crc:
-            raise StreamError("an incomplete version")
+            raise StreamError("incomplete or corrupted version")
         if announced.base:
             version = self._patched_version(content, announced.base)
         else:
             version = msgspec.json.decode(content, type=Version)
         if version.number != announced.number:
-            raise StreamError("a version under another one's number")
+            raise StreamError("version number differs from the announced one")
         return version
 
     def _patched_version(self, content: bytes, base_number: int) -> Version:
         base = self._known_version(base_number)
         if base is None:
-            raise StreamError(f"a patch of version {base_number}, which is not here")
+            raise StreamError(f"patch of unknown version {base_number}")
         without_document, patch = msgspec.json.decode(content, type=tuple[Version, dict[str, Any]])
         document = apply_patch(base.document, patch)
         return msgspec.structs.replace(without_document, document=document)
--- a/pepperhook/control_plane/heartbeat.py
+++ b/pepperhook/control_plane/heartbeat.py
@@ -14,11 +14,11 @@
 
 
 class HeartbeatSender:
-    """Sends heartbeats, and the ready upstreams only where the service does not have them."""
+    """Sends heartbeats; they list the ready upstreams only if the service does not have them."""
 
     def __init__(self, name: str, tier: int, address: str, applier: VersionApplier) -> None:
-        """Report on one balancer; ``address`` is where it listens."""
-        self.requests = RequestCounts()  # since the start
+        """Report the state of one balancer; ``address`` is its listening address."""
+        self.requests = RequestCounts()  # since the balancer's start
         self.acknowledged_checksum = 0  # of the upstreams that the service has
         self._name = name
         self._tier = tier
@@ -26,11 +26,11 @@
         self._applier = applier
 
     async def send(self, connection: ServiceConnection) -> None:
-        """Send one heartbeat. Raises ClientError, OSError, MsgspecError."""
+        """Send one heartbeat. Raises ClientError, OSError or MsgspecError."""
         body = json.dumps(msgspec.to_builtins(self._heartbeat())).encode()
         async with connection.post(HEARTBEAT_PATH, body) as response:
             if response.status == HTTPStatus.OK:
-                # A restarted service has no upstreams, and says so by another checksum.
+                # A restarted service has lost the upstreams, and replies with another checksum.
                 reply = msgspec.json.decode(await response.read(), type=HeartbeatReply)
                 self.acknowledged_checksum = reply.upstreams_checksum
 
--- a/pepperhook/control_plane/history.py
+++ b/pepperhook/control_plane/history.py
@@ -1,7 +1,7 @@
 """The service's durable state: versions, rollouts and the last status of each member.
 
-sqlite3 in WAL mode with full synchronisation, so that what was acknowledged survives kill -9 and a
-loss of power.
+sqlite3 in WAL mode with full synchronisation, so that acknowledged writes survive kill -9 and
+power loss.
 """
 
 import sqlite3
@@ -33,7 +33,7 @@
 
 
 class ConflictError(PepperhookError, ValueError):
-    """Another version was added after the parent; ``since`` are those that came between."""
+    """The parent is not the newest version; ``since`` has the versions that were added after it."""
 
     def __init__(self, text: str, since: list[Version]) -> None:
         """Describe the conflict."""
@@ -42,7 +42,7 @@
 
 
 class StoreFullError(PepperhookError, RuntimeError):
-    """The disk took nothing; what was asked for did not happen."""
+    """Writing to the store failed; the request had no effect."""
 
 
 class HistoryStore:
@@ -71,11 +71,13 @@
 
     def newest_version(self) -> Version | None:
         """Return the version with the highest number."""
-        return self._one("select body from versions order by number desc limit 1", (), Version)
+        return self._fetch_one(
+            "select body from versions order by number desc limit 1", (), Version
+        )
 
     def version(self, number: int) -> Version | None:
         """Return one version."""
-        return self._one("select body from versions where number = ?", (number,), Version)
+        return self._fetch_one("select body from versions where number = ?", (number,), Version)
 
     def versions(self, after: int = 0) -> list[Version]:
         """Return the versions above a number, in order."""
@@ -87,23 +89,27 @@
     def add_version(self, version: Version) -> None:
         """Append a version.
 
-        Raises ConflictError where its parent is not the newest version, StoreFullError.
+        Raises ConflictError if its parent is not the newest version, or StoreFullError.
         """
         newest = self.newest_version()
         if version.parent != (newest.number if newest else 0):
             since = self.versions(version.parent)
-            listed = "; ".join(f"{one.number} by {one.author} ({one.reason})" for one in since)
+            listed = "; ".join(
+                f"{added.number} by {added.author} ({added.reason})" for added in since
+            )
             raise ConflictError(f"version {version.parent} is not the newest: {listed}", since)
         body = msgspec.json.encode(version)
         self._write("insert into versions values (?, ?)", [(version.number, body)])
 
     def newest_rollout(self) -> Rollout | None:
         """Return the rollout with the highest number."""
-        return self._one("select body from rollouts order by number desc limit 1", (), Rollout)
+        return self._fetch_one(
+            "select body from rollouts order by number desc limit 1", (), Rollout
+        )
 
     def rollout(self, number: int) -> Rollout | None:
         """Return one rollout."""
-        return self._one("select body from rollouts where number = ?", (number,), Rollout)
+        return self._fetch_one("select body from rollouts where number = ?", (number,), Rollout)
 
     def save_rollout(self, rollout: Rollout) -> None:
         """Store a rollout's state. Raises StoreFullError."""
@@ -111,7 +117,7 @@
         self._write("insert or replace into rollouts values (?, ?)", [(rollout.number, body)])
 
     def members(self) -> dict[str, MemberStatus]:
-        """Return the last stored status of every member that ever was, by name."""
+        """Return the last stored status of every member ever seen, by name."""
         rows = self.connection.execute("select name, body from members")
         return {name: msgspec.json.decode(body, type=MemberStatus) for name, body in rows}
 
@@ -124,12 +130,14 @@
         """Close the file."""
         self.connection.close()
 
-    def _one(self, query: str, parameters: tuple[Any, ...], kind: type[Record]) -> Record | None:
+    def _fetch_one(
+        self, query: str, parameters: tuple[Any, ...], kind: type[Record]
+    ) -> Record | None:
         row = self.connection.execute(query, parameters).fetchone()
         return None if row is None else msgspec.json.decode(row[0], type=kind)
 
     def _write(self, statement: str, rows: Iterable[tuple[Any, ...]]) -> None:
-        """Execute the statement for all rows or for none."""
+        """Execute the statement for all rows in one transaction. Raises StoreFullError."""
         try:
             self.connection.execute("begin immediate")
             try:
--- a/pepperhook/control_plane/http_api.py
+++ b/pepperhook/control_plane/http_api.py
@@ -36,7 +36,7 @@
 
 
 def create_app(service: ControlService) -> web.Application:
-    """Return the application that serves ``service``, which starts and stops with it."""
+    """Return the application that serves ``service`` and starts and stops it."""
     return HttpApi(service).create_app()
 
 
@@ -77,7 +77,7 @@
 
     @web.middleware
     async def _middleware(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        """Authenticate a request, and answer errors with their status."""
+        """Authenticate a request, and turn errors into responses with their status."""
         body = await request.read() if request.can_read_body else b""
         try:
             self._authenticator.authenticate(request.method, request.path_qs, request.headers, body)
@@ -94,7 +94,7 @@
         except StoreFullError as error:
             return _error_response(HTTPStatus.INSUFFICIENT_STORAGE, error)
         except (ValueError, KeyError, TypeError) as error:
-            # Also what is wrong with a document, and errors of the JSON decoder.
+            # Includes invalid documents and errors of the JSON decoder.
             return _error_response(HTTPStatus.BAD_REQUEST, error)
 
     # Members.
@@ -108,10 +108,10 @@
         counters.streams += 1
         self._service.connect(name, tier)
         try:
-            have = int(request.query.get("have", "0"))
-            # The member left: it reconnects when it can.
+            latest_number = int(request.query.get("have", "0"))
+            # The member disconnected; it reconnects by itself.
             with contextlib.suppress(OSError):
-                await self._service.streams.feed(response.write, name, tier, have)
+                await self._service.streams.feed(response.write, name, tier, latest_number)
         finally:
             counters.streams -= 1
         return response
@@ -161,6 +161,6 @@
 
 
 def _error_response(status: HTTPStatus, error: Exception, **details: Any) -> web.Response:
-    # A KeyError's text is the missing key alone.
+    # The argument of a KeyError is only the missing key.
     text = f"{error.args[0]}: is missing" if isinstance(error, KeyError) else str(error)
     return _json({"error": text, **details}, status)
--- a/pepperhook/control_plane/last_good.py
+++ b/pepperhook/control_plane/last_good.py
@@ -1,4 +1,4 @@
-"""The last good version on disk, from which a balancer starts while the service is away."""
+"""The last good version on disk, from which a balancer starts without the service."""
 
 import asyncio
 import os
@@ -13,31 +13,31 @@
 
 
 class UnusableStateError(PepperhookError):
-    """The file holds no version that this installation signed."""
+    """The file does not contain a version that this installation signed."""
 
 
 class LastGoodFile:
-    """Writes the applied version whole or not at all, beside the event loop.
+    """Writes the applied version atomically and outside the event loop.
 
-    Twenty balancers of one machine that wrote on the event loop at the same moment stood still for
-    half a second and more, and every request with them.
+    When twenty balancers of one machine wrote on their event loops at the same moment, they and all
+    their requests were blocked for half a second and more.
     """
 
     def __init__(self, path: str | None, log: Log) -> None:
-        """Use the file at ``path``; None: nothing is written or read."""
+        """Use the file at ``path``; with None, nothing is written or read."""
         self._path = None if path is None else Path(path)
         self._log = log
         self._pending: Version | None = None
         self._writing: asyncio.Future[None] | None = None
 
     def schedule(self, version: Version) -> None:
-        """Have the next ``flush`` write a version."""
+        """Make the next ``flush`` write a version."""
         self._pending = version
 
     async def flush(self) -> None:
-        """Return when the scheduled version is written, or could not be.
+        """Write the scheduled version, and return when that is done or has failed.
 
-        A write that has begun is not cancelled with the caller; the next ``flush`` waits for it.
+        Cancelling the caller does not cancel a running write; the next ``flush`` waits for it.
         """
         version = self._pending
         self._pending = None
@@ -47,7 +47,7 @@
             await asyncio.shield(self._writing)
 
     def _write(self, version: Version) -> None:
-        """Replace the file; a failure is logged, as the version is in force all the same."""
+        """Replace the file; a failure is only logged, as the version is in force regardless."""
         if self._path is None:
             return
         temporary = self._path.with_name(f".{self._path.name}.{os.getpid()}")
@@ -61,7 +61,7 @@
             self._log.warning("version_not_saved", error=error.strerror or error)
 
     def load(self, keys: KeyRing) -> Version | None:
-        """Return the verified version, or None where there is no file.
+        """Return the verified version, or None if there is no file.
 
         Raises UnusableStateError.
         """
--- a/pepperhook/control_plane/listed_endpoints.py
+++ b/pepperhook/control_plane/listed_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the control plane sees it, and what a document changes of it."""
+"""The endpoint list without overrides, and the overrides that a document makes to it."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -8,14 +8,14 @@
 
 
 class ListedEndpoints:
-    """Remembers the rows of the endpoint list as they were before any override."""
+    """Stores the rows of the endpoint list as received, before any override."""
 
     def __init__(self) -> None:
         """Begin with an empty list."""
         self._rows: dict[Any, EndpointUpdate] = {}
 
     def update(self, rows: Iterable[EndpointUpdate]) -> None:
-        """Take changed rows; an upstream that is gone is forgotten."""
+        """Store changed rows; the row of an upstream that is gone is removed."""
         for endpoint in rows:
             if endpoint.state == UpstreamState.GONE:
                 self._rows.pop(endpoint.upstream, None)
@@ -27,7 +27,7 @@
         return list(self._rows)
 
     def ready_upstreams(self) -> list[Any]:
-        """Return the upstreams that the list itself has as ready."""
+        """Return the upstreams that are ready before any override."""
         return [row.upstream for row in self._rows.values() if row.state == UpstreamState.READY]
 
     def ready_names(self) -> list[str]:
@@ -35,13 +35,13 @@
         return sorted(name_of(upstream) for upstream in self.ready_upstreams())
 
     def rows_to_correct(self, document: Document) -> list[EndpointUpdate]:
-        """Return rows by a document whose upstream is in another state at present."""
+        """Return the rows, with a document's overrides, whose upstream has another state now."""
         rows = override_states(self._rows.values(), document)
         return [row for row in rows if row.upstream.state != row.state]
 
 
 def override_states(rows: Iterable[EndpointUpdate], document: Document) -> list[EndpointUpdate]:
-    """Return rows of the endpoint list in which what a document drains is draining."""
+    """Return rows in which ready upstreams that the document drains are draining."""
     drained = document.drained_upstreams()
     overridden = []
     for row in rows:
@@ -56,8 +56,8 @@
     return 1.0 if override is None else override.weight
 
 
-def has_other_weight(upstream: Any, document: Document) -> bool:
-    """Tell whether the policy has another weight for an upstream than a document says."""
+def weight_differs(upstream: Any, document: Document) -> bool:
+    """Return whether an upstream's weight in the policy differs from a document's."""
     return bool(weight_of(upstream, document) != upstream.operator_weight)
 
 
--- a/pepperhook/control_plane/member_registry.py
+++ b/pepperhook/control_plane/member_registry.py
@@ -1,7 +1,8 @@
-"""The members of the control plane, by leases: one that is not heard of for its lease is gone.
+"""Tracks the members of the control plane by leases, which each stream and heartbeat renews.
 
-Plain decisions without I/O. Times are nanoseconds of a clock that is never set back. Balancers are
-given a view: the names of a tier's members, under an epoch that grows with each change.
+Logic without I/O. A member whose lease expires is removed. Times are nanoseconds of a monotonic
+clock. Balancers receive a view: the names of a tier's members, with an epoch that increases with
+each change.
 """
 
 from enum import StrEnum
@@ -10,38 +11,38 @@
 
 NS_PER_S = 10**9
 DEFAULT_LEASE_NS = 6 * NS_PER_S
-MAX_HEARTBEATS_PER_S = 5  # of one member; more are ignored
+MAX_HEARTBEATS_PER_S = 5  # per member; further ones are ignored
 MAX_MEMBERS = 5000
-MAX_REPORTED_UPSTREAMS = 2000  # that are remembered of one member
+MAX_REPORTED_UPSTREAMS = 2000  # stored per member
 
 
 class MemberState(StrEnum):
-    """What became of the version that a member is to run."""
+    """Whether a member runs the version that it is to run."""
 
-    JOINING = "joining"  # it runs another one
+    JOINING = "joining"  # it does not run that version yet
     APPLIED = "applied"
     REJECTED = "refused"
     GONE = "gone"  # its lease expired
 
 
 class Member(Struct, kw_only=True):
-    """One member whose lease runs."""
+    """One member with an unexpired lease."""
 
     name: str
     tier: int
     lease_until_ns: int
     last_heard_ns: int
-    running_version: int = 0  # by its own report
-    sent_version: int = 0  # the last that was sent to it
+    running_version: int = 0  # as it reported
+    sent_version: int = 0  # last version sent to it
     state: MemberState = MemberState.JOINING
     reason: str = ""  # of a rejection
-    succeeded: int = 0  # requests since its start, by its own count
+    succeeded: int = 0  # requests since its start, as it reported
     failed: int = 0
-    upstreams: tuple[str, ...] = ()  # that are ready there
-    # The member's own checksum of its upstreams: it sends them again where this is another one.
+    upstreams: tuple[str, ...] = ()  # those that are ready in its endpoint list
+    # Reported with ``upstreams``; the member sends them again if its own checksum differs.
     upstreams_checksum: int = 0
     address: str = ""
-    recent_heartbeats: float = 0.0  # decays within a second, for the limit
+    recent_heartbeats: float = 0.0  # number, decaying to 0 within a second; for the rate limit
 
 
 class MemberStatus(Struct, kw_only=True):
@@ -70,7 +71,7 @@
         self.epochs: dict[int, int] = {}  # by tier
 
     def renew_lease(self, now: int, name: str, tier: int, address: str = "") -> Member | None:
-        """Take a sign of life; None where the member floods, or there are too many members."""
+        """Renew or grant a lease; return None above the heartbeat limit or the member limit."""
         member = self.members.get(name) or self._add(now, name, tier)
         if member is None:
             return None
@@ -96,7 +97,7 @@
         return member
 
     def expire(self, now: int) -> list[Member]:
-        """Remove and return the members whose lease is over."""
+        """Remove and return the members whose lease has expired."""
         expired = [member for member in self.members.values() if member.lease_until_ns <= now]
         for member in expired:
             del self.members[member.name]
@@ -107,7 +108,7 @@
         self.epochs[tier] = self.epoch(tier) + 1
 
     def epoch(self, tier: int) -> int:
-        """Return the epoch of a tier's view; 0 where nobody was ever there."""
+        """Return the epoch of a tier's view; 0 if it never had a member."""
         return self.epochs.get(tier, 0)
 
     def names(self, tier: int | None = None) -> list[str]:
--- a/pepperhook/control_plane/merge_patch.py
+++ b/pepperhook/control_plane/merge_patch.py
@@ -1,10 +1,10 @@
-"""Differences between documents, as lists for people and as JSON merge patches (RFC 7396)."""
+"""Differences between documents, as lists for operators and as JSON merge patches (RFC 7396)."""
 
 from typing import Any, NamedTuple
 
 
 class Difference(NamedTuple):
-    """One leaf that two documents have differently; None stands for an absent value."""
+    """One leaf that differs between two documents; None stands for an absent value."""
 
     key: str  # path of the leaf, joined by dots
     before: Any
@@ -16,8 +16,8 @@
     if not (isinstance(value, dict) and value):
         return {path: value} if path else {}
     leaves: dict[str, Any] = {}
-    for key, inner in value.items():
-        leaves.update(flatten(inner, f"{path}.{key}" if path else str(key)))
+    for key, child in value.items():
+        leaves.update(flatten(child, f"{path}.{key}" if path else str(key)))
     return leaves
 
 
@@ -38,15 +38,15 @@
     for key, value in after.items():
         old = before.get(key)
         if isinstance(value, dict) and isinstance(old, dict):
-            if inner := create_patch(old, value):
-                patch[key] = inner
+            if child_patch := create_patch(old, value):
+                patch[key] = child_patch
         elif value != old or key not in before:
             patch[key] = value
     return patch
 
 
 def apply_patch(before: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
-    """Return ``before`` changed by a merge patch (RFC 7396, section 2)."""
+    """Return ``before`` with a merge patch applied (RFC 7396, section 2)."""
     result = dict(before)
     for key, value in patch.items():
         if value is None:
--- a/pepperhook/control_plane/messages.py
+++ b/pepperhook/control_plane/messages.py
@@ -18,23 +18,23 @@
 MEMBERS_PATH = "/v1/members"
 ROLLOUT_PATH = "/v1/rollout"
 
-DEFAULT_PATIENCE_S = 60.0  # of a rollout step beyond its time
+DEFAULT_PATIENCE_S = 60.0  # beyond the duration of a rollout step, before the rollout is paused
 MISSING_FIELD = re.compile(r"Object missing required field `(.*?)`")
 
 
 class InvalidRequestError(PepperhookError, ValueError):
-    """The body of a request does not have the form that its path wants."""
+    """The body of a request does not have the form that its path requires."""
 
 
 class Rejection(NamedTuple):
-    """A version that a balancer rejected. A list of two in JSON."""
+    """A version that a balancer rejected, and why; an array of two in JSON."""
 
     version: int
     reason: str
 
 
 class Heartbeat(Struct, kw_only=True):
-    """A balancer's report on itself."""
+    """A balancer's report of its state."""
 
     name: str
     tier: int
@@ -44,20 +44,20 @@
     failed: int = field(default=0, name="bad")
     address: str = ""
     upstreams_checksum: int = field(default=0, name="upstreams_mark")
-    # Sent only where the service has another checksum: three hundred names in each heartbeat of a
-    # thousand members were most of the traffic.
+    # Sent only if the service has another checksum: with a thousand members, three hundred names
+    # in each heartbeat were most of the traffic.
     upstreams: list[str] | UnsetType = UNSET
 
 
 class HeartbeatReply(Struct, kw_only=True):
-    """What the service knows of the member."""
+    """The version that the member is to run, and the checksum of its upstreams at the service."""
 
     desired_version: int = field(name="wanted")
     upstreams_checksum: int = field(default=0, name="upstreams_mark")
 
 
 class PlanRequest(Struct, kw_only=True):
-    """Asks what a document would change."""
+    """Requests a plan of the changes that a document would make."""
 
     document: dict[str, Any]
     parent: int | None = None  # None: the newest version
@@ -65,7 +65,7 @@
 
 
 class Plan(Struct, kw_only=True):
-    """What a document would change, and what the service holds against it."""
+    """The changes that a document would make, and the safety checks that it violates."""
 
     parent: int
     differences: list[Difference]
@@ -74,7 +74,7 @@
 
 
 class ProposeRequest(Struct, kw_only=True):
-    """Asks for a new version."""
+    """Requests a new version."""
 
     document: dict[str, Any]
     parent: int | UnsetType = UNSET  # absent: the newest version
@@ -84,7 +84,7 @@
 
 
 class BeginRolloutRequest(Struct, kw_only=True):
-    """Asks for a rollout of a version."""
+    """Requests the rollout of a version."""
 
     version: int
     steps: list[Step]
@@ -93,7 +93,7 @@
 
 
 class ChangeRolloutRequest(Struct, kw_only=True):
-    """Asks for a rollout to be paused, resumed or rolled back."""
+    """Requests that the rollout be paused, resumed or rolled back."""
 
     reason: str = field(default="", name="why")
 
--- a/pepperhook/control_plane/rollout.py
+++ b/pepperhook/control_plane/rollout.py
@@ -1,11 +1,11 @@
 """A staged rollout as a state machine, without I/O.
 
-Each step admits a share of the members to the new version. A step ends when its time is over, every
-admitted member runs the version, and enough requests were counted to judge it. Requests of members
-that run the new version are compared with those of the others over the same time. If they surely
-fare worse, the rollout is rolled back; if there is no evidence within the step's patience, it is
-paused. In the last step nobody is left to compare with, so the others' counts of the step before
-serve instead.
+Each step admits a share of the members to the new version. A step ends when its duration is over,
+every admitted member runs the version, and enough requests were counted to judge it. Requests of
+members that run the new version are compared with those of the other members over the same time.
+If significantly more of them fail, the rollout is rolled back; if there is not enough evidence
+within the step's patience, it is paused. In the last step no member runs the previous version, so
+the baseline counts of the step before are used instead.
 """
 
 from collections.abc import Collection
@@ -17,8 +17,8 @@
 from pepperhook.control_plane.rollout_statistics import RequestCounts, difference_interval
 
 NS_PER_S = 10**9
-MIN_REQUESTS = 200  # on either side, below which there is no verdict
-TOLERATED_DIFFERENCE = 0.005  # of the failure shares, by which the new version may be worse
+MIN_REQUESTS = 200  # for each of the compared versions, below which there is no verdict
+TOLERATED_DIFFERENCE = 0.005  # by which the failure share of the new version may be higher
 MAX_NAMES_IN_REASON = 5
 
 
@@ -37,12 +37,12 @@
 class Step(Struct):
     """One step of a rollout."""
 
-    share: float  # of the members, above 0 up to 1
-    seconds: float  # that it lasts at the least
+    share: float  # of the members; above 0, at most 1
+    seconds: float  # minimum duration
 
 
 def are_valid_steps(steps: list[Step]) -> bool:
-    """Tell whether the shares rise from above 0 to 1 and no duration is negative."""
+    """Return whether shares are above 0, never fall, and end at 1, and no duration is negative."""
     shares = [step.share for step in steps]
     return (
         bool(steps)
@@ -55,36 +55,36 @@
 class Rollout(Struct, kw_only=True):
     """One rollout, as it is stored.
 
-    Times are nanoseconds of Unix time, which a restarted service still knows.
+    Times are nanoseconds of Unix time, so that they stay valid when the service restarts.
     """
 
     number: int
-    version: int  # that it rolls out
+    version: int  # the one that is rolled out
     previous_version: int = field(name="before")
     steps: list[Step]
-    patience_s: float  # beyond a step's time, until it is paused for want of evidence
+    patience_s: float  # beyond a step's duration, before the rollout is paused for lack of evidence
     author: str
     state: RolloutState = RolloutState.RUNNING
     step: int = 0  # index of the current one
     step_started_ns: int = field(default=0, name="begun")
-    reason: str = field(default="", name="why")  # of the state
+    reason: str = field(default="", name="why")  # for the state
     updated: RequestCounts = field(default_factory=RequestCounts, name="changed")
     baseline: RequestCounts = field(default_factory=RequestCounts, name="unchanged")
-    # The baseline of an earlier step, for when no member is left that runs the previous version.
+    # The baseline of an earlier step, used when no member runs the previous version.
     earlier_baseline: RequestCounts = field(default_factory=RequestCounts, name="base")
-    # A version of its own with the previous version's document, as numbers only ever grow.
+    # A new version with the previous version's document, as numbers only increase.
     rollback_version: int = field(default=0, name="back_to")
     admitted: list[str] = field(default_factory=list, name="entered")  # names of members
     rejections: dict[str, str] = field(default_factory=dict, name="refused")  # reasons by member
 
     @property
     def current_step(self) -> Step:
-        """Return the step that runs."""
+        """Return the current step."""
         return self.steps[self.step]
 
     @property
     def is_finished(self) -> bool:
-        """Tell whether the state is final."""
+        """Return whether the state is final."""
         return self.state not in UNFINISHED_STATES
 
     def desired_version(self, name: str) -> int:
@@ -96,21 +96,21 @@
         return self.version if name in self.admitted else self.previous_version
 
     def admit(self, names: Collection[str]) -> bool:
-        """Admit as many of the present members as the step's share; tell whether any came in.
+        """Admit members up to the step's share of those present; return whether any was admitted.
 
-        Members are admitted in the order of their ranks, one at the least. A member that was
-        admitted stays admitted, whoever joins or leaves: none is moved back and forth.
+        Members are admitted in the order of their ranks, at least one. An admitted member stays
+        admitted whoever joins or leaves, so that none moves back and forth between versions.
         """
         if self.state != RolloutState.RUNNING:
             return False
         admitted = set(self.admitted)
-        most = max(1, round(self.current_step.share * len(names)))
-        present = len(admitted.intersection(names))
-        # Membership is looked up in a set: in the list it took ten seconds for a thousand members.
-        others = sorted((name for name in names if name not in admitted), key=_rank)
-        newcomers = others[: max(0, most - present)]
-        self.admitted.extend(newcomers)
-        return bool(newcomers)
+        target_count = max(1, round(self.current_step.share * len(names)))
+        present_admitted = len(admitted.intersection(names))
+        # Looked up in the set: searching the list took ten seconds for a thousand members.
+        candidates = sorted((name for name in names if name not in admitted), key=_rank)
+        newly_admitted = candidates[: max(0, target_count - present_admitted)]
+        self.admitted.extend(newly_admitted)
+        return bool(newly_admitted)
 
     def count_requests(self, running_version: int, succeeded: int, failed: int) -> None:
         """Count a member's requests since its last report, by the version that it ran."""
@@ -120,14 +120,14 @@
         counts.add(succeeded, failed)
 
     def reject(self, name: str, reason: str) -> None:
-        """Pause because a member rejects the version, so that no other one is given it."""
+        """Pause because a member rejected the version, so that no further member receives it."""
         if self.is_finished:
             return
         self.rejections[name] = reason
-        self._enter(RolloutState.PAUSED, f"{name} refused: {reason}")
+        self._set_state(RolloutState.PAUSED, f"{name} refused: {reason}")
 
     def advance(self, now: int, running: dict[str, int], names: Collection[str]) -> bool:
-        """Move on as time and counts allow; tell whether anything changed.
+        """Advance the rollout as time and counts allow; return whether anything changed.
 
         ``running`` has the version that each present member reports, ``names`` are these members.
         """
@@ -143,7 +143,7 @@
             self._finish_step(now, names)
             return True
         if elapsed_ns >= (self.current_step.seconds + self.patience_s) * NS_PER_S:
-            self._enter(RolloutState.PAUSED, self._stalled_reason(lagging))
+            self._set_state(RolloutState.PAUSED, self._stalled_reason(lagging))
             return True
         return newly_admitted
 
@@ -158,14 +158,14 @@
         if not self._has_evidence():
             return False
         comparison = self._comparison()
-        surely_worse_by, _ = difference_interval(self.updated, comparison)
-        if surely_worse_by <= TOLERATED_DIFFERENCE:
+        worse_by_at_least, _ = difference_interval(self.updated, comparison)
+        if worse_by_at_least <= TOLERATED_DIFFERENCE:
             return False
-        self._enter(
+        self._set_state(
             RolloutState.ROLLED_BACK,
             f"step {self.step + 1}: of {self.updated.total} operations by the new version "
             f"{self.updated.failure_share:.2%} were not served in time, of {comparison.total} by "
-            f"the old {comparison.failure_share:.2%}; surely worse by {surely_worse_by:.2%}",
+            f"the old {comparison.failure_share:.2%}; surely worse by {worse_by_at_least:.2%}",
         )
         return True
 
@@ -176,7 +176,7 @@
 
     def _finish_step(self, now: int, names: Collection[str]) -> None:
         if self.step + 1 == len(self.steps):
-            self._enter(RolloutState.COMPLETED, "")
+            self._set_state(RolloutState.COMPLETED, "")
             return
         self.earlier_baseline = self._comparison()
         self.step += 1
@@ -198,27 +198,27 @@
         )
 
     def pause(self, reason: str) -> None:
-        """Stop where it is, on an operator's request."""
+        """Pause in the current step, on an operator's request."""
         if self.state == RolloutState.RUNNING:
-            self._enter(RolloutState.PAUSED, reason)
+            self._set_state(RolloutState.PAUSED, reason)
 
     def resume(self, now: int, reason: str) -> None:
-        """Go on from the beginning of the step, on an operator's request."""
+        """Resume at the beginning of the current step, on an operator's request."""
         if self.state == RolloutState.PAUSED:
-            self._enter(RolloutState.RUNNING, reason)
+            self._set_state(RolloutState.RUNNING, reason)
             self._restart_step(now)
             self.rejections = {}
 
     def roll_back(self, reason: str) -> None:
         """Return all members to the previous configuration."""
         if not self.is_finished:
-            self._enter(RolloutState.ROLLED_BACK, reason)
+            self._set_state(RolloutState.ROLLED_BACK, reason)
 
-    def _enter(self, state: RolloutState, reason: str) -> None:
+    def _set_state(self, state: RolloutState, reason: str) -> None:
         self.state = state
         self.reason = reason
 
 
 def _rank(name: str) -> tuple[bytes, str]:
-    """Return a member's place in the order of admission, which hangs on its name alone."""
+    """Return a member's place in the order of admission, which depends only on its name."""
     return blake2b(name.encode(), digest_size=6).digest(), name
--- a/pepperhook/control_plane/rollout_driver.py
+++ b/pepperhook/control_plane/rollout_driver.py
@@ -1,4 +1,4 @@
-"""Drives the current rollout: stores each state before any member learns of it."""
+"""Drives the current rollout: stores each state before it takes effect on members."""
 
 import logging
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 class RolloutAction(StrEnum):
-    """What an operator may do to a rollout."""
+    """The actions of an operator on a rollout."""
 
     PAUSE = "hold"
     RESUME = "resume"
@@ -27,7 +27,7 @@
 
 
 class RolloutDriver:
-    """Owns the current rollout, which is the newest one also after it ended."""
+    """Owns the current rollout: the newest one, even after it has finished."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         clock: Callable[[], float],
         log: logging.Logger,
     ) -> None:
-        """Continue the stored rollout.
+        """Continue the newest stored rollout.
 
         ``notify`` is called when members may have to run another version, ``clock`` gives Unix
         seconds.
@@ -53,11 +53,11 @@
         self.current = store.newest_rollout()
 
     def desired_version(self, name: str) -> int:
-        """Return the number of the version that a member is to run; 0: what it was started with."""
+        """Return the number of the version that a member is to run; 0: no version."""
         return 0 if self.current is None else self.current.desired_version(name)
 
     def begin(self, request: BeginRolloutRequest) -> Rollout:
-        """Begin a rollout. Raises ChangeRejectedError, StoreFullError."""
+        """Begin a rollout. Raises ChangeRejectedError or StoreFullError."""
         last = self.current
         if self._store.version(request.version) is None:
             raise ChangeRejectedError(f"there is no version {request.version}")
@@ -85,7 +85,7 @@
         return rollout
 
     def change(self, action: RolloutAction, reason: str) -> Rollout:
-        """Pause, resume or roll back. Raises ChangeRejectedError, StoreFullError."""
+        """Pause, resume or roll back. Raises ChangeRejectedError or StoreFullError."""
         if self.current is None:
             raise ChangeRejectedError("there is no rollout")
         changed = _copy(self.current)
@@ -105,7 +105,7 @@
         return changed
 
     def advance(self) -> None:
-        """Move the rollout on as time and counts allow. Raises StoreFullError."""
+        """Advance the rollout as time and counts allow. Raises StoreFullError."""
         if self.current is None or self.current.state != RolloutState.RUNNING:
             return
         advanced = _copy(self.current)
@@ -126,12 +126,12 @@
         self._notify()
 
     def count_requests(self, running_version: int, succeeded: int, failed: int) -> None:
-        """Count requests of a member; in memory alone, as only a verdict has to last."""
+        """Count requests of a member, in memory only, as only a verdict has to be durable."""
         if self.current is not None:
             self.current.count_requests(running_version, succeeded, failed)
 
     def record_rejection(self, version: int, name: str, reason: str) -> None:
-        """Take a member's rejection, if it is of the version that is rolled out."""
+        """Record a member's rejection if it is of the version that is rolled out."""
         if self.current is None or version != self.current.version:
             return
         changed = _copy(self.current)
@@ -141,7 +141,7 @@
             self._notify()
 
     def commit(self, rollout: Rollout) -> None:
-        """Make a state the current one, once it is stored. Raises StoreFullError."""
+        """Store a state, then make it the current one. Raises StoreFullError."""
         if rollout.state == RolloutState.ROLLED_BACK and not rollout.rollback_version:
             rollback = self._catalog.add_rollback(
                 rollout.previous_version,
@@ -157,7 +157,7 @@
 
 
 def _resulting_version(rollout: Rollout | None) -> int:
-    """Return the version that members run after a finished rollout; 0: their own start."""
+    """Return the version that members run after a finished rollout; 0: no version."""
     if rollout is None:
         return 0
     if rollout.state == RolloutState.COMPLETED:
@@ -166,5 +166,5 @@
 
 
 def _copy(rollout: Rollout) -> Rollout:
-    """Return a deep copy, so that a state which the disk did not take did not happen."""
+    """Return a deep copy, so that a state that could not be stored has no effect."""
     return msgspec.json.decode(msgspec.json.encode(rollout), type=Rollout)
--- a/pepperhook/control_plane/rollout_statistics.py
+++ b/pepperhook/control_plane/rollout_statistics.py
@@ -1,10 +1,10 @@
-"""Compares how requests fare by two versions, with a confidence interval."""
+"""Compares the failure shares of two versions, with a confidence interval."""
 
 from math import sqrt
 
 from msgspec import Struct, field
 
-Z_99 = 2.576  # 99% of the normal distribution, two-sided
+Z_99 = 2.576  # two-sided 99% quantile of the normal distribution
 
 
 class RequestCounts(Struct):
@@ -20,7 +20,7 @@
 
     @property
     def failure_share(self) -> float:
-        """Return the share that failed; there must be requests."""
+        """Return the share that failed; ``total`` must not be 0."""
         return self.failed / self.total
 
     def add(self, succeeded: int, failed: int) -> None:
@@ -30,7 +30,7 @@
 
 
 def wilson_interval(counts: RequestCounts) -> tuple[float, float]:
-    """Return the bounds of the failure share by Wilson's score interval."""
+    """Return the bounds of the failure share by Wilson's score interval (99%)."""
     share = counts.failure_share
     total = counts.total
     denominator = 1 + Z_99 * Z_99 / total
@@ -41,9 +41,9 @@
 
 
 def difference_interval(first: RequestCounts, second: RequestCounts) -> tuple[float, float]:
-    """Return the bounds of the difference of failure shares, first less second.
+    """Return the 99% bounds of the difference of failure shares, first minus second.
 
-    By Newcombe (1998), method 10, which holds for small counts and for shares of none or all.
+    By Newcombe (1998), method 10, which is valid for small counts and for shares of 0 and 1.
     """
     difference = first.failure_share - second.failure_share
     first_low, first_high = wilson_interval(first)
--- a/pepperhook/control_plane/safety_checks.py
+++ b/pepperhook/control_plane/safety_checks.py
@@ -1,9 +1,9 @@
-"""Checks that keep a harmful version from taking effect, as plain decisions without I/O.
+"""Checks that prevent a harmful version from taking effect, as logic without I/O.
 
 The service checks a document against its parent and against the upstreams that members report.
 Each balancer checks it against its own settings, latencies and capacity. An author may override a
-check by its name; checks for what cannot work at all (an unknown service class, an extension that
-is off) cannot be overridden.
+check by its name, except the mandatory checks for what cannot work at all (an unknown service
+class, a disabled extension).
 """
 
 from collections.abc import Iterable, Iterator
@@ -15,7 +15,7 @@
 from pepperhook.control_plane.document import Document, Effect, ServiceClassOverride
 from pepperhook.control_plane.merge_patch import differences
 
-MAX_RELATIVE_STEP = 0.5  # of a number's value that may change in one version
+MAX_RELATIVE_STEP = 0.5  # largest change of a number in one version, relative to its value
 STEP_LIMITED_KEYS = frozenset(
     (
         "time_limit_ms",
@@ -65,7 +65,7 @@
 
 
 class ServiceClassState(Struct, frozen=True):
-    """A service class as the balancer was started with it. Times in milliseconds."""
+    """A service class in the settings that the balancer was started with. Times in milliseconds."""
 
     time_limit_ms: float
     latency_objective_ms: float
@@ -77,12 +77,12 @@
 
     service_classes: dict[str, ServiceClassState]  # by name
     tenants: frozenset[str]
-    extensions: frozenset[str]  # that are on
-    # Attempts that each upstream ready by the endpoint list can have in flight, as the policy
-    # reckons it.
+    extensions: frozenset[str]  # enabled ones
+    # Number of attempts that each upstream can have in flight, as computed by the policy, for the
+    # upstreams that are ready in the endpoint list.
     upstream_capacity: dict[str, float]
-    in_flight: float = 0.0  # mean number of attempts, at all upstreams together
-    usual_latency_ms: dict[str, float] = {}  # high quantile by service class, where measured
+    in_flight: float = 0.0  # mean number of attempts at all upstreams together
+    usual_latency_ms: dict[str, float] = {}  # by service class, where measured
 
 
 def violations_of_change(
@@ -91,20 +91,20 @@
     document: Document,
     known_upstreams: frozenset[str] = frozenset(),
 ) -> list[Violation]:
-    """Return what the service can hold against a document.
+    """Return the violations that the service finds in a document.
 
     ``before`` is the parent's document, ``document`` is ``after`` parsed, ``known_upstreams`` are
     the names that members report.
     """
-    found: list[Violation] = []
+    violations: list[Violation] = []
     for key, old, new in differences(before, after):
         name = key.rpartition(".")[2]
         if name in STEP_LIMITED_KEYS:
-            found += _step_size_violations(key, old, new)
+            violations += _step_size_violations(key, old, new)
         if name == "effect" and old == Effect.UNSAFE:
-            found.append(Violation(Check.EFFECT, key, "an unsafe grade would be repeated"))
-    found += _known_drain_violations(document.drained_upstreams(), known_upstreams)
-    return found
+            violations.append(Violation(Check.EFFECT, key, "an unsafe grade would be repeated"))
+    violations += _known_drain_violations(document.drained_upstreams(), known_upstreams)
+    return violations
 
 
 def _step_size_violations(key: str, old: Any, new: Any) -> Iterator[Violation]:
@@ -129,7 +129,7 @@
 
 
 def violations_on_balancer(document: Document, view: BalancerView) -> list[Violation]:
-    """Return what one balancer holds against a document."""
+    """Return the violations that one balancer finds in a document."""
     return [
         *_service_class_violations(document, view),
         *_tenant_violations(document, view),
@@ -196,7 +196,7 @@
 
 
 def _capacity_violations(drained: set[str], view: BalancerView) -> Iterator[Violation]:
-    """Compare the capacity that draining leaves with what is in flight on the mean."""
+    """Compare the capacity that draining leaves with the mean number of attempts in flight."""
     remaining = {
         name: capacity for name, capacity in view.upstream_capacity.items() if name not in drained
     }
@@ -216,7 +216,7 @@
 
 
 def not_overridden(violations: Iterable[Violation], overridden: Iterable[str]) -> list[Violation]:
-    """Return the violations that stand, given the names of the checks that the author overrode."""
+    """Return the violations except those of checks that the author overrode by name."""
     names = set(overridden)
     return [
         violation
@@ -225,6 +225,8 @@
     ]
 
 
-def describe(violations: Iterable[Violation]) -> str:
-    """Return the violations in one line, each with the name by which it is overridden."""
-    return "; ".join(f"{one.key}: {one.reason} ({one.check})" for one in violations)
+def describe_violations(violations: Iterable[Violation]) -> str:
+    """Return the violations in one line, each with the name of its check."""
+    return "; ".join(
+        f"{violation.key}: {violation.reason} ({violation.check})" for violation in violations
+    )
--- a/pepperhook/control_plane/service.py
+++ b/pepperhook/control_plane/service.py
@@ -1,7 +1,7 @@
-"""The control service: puts its components together and owns its periodic work.
+"""The control service: connects its components and runs the periodic work.
 
-The decisions are elsewhere: ``version_catalog`` and ``safety_checks`` on documents, ``rollout`` on
-who runs what, ``member_registry`` on who is present.
+The decisions are made elsewhere: ``version_catalog`` and ``safety_checks`` judge documents,
+``rollout`` chooses the version that each member runs, ``member_registry`` tracks the members.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 class ControlService:
-    """The state of the control service; ``http_api`` is how it is reached."""
+    """The state of the control service; ``http_api`` is its HTTP interface."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         clock: Callable[[], float] = time.time,
         monotonic_ns: Callable[[], int] = time.monotonic_ns,
     ) -> None:
-        """Continue where the store ended; ``clock`` gives Unix seconds."""
+        """Continue from the stored state; ``clock`` gives Unix seconds."""
         self.store = store
         self.keys = keys
         self.clock = clock
@@ -55,7 +55,7 @@
         self._monotonic_ns = monotonic_ns
         self._log = log or logging.getLogger("pepperhook.control_plane")
         self._task: asyncio.Task[None] | None = None
-        self.background_faults = 0  # ends of the periodic work that nobody foresaw
+        self.background_faults = 0  # unexpected errors that ended the periodic work
         self._saved_names: list[str] = []
         self._saved_at = 0.0
 
@@ -75,9 +75,9 @@
         )
 
     def _restore_members(self) -> None:
-        """Renew the leases of members that were present when the service ended.
+        """Renew the leases of members that were present when the service stopped.
 
-        Otherwise a rollout step would take its share of the first members that reconnect.
+        Otherwise a rollout step would admit its share of only the members that reconnected first.
         """
         stored = self.store.members()
         newest_ms = max((status.last_heard_ms for status in stored.values()), default=0)
@@ -96,15 +96,15 @@
     # Periodic work.
 
     def start(self) -> None:
-        """Begin the periodic work; needs a running event loop."""
+        """Start the periodic work; needs a running event loop."""
         self._task = Supervisor(self._report_fault).start("control service", self._run)
 
     def _report_fault(self, task: str, error: BaseException) -> None:
         self.background_faults += 1
-        self._log.error("%s: not foreseen: %s: %s", task, type(error).__name__, error)
+        self._log.error("%s: unexpected error: %s: %s", task, type(error).__name__, error)
 
     async def stop(self) -> None:
-        """End the periodic work and close the store."""
+        """Stop the periodic work and close the store."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -116,10 +116,10 @@
             try:
                 self.tick()
             except StoreFullError as error:
-                self._log.error("control: %s", error)
+                self._log.error("cannot write the store: %s", error)
 
     def tick(self) -> None:
-        """Expire leases, advance the rollout, store members. Raises StoreFullError."""
+        """Expire leases, advance the rollout and store the members. Raises StoreFullError."""
         if self.registry.expire(self._monotonic_ns()):
             self.streams.changes.notify()
         self.rollouts.advance()
@@ -136,12 +136,12 @@
         return self.rollouts.desired_version(name)
 
     def connect(self, name: str, tier: int) -> None:
-        """Take a member's new stream as a sign of life."""
+        """Renew a member's lease when it opens a stream."""
         if self.registry.renew_lease(self._monotonic_ns(), name, tier) is not None:
             self.streams.changes.notify()
 
     def receive_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatReply:
-        """Take a member's report on itself. Raises RequestDeniedError where it floods."""
+        """Process a member's heartbeat. Raises RequestDeniedError where no lease is granted."""
         member = self.registry.renew_lease(
             self._monotonic_ns(), heartbeat.name, heartbeat.tier, heartbeat.address
         )
@@ -159,7 +159,7 @@
         )
 
     def _count_requests(self, member: Member, heartbeat: Heartbeat) -> None:
-        """Count requests since the last report, unless it restarted or changed its version."""
+        """Count requests since the last heartbeat of the same process and version."""
         if (
             member.running_version == heartbeat.running_version
             and heartbeat.succeeded >= member.succeeded
@@ -183,7 +183,7 @@
             return
         if member.state != MemberState.REJECTED or member.reason != rejection.reason:
             self._log.warning(
-                "member %s refused version %d: %s",
+                "member %s rejected version %d: %s",
                 member.name,
                 rejection.version,
                 rejection.reason,
--- a/pepperhook/control_plane/service_connection.py
+++ b/pepperhook/control_plane/service_connection.py
@@ -9,7 +9,7 @@
 from pepperhook.scheduler import random_fraction
 
 CONNECT_TIMEOUT_S = 3.0
-SILENCE_TIMEOUT_S = 7.0  # without a byte, a stream is dead
+SILENCE_TIMEOUT_S = 7.0  # after this time without data, a stream is dead
 REQUEST_TIMEOUT_S = 5.0
 
 ResponseContext = AbstractAsyncContextManager[aiohttp.ClientResponse]
@@ -19,7 +19,7 @@
     """The HTTP session with the service at one address."""
 
     def __init__(self, address: str, keys: KeyRing) -> None:
-        """Open a session; needs a running event loop. Must be closed."""
+        """Open a session; needs a running event loop, and ``close`` must be called."""
         self._base_url = f"http://{address}"
         self._keys = keys
         self._session = aiohttp.ClientSession(
@@ -29,13 +29,13 @@
         )
 
     def open_stream(self, path: str) -> ResponseContext:
-        """Request a response without an end, as a context manager."""
+        """Send a GET request for a stream; return a context manager for the endless response."""
         return self._session.get(
             self._base_url + path, headers=sign_request(self._keys, "GET", path)
         )
 
     def post(self, path: str, body: bytes) -> ResponseContext:
-        """Send a body, as a context manager for the response."""
+        """Send a POST request; return a context manager for the response."""
         return self._session.post(
             self._base_url + path,
             data=body,
@@ -49,7 +49,7 @@
 
 
 class SeededJitter:
-    """Draws that differ between balancers and repeat with a balancer's seed."""
+    """Pseudo-random numbers that differ between balancers and are reproducible by the seed."""
 
     def __init__(self, seed: int, name: str) -> None:
         """Begin the sequence of one balancer."""
--- a/pepperhook/control_plane/stream_client.py
+++ b/pepperhook/control_plane/stream_client.py
@@ -1,4 +1,4 @@
-"""Follows the service's stream, and reconnects with growing, jittered waits."""
+"""Reads the service's stream, and reconnects with exponential, jittered backoff."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,13 +14,13 @@
 
 FIRST_RECONNECT_S = 0.25  # doubled with each failure
 MAX_RECONNECT_S = 20.0
-MAX_ERROR_CHARACTERS = 200  # of a response that is no stream
+MAX_ERROR_CHARACTERS = 200  # of an error response, in the log
 
 HandleMessage = Callable[[StreamMessage], Awaitable[None]]
 
 
 class StreamClient:
-    """Follows the stream and hands its messages to one handler, one after the other."""
+    """Reads the stream and passes its messages to one handler, one after the other."""
 
     def __init__(
         self,
@@ -32,10 +32,10 @@
         latest_seen_number: Callable[[], int],
         known_version: KnownVersions,
     ) -> None:
-        """Follow the stream of the member ``name``.
+        """Read the stream of the member ``name``.
 
-        ``latest_seen_number`` gives the version that need not be sent, ``known_version`` one that a
-        patch may be applied to.
+        ``latest_seen_number`` returns the number of the version that need not be sent again,
+        ``known_version`` a version by its number, for patches to be applied to.
         """
         self.connected = False
         self.broken_streams = 0
@@ -47,9 +47,10 @@
         self._known_version = known_version
 
     async def run(self, connection: ServiceConnection, handle: HandleMessage) -> None:
-        """Follow one stream after another until cancelled.
+        """Read one stream after another until cancelled.
 
-        Waits are jittered, or a thousand balancers that lost the service would return together.
+        Waits are jittered so that a thousand balancers that lost the service do not reconnect at
+        the same moment.
         """
         wait_s = FIRST_RECONNECT_S
         while True:
@@ -67,7 +68,7 @@
             wait_s = min(MAX_RECONNECT_S, wait_s * 2)
 
     async def _follow(self, connection: ServiceConnection, handle: HandleMessage) -> None:
-        """Follow one stream. Raises ClientError, OSError or StreamError when it ends."""
+        """Read one stream. Raises ClientError, OSError or StreamError when it ends."""
         reader = FrameReader(self._known_version)
         async with connection.open_stream(self._path()) as response:
             if response.status != HTTPStatus.OK:
--- a/pepperhook/control_plane/version.py
+++ b/pepperhook/control_plane/version.py
@@ -1,4 +1,4 @@
-"""Numbered versions of the configuration and the signature that proves them."""
+"""Numbered versions of the configuration and their signatures."""
 
 import hashlib
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class ForgedVersionError(PepperhookError, ValueError):
-    """The version is not what a key of this installation signed; the text says how that shows."""
+    """No key of this installation signed the version as it is; the message says what is wrong."""
 
 
 class Version(Struct, kw_only=True):
@@ -21,11 +21,11 @@
     """
 
     number: int
-    parent: int  # number of the version that it was made from; 0: none
+    parent: int  # number of the version that it is based on; 0: none
     author: str
     reason: str
     made_ms: int  # Unix time
-    # As builtins, so that a key which a later release adds is not lost on the way.
+    # As builtins, so that keys that a later release adds are preserved.
     document: dict[str, Any]
     forced: list[str] = []  # names of the safety checks that its author overrode
     hash: str = ""
@@ -71,5 +71,5 @@
     if version.key not in keys:
         raise ForgedVersionError(f"{name}: no key has the id {version.key!r}")
     if not keys.verify(version.key, version.hash.encode(), version.mac):
-        raise ForgedVersionError(f"{name}: its MAC does not fit")
+        raise ForgedVersionError(f"{name}: its MAC does not match")
     return version
--- a/pepperhook/control_plane/version_applier.py
+++ b/pepperhook/control_plane/version_applier.py
@@ -1,4 +1,4 @@
-"""Applies versions to a running balancer: verifies and checks each before it is in force."""
+"""Applies versions to a running balancer, after verifying the signature and the safety checks."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     parse_document,
 )
 from pepperhook.control_plane.last_good import LastGoodFile, UnusableStateError
-from pepperhook.control_plane.listed_endpoints import ListedEndpoints, has_other_weight, weight_of
+from pepperhook.control_plane.listed_endpoints import ListedEndpoints, weight_differs, weight_of
 from pepperhook.control_plane.messages import Rejection
 from pepperhook.control_plane.safety_checks import (
     BalancerView,
-    describe,
+    describe_violations,
     not_overridden,
     violations_on_balancer,
 )
@@ -36,14 +36,14 @@
 
 
 class Position(Protocol):
-    """The balancer's place in its tier; without an index the settings' place counts."""
+    """The balancer's position in its tier; while ``index`` is None, the settings' one is used."""
 
     index: int | None
     count: int
 
 
 class ApplierCounters(Struct):
-    """What became of the versions that arrived."""
+    """Counts the received versions by their result."""
 
     applied: int = 0
     rejected: int = 0
@@ -52,28 +52,28 @@
 
 
 class NotApplicableError(PepperhookError):
-    """A version that passed all checks could not be put into force."""
+    """A version that passed all checks could not be applied."""
 
 
 class PolicyFaultError(PepperhookError):
-    """The policy failed in a call."""
+    """A call of the policy failed."""
 
 
 @dataclass(frozen=True, slots=True)
 class PreparedVersion:
-    """All that a version changes; ``limits`` is None where no rate limits are on."""
+    """All state that a version changes; ``limits`` is None if rate limits are disabled."""
 
     version: Version | None
     document: Document
     settings: Settings
-    limits: Any  # the extension's own record of what it enforces
+    limits: Any  # the limits in the rate limit extension's own form
 
 
 class VersionApplier:
-    """Owns the version in force and tells the policy of it.
+    """Owns the version in force and reconfigures the policy for it.
 
-    Nothing here waits, so a version takes effect between two events of the balancer: a request that
-    was admitted before keeps the rules that it was admitted under.
+    No method is a coroutine, so a version takes effect between two events of the balancer. Requests
+    that were admitted before keep the rules that they were admitted under.
     """
 
     def __init__(
@@ -81,23 +81,23 @@
     ) -> None:
         """Begin with the configuration that the balancer was started with.
 
-        ``extensions`` are those that are on, by their names in a document.
+        ``extensions`` are the enabled ones, by their names in a document.
         """
-        self.running: Version | None = None  # None: nothing but the start's configuration
-        self.rejection: Rejection | None = None  # of the last version, if it was rejected
+        self.running: Version | None = None  # None: only the startup configuration
+        self.rejection: Rejection | None = None  # of the latest version, if that was rejected
         self.position: Position | None = None
         self.counters = ApplierCounters()
         self.endpoints = ListedEndpoints()
         self.document: Document = parse_document(EMPTY_DOCUMENT)
         self._config = config
-        self._start_settings = replace(config.settings)  # those in force change in place
+        self._startup_settings = replace(config.settings)  # a copy: those in force change in place
         self._keys = keys
         self._log = log
         self.extensions = extensions
         self._node: Any = None
 
     def attach(self, node: Any) -> None:
-        """Apply to this balancer from now on."""
+        """Set the balancer that versions are applied to."""
         self._node = node
 
     @property
@@ -107,15 +107,15 @@
 
     @property
     def latest_seen_number(self) -> int:
-        """Return the number that the service need not send again."""
+        """Return the number of the version that the service need not send again."""
         return self.rejection.version if self.rejection else self.running_number
 
     def known_version(self, number: int) -> Version | None:
-        """Return the version in force if it has that number; a patch is made of no other one."""
+        """Return the version in force if it has this number; patches are only applied to it."""
         return self.running if number == self.running_number else None
 
     def receive(self, version: Version) -> bool:
-        """Verify, check and apply a version; tell whether it was applied."""
+        """Verify, check and apply a version; return whether it was applied."""
         try:
             verify_version(version, self._keys)
         except ForgedVersionError as error:
@@ -136,7 +136,7 @@
         violations = violations_on_balancer(document, self._view())
         standing = not_overridden(violations, version.forced)
         if standing:
-            self._reject(version, describe(standing))
+            self._reject(version, describe_violations(standing))
             return False
         try:
             self.apply(version, document)
@@ -160,11 +160,11 @@
         except (UnusableStateError, InvalidDocumentError) as error:
             self._log.warning("last_good_unusable", error=error)
             return
-        # Nothing was measured yet, so only what cannot be overridden counts.
+        # Nothing has been measured yet, so only the mandatory checks apply.
         violations = violations_on_balancer(document, self._view())
         mandatory = [violation for violation in violations if not violation.overridable]
         if mandatory:
-            reasons = "; ".join(f"{one.key}: {one.reason}" for one in mandatory)
+            reasons = "; ".join(f"{violation.key}: {violation.reason}" for violation in mandatory)
             self._log.warning("last_good_unusable", error=reasons)
             return
         try:
@@ -182,37 +182,37 @@
     def _view(self) -> BalancerView:
         return read_balancer_view(
             self._node.runtime.policy,
-            self._start_settings,
+            self._startup_settings,
             self._config.names,
             self.extensions,
             self.endpoints,
         )
 
     def apply(self, version: Version, document: Document) -> None:
-        """Put a version into force, unchecked: all of it, or nothing.
+        """Put a version into force without checks: all of it, or nothing.
 
-        Raises NotApplicableError where that fails; what was in force before is so again.
+        Raises NotApplicableError after a failure, and restores the previous version then.
         """
         try:
             prepared = self._prepare(version, document)
-            before = self._in_force()
+            previous = self._current()
         except Exception as error:
             raise NotApplicableError(f"{type(error).__name__}: {error}") from error
         try:
             self._put_into_force(prepared)
         except Exception as error:
-            self._go_back(before)
+            self._restore_previous(previous)
             raise NotApplicableError(f"{type(error).__name__}: {error}") from error
 
     def _prepare(self, version: Version | None, document: Document) -> PreparedVersion:
-        """Make all that a version changes, before anything does."""
+        """Build all state that a version changes, before any of it is put into force."""
         rate_limits = self.extensions.get(RATE_LIMITS)
         limits = None
         if rate_limits is not None:
             limits = rate_limits.prepare(document.extensions.rate_limits)
         return PreparedVersion(version, document, self._settings(document), limits)
 
-    def _in_force(self) -> PreparedVersion:
+    def _current(self) -> PreparedVersion:
         rate_limits = self.extensions.get(RATE_LIMITS)
         limits = None if rate_limits is None else rate_limits.limits
         return PreparedVersion(self.running, self.document, self._settings(self.document), limits)
@@ -228,11 +228,11 @@
         self.running = prepared.version
         self.document = prepared.document
 
-    def _go_back(self, before: PreparedVersion) -> None:
+    def _restore_previous(self, previous: PreparedVersion) -> None:
         try:
-            self._put_into_force(before)
+            self._put_into_force(previous)
         except Exception:
-            # The policy fails with what it had, too, which its own log lines tell.
+            # The policy fails with the previous version too, and its own log lines say so.
             self._log.exception("version_not_restored")
 
     def _call_policy(self, call: Any, *arguments: Any) -> None:
@@ -240,7 +240,7 @@
             raise PolicyFaultError(f"the policy failed in {call.__name__}")
 
     def _settings(self, document: Document) -> Settings:
-        settings = build_settings(document, self._start_settings, self._config.names)
+        settings = build_settings(document, self._startup_settings, self._config.names)
         if self.position is not None and self.position.index is not None:
             settings = with_fleet_position(settings, self.position.index, self.position.count)
         return settings
@@ -253,15 +253,15 @@
         self._node.ingress.update_settings()
 
     def update_policy(self) -> None:
-        """Give the policy its settings and weights by the document and the position in force."""
+        """Reconfigure the policy for the document and the position in force."""
         try:
             self._reconfigure(self._settings(self.document), self.document)
         except PolicyFaultError as error:
             self._log.warning("policy_not_updated", error=error)
 
     def correct_weights(self, upstreams: list[Any]) -> None:
-        """Update the policy if it has other weights than the document says."""
+        """Update the policy if weights of upstreams differ from the document's."""
         if self.document.upstreams and any(
-            has_other_weight(upstream, self.document) for upstream in upstreams
+            weight_differs(upstream, self.document) for upstream in upstreams
         ):
             self.update_policy()
--- a/pepperhook/control_plane/version_catalog.py
+++ b/pepperhook/control_plane/version_catalog.py
@@ -1,4 +1,4 @@
-"""Plans and creates versions: checks a document against its parent, numbers it and signs it."""
+"""Plans and creates versions: checks a document against its parent, numbers and signs it."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,7 +12,7 @@
 from pepperhook.control_plane.safety_checks import (
     Check,
     Violation,
-    describe,
+    describe_violations,
     not_overridden,
     violations_of_change,
 )
@@ -20,14 +20,15 @@
 from pepperhook.errors import PepperhookError
 from pepperhook.key_ring import KeyRing
 
-# A rollback returns members to a configuration that they had, so these cannot do new harm.
+# A rollback returns to a configuration that members had, so what these checks guard against is not
+# new to them.
 ROLLBACK_OVERRIDES = [
     check.value for check in (Check.EFFECT, Check.TIME_LIMIT, Check.METHOD, Check.STEP_SIZE)
 ]
 
 
 class ChangeRejectedError(PepperhookError, ValueError):
-    """The change was not made; ``violations`` are what stands against it, if checks do."""
+    """The change was rejected; ``violations`` are the checks that rejected it, if any."""
 
     def __init__(self, text: str, violations: list[Violation] | None = None) -> None:
         """Describe the rejection."""
@@ -36,7 +37,7 @@
 
 
 class VersionCatalog:
-    """The versions of an installation, in a history that only grows."""
+    """The versions of an installation, in an append-only history."""
 
     def __init__(
         self,
@@ -57,11 +58,11 @@
 
     @property
     def newest_number(self) -> int:
-        """Return the number of the newest version; 0 where there is none."""
+        """Return the number of the newest version; 0 if there is none."""
         return self.newest.number if self.newest else 0
 
     def plan(self, request: PlanRequest) -> Plan:
-        """Return what a document would change and what the service holds against it.
+        """Return the changes that a document would make and the checks that it violates.
 
         Raises InvalidDocumentError.
         """
@@ -81,7 +82,7 @@
     def propose(self, request: ProposeRequest) -> Version:
         """Add a version.
 
-        Raises InvalidDocumentError, ChangeRejectedError, ConflictError, StoreFullError.
+        Raises InvalidDocumentError, ChangeRejectedError, ConflictError or StoreFullError.
         """
         if request.overridden_checks and not request.reason.strip():
             raise ChangeRejectedError(
@@ -96,7 +97,7 @@
             )
         )
         if plan.standing:
-            raise ChangeRejectedError(describe(plan.standing), plan.standing)
+            raise ChangeRejectedError(describe_violations(plan.standing), plan.standing)
         return self._add(
             parent=self.newest_number if parent is None else parent,
             author=request.author,
@@ -108,7 +109,7 @@
     def add_rollback(self, target_version: int, author: str, reason: str) -> Version:
         """Add a version with the document of an earlier one. Raises StoreFullError.
 
-        It has a number of its own, as members reject a number that is not above the one they run.
+        It has a new number, as members do not apply a number that is not above the one they run.
         """
         target = self._store.version(target_version)
         return self._add(
--- a/pepperhook/control_plane/version_streams.py
+++ b/pepperhook/control_plane/version_streams.py
@@ -13,8 +13,8 @@
 from pepperhook.control_plane.member_registry import MemberRegistry
 from pepperhook.errors import PepperhookError
 
-HEARTBEAT_INTERVAL_S = 2.0  # between frames of a stream that has nothing else to send
-MAX_CACHED_VERSIONS = 16  # encoded, for the next member that needs the same
+HEARTBEAT_INTERVAL_S = 2.0  # between frames of a stream without changes
+MAX_CACHED_VERSIONS = 16  # encoded, for further members that need the same version
 
 Write = Callable[[bytes], Awaitable[None]]
 
@@ -28,11 +28,11 @@
 
     @property
     def next_change(self) -> asyncio.Event:
-        """Return the event of the next change; take it before the state that is sent is read."""
+        """Return the event of the next change; get it before reading the state to be sent."""
         return self._event
 
     def notify(self) -> None:
-        """Wake those who wait, and begin to collect the next ones."""
+        """Wake all waiting streams, and create the event of the next change."""
         self._event.set()
         self._event = asyncio.Event()
 
@@ -42,7 +42,7 @@
 
 
 class ServiceCounters(Struct):
-    """Counters of the service, as it reports them."""
+    """Counters of the service, as its HTTP interface reports them."""
 
     streams: int = 0  # that are open
     versions_sent: int = 0
@@ -57,7 +57,7 @@
 
 
 class VersionStreams:
-    """Feeds the streams of all members, and encodes what they share only once."""
+    """Writes the streams of all members, and encodes frames that they share only once."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         counters: ServiceCounters,
         clock: Callable[[], float],
     ) -> None:
-        """Serve versions from ``store``; ``desired_version`` gives that of a member by its name."""
+        """Serve versions from ``store``; ``desired_version`` returns a member's number."""
         self.changes = ChangeSignal()
         self._store = store
         self._registry = registry
@@ -77,15 +77,18 @@
         self._encoded_versions: dict[tuple[int, int], bytes] = {}  # by number and base
         self._encoded_views: dict[int, _EncodedView] = {}  # by tier
 
-    async def feed(self, write: Write, name: str, tier: int, have: int) -> None:
-        """Feed one member's stream until it breaks; ``have`` is the version that it runs."""
+    async def feed(self, write: Write, name: str, tier: int, latest_number: int) -> None:
+        """Write one member's stream until it breaks.
+
+        ``latest_number`` is the number of the version that the member need not be sent.
+        """
         epoch = 0
         while True:
             change = self.changes.next_change
             desired = self._desired_version(name)
-            if desired not in (have, 0):
-                await self._send_version(write, name, desired, have)
-                have = desired
+            if desired not in (latest_number, 0):
+                await self._send_version(write, name, desired, latest_number)
+                latest_number = desired
             if self._registry.epoch(tier) != epoch:
                 view = self._encoded_view(tier)
                 epoch = view.epoch
@@ -95,8 +98,8 @@
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(change.wait(), HEARTBEAT_INTERVAL_S)
 
-    async def _send_version(self, write: Write, name: str, number: int, have: int) -> None:
-        data = self._encoded_version(number, have)
+    async def _send_version(self, write: Write, name: str, number: int, base_number: int) -> None:
+        data = self._encoded_version(number, base_number)
         await write(data)
         self._counters.bytes_sent += len(data)
         self._counters.versions_sent += 1
@@ -104,19 +107,19 @@
         if member is not None:
             member.sent_version = number
 
-    def _encoded_version(self, number: int, have: int) -> bytes:
-        """Return the frames of a version for a member that has another one.
+    def _encoded_version(self, number: int, base_number: int) -> bytes:
+        """Return the frames of a version for a member that has the version ``base_number``.
 
         Cached: encoding them for each of a thousand members took a whole core.
         """
-        key = number, have
+        key = number, base_number
         if key not in self._encoded_versions:
             if len(self._encoded_versions) >= MAX_CACHED_VERSIONS:
                 self._encoded_versions.clear()
             version = self._store.version(number)
             if version is None:
                 raise MissingVersionError(f"version {number} is not in the store")
-            base = self._store.version(have) if have else None
+            base = self._store.version(base_number) if base_number else None
             self._encoded_versions[key] = b"".join(frames.encode_version(version, base))
         return self._encoded_versions[key]
 
