--- a/tests/control_plane/helpers.py
+++ b/tests/control_plane/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of the control plane share: signed versions, services and balancers."""
+"""Helpers of the control plane's tests: signed versions, control services and extensions."""
 
 import asyncio
 import dataclasses
@@ -19,7 +19,7 @@
 from pepperhook.operator_config.schema import ControlPlaneTable, SigningKey
 from pepperhook.server.structured_logging import Log
 from tests.programs import free_port
-from tests.world import told
+from tests.server.balancers import make_config
 
 SECRET = "a long secret of the installation"
 KEYS = KeyRing([("k1", SECRET)])
@@ -46,7 +46,7 @@
 
 
 def propose(service, content, **fields):
-    """Add a version whose author is ann unless another one is given."""
+    """Add a version, by the author ann unless ``fields`` names another one."""
     return service.catalog.propose(ProposeRequest(document=content, **{"author": "ann", **fields}))
 
 
@@ -60,7 +60,7 @@
 
 
 def roll_back(service, reason):
-    """Roll back without a notification of the streams."""
+    """Roll back without notifying the streams."""
     rollout = service.rollouts.current
     rollout.roll_back(reason)
     service.rollouts.commit(rollout)
@@ -96,18 +96,18 @@
 
 
 def control_extension(address, *, name="n", extensions=(), **table):
-    """A balancer's end, of a balancer that is called ``name``, with more keys of its table."""
+    """Return the extension of a balancer called ``name``; ``table`` are keys of its table."""
     return extension.Control(
         ControlPlaneTable(address=address, keys=[SigningKey("k1", SECRET)], **table),
-        dataclasses.replace(told(), name=name),
+        dataclasses.replace(make_config(), name=name),
         LOG,
         extensions,
     )
 
 
 async def until(condition, seconds=15):
-    """Wait for a condition, and fail where it does not come true."""
+    """Wait until ``condition()`` is true; fail after ``seconds``."""
     deadline = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < deadline, "the condition did not come true"
+        assert time.monotonic() < deadline, "the condition did not become true in time"
         await asyncio.sleep(0.01)
--- a/tests/control_plane/test_balancer_settings.py
+++ b/tests/control_plane/test_balancer_settings.py
@@ -1,4 +1,4 @@
-"""Settings built from a document, and a policy whose settings change under requests."""
+"""Settings built from a document, and a policy whose settings change while requests run."""
 
 import random
 from dataclasses import replace
@@ -11,19 +11,22 @@
 from pepperhook.control_plane.document import EMPTY_DOCUMENT, parse_document
 from pepperhook.domain import Effect, Outcome, RepeatGroup
 from pepperhook.settings import Names
+from pepperhook.units import MILLISECOND, SECOND
 from tests.capture.captured_world import CapturedWorld
 from tests.control_plane.helpers import document
-from tests.world import MS, S, World, grade, settings
+from tests.policy.simulation import PolicySimulation, make_service_class, make_settings
 
 NAMES = Names({"look": 0, "sale": 1}, {"acme": 0}, {}, {})
 
 
 @pytest.fixture
-def start():
-    return settings(service_classes=[grade(0), grade(1, Effect.UNSAFE)])
+def startup():
+    return make_settings(
+        service_classes=[make_service_class(0), make_service_class(1, Effect.UNSAFE)]
+    )
 
 
-def test_settings_are_those_of_the_start_but_for_what_a_document_overrides(start):
+def test_document_overrides_only_the_startup_settings_that_it_names(startup):
     parsed = parse_document(
         document(
             grades={"look": {"time_limit_ms": 700, "effect": "at_most_once"}},
@@ -32,55 +35,54 @@
         )
     )
 
-    built = build_settings(parsed, start, NAMES)
+    built = build_settings(parsed, startup, NAMES)
 
     look = built.service_classes[0]
-    assert look.time_limit_ns == look.objective_ns == 700 * MS
+    assert look.time_limit_ns == look.objective_ns == 700 * MILLISECOND
     assert look.effect == Effect.UNSAFE
     assert built.tenants[0].quota_per_s == 9.0
     assert built.max_attempts == 5
-    # What is not overridden is the same object; the start itself is not changed.
-    assert built.service_classes[1] is start.service_classes[1]
-    assert start.service_classes[0].effect == Effect.SAFE
-    assert start.tenants[0].quota_per_s == 40.0
+    # Service classes without an override are the same objects; the startup settings are unchanged.
+    assert built.service_classes[1] is startup.service_classes[1]
+    assert startup.service_classes[0].effect == Effect.SAFE
+    assert startup.tenants[0].quota_per_s == 40.0
 
 
-def test_empty_document_gives_the_settings_of_the_start(start):
-    assert build_settings(parse_document(EMPTY_DOCUMENT), start, NAMES) == start
+def test_empty_document_gives_the_startup_settings(startup):
+    assert build_settings(parse_document(EMPTY_DOCUMENT), startup, NAMES) == startup
 
 
-def random_settings(generator, start):
+def random_settings(generator, startup):
     effects = [Effect.SAFE, Effect.KEYED, Effect.UNSAFE]
     service_classes = [
         replace(
-            row,
+            service_class,
             effect=generator.choice(effects),
             repeat_group=RepeatGroup.CELL,
-            time_limit_ns=generator.randrange(S, 3 * S),
-            key_window_ns=generator.randrange(S),
+            time_limit_ns=generator.randrange(SECOND, 3 * SECOND),
+            key_window_ns=generator.randrange(SECOND),
             priority_weight=generator.random(),
         )
-        for row in start.service_classes
+        for service_class in startup.service_classes
     ]
-    balancers = generator.randrange(1, 6)
-    return replace(start, service_classes=service_classes, fleet_size=balancers, index=0)
+    fleet_size = generator.randrange(1, 6)
+    return replace(startup, service_classes=service_classes, fleet_size=fleet_size, index=0)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_requests_keep_their_service_class_and_rules_hold_while_settings_change(seed, tmp_path):
+def test_requests_keep_their_service_class_while_settings_change(seed, tmp_path):
     world = CapturedWorld(seed, tmp_path / "a", state_chance=0.003)
     generator = random.Random(seed)
-    start = replace(world.settings)
+    startup = replace(world.settings)
     admitted_under = []
 
     for _ in range(40):
         world.run(40, chance=0.4)
-        under_way = [request for request in world.requests if request not in world.responses]
+        running = [request for request in world.requests if request not in world.responses]
         admitted_under += [
-            (request, request.service_class, replace(request.service_class))
-            for request in under_way
+            (request, request.service_class, replace(request.service_class)) for request in running
         ]
-        changed = random_settings(generator, start)
+        changed = random_settings(generator, startup)
         weights = [(upstream, generator.choice([0.5, 1.0, 2.0])) for upstream in world.upstreams]
         world.perform(world.balancer.reconfigure(world.now, changed, weights))
     for _ in range(1500):
@@ -88,9 +90,9 @@
     world.writer.close()
 
     assert len(admitted_under) > 20
-    for request, service_class, content in admitted_under:
+    for request, service_class, copied in admitted_under:
         assert request.service_class is service_class
-        assert service_class == content
+        assert service_class == copied
     assert all(request in world.responses for request in world.requests)
     replayed = replay.replay_file(tmp_path / "a", Balancer)
     assert replayed.difference is None
@@ -99,19 +101,23 @@
 
 
 def test_weight_of_an_upstream_scales_its_share_of_attempts():
-    world = World(3, fleet_size=1)
+    world = PolicySimulation(3, fleet_size=1)
     world.outcome_of = lambda _: Outcome.SERVED
-    world.latency_of = lambda _: 30 * MS
+    world.latency_of = lambda _: 30 * MILLISECOND
     weighted = world.upstreams[0]
-    for weight, least, most in ((1.0, 0.7, 1.4), (0.25, 0.15, 0.75), (3.0, 1.5, 3.5)):
+    for weight, min_ratio, max_ratio in ((1.0, 0.7, 1.4), (0.25, 0.15, 0.75), (3.0, 1.5, 3.5)):
         world.perform(
             world.balancer.reconfigure(world.now, replace(world.settings), [(weighted, weight)])
         )
-        first = len(world.sent_attempts)
+        sent_before = len(world.sent_attempts)
 
-        world.run(3000, chance=0.5)
+        world.run(3000, arrival_probability=0.5)
 
-        sent = [attempt.upstream for _, attempt in world.sent_attempts[first:]]
-        others = [u for u in world.upstreams if u.zone == weighted.zone and u is not weighted]
+        sent = [attempt.upstream for _, attempt in world.sent_attempts[sent_before:]]
+        others = [
+            upstream
+            for upstream in world.upstreams
+            if upstream.zone == weighted.zone and upstream is not weighted
+        ]
         mean = sum(sent.count(other) for other in others) / len(others)
-        assert least < sent.count(weighted) / mean < most
+        assert min_ratio < sent.count(weighted) / mean < max_ratio
--- a/tests/control_plane/test_explore.py
+++ b/tests/control_plane/test_explore.py
@@ -1,4 +1,4 @@
-"""Every order of messages, crashes and losses of a small rollout, by the service's own code."""
+"""Explores all orders of messages, crashes and losses in a small rollout of the real service."""
 
 import types
 
@@ -18,28 +18,28 @@
     assert states > 1000
 
 
-def notify_before_storing(self, changed):
+def set_without_storing(self, changed):
     self.current = changed
 
 
-def hasty_service(*arguments, **options):
+def make_service_that_does_not_store(*arguments, **options):
     service = ControlService(*arguments, **options)
-    service.rollouts.commit = types.MethodType(notify_before_storing, service.rollouts)
+    service.rollouts.commit = types.MethodType(set_without_storing, service.rollouts)
     return service
 
 
-def test_service_that_notifies_before_it_stores_is_found_by_the_shortest_way():
-    # Long enough that a step ends: only then is there something new to store.
+def test_rollout_state_that_is_used_but_not_stored_is_reported_with_the_shortest_sequence():
+    # Enough turns for a step to end: only then is there a new state to store.
     case = msgspec.structs.replace(explore.CASES[0], turns=3)
 
-    _, broken = explore.explore(explore.Explorer(case, hasty_service))
+    _, broken = explore.explore(explore.Explorer(case, make_service_that_does_not_store))
 
     assert broken is not None
     assert "in memory alone" in broken.rule
     assert broken.way[-1] == "a second passes"
 
 
-def test_rollout_that_gives_members_a_version_before_they_are_admitted_is_found(monkeypatch):
+def test_version_that_members_receive_before_they_are_admitted_is_reported(monkeypatch):
     monkeypatch.setattr(rollout, "MIN_REQUESTS", 1)
     monkeypatch.setattr(rollout.Rollout, "desired_version", lambda self, _: self.version)
 
--- a/tests/control_plane/test_frames.py
+++ b/tests/control_plane/test_frames.py
@@ -1,4 +1,4 @@
-"""The stream's frames: cut or corrupted anywhere, they never give half a version."""
+"""Frames of the version stream: a cut or corrupted stream never gives a partial version."""
 
 import random
 
@@ -22,7 +22,7 @@
 )
 PATCH = b"".join(encode_version(NEXT, BASE))
 STREAM = b"".join(encode_version(BASE)) + PATCH
-FED_BYTES = 97
+READ_BYTES = 97  # fed to the reader at a time
 
 
 def reader_with_base():
@@ -37,17 +37,17 @@
     assert len(PATCH) < 700 < len(STREAM)
 
 
-def test_stream_cut_at_any_byte_gives_only_the_versions_before():
+def test_stream_cut_at_any_byte_gives_only_the_complete_versions():
     end_of_base = len(STREAM) - len(PATCH)
     for cut in range(len(STREAM) + 1):
         reader = reader_with_base()
 
         versions = []
-        for start in range(0, cut, FED_BYTES):
-            versions += reader.feed(STREAM[start : min(cut, start + FED_BYTES)])
+        for start in range(0, cut, READ_BYTES):
+            versions += reader.feed(STREAM[start : min(cut, start + READ_BYTES)])
 
-        complete = (cut >= end_of_base) + (cut == len(STREAM))
-        assert versions == [BASE, NEXT][:complete]
+        complete_count = (cut >= end_of_base) + (cut == len(STREAM))
+        assert versions == [BASE, NEXT][:complete_count]
 
 
 def test_stream_with_a_flipped_bit_gives_only_correct_versions():
@@ -60,13 +60,13 @@
             versions = reader_with_base().feed(bytes(corrupted))
         except StreamError:
             continue
-        # A length that was raised only waits for more.
+        # With a larger frame length, the reader only waits for more bytes.
         assert all(version in (BASE, NEXT) for version in versions)
         assert len(versions) < 2
 
 
 def test_patch_of_an_unknown_version_is_an_error():
-    with pytest.raises(StreamError, match="which is not here"):
+    with pytest.raises(StreamError, match="patch of unknown version 1$"):
         reader_without_versions().feed(PATCH)
 
 
@@ -89,7 +89,7 @@
 
 
 def test_frame_of_an_unknown_kind_is_skipped():
-    unknown = encode_frame(99, b"of a later release")
+    unknown = encode_frame(99, b"from a later release")
     heartbeat = encode_message(FrameKind.HEARTBEAT, StreamHeartbeat(3, 4))
 
     assert reader_without_versions().feed(unknown + heartbeat) == [StreamHeartbeat(3, 4)]
--- a/tests/control_plane/test_history.py
+++ b/tests/control_plane/test_history.py
@@ -1,4 +1,4 @@
-"""The history on disk: conflicts, overrides, a full disk, kill -9."""
+"""The version history on disk: conflicts, overridden checks, a full disk, kill -9."""
 
 import random
 import signal
@@ -24,7 +24,7 @@
     return ControlService(HistoryStore(tmp_path / "s"), KEYS)
 
 
-def test_second_proposal_from_the_same_parent_fails_and_names_what_came_between(service):
+def test_second_proposal_with_the_same_parent_fails_and_names_the_versions_since(service):
     advice = document(limits={"advice": True})
     first = propose(service, document(), reason="price rise", parent=0)
 
@@ -51,14 +51,14 @@
 def test_earlier_rollout_is_read_by_its_number(service):
     for _ in range(2):
         propose(service, document())
-    begun = roll_out_at_once(service, 1)
+    first = roll_out_at_once(service, 1)
     service.rollouts.change(RolloutAction.ROLL_BACK, "a trial")
     roll_out_at_once(service, 2)
 
-    first = service.store.rollout(begun.number)
+    stored = service.store.rollout(first.number)
 
-    assert first.reason == "a trial"
-    assert first.rollback_version == 3
+    assert stored.reason == "a trial"
+    assert stored.rollback_version == 3
     assert service.store.newest_rollout().previous_version == 3
     assert service.store.rollout(9) is None
 
@@ -92,15 +92,15 @@
     assert propose(service, large).number == 2
 
 
-def test_file_that_is_no_store_is_rejected(tmp_path):
+def test_file_that_is_not_a_store_is_rejected(tmp_path):
     (tmp_path / "other").write_text("x" * 5000)
 
     with pytest.raises(ValueError, match="not a database"):
         HistoryStore(tmp_path / "other")
 
 
-def proposing_process(path):
-    """A process that proposes without end, and prints the number of each acknowledged version."""
+def start_proposing_process(path):
+    """Start a process that adds versions endlessly and prints the number of each added one."""
     code = f"""
 from pepperhook.control_plane.history import HistoryStore
 from pepperhook.control_plane.service import ControlService
@@ -117,12 +117,12 @@
     acknowledged = 0
     generator = random.Random(1)
     for _ in range(4):
-        process = proposing_process(tmp_path / "s")
+        process = start_proposing_process(tmp_path / "s")
         for _ in range(generator.randrange(3, 20)):
             acknowledged = int(process.stdout.readline())
         process.send_signal(signal.SIGKILL)
-        rest = [int(line) for line in process.stdout.read().split() if line.isdigit()]
-        acknowledged = max([acknowledged, *rest])
+        unread = [int(line) for line in process.stdout.read().split() if line.isdigit()]
+        acknowledged = max([acknowledged, *unread])
         process.wait()
         process.stdout.close()
 
--- a/tests/control_plane/test_malformed_messages.py
+++ b/tests/control_plane/test_malformed_messages.py
@@ -1,10 +1,9 @@
-"""A malformed message of the control service ends no task of a balancer.
+"""Malformed messages of the control service do not end the balancer's tasks.
 
-What happened: a MAC that is not ASCII made ``hmac.compare_digest`` raise TypeError, and a
-heartbeat's answer that is no JSON raised ValueError. The one ended the task that follows the
-service's stream, the other the one that reports to it, for the rest of the process's life; the
-balancer served on by the version that it had. The log had "Task exception was never retrieved",
-and that only at the end of the process.
+A MAC that is not ASCII made ``hmac.compare_digest`` raise TypeError, which ended the task that
+reads the stream. A reply to a heartbeat that is not JSON raised ValueError, which ended the task
+that sends heartbeats. Neither was restarted, and the balancer kept its old version; the only log
+line, "Task exception was never retrieved", came at the end of the process.
 """
 
 import asyncio
@@ -27,14 +26,14 @@
 
 
 @pytest.mark.parametrize("mac", ["é", "\ud800", "\0", "x" * 10**6])
-def test_mac_that_is_no_ascii_does_not_fit(mac):
+def test_mac_that_is_not_ascii_is_not_verified(mac):
     keys = KeyRing([KEY])
 
     assert not keys.verify("k1", b"data", mac)
     assert keys.verify("k1", b"data", keys.mac(b"data"))
 
 
-def test_version_and_request_with_a_mac_that_is_no_ascii_are_refused():
+def test_version_and_request_with_a_mac_that_is_not_ascii_are_rejected():
     version = signed_version()
     version.mac = "é" * 64
     with pytest.raises(ForgedVersionError):
@@ -47,7 +46,7 @@
 
 
 @pytest.mark.parametrize("reply", [b"no json", b"[]", b'{"wanted": "x"}', b"\xff", b""])
-async def test_heartbeat_with_a_malformed_answer_is_followed_by_the_next(reply, monkeypatch):
+async def test_heartbeats_continue_after_a_malformed_reply(reply, monkeypatch):
     monkeypatch.setattr("pepperhook.control_plane.extension.HEARTBEAT_INTERVAL_S", 0.02)
     heartbeats = []
 
--- a/tests/control_plane/test_operator_file.py
+++ b/tests/control_plane/test_operator_file.py
@@ -5,7 +5,7 @@
 from pepperhook import operator_config, tomlfile
 from pepperhook.operator_config.schema import OperatorFile
 from tests.control_plane.helpers import LOG
-from tests.world import told
+from tests.server.balancers import make_config
 
 OPERATOR_FILE = """version = 1
 [customers]
@@ -14,17 +14,20 @@
 address = "127.0.0.1:7400"
 [[control.keys]]
 id = "k1"
-secret = "a long secret of theirs"
+secret = "a long secret of the installation"
 """
 
 
-def test_operators_file_turns_the_extension_on(tmp_path):
+def test_table_in_the_operators_file_enables_the_extension(tmp_path):
     path = tmp_path / "op.toml"
     path.write_text(OPERATOR_FILE)
 
-    built = operator_config.build(str(path), told(), LOG)
+    built = operator_config.build(str(path), make_config(), LOG)
 
-    assert [type(one).__name__ for one in built.all] == ["RateLimitExtension", "Control"]
+    assert [type(extension).__name__ for extension in built.all] == [
+        "RateLimitExtension",
+        "Control",
+    ]
     assert built.all[1].applier.extensions["customers"] is built.all[0]
 
 
@@ -32,10 +35,10 @@
     "before, after, key",
     [
         ('"127.0.0.1:7400"', '"nowhere"', "address"),
-        ('[[control.keys]]\nid = "k1"\nsecret = "a long secret of theirs"', "", "keys"),
-        ("a long secret of theirs", "short", "secret"),
+        ('[[control.keys]]\nid = "k1"\nsecret = "a long secret of the installation"', "", "keys"),
+        ("a long secret of the installation", "short", "secret"),
     ],
 )
-def test_operators_file_with_a_fault_is_rejected_by_its_key(before, after, key):
+def test_operators_file_with_a_fault_is_rejected_with_its_key(before, after, key):
     with pytest.raises(tomlfile.TomlFileError, match=key):
         tomlfile.decode(OPERATOR_FILE.replace(before, after), OperatorFile)
--- a/tests/control_plane/test_rollout.py
+++ b/tests/control_plane/test_rollout.py
@@ -1,4 +1,4 @@
-"""The rollout's state machine: who is admitted, when a step ends, what rolls it back."""
+"""The rollout's state machine: admission of members, ends of steps, pauses and rollbacks."""
 
 import itertools
 import random
@@ -8,11 +8,11 @@
 
 from pepperhook.control_plane.rollout import Rollout, RolloutState, Step
 from pepperhook.control_plane.rollout_statistics import RequestCounts, difference_interval
-from tests.world import S
+from pepperhook.units import SECOND
 
 OLD, NEW = 4, 5  # versions
 NAMES = [f"b{n}" for n in range(8)]
-EVERYBODY_RUNS_NEW = dict.fromkeys(NAMES, NEW)
+ALL_RUN_NEW = dict.fromkeys(NAMES, NEW)
 
 
 def new_rollout(**fields):
@@ -27,18 +27,22 @@
     return Rollout(**{**defaults, **fields})
 
 
-def advanced(updated, baseline, seconds, applied=True):
-    """A rollout after so many seconds, with (succeeded, failed) requests on either side."""
+def advanced_rollout(updated, baseline, seconds, applied=True):
+    """Return a rollout after ``seconds``.
+
+    ``updated`` and ``baseline`` are (succeeded, failed) requests by the new and the old version;
+    ``applied`` says whether admitted members run the new version.
+    """
     rollout = new_rollout()
     rollout.admit(NAMES)
     running = {name: rollout.desired_version(name) if applied else OLD for name in NAMES}
     rollout.count_requests(NEW, *updated)
     rollout.count_requests(OLD, *baseline)
-    rollout.advance(int(seconds * S), running, NAMES)
+    rollout.advance(int(seconds * SECOND), running, NAMES)
     return rollout
 
 
-def test_larger_share_admits_the_members_of_the_smaller_one():
+def test_members_of_a_smaller_share_stay_admitted_in_a_larger_one():
     admitted = set()
     rollout = new_rollout(steps=[Step(share, 0) for share in (0.01, 0.25, 0.5, 0.75, 1.0)])
     for number, step in enumerate(rollout.steps):
@@ -46,13 +50,13 @@
 
         rollout.admit(NAMES)
 
-        now = {name for name in NAMES if rollout.desired_version(name) == NEW}
-        assert admitted <= now
-        assert len(now) == max(1, round(step.share * 8))
-        admitted = now
+        current = {name for name in NAMES if rollout.desired_version(name) == NEW}
+        assert admitted <= current
+        assert len(current) == max(1, round(step.share * 8))
+        admitted = current
 
 
-def test_member_that_joins_displaces_no_admitted_one():
+def test_joining_member_does_not_displace_an_admitted_one():
     rollout = new_rollout(steps=[Step(0.5, 0)])
     for count in range(1, 9):
         before = set(rollout.admitted)
@@ -64,7 +68,7 @@
 
 
 class CountingList(list):
-    """Counts how often it is searched."""
+    """A list that counts its searches."""
 
     searches = 0
 
@@ -74,7 +78,7 @@
 
 
 def test_admission_of_a_thousand_members_does_not_search_the_list_for_each():
-    # Counted anew for each name it took ten seconds, in which the service answered nobody.
+    # Searching the list for each name took ten seconds, in which the service did not respond.
     names = CountingList(f"m{number:04}" for number in range(1000))
     rollout = new_rollout(steps=[Step(0.5, 1.0), Step(1.0, 0.0)], patience_s=1)
 
@@ -91,55 +95,57 @@
 
 
 def test_step_ends_when_its_time_is_over_and_the_new_version_is_no_worse():
-    assert advanced((990, 10), (2970, 30), 11).step == 1
-    assert advanced((990, 10), (2970, 30), 9).step == 0, "not before its time"
-    assert advanced((300, 200), (900, 600), 11).step == 1, "all fare alike: no fault of the version"
+    assert advanced_rollout((990, 10), (2970, 30), 11).step == 1
+    assert advanced_rollout((990, 10), (2970, 30), 9).step == 0, "a step ends before its duration"
+    assert advanced_rollout((300, 200), (900, 600), 11).step == 1, (
+        "equal failure shares keep a step from ending"
+    )
 
 
-def test_surely_worse_version_is_rolled_back_at_once():
-    rollout = advanced((900, 100), (2970, 30), 2)
+def test_significantly_worse_version_is_rolled_back_at_once():
+    rollout = advanced_rollout((900, 100), (2970, 30), 2)
 
     assert (rollout.state, rollout.step) == (RolloutState.ROLLED_BACK, 0)
 
 
-def test_step_without_evidence_waits_and_is_paused_after_its_patience():
-    assert advanced((50, 10), (2970, 30), 11).state == RolloutState.RUNNING
+def test_step_without_evidence_is_paused_after_the_patience():
+    assert advanced_rollout((50, 10), (2970, 30), 11).state == RolloutState.RUNNING
 
-    paused = advanced((50, 10), (2970, 30), 31)
+    paused = advanced_rollout((50, 10), (2970, 30), 31)
 
     assert paused.state == RolloutState.PAUSED
     assert "not enough seen, 60 operations" in paused.reason
 
 
-def test_member_that_does_not_apply_the_version_pauses_it_after_its_patience():
-    late = advanced((990, 10), (2970, 30), 31, applied=False)
+def test_member_that_does_not_apply_the_version_pauses_the_rollout_after_the_patience():
+    paused = advanced_rollout((990, 10), (2970, 30), 31, applied=False)
 
-    assert late.state == RolloutState.PAUSED
-    assert "did not apply it" in late.reason
+    assert paused.state == RolloutState.PAUSED
+    assert "did not apply it" in paused.reason
 
 
 def test_last_step_is_compared_with_the_baseline_of_the_step_before():
-    rollout = advanced((990, 10), (2970, 30), 11)
+    rollout = advanced_rollout((990, 10), (2970, 30), 11)
 
     rollout.count_requests(NEW, 800, 200)
 
-    assert rollout.advance(12 * S, EVERYBODY_RUNS_NEW, NAMES)
+    assert rollout.advance(12 * SECOND, ALL_RUN_NEW, NAMES)
     assert rollout.state == RolloutState.ROLLED_BACK
 
 
-def test_resumed_rollout_begins_its_step_anew():
-    rollout = advanced((50, 10), (2970, 30), 31)
+def test_resumed_rollout_restarts_its_step():
+    rollout = advanced_rollout((50, 10), (2970, 30), 31)
 
-    rollout.resume(40 * S, "looked at")
+    rollout.resume(40 * SECOND, "fixed")
 
     assert rollout.state == RolloutState.RUNNING
-    assert rollout.step_started_ns == 40 * S
+    assert rollout.step_started_ns == 40 * SECOND
     assert not rollout.updated.total
 
 
-def test_99_percent_interval_of_the_difference_contains_the_published_one_of_95():
+def test_99_percent_interval_of_the_difference_contains_the_published_95_percent_interval():
     # Newcombe (1998), table II, example (a): of 56/70 and 48/80 the 95% bounds by method 10 are
-    # 0.0524 and 0.3339. Those of 99% lie around them.
+    # 0.0524 and 0.3339. The 99% bounds lie outside them.
     low, high = difference_interval(RequestCounts(14, 56), RequestCounts(32, 48))
 
     assert 0.0 < low < 0.0524
@@ -152,7 +158,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_equal_version_is_hardly_ever_rolled_back_and_a_worse_one_is(seed):
+def test_equal_version_is_rarely_rolled_back_and_a_worse_one_mostly_is(seed):
     generator = random.Random(seed)
     wrongly_rolled_back = 0
     rightly_rolled_back = 0
@@ -167,13 +173,13 @@
             rolled_back = rollout.state == RolloutState.ROLLED_BACK
             wrongly_rolled_back += not worse and rolled_back
             rightly_rolled_back += worse and rolled_back
-    # Each is judged sixty times, with a tolerance of half a percent.
+    # Each rollout is judged sixty times, with a tolerance of half a percent.
     assert wrongly_rolled_back <= 6
     assert rightly_rolled_back >= 120
 
 
-class SmallRun:
-    """A rollout with three members, of which the service stores what it has to."""
+class RolloutModel:
+    """A rollout with three members, whose state is stored where the service has to store it."""
 
     names = ("a", "b", "c")
 
@@ -187,7 +193,7 @@
         self.now = 0
 
     def play(self, event):
-        self.now += S
+        self.now += SECOND
         before = self.rollout.state
         action, _, name = event.partition(" ")
         getattr(self, action)(*([name] if name else []))
@@ -238,11 +244,11 @@
             assert {rollout.desired_version(name) for name in self.names} == {resulting}
 
 
-def test_every_order_of_five_events_keeps_the_rules_of_a_rollout():
-    """Members run only versions that the service named to them, and a final state stays.
+def test_rollout_invariants_hold_in_every_order_of_five_events():
+    """Members only run versions that the service wanted them to run, and a final state is kept.
 
-    The events are reports of members, their requests, a crash of the service, which then knows what
-    it stored, and what an operator does.
+    The events are reports of members, their requests, a crash of the service, which restarts with
+    the stored state, and actions of an operator.
     """
     events = (
         "tick",
@@ -258,9 +264,9 @@
     )
     checked = 0
     for order in itertools.product(events, repeat=5):
-        run = SmallRun()
+        model = RolloutModel()
         for event in order:
-            run.play(event)
-            run.check()
+            model.play(event)
+            model.check()
             checked += 1
     assert checked == 5 * 10**5
--- a/tests/control_plane/test_safety_checks.py
+++ b/tests/control_plane/test_safety_checks.py
@@ -1,4 +1,4 @@
-"""Safety checks: what a balancer and the service hold against a document."""
+"""Safety checks of a balancer and of the control service on a document."""
 
 import msgspec
 import pytest
@@ -57,9 +57,9 @@
 def test_harmful_document_is_rejected_by_the_balancer_with_its_key(content, check, key):
     violations = violations_on_balancer(parse_document(content), VIEW)
 
-    assert [(one.check, one.key) for one in violations] == [(check, key)]
-    stands = bool(not_overridden(violations, [check.value]))
-    assert stands == (check in (Check.UNKNOWN_NAME, Check.LATENCY_OBJECTIVE))
+    assert [(violation.check, violation.key) for violation in violations] == [(check, key)]
+    is_mandatory = bool(not_overridden(violations, [check.value]))
+    assert is_mandatory == (check in (Check.UNKNOWN_NAME, Check.LATENCY_OBJECTIVE))
     assert not_overridden(violations, ["other"])
 
 
@@ -72,13 +72,13 @@
     assert violations_on_balancer(parse_document(content), VIEW) == []
 
 
-def test_settings_of_an_extension_are_rejected_where_it_is_off():
+def test_settings_of_a_disabled_extension_are_rejected():
     parsed = parse_document(document(parts={"customers": {"default": {"per_second": 5.0}}}))
     view_without = msgspec.structs.replace(VIEW, extensions=frozenset())
 
     assert not violations_on_balancer(parsed, VIEW)
-    found = violations_on_balancer(parsed, view_without)
-    assert [one.check for one in found] == [Check.EXTENSION_OFF]
+    violations = violations_on_balancer(parsed, view_without)
+    assert [violation.check for violation in violations] == [Check.EXTENSION_OFF]
 
 
 BEFORE = document(grades={"look": {"earnings": 1.0}, "sale": {"effect": "at_most_once"}})
@@ -97,18 +97,18 @@
 ]
 
 
-def test_service_rejects_large_steps_repeats_of_unsafe_requests_and_draining_all():
+def test_service_rejects_large_steps_unsafe_repeats_and_draining_all_upstreams():
     for after, checks in CHANGES:
-        found = violations_of_change(BEFORE, after, parse_document(after), frozenset("ab"))
-        assert [one.check for one in found] == checks
+        violations = violations_of_change(BEFORE, after, parse_document(after), frozenset("ab"))
+        assert [violation.check for violation in violations] == checks
 
 
 def test_service_rejects_draining_more_than_half_of_the_known_upstreams():
     after = {**BEFORE, "upstreams": drain("abc")}
 
-    found = violations_of_change(BEFORE, after, parse_document(after), frozenset("abcd"))
+    violations = violations_of_change(BEFORE, after, parse_document(after), frozenset("abcd"))
 
-    assert [one.check for one in found] == [Check.DRAINS_MANY]
+    assert [violation.check for violation in violations] == [Check.DRAINS_MANY]
 
 
 def test_violation_has_the_json_keys_of_the_http_interface():
--- a/tests/control_plane/test_service.py
+++ b/tests/control_plane/test_service.py
@@ -1,4 +1,4 @@
-"""The service on loopback: authentication, restarts, and what it sends to many members."""
+"""The control service on loopback: authentication, restarts, streams and heartbeats."""
 
 import time
 
@@ -33,16 +33,13 @@
     until,
 )
 from tests.programs import free_port
-from tests.world import Peer, Running, answer, loopback
+from tests.server.balancers import RunningBalancer
+from tests.server.peers import ScriptedPeer, always, make_response
 
 MEMBERS = "/v1/members"
 HEARTBEAT = b'{"name":"x","tier":0,"running":0}'
 
 
-def respond(*_):
-    return answer()
-
-
 class Client:
     """Sends requests with given headers."""
 
@@ -69,18 +66,20 @@
             return response.status
 
 
-def minutes_ago():
-    return time.time() - 100
+def outdated_clock():
+    return time.time() - 100  # more than the permitted skew of 60 s
 
 
-@loopback
 async def test_request_that_is_not_authentic_or_not_fresh_is_denied(tmp_path):
     unsigned = {}
     wrong_mac = {**sign_request(KEYS, "GET", MEMBERS), MAC_HEADER: "0"}
     of_another_path = sign_request(KEYS, "GET", "/v1/versions")
-    too_old = sign_request(KEYS, "GET", MEMBERS, clock=minutes_ago)
+    too_old = sign_request(KEYS, "GET", MEMBERS, clock=outdated_clock)
     of_unknown_key = sign_request(KeyRing([("k9", "x" * 20)]), "GET", MEMBERS)
-    async with Serving(tmp_path / "s") as served, Client(served.address) as client:
+    async with (
+        Serving(tmp_path / "s") as control_service,
+        Client(control_service.address) as client,
+    ):
         for headers, reason in (
             (unsigned, "no key"),
             (wrong_mac, "does not fit"),
@@ -91,32 +90,38 @@
             status, error = await client.get(headers)
             assert status == 401
             assert reason in error
-        assert served.service.counters.denied == 5
+        assert control_service.service.counters.denied == 5
 
 
-@loopback
-async def test_request_that_is_sent_again_is_denied(tmp_path):
-    async with Serving(tmp_path / "s") as served, Client(served.address) as client:
+async def test_replayed_request_is_denied(tmp_path):
+    async with (
+        Serving(tmp_path / "s") as control_service,
+        Client(control_service.address) as client,
+    ):
         headers = sign_request(KEYS, "GET", MEMBERS)
 
         assert (await client.get(headers))[0] == 200
         assert await client.get(headers) == (401, "the nonce was used before")
-        assert served.service.counters.denied == 1
+        assert control_service.service.counters.denied == 1
 
 
-@loopback
-async def test_member_that_floods_the_service_with_heartbeats_is_denied(tmp_path):
-    async with Serving(tmp_path / "s") as served, Client(served.address) as client:
+async def test_heartbeats_of_one_member_above_the_rate_limit_are_denied(tmp_path):
+    async with (
+        Serving(tmp_path / "s") as control_service,
+        Client(control_service.address) as client,
+    ):
         statuses = [await client.post("/v1/beat", HEARTBEAT) for _ in range(30)]
 
         assert statuses.count(200) <= 8
         assert statuses.count(401) >= 22
 
 
-@loopback
 async def test_malformed_request_is_answered_by_400(tmp_path):
     path = "/v1/versions?after=x"
-    async with Serving(tmp_path / "s") as served, Client(served.address) as client:
+    async with (
+        Serving(tmp_path / "s") as control_service,
+        Client(control_service.address) as client,
+    ):
         assert await client.post("/v1/plan", b"{") == 400
         assert (await client.get(sign_request(KEYS, "GET", path), path))[0] == 400
 
@@ -154,53 +159,59 @@
     )
 
 
-@loopback
 async def test_rollout_continues_after_a_restart_of_the_service(tmp_path):
     port = free_port()
     address = f"127.0.0.1:{port}"
     controls = [control_extension(address, name=f"b{number}") for number in range(4)]
 
-    def numbers():
+    def running_numbers():
         return [control.applier.running_number for control in controls]
 
     def connected():
         return [control.stream.connected for control in controls]
 
     async with (
-        Peer(respond) as peer,
-        Running([peer.dial], parts=Extensions([controls[0]]), alone=False),
-        Running([peer.dial], parts=Extensions([controls[1]]), alone=False),
-        Running([peer.dial], parts=Extensions([controls[2]]), alone=False),
-        Running([peer.dial], parts=Extensions([controls[3]]), alone=False),
+        ScriptedPeer(always(make_response())) as upstream,
+        RunningBalancer(
+            [upstream.address], extensions=Extensions([controls[0]]), owns_event_loop=False
+        ),
+        RunningBalancer(
+            [upstream.address], extensions=Extensions([controls[1]]), owns_event_loop=False
+        ),
+        RunningBalancer(
+            [upstream.address], extensions=Extensions([controls[2]]), owns_event_loop=False
+        ),
+        RunningBalancer(
+            [upstream.address], extensions=Extensions([controls[3]]), owns_event_loop=False
+        ),
     ):
-        async with Serving(tmp_path / "s", port=port) as served:
-            await until(lambda: all(connected()) and len(served.members) == 4)
-            propose(served.service, document(grades={"look": {"goal_ms": 900.0}}))
+        async with Serving(tmp_path / "s", port=port) as control_service:
+            await until(lambda: all(connected()) and len(control_service.members) == 4)
+            propose(control_service.service, document(grades={"look": {"goal_ms": 900.0}}))
             steps = [Step(0.5, 3600.0), Step(1.0, 0.0)]
-            begin_rollout(served.service, 1, steps, patience_s=3600)
-            await until(lambda: sorted(numbers()) == [0, 0, 1, 1])
-            before = numbers()
+            begin_rollout(control_service.service, 1, steps, patience_s=3600)
+            await until(lambda: sorted(running_numbers()) == [0, 0, 1, 1])
+            before = running_numbers()
         await until(lambda: not any(connected()))
-        assert numbers() == before, "they keep what they have"
+        assert running_numbers() == before, "balancers keep their versions without the service"
 
-        async with Serving(tmp_path / "s", port=port) as served:
-            rollout = served.rollout
+        async with Serving(tmp_path / "s", port=port) as control_service:
+            rollout = control_service.rollout
             assert (rollout.state, rollout.step, rollout.version) == (RolloutState.RUNNING, 0, 1)
-            await until(lambda: all(connected()) and len(served.members) == 4)
-            assert numbers() == before
+            await until(lambda: all(connected()) and len(control_service.members) == 4)
+            assert running_numbers() == before
 
-            rollout = served.rollout
+            rollout = control_service.rollout
             rollout.steps[0].seconds = 0.0
             rollout.baseline = RequestCounts(1000, 10)
             rollout.updated = RequestCounts(1000, 10)
-            await until(lambda: numbers() == [1] * 4)
-            rollout = served.rollout
+            await until(lambda: running_numbers() == [1] * 4)
+            rollout = control_service.rollout
             rollout.updated = RequestCounts(1000, 10)
             rollout.earlier_baseline = RequestCounts(1000, 10)
-            await until(lambda: served.rollout.state == RolloutState.COMPLETED)
+            await until(lambda: control_service.rollout.state == RolloutState.COMPLETED)
 
 
-@loopback
 async def test_version_is_encoded_once_for_all_members_with_the_same_base(tmp_path, monkeypatch):
     encode = frames.encode_version
     encoded = []
@@ -210,12 +221,20 @@
         return encode(version, base)
 
     monkeypatch.setattr(frames, "encode_version", counting_encode)
-    async with Peer(respond) as peer, Serving(tmp_path / "s") as served:
-        controls = [control_extension(served.address, name=f"n{number}") for number in range(4)]
-        propose(served.service, document())
-        roll_out_at_once(served.service, 1)
+    async with (
+        ScriptedPeer(always(make_response())) as upstream,
+        Serving(tmp_path / "s") as control_service,
+    ):
+        controls = [
+            control_extension(control_service.address, name=f"n{number}") for number in range(4)
+        ]
+        propose(control_service.service, document())
+        roll_out_at_once(control_service.service, 1)
         balancers = [
-            Running([peer.dial], parts=Extensions([control]), alone=False) for control in controls
+            RunningBalancer(
+                [upstream.address], extensions=Extensions([control]), owns_event_loop=False
+            )
+            for control in controls
         ]
         for balancer in balancers:
             await balancer.__aenter__()
@@ -223,12 +242,11 @@
         await until(lambda: [control.applier.running_number for control in controls] == [1] * 4)
 
         assert len(encoded) == 1
-        assert served.service.counters.versions_sent == 4
+        assert control_service.service.counters.versions_sent == 4
         for balancer in balancers:
             await balancer.__aexit__(None)
 
 
-@loopback
 async def test_heartbeat_has_upstreams_only_where_the_service_does_not_know_them(
     tmp_path, monkeypatch
 ):
@@ -241,28 +259,30 @@
         return receive(self, heartbeat)
 
     monkeypatch.setattr(service.ControlService, "receive_heartbeat", recording_receive)
-    async with Peer(respond) as peer:
-        served = Serving(tmp_path / "s")
-        async with served:
-            control = control_extension(served.address)
-            balancer = Running([peer.dial], parts=Extensions([control]), alone=False)
+    async with ScriptedPeer(always(make_response())) as upstream:
+        control_service = Serving(tmp_path / "s")
+        async with control_service:
+            control = control_extension(control_service.address)
+            balancer = RunningBalancer(
+                [upstream.address], extensions=Extensions([control]), owns_event_loop=False
+            )
             await balancer.__aenter__()
             await until(lambda: len(with_upstreams) >= 8)
-            # With the first, and where the list had changed by the next.
+            # In the first heartbeat, and in the next ones only if the list had changed.
             assert with_upstreams[0]
             assert sum(with_upstreams) <= 3
-            assert served.members["n"].upstreams == ("h0",)
+            assert control_service.members["n"].upstreams == ("h0",)
 
             gone = [
                 EndpointUpdate(upstream, UpstreamState.GONE, 0)
                 for upstream in control.applier.endpoints.upstreams()
             ]
             control.applier.endpoints.update(gone)
-            await until(lambda: served.members["n"].upstreams == ())
+            await until(lambda: control_service.members["n"].upstreams == ())
 
-        # Another service with the same store: it has the members' leases, not their upstreams.
+        # A restarted service has the members' leases from the store, but not their upstreams.
         count = len(with_upstreams)
-        async with Serving(tmp_path / "s", port=served.port) as restarted:
+        async with Serving(tmp_path / "s", port=control_service.port) as restarted:
             control.heartbeats.acknowledged_checksum = 12345
             await until(lambda: len(with_upstreams) >= count + 3 and "n" in restarted.members)
             assert sum(with_upstreams[count:]) >= 1
--- a/tests/control_plane/test_version.py
+++ b/tests/control_plane/test_version.py
@@ -1,4 +1,4 @@
-"""Versions and documents: patches, signatures, faults that name their key."""
+"""Versions and documents: patches, signatures, and errors that name the faulty key."""
 
 import random
 
@@ -36,7 +36,7 @@
         assert bool(differences(before, after)) <= (before != after)
 
 
-def test_differences_have_none_for_an_absent_value():
+def test_differences_contain_none_for_an_absent_value():
     assert differences({"a": {"b": 1}}, {"a": {"c": 2}}) == [("a.b", 1, None), ("a.c", None, 2)]
 
 
@@ -63,15 +63,15 @@
 
 
 def test_key_rotation_verifies_by_either_key_until_the_old_one_is_removed():
-    # The new key is known everywhere before it signs, the old one after it has ceased to.
+    # A new key is distributed before it signs; the old one is removed after it no longer signs.
     old_version = signed_version(3)
-    new = KeyRing([("k2", "another long secret of theirs")])
-    both = KeyRing([("k2", "another long secret of theirs"), ("k1", SECRET)])
+    new_only = KeyRing([("k2", "another long secret of the installation")])
+    both = KeyRing([("k2", "another long secret of the installation"), ("k1", SECRET)])
 
     assert verify_version(old_version, both)
     assert verify_version(signed_version(4, keys=both), both).key == "k2"
     with pytest.raises(ForgedVersionError, match="no key has the id 'k1'"):
-        verify_version(old_version, new)
+        verify_version(old_version, new_only)
 
 
 @pytest.mark.parametrize(
--- a/tests/control_plane/test_version_applier.py
+++ b/tests/control_plane/test_version_applier.py
@@ -1,4 +1,4 @@
-"""A version that cannot be put into force changes nothing, whatever fails."""
+"""A version that cannot be applied changes nothing, whichever step fails."""
 
 import copy
 
@@ -12,7 +12,8 @@
 from tests.server.balancers import ENVIRONMENT, RunningBalancer, make_config
 
 UNREACHABLE = "127.0.0.1:9"
-FORCED = ["step", "capacity", "drains many", "limit"]  # safety checks that are not the matter here
+# Safety checks that could reject the versions before they are applied.
+FORCED = ["step", "capacity", "drains many", "limit"]
 FIRST = document(
     grades={"look": {"time_limit_ms": 1500.0, "goal_ms": 900.0}},
     upstreams={"h0": {"weight": 2.0}},
@@ -25,22 +26,22 @@
 )
 
 
-class UnforeseenError(RuntimeError):
-    """An error that no code of the program expects."""
+class InjectedError(RuntimeError):
+    """An error that the program does not expect."""
 
 
 def fail_once(monkeypatch, target, name):
-    """Let a call fail the next time it is made, before it does anything."""
-    plain = getattr(target, name)
+    """Replace ``target.name`` by a function that raises once and restores the original."""
+    original = getattr(target, name)
 
     def fail(*_, **__):
-        monkeypatch.setattr(target, name, plain)
-        raise UnforeseenError(f"injected into {name}")
+        monkeypatch.setattr(target, name, original)
+        raise InjectedError(f"injected into {name}")
 
     monkeypatch.setattr(target, name, fail)
 
 
-STEPS = {
+FAULT_LOCATIONS = {
     "limits": lambda case: (case.rate_limits, "prepare"),
     "settings": lambda _: (version_applier, "build_settings"),
     "rows": lambda case: (case.applier.endpoints, "rows_to_correct"),
@@ -52,7 +53,7 @@
 
 
 class Case:
-    """A balancer with rate limits that follows a control service which is not there."""
+    """A balancer with rate limits and an unreachable control service."""
 
     def __init__(self, last_good_file):
         table = operator_config.schema.RateLimitTable(
@@ -72,52 +73,58 @@
             env=copy.deepcopy(ENVIRONMENT),
         )
 
-    def in_force(self):
-        """Return all that a version changes."""
+    def state(self):
+        """Return all state that a version changes."""
         policy = self.balancer.policy
         return {
             "version": self.applier.running_number,
             "document": self.applier.document,
-            "time limits": [known.time_limit_ns for known in policy.settings.service_classes],
+            "time limits": [
+                service_class.time_limit_ns for service_class in policy.settings.service_classes
+            ],
             "limits": self.rate_limits.limits,
-            "states": {known.address: str(known.state) for known in policy.subset.ring.listed},
+            "states": {
+                upstream.address: str(upstream.state) for upstream in policy.subset.ring.listed
+            },
             "weights": {
-                known.address: known.operator_weight for known in policy.subset.ring.listed
+                upstream.address: upstream.operator_weight for upstream in policy.subset.ring.listed
             },
         }
 
 
-@pytest.mark.parametrize("step", STEPS)
-async def test_version_is_rejected_whole_where_a_step_fails(step, tmp_path, monkeypatch):
-    # Against a version that is in force by half, and counts as running.
-    state = tmp_path / "good.json"
-    case = Case(str(state))
+@pytest.mark.parametrize("step", FAULT_LOCATIONS)
+async def test_version_is_rejected_and_rolled_back_if_any_step_fails(step, tmp_path, monkeypatch):
+    # Guards against a partly applied version that is reported as running.
+    path = tmp_path / "good.json"
+    case = Case(str(path))
     async with case.balancer:
         assert case.applier.receive(signed_version(1, FIRST, forced=FORCED))
-        before = case.in_force()
-        fail_once(monkeypatch, *STEPS[step](case))
+        before = case.state()
+        fail_once(monkeypatch, *FAULT_LOCATIONS[step](case))
 
         assert not case.applier.receive(signed_version(2, SECOND, forced=FORCED))
 
-        assert case.in_force() == before
+        assert case.state() == before
         assert case.applier.rejection.version == 2
         assert "cannot be applied" in case.applier.rejection.reason
         assert case.applier.counters.rejected == 1
-        # The next one is taken.
+        # The next version is applied.
         assert case.applier.receive(signed_version(3, SECOND, forced=FORCED))
-        assert case.in_force()["version"] == 3
-        assert case.in_force()["states"][b"h1"] == "draining"
-        assert case.in_force()["time limits"][0] == 1800 * 10**6
+        assert case.state()["version"] == 3
+        assert case.state()["states"][b"h1"] == "draining"
+        assert case.state()["time limits"][0] == 1800 * 10**6
         assert case.applier.rejection is None
 
 
-async def test_last_good_version_that_cannot_be_applied_leaves_the_start_in_force(monkeypatch):
+async def test_last_good_version_that_cannot_be_applied_leaves_the_startup_settings_in_force(
+    monkeypatch,
+):
     case = Case(None)
     async with case.balancer:
-        before = case.in_force()
+        before = case.state()
         fail_once(monkeypatch, version_applier, "build_settings")
         case.control.last_good.load = lambda _: signed_version(1, FIRST)
 
         case.applier.restore(case.control.last_good)
 
-        assert case.in_force() == before
+        assert case.state() == before
