--- a/tests/cli/test_control_service.py
+++ b/tests/cli/test_control_service.py
@@ -9,7 +9,7 @@
 
 from pepperhook.cli import main
 from pepperhook.server.extensions import Extensions
-from tests.control_plane.helpers import SECRET, Serving, control_extension, until
+from tests.control_plane.helpers import SECRET, RunningControlService, control_extension, until
 from tests.world import Peer, Running, answer, loopback
 
 
@@ -43,7 +43,7 @@
 
 @loopback
 async def test_operator_plans_proposes_rolls_out_and_rolls_back(tmp_path, keys_file, document_file):
-    async with Peer(lambda *_: answer()) as peer, Serving(tmp_path / "s") as served:
+    async with Peer(lambda *_: answer()) as peer, RunningControlService(tmp_path / "s") as served:
         control = control_extension(served.address)
         command = CommandLine(served.address, keys_file)
         async with Running([peer.dial], parts=Extensions([control]), alone=False):
@@ -78,7 +78,7 @@
 async def test_command_that_cannot_be_carried_out_says_why(tmp_path, keys_file):
     misspelt = tmp_path / "bad.toml"
     misspelt.write_text("version = 1\n[grades.look]\ngaol_ms = 900.0\n")
-    async with Serving(tmp_path / "s") as served:
+    async with RunningControlService(tmp_path / "s") as served:
         command = CommandLine(served.address, keys_file)
 
         assert "'goal_ms' is the nearest" in await command.run(2, "plan", misspelt)
@@ -91,7 +91,7 @@
 async def test_machine_readable_output_has_the_keys_of_the_http_interface(
     tmp_path, keys_file, document_file
 ):
-    async with Serving(tmp_path / "s") as served:
+    async with RunningControlService(tmp_path / "s") as served:
         command = CommandLine(served.address, keys_file)
 
         plan = json.loads(await command.run(0, "plan", document_file, "--json"))
--- a/tests/cli/test_every_command.py
+++ b/tests/cli/test_every_command.py
@@ -17,7 +17,7 @@
 from pepperhook.cli import main
 from pepperhook.lab import journals
 from tests.cli.commands import ROOT, run
-from tests.control_plane.helpers import SECRET, Serving
+from tests.control_plane.helpers import SECRET, RunningControlService
 from tests.idempotency.balancers import until
 from tests.programs import free_port, write_config
 from tests.server.balancers import ENVIRONMENT
@@ -198,7 +198,7 @@
     (tmp_path / "keys").write_text(f"k1 {SECRET}\n")
     document = tmp_path / "doc.toml"
     document.write_text("version = 1\n")
-    async with Serving(tmp_path / "store") as service:
+    async with RunningControlService(tmp_path / "store") as service:
         for words in (
             f"plan {document}",
             f"propose {document} --author ann --reason first",
--- a/tests/control_plane/helpers.py
+++ b/tests/control_plane/helpers.py
@@ -66,7 +66,7 @@
     service.rollouts.commit(rollout)
 
 
-class Serving:
+class RunningControlService:
     """A control service on loopback."""
 
     def __init__(self, path, keys=KEYS, lease_ns=None, port=None):
--- a/tests/control_plane/test_balancer.py
+++ b/tests/control_plane/test_balancer.py
@@ -15,7 +15,7 @@
 from pepperhook.units import MILLISECOND, SECOND
 from tests.control_plane.helpers import (
     SECRET,
-    Serving,
+    RunningControlService,
     begin_rollout,
     control_extension,
     document,
@@ -57,7 +57,7 @@
     async with (
         ScriptedPeer(respond_when_released) as upstream,
         ScriptedPeer(always(make_response())) as other_upstream,
-        Serving(tmp_path / "s") as control_service,
+        RunningControlService(tmp_path / "s") as control_service,
     ):
         control = control_extension(control_service.address)
         addresses = [upstream.address, other_upstream.address]
@@ -99,7 +99,7 @@
         ScriptedPeer(always(make_response())) as other_upstream,
     ):
         addresses = [upstream.address, other_upstream.address]
-        async with Serving(tmp_path / "s") as control_service:
+        async with RunningControlService(tmp_path / "s") as control_service:
             control = control_extension(control_service.address, last_good_file=state)
             async with RunningBalancer(
                 addresses, extensions=Extensions([control]), owns_event_loop=False
@@ -144,7 +144,7 @@
 
     async with (
         ScriptedPeer(always(make_response())) as upstream,
-        Serving(tmp_path / "s") as control_service,
+        RunningControlService(tmp_path / "s") as control_service,
     ):
         control = control_extension(
             control_service.address, last_good_file=str(tmp_path / "good.json")
@@ -172,7 +172,7 @@
 ):
     async with (
         ScriptedPeer(always(make_response())) as upstream,
-        Serving(tmp_path / "s") as control_service,
+        RunningControlService(tmp_path / "s") as control_service,
     ):
         service = control_service.service
         control = control_extension(control_service.address)
@@ -242,7 +242,7 @@
 async def test_member_that_accepts_a_version_without_applying_it_pauses_the_rollout(tmp_path):
     async with (
         ScriptedPeer(always(make_response())) as upstream,
-        Serving(tmp_path / "s") as control_service,
+        RunningControlService(tmp_path / "s") as control_service,
     ):
         control = control_extension(control_service.address)
         control.applier.apply = lambda *_: None
@@ -266,7 +266,7 @@
     rate_limits = RateLimitExtension(limits, make_config())
     async with (
         ScriptedPeer(always(make_response())) as upstream,
-        Serving(tmp_path / "s") as control_service,
+        RunningControlService(tmp_path / "s") as control_service,
     ):
         control = control_extension(
             control_service.address, extensions=[("customers", rate_limits)]
@@ -297,7 +297,7 @@
 async def test_membership_view_sets_the_fleet_position_of_the_balancer(tmp_path):
     async with (
         ScriptedPeer(always(make_response())) as upstream,
-        Serving(tmp_path / "s") as control_service,
+        RunningControlService(tmp_path / "s") as control_service,
     ):
         control = control_extension(control_service.address, sets_fleet_position=True)
         async with RunningBalancer(
--- a/tests/control_plane/test_service.py
+++ b/tests/control_plane/test_service.py
@@ -24,7 +24,7 @@
 from pepperhook.server.extensions import Extensions
 from tests.control_plane.helpers import (
     KEYS,
-    Serving,
+    RunningControlService,
     begin_rollout,
     control_extension,
     document,
@@ -77,7 +77,7 @@
     too_old = sign_request(KEYS, "GET", MEMBERS, clock=outdated_clock)
     of_unknown_key = sign_request(KeyRing([("k9", "x" * 20)]), "GET", MEMBERS)
     async with (
-        Serving(tmp_path / "s") as control_service,
+        RunningControlService(tmp_path / "s") as control_service,
         Client(control_service.address) as client,
     ):
         for headers, reason in (
@@ -95,7 +95,7 @@
 
 async def test_replayed_request_is_denied(tmp_path):
     async with (
-        Serving(tmp_path / "s") as control_service,
+        RunningControlService(tmp_path / "s") as control_service,
         Client(control_service.address) as client,
     ):
         headers = sign_request(KEYS, "GET", MEMBERS)
@@ -107,7 +107,7 @@
 
 async def test_heartbeats_of_one_member_above_the_rate_limit_are_denied(tmp_path):
     async with (
-        Serving(tmp_path / "s") as control_service,
+        RunningControlService(tmp_path / "s") as control_service,
         Client(control_service.address) as client,
     ):
         statuses = [await client.post("/v1/beat", HEARTBEAT) for _ in range(30)]
@@ -119,7 +119,7 @@
 async def test_malformed_request_is_answered_by_400(tmp_path):
     path = "/v1/versions?after=x"
     async with (
-        Serving(tmp_path / "s") as control_service,
+        RunningControlService(tmp_path / "s") as control_service,
         Client(control_service.address) as client,
     ):
         assert await client.post("/v1/plan", b"{") == 400
@@ -185,7 +185,7 @@
             [upstream.address], extensions=Extensions([controls[3]]), owns_event_loop=False
         ),
     ):
-        async with Serving(tmp_path / "s", port=port) as control_service:
+        async with RunningControlService(tmp_path / "s", port=port) as control_service:
             await until(lambda: all(connected()) and len(control_service.members) == 4)
             propose(control_service.service, document(grades={"look": {"goal_ms": 900.0}}))
             steps = [Step(0.5, 3600.0), Step(1.0, 0.0)]
@@ -195,7 +195,7 @@
         await until(lambda: not any(connected()))
         assert running_numbers() == before, "balancers keep their versions without the service"
 
-        async with Serving(tmp_path / "s", port=port) as control_service:
+        async with RunningControlService(tmp_path / "s", port=port) as control_service:
             rollout = control_service.rollout
             assert (rollout.state, rollout.step, rollout.version) == (RolloutState.RUNNING, 0, 1)
             await until(lambda: all(connected()) and len(control_service.members) == 4)
@@ -223,7 +223,7 @@
     monkeypatch.setattr(frames, "encode_version", counting_encode)
     async with (
         ScriptedPeer(always(make_response())) as upstream,
-        Serving(tmp_path / "s") as control_service,
+        RunningControlService(tmp_path / "s") as control_service,
     ):
         controls = [
             control_extension(control_service.address, name=f"n{number}") for number in range(4)
@@ -260,7 +260,7 @@
 
     monkeypatch.setattr(service.ControlService, "receive_heartbeat", recording_receive)
     async with ScriptedPeer(always(make_response())) as upstream:
-        control_service = Serving(tmp_path / "s")
+        control_service = RunningControlService(tmp_path / "s")
         async with control_service:
             control = control_extension(control_service.address)
             balancer = RunningBalancer(
@@ -282,7 +282,7 @@
 
         # A restarted service has the members' leases from the store, but not their upstreams.
         count = len(with_upstreams)
-        async with Serving(tmp_path / "s", port=control_service.port) as restarted:
+        async with RunningControlService(tmp_path / "s", port=control_service.port) as restarted:
             control.heartbeats.acknowledged_checksum = 12345
             await until(lambda: len(with_upstreams) >= count + 3 and "n" in restarted.members)
             assert sum(with_upstreams[count:]) >= 1
--- a/tests/server/test_supervision.py
+++ b/tests/server/test_supervision.py
@@ -27,7 +27,7 @@
 from pepperhook.server import supervision
 from pepperhook.server.extensions import Extensions
 from pepperhook.server.supervision import Supervisor
-from tests.control_plane.helpers import KEYS, Serving, control_extension
+from tests.control_plane.helpers import KEYS, RunningControlService, control_extension
 from tests.idempotency.balancers import make_extension as make_idempotency
 from tests.idempotency.balancers import make_log
 from tests.membership.test_extension import make_extension as make_gossip
@@ -130,7 +130,7 @@
     monkeypatch.setattr(owner, method, broken)
     async with (
         ScriptedPeer(always(make_response())) as upstream,
-        Serving(tmp_path / "service") as service,
+        RunningControlService(tmp_path / "service") as service,
         RunningBalancer(
             [upstream.address],
             Extensions([make(tmp_path, service.address)]),
