--- a/pepperhook/control_plane/auth.py
+++ b/pepperhook/control_plane/auth.py
@@ -91,7 +91,7 @@
         self._used_nonces[nonce] = now
 
     def _drop_old_nonces(self, now: float) -> None:
-        """Drop nonces of requests that are denied for their age; runs rarely enough to be cheap."""
+        """Drop nonces whose reuse the time check denies; copies the dict, so it does so rarely."""
         if not self._used_nonces:
             return
         oldest = next(iter(self._used_nonces.values()))
--- a/pepperhook/control_plane/balancer_view.py
+++ b/pepperhook/control_plane/balancer_view.py
@@ -56,8 +56,8 @@
 def _capacity(policy: Any, upstream: Upstream) -> float:
     """Return how many attempts an upstream can have in flight, as computed by the policy.
 
-    That is this balancer's fair share of it, or the mean concurrency that it completed (Little's
-    law), whichever is larger.
+    That is this balancer's fair share of the capacity, or the mean concurrency of the attempts that
+    the upstream served (Little's law: their durations per time), whichever is larger.
     """
     concurrency = 0.0
     if upstream.is_known:
--- a/pepperhook/control_plane/document.py
+++ b/pepperhook/control_plane/document.py
@@ -14,7 +14,7 @@
 from pepperhook.errors import PepperhookError
 from pepperhook.operator_config.schema import Fraction, RateLimitTable
 
-# The range of a deployment's settings, whose unit is the microsecond.
+# 4.6e18 is about ``settings.MAX_NUMBER``, the range of the settings; 4.6e12 ms are 4.6e18 ns.
 Milliseconds = Annotated[float, Meta(ge=0, le=4.6e12)]
 PositiveMilliseconds = Annotated[float, Meta(ge=0.001, le=4.6e12)]
 Weight = Annotated[float, Meta(ge=0, le=4.6e18)]
--- a/pepperhook/control_plane/extension.py
+++ b/pepperhook/control_plane/extension.py
@@ -35,13 +35,12 @@
 class Control:
     """The extension that the table ``control`` of an operator's file enables.
 
-    The log and ``pepperhook check`` list extensions by class name, so the class is named after the
-    table.
+    The log and ``pepperhook check`` list it by its class name, which is that of the table.
     """
 
     def __init__(
         self,
-        operator: schema.ControlPlaneTable,
+        table: schema.ControlPlaneTable,
         config: Config,
         log: Log,
         extensions: Iterable[tuple[str, Any]] = (),
@@ -54,15 +53,15 @@
         """
         tier = config.settings.tier
         host, port = config.listen
-        self._address = operator.address
+        self._address = table.address
         self._log = log
-        self._keys = KeyRing((key.id, key.secret) for key in operator.keys)
+        self._keys = KeyRing((key.id, key.secret) for key in table.keys)
         self._jitter = SeededJitter(config.seed, config.name)
         self._connection: ServiceConnection | None = None
         self._tasks: list[asyncio.Task[None]] = []
 
         self.position = FleetPosition(config.name, config.settings.fleet_size)
-        self.last_good = LastGoodFile(operator.last_good_file, log)
+        self.last_good = LastGoodFile(table.last_good_file, log)
         self.applier = VersionApplier(config, self._keys, log, dict(extensions))
         self.heartbeats = HeartbeatSender(config.name, tier, f"{host}:{port}", self.applier)
         self.stream = StreamClient(
@@ -70,10 +69,10 @@
             tier=tier,
             log=log,
             jitter=self._jitter,
-            latest_seen_number=lambda: self.applier.latest_seen_number,
+            latest_processed_number=lambda: self.applier.latest_processed_number,
             known_version=self.applier.known_version,
         )
-        if operator.sets_fleet_position:
+        if table.sets_fleet_position:
             self.applier.position = self.position
         if gossip is not None:
             self._connect_gossip(gossip)
@@ -164,9 +163,9 @@
                     await self.heartbeats.send(connection)
                 except (aiohttp.ClientError, OSError, msgspec.MsgspecError) as error:
                     self._log.info("heartbeat_failed", error=f"{type(error).__name__}: {error}")
-            self._settle_position()
+            self._lower_fleet_size()
             await asyncio.sleep(HEARTBEAT_INTERVAL_S * (0.75 + 0.5 * self._jitter.draw()))
 
-    def _settle_position(self) -> None:
-        if self.position.settle(time.monotonic_ns()):
+    def _lower_fleet_size(self) -> None:
+        if self.position.lower_if_stable(time.monotonic_ns()):
             self.applier.update_policy()
--- a/pepperhook/control_plane/fleet_position.py
+++ b/pepperhook/control_plane/fleet_position.py
@@ -9,17 +9,18 @@
 
 from pepperhook.control_plane.member_registry import DEFAULT_LEASE_NS
 
-# After this time every member has received the new view or lost its lease.
-SETTLE_NS = 2 * DEFAULT_LEASE_NS
+# How long a view must be unchanged before the fleet size is lowered: by then every member has
+# received the view or lost its lease.
+STABLE_VIEW_NS = 2 * DEFAULT_LEASE_NS
 
 
 class FleetPosition:
-    """Raises the fleet size at once, and lowers it after an unchanged view for ``SETTLE_NS``."""
+    """Raises the fleet size at once, and lowers it once a view is ``STABLE_VIEW_NS`` old."""
 
     def __init__(self, name: str, configured_size: int) -> None:
         """Begin with the configured fleet size and without an index."""
         self.name = name
-        self.count = configured_size
+        self.count = configured_size  # fleet size
         self.index: int | None = None
         self.view: tuple[str, ...] = ()  # names of the tier's members
         self._epoch = 0
@@ -36,11 +37,11 @@
         self.count = max(self.count, len(self.view))
         return True
 
-    def settle(self, now: int) -> bool:
+    def lower_if_stable(self, now: int) -> bool:
         """Lower the fleet size if the view is unchanged for long enough; return whether it fell."""
         if not self.view or self.count <= len(self.view):
             return False
-        if now - self._view_since_ns < SETTLE_NS:
+        if now - self._view_since_ns < STABLE_VIEW_NS:
             return False
         self.count = len(self.view)
         return True
--- a/pepperhook/control_plane/frames.py
+++ b/pepperhook/control_plane/frames.py
@@ -67,7 +67,7 @@
 
 
 StreamMessage = Version | StreamHeartbeat | MembershipView
-KnownVersions = Callable[[int], Version | None]
+FindVersion = Callable[[int], Version | None]
 
 
 def encode_frame(kind: int, payload: bytes) -> bytes:
@@ -106,7 +106,7 @@
 class FrameReader:
     """Decodes the stream as its bytes arrive."""
 
-    def __init__(self, known_version: KnownVersions) -> None:
+    def __init__(self, known_version: FindVersion) -> None:
         """Begin a stream.
 
         ``known_version`` returns a version by its number if the reader has it, or None; patches are
--- a/pepperhook/control_plane/history.py
+++ b/pepperhook/control_plane/history.py
@@ -17,6 +17,7 @@
 from pepperhook.control_plane.version import Version
 from pepperhook.errors import PepperhookError
 
+# The table ``about`` has the version of the file's format.
 SCHEMA = """
 create table if not exists versions (number integer primary key, body blob not null);
 create table if not exists rollouts (number integer primary key, body blob not null);
@@ -70,13 +71,13 @@
             )
 
     def newest_version(self) -> Version | None:
-        """Return the version with the highest number."""
+        """Return the version with the highest number, or None."""
         return self._fetch_one(
             "select body from versions order by number desc limit 1", (), Version
         )
 
     def version(self, number: int) -> Version | None:
-        """Return one version."""
+        """Return the version with a number, or None."""
         return self._fetch_one("select body from versions where number = ?", (number,), Version)
 
     def versions(self, after: int = 0) -> list[Version]:
@@ -108,7 +109,7 @@
         )
 
     def rollout(self, number: int) -> Rollout | None:
-        """Return one rollout."""
+        """Return the rollout with a number, or None."""
         return self._fetch_one("select body from rollouts where number = ?", (number,), Rollout)
 
     def save_rollout(self, rollout: Rollout) -> None:
--- a/pepperhook/control_plane/http_api.py
+++ b/pepperhook/control_plane/http_api.py
@@ -108,10 +108,10 @@
         counters.streams += 1
         self._service.connect(name, tier)
         try:
-            latest_number = int(request.query.get("have", "0"))
+            processed_number = int(request.query.get("have", "0"))
             # The member disconnected; it reconnects by itself.
             with contextlib.suppress(OSError):
-                await self._service.streams.feed(response.write, name, tier, latest_number)
+                await self._service.streams.feed(response.write, name, tier, processed_number)
         finally:
             counters.streams -= 1
         return response
--- a/pepperhook/control_plane/last_good.py
+++ b/pepperhook/control_plane/last_good.py
@@ -19,8 +19,8 @@
 class LastGoodFile:
     """Writes the applied version atomically and outside the event loop.
 
-    When twenty balancers of one machine wrote on their event loops at the same moment, they and all
-    their requests were blocked for half a second and more.
+    Writes on the event loop blocked all requests for half a second and more when twenty balancers
+    of one machine wrote at the same moment.
     """
 
     def __init__(self, path: str | None, log: Log) -> None:
--- a/pepperhook/control_plane/listed_endpoints.py
+++ b/pepperhook/control_plane/listed_endpoints.py
@@ -16,11 +16,11 @@
 
     def update(self, rows: Iterable[EndpointUpdate]) -> None:
         """Store changed rows; the row of an upstream that is gone is removed."""
-        for endpoint in rows:
-            if endpoint.state == UpstreamState.GONE:
-                self._rows.pop(endpoint.upstream, None)
+        for row in rows:
+            if row.state == UpstreamState.GONE:
+                self._rows.pop(row.upstream, None)
             else:
-                self._rows[endpoint.upstream] = endpoint
+                self._rows[row.upstream] = row
 
     def upstreams(self) -> list[Any]:
         """Return all upstreams that are listed."""
@@ -45,8 +45,8 @@
     drained = document.drained_upstreams()
     overridden = []
     for row in rows:
-        is_drained = row.state == UpstreamState.READY and name_of(row.upstream) in drained
-        overridden.append(row._replace(state=UpstreamState.DRAINING) if is_drained else row)
+        must_drain = row.state == UpstreamState.READY and name_of(row.upstream) in drained
+        overridden.append(row._replace(state=UpstreamState.DRAINING) if must_drain else row)
     return overridden
 
 
--- a/pepperhook/control_plane/member_registry.py
+++ b/pepperhook/control_plane/member_registry.py
@@ -19,7 +19,7 @@
 class MemberState(StrEnum):
     """Whether a member runs the version that it is to run."""
 
-    JOINING = "joining"  # it does not run that version yet
+    PENDING = "joining"  # it does not run that version yet
     APPLIED = "applied"
     REJECTED = "refused"
     GONE = "gone"  # its lease expired
@@ -34,7 +34,7 @@
     last_heard_ns: int
     running_version: int = 0  # as it reported
     sent_version: int = 0  # last version sent to it
-    state: MemberState = MemberState.JOINING
+    state: MemberState = MemberState.PENDING
     reason: str = ""  # of a rejection
     succeeded: int = 0  # requests since its start, as it reported
     failed: int = 0
@@ -89,6 +89,7 @@
         return member
 
     def _add(self, now: int, name: str, tier: int) -> Member | None:
+        """Add a member, whose lease the caller grants; return None if there are too many."""
         if len(self.members) >= MAX_MEMBERS:
             return None
         member = Member(name=name, tier=tier, lease_until_ns=0, last_heard_ns=now)
--- a/pepperhook/control_plane/rollout.py
+++ b/pepperhook/control_plane/rollout.py
@@ -67,7 +67,8 @@
     state: RolloutState = RolloutState.RUNNING
     step: int = 0  # index of the current one
     step_started_ns: int = field(default=0, name="begun")
-    reason: str = field(default="", name="why")  # for the state
+    reason: str = field(default="", name="why")  # for being in this state
+    # Requests of members that run the new version, and of all others, in the current step.
     updated: RequestCounts = field(default_factory=RequestCounts, name="changed")
     baseline: RequestCounts = field(default_factory=RequestCounts, name="unchanged")
     # The baseline of an earlier step, used when no member runs the previous version.
@@ -98,8 +99,8 @@
     def admit(self, names: Collection[str]) -> bool:
         """Admit members up to the step's share of those present; return whether any was admitted.
 
-        Members are admitted in the order of their ranks, at least one. An admitted member stays
-        admitted whoever joins or leaves, so that none moves back and forth between versions.
+        Members are admitted in the order of a hash of their names, at least one. An admitted member
+        stays admitted whoever joins or leaves, so that none moves back and forth between versions.
         """
         if self.state != RolloutState.RUNNING:
             return False
@@ -147,17 +148,19 @@
             return True
         return newly_admitted
 
-    def _comparison(self) -> RequestCounts:
-        """Return the counts that the updated members are compared with."""
+    def _effective_baseline(self) -> RequestCounts:
+        """Return the baseline counts that the updated members are compared with."""
         return self.baseline if self.baseline.total >= MIN_REQUESTS else self.earlier_baseline
 
     def _has_evidence(self) -> bool:
-        return self.updated.total >= MIN_REQUESTS and self._comparison().total >= MIN_REQUESTS
+        return (
+            self.updated.total >= MIN_REQUESTS and self._effective_baseline().total >= MIN_REQUESTS
+        )
 
     def _roll_back_if_worse(self) -> bool:
         if not self._has_evidence():
             return False
-        comparison = self._comparison()
+        comparison = self._effective_baseline()
         worse_by_at_least, _ = difference_interval(self.updated, comparison)
         if worse_by_at_least <= TOLERATED_DIFFERENCE:
             return False
@@ -178,7 +181,7 @@
         if self.step + 1 == len(self.steps):
             self._set_state(RolloutState.COMPLETED, "")
             return
-        self.earlier_baseline = self._comparison()
+        self.earlier_baseline = self._effective_baseline()
         self.step += 1
         self._restart_step(now)
         self.admit(names)
@@ -194,7 +197,7 @@
             return f"{step}: {', '.join(lagging[:MAX_NAMES_IN_REASON])} did not apply it"
         return (
             f"{step}: not enough seen, {self.updated.total} operations by the new version and "
-            f"{self._comparison().total} by the old"
+            f"{self._effective_baseline().total} by the old"
         )
 
     def pause(self, reason: str) -> None:
@@ -220,5 +223,5 @@
 
 
 def _rank(name: str) -> tuple[bytes, str]:
-    """Return a member's place in the order of admission, which depends only on its name."""
+    """Return a member's place in the order of admission, a hash of its name."""
     return blake2b(name.encode(), digest_size=6).digest(), name
--- a/pepperhook/control_plane/rollout_driver.py
+++ b/pepperhook/control_plane/rollout_driver.py
@@ -53,26 +53,27 @@
         self.current = store.newest_rollout()
 
     def desired_version(self, name: str) -> int:
-        """Return the number of the version that a member is to run; 0: no version."""
+        """Return the number of the version that a member is to run; 0: its startup settings."""
         return 0 if self.current is None else self.current.desired_version(name)
 
     def begin(self, request: BeginRolloutRequest) -> Rollout:
         """Begin a rollout. Raises ChangeRejectedError or StoreFullError."""
-        last = self.current
+        previous = self.current
         if self._store.version(request.version) is None:
             raise ChangeRejectedError(f"there is no version {request.version}")
-        if last is not None and not last.is_finished:
+        if previous is not None and not previous.is_finished:
             raise ChangeRejectedError(
-                f"rollout {last.number} of version {last.version} by {last.author} is {last.state}"
+                f"rollout {previous.number} of version {previous.version} by {previous.author} "
+                f"is {previous.state}"
             )
         if not are_valid_steps(request.steps):
             raise ChangeRejectedError(
                 "steps: shares from above 0 up to 1 are wanted, the last of them 1"
             )
         rollout = Rollout(
-            number=(last.number if last else 0) + 1,
+            number=(previous.number if previous else 0) + 1,
             version=request.version,
-            previous_version=_resulting_version(last),
+            previous_version=_resulting_version(previous),
             steps=request.steps,
             patience_s=request.patience_s,
             author=request.author,
@@ -109,10 +110,10 @@
         if self.current is None or self.current.state != RolloutState.RUNNING:
             return
         advanced = _copy(self.current)
-        changed = advanced.advance(
+        has_changed = advanced.advance(
             self._now_ns(), self._registry.running_versions(), self._registry.names()
         )
-        if not changed:
+        if not has_changed:
             self.current = advanced
             return
         self.commit(advanced)
@@ -141,7 +142,10 @@
             self._notify()
 
     def commit(self, rollout: Rollout) -> None:
-        """Store a state, then make it the current one. Raises StoreFullError."""
+        """Store a state and make it the current one. Raises StoreFullError.
+
+        For a rollback, a version with the previous version's document is added first.
+        """
         if rollout.state == RolloutState.ROLLED_BACK and not rollout.rollback_version:
             rollback = self._catalog.add_rollback(
                 rollout.previous_version,
@@ -157,7 +161,7 @@
 
 
 def _resulting_version(rollout: Rollout | None) -> int:
-    """Return the version that members run after a finished rollout; 0: no version."""
+    """Return the version that members run after a finished rollout; 0: their startup settings."""
     if rollout is None:
         return 0
     if rollout.state == RolloutState.COMPLETED:
--- a/pepperhook/control_plane/safety_checks.py
+++ b/pepperhook/control_plane/safety_checks.py
@@ -15,8 +15,8 @@
 from pepperhook.control_plane.document import Document, Effect, ServiceClassOverride
 from pepperhook.control_plane.merge_patch import differences
 
-MAX_RELATIVE_STEP = 0.5  # largest change of a number in one version, relative to its value
-STEP_LIMITED_KEYS = frozenset(
+MAX_RELATIVE_CHANGE = 0.5  # largest change of a number in one version, relative to its value
+CHANGE_LIMITED_KEYS = frozenset(
     (
         "time_limit_ms",
         "goal_ms",
@@ -39,7 +39,7 @@
     UNKNOWN_NAME = "unknown"
     LATENCY_OBJECTIVE = "goal"
     EXTENSION_OFF = "part"
-    STEP_SIZE = "step"
+    LARGE_CHANGE = "step"
     EFFECT = "effect"
     METHOD = "method"
     TIME_LIMIT = "limit"
@@ -99,21 +99,21 @@
     violations: list[Violation] = []
     for key, old, new in differences(before, after):
         name = key.rpartition(".")[2]
-        if name in STEP_LIMITED_KEYS:
-            violations += _step_size_violations(key, old, new)
+        if name in CHANGE_LIMITED_KEYS:
+            violations += _large_change_violations(key, old, new)
         if name == "effect" and old == Effect.UNSAFE:
             violations.append(Violation(Check.EFFECT, key, "an unsafe grade would be repeated"))
     violations += _known_drain_violations(document.drained_upstreams(), known_upstreams)
     return violations
 
 
-def _step_size_violations(key: str, old: Any, new: Any) -> Iterator[Violation]:
+def _large_change_violations(key: str, old: Any, new: Any) -> Iterator[Violation]:
     if not (isinstance(old, (int, float)) and isinstance(new, (int, float)) and old):
         return
     step = abs(new - old) / old
-    if step > MAX_RELATIVE_STEP:
-        reason = f"moves by {step:.0%} at once, {MAX_RELATIVE_STEP:.0%} at the most"
-        yield Violation(Check.STEP_SIZE, key, reason)
+    if step > MAX_RELATIVE_CHANGE:
+        reason = f"moves by {step:.0%} at once, {MAX_RELATIVE_CHANGE:.0%} at the most"
+        yield Violation(Check.LARGE_CHANGE, key, reason)
 
 
 def _known_drain_violations(drained: set[str], known: frozenset[str]) -> Iterator[Violation]:
--- a/pepperhook/control_plane/service.py
+++ b/pepperhook/control_plane/service.py
@@ -178,7 +178,7 @@
         rejection = heartbeat.rejection
         if rejection is None:
             applied = member.running_version == self.desired_version(member.name)
-            member.state = MemberState.APPLIED if applied else MemberState.JOINING
+            member.state = MemberState.APPLIED if applied else MemberState.PENDING
             member.reason = ""
             return
         if member.state != MemberState.REJECTED or member.reason != rejection.reason:
--- a/pepperhook/control_plane/stream_client.py
+++ b/pepperhook/control_plane/stream_client.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from pepperhook.control_plane.frames import FrameReader, KnownVersions, StreamError, StreamMessage
+from pepperhook.control_plane.frames import FindVersion, FrameReader, StreamError, StreamMessage
 from pepperhook.control_plane.messages import STREAM_PATH
 from pepperhook.control_plane.service_connection import SeededJitter, ServiceConnection
 from pepperhook.server.structured_logging import Log
@@ -29,12 +29,12 @@
         tier: int,
         log: Log,
         jitter: SeededJitter,
-        latest_seen_number: Callable[[], int],
-        known_version: KnownVersions,
+        latest_processed_number: Callable[[], int],
+        known_version: FindVersion,
     ) -> None:
         """Read the stream of the member ``name``.
 
-        ``latest_seen_number`` returns the number of the version that need not be sent again,
+        ``latest_processed_number`` returns the number of the version that need not be sent,
         ``known_version`` a version by its number, for patches to be applied to.
         """
         self.connected = False
@@ -43,7 +43,7 @@
         self._tier = tier
         self._log = log
         self._jitter = jitter
-        self._latest_seen_number = latest_seen_number
+        self._latest_processed_number = latest_processed_number
         self._known_version = known_version
 
     async def run(self, connection: ServiceConnection, handle: HandleMessage) -> None:
@@ -55,9 +55,10 @@
         wait_s = FIRST_RECONNECT_S
         while True:
             try:
-                await self._follow(connection, handle)
+                await self._read_stream(connection, handle)
             except (aiohttp.ClientError, OSError, StreamError) as error:
                 self.broken_streams += 1
+                # Only the end of an established stream is logged, not each failed connect.
                 if self.connected:
                     wait_s = FIRST_RECONNECT_S
                     self._log.warning(
@@ -67,7 +68,7 @@
             await asyncio.sleep(wait_s * (0.5 + self._jitter.draw()))
             wait_s = min(MAX_RECONNECT_S, wait_s * 2)
 
-    async def _follow(self, connection: ServiceConnection, handle: HandleMessage) -> None:
+    async def _read_stream(self, connection: ServiceConnection, handle: HandleMessage) -> None:
         """Read one stream. Raises ClientError, OSError or StreamError when it ends."""
         reader = FrameReader(self._known_version)
         async with connection.open_stream(self._path()) as response:
@@ -81,5 +82,5 @@
         raise StreamError("the stream ended")
 
     def _path(self) -> str:
-        query = {"name": self._name, "tier": self._tier, "have": self._latest_seen_number()}
+        query = {"name": self._name, "tier": self._tier, "have": self._latest_processed_number()}
         return f"{STREAM_PATH}?{urlencode(query)}"
--- a/pepperhook/control_plane/version_applier.py
+++ b/pepperhook/control_plane/version_applier.py
@@ -39,7 +39,7 @@
     """The balancer's position in its tier; while ``index`` is None, the settings' one is used."""
 
     index: int | None
-    count: int
+    count: int  # fleet size
 
 
 class ApplierCounters(Struct):
@@ -90,15 +90,16 @@
         self.endpoints = ListedEndpoints()
         self.document: Document = parse_document(EMPTY_DOCUMENT)
         self._config = config
-        self._startup_settings = replace(config.settings)  # a copy: those in force change in place
+        # A copy, as the policy's settings change in place.
+        self._startup_settings = replace(config.settings)
         self._keys = keys
         self._log = log
         self.extensions = extensions
-        self._node: Any = None
+        self._app: Any = None
 
-    def attach(self, node: Any) -> None:
+    def attach(self, app: Any) -> None:
         """Set the balancer that versions are applied to."""
-        self._node = node
+        self._app = app
 
     @property
     def running_number(self) -> int:
@@ -106,8 +107,8 @@
         return self.running.number if self.running is not None else 0
 
     @property
-    def latest_seen_number(self) -> int:
-        """Return the number of the version that the service need not send again."""
+    def latest_processed_number(self) -> int:
+        """Return the number of the last version that was applied or rejected."""
         return self.rejection.version if self.rejection else self.running_number
 
     def known_version(self, number: int) -> Version | None:
@@ -134,9 +135,9 @@
             self._reject(version, str(error))
             return False
         violations = violations_on_balancer(document, self._view())
-        standing = not_overridden(violations, version.forced)
-        if standing:
-            self._reject(version, describe_violations(standing))
+        remaining = not_overridden(violations, version.forced)
+        if remaining:
+            self._reject(version, describe_violations(remaining))
             return False
         try:
             self.apply(version, document)
@@ -181,7 +182,7 @@
 
     def _view(self) -> BalancerView:
         return read_balancer_view(
-            self._node.runtime.policy,
+            self._app.runtime.policy,
             self._startup_settings,
             self._config.names,
             self.extensions,
@@ -199,7 +200,7 @@
         except Exception as error:
             raise NotApplicableError(f"{type(error).__name__}: {error}") from error
         try:
-            self._put_into_force(prepared)
+            self._activate(prepared)
         except Exception as error:
             self._restore_previous(previous)
             raise NotApplicableError(f"{type(error).__name__}: {error}") from error
@@ -217,11 +218,11 @@
         limits = None if rate_limits is None else rate_limits.limits
         return PreparedVersion(self.running, self.document, self._settings(self.document), limits)
 
-    def _put_into_force(self, prepared: PreparedVersion) -> None:
+    def _activate(self, prepared: PreparedVersion) -> None:
         if prepared.limits is not None:
             self.extensions[RATE_LIMITS].limits = prepared.limits
         rows = self.endpoints.rows_to_correct(prepared.document)
-        policy = self._node.runtime.policy
+        policy = self._app.runtime.policy
         if rows:
             self._call_policy(policy.endpoints_corrected, rows)
         self._reconfigure(prepared.settings, prepared.document)
@@ -230,13 +231,13 @@
 
     def _restore_previous(self, previous: PreparedVersion) -> None:
         try:
-            self._put_into_force(previous)
+            self._activate(previous)
         except Exception:
-            # The policy fails with the previous version too, and its own log lines say so.
+            # The policy fails with the previous version too; its own log lines report the error.
             self._log.exception("version_not_restored")
 
     def _call_policy(self, call: Any, *arguments: Any) -> None:
-        if not self._node.runtime.call_policy(call, *arguments):
+        if not self._app.runtime.call_policy(call, *arguments):
             raise PolicyFaultError(f"the policy failed in {call.__name__}")
 
     def _settings(self, document: Document) -> Settings:
@@ -249,8 +250,8 @@
         weights = [
             (upstream, weight_of(upstream, document)) for upstream in self.endpoints.upstreams()
         ]
-        self._call_policy(self._node.runtime.policy.reconfigure, settings, weights)
-        self._node.ingress.update_settings()
+        self._call_policy(self._app.runtime.policy.reconfigure, settings, weights)
+        self._app.ingress.update_settings()
 
     def update_policy(self) -> None:
         """Reconfigure the policy for the document and the position in force."""
--- a/pepperhook/control_plane/version_catalog.py
+++ b/pepperhook/control_plane/version_catalog.py
@@ -20,10 +20,10 @@
 from pepperhook.errors import PepperhookError
 from pepperhook.key_ring import KeyRing
 
-# A rollback returns to a configuration that members had, so what these checks guard against is not
-# new to them.
+# A rollback returns to a configuration that members had, so violating these checks does no new
+# harm.
 ROLLBACK_OVERRIDES = [
-    check.value for check in (Check.EFFECT, Check.TIME_LIMIT, Check.METHOD, Check.STEP_SIZE)
+    check.value for check in (Check.EFFECT, Check.TIME_LIMIT, Check.METHOD, Check.LARGE_CHANGE)
 ]
 
 
--- a/pepperhook/control_plane/version_streams.py
+++ b/pepperhook/control_plane/version_streams.py
@@ -57,7 +57,7 @@
 
 
 class VersionStreams:
-    """Writes the streams of all members, and encodes frames that they share only once."""
+    """Writes the streams of all members, and encodes a frame once for all members that get it."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         counters: ServiceCounters,
         clock: Callable[[], float],
     ) -> None:
-        """Serve versions from ``store``; ``desired_version`` returns a member's number."""
+        """Serve versions from ``store``; ``desired_version`` is called with a member's name."""
         self.changes = ChangeSignal()
         self._store = store
         self._registry = registry
@@ -77,18 +77,19 @@
         self._encoded_versions: dict[tuple[int, int], bytes] = {}  # by number and base
         self._encoded_views: dict[int, _EncodedView] = {}  # by tier
 
-    async def feed(self, write: Write, name: str, tier: int, latest_number: int) -> None:
+    async def feed(self, write: Write, name: str, tier: int, processed_number: int) -> None:
         """Write one member's stream until it breaks.
 
-        ``latest_number`` is the number of the version that the member need not be sent.
+        ``processed_number`` is the number of the version that the member last applied or rejected,
+        which need not be sent.
         """
         epoch = 0
         while True:
             change = self.changes.next_change
             desired = self._desired_version(name)
-            if desired not in (latest_number, 0):
-                await self._send_version(write, name, desired, latest_number)
-                latest_number = desired
+            if desired not in (processed_number, 0):
+                await self._send_version(write, name, desired, processed_number)
+                processed_number = desired
             if self._registry.epoch(tier) != epoch:
                 view = self._encoded_view(tier)
                 epoch = view.epoch
--- a/tests/control_plane/__init__.py
+++ b/tests/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the control plane: nothing half applied, forged, stale, harmful or lost takes effect."""
+"""Tests of the control plane: partial, forged, outdated or harmful versions take no effect."""
--- a/tests/control_plane/test_balancer.py
+++ b/tests/control_plane/test_balancer.py
@@ -223,7 +223,7 @@
         assert (applier.counters.forged, applier.counters.outdated) == (2, 2)
 
 
-async def test_version_with_an_invalid_document_is_rejected_by_its_key():
+async def test_rejection_of_an_invalid_document_names_the_faulty_key():
     control = control_extension(UNREACHABLE)
     async with (
         ScriptedPeer(always(make_response())) as upstream,
--- a/tests/control_plane/test_balancer_settings.py
+++ b/tests/control_plane/test_balancer_settings.py
@@ -71,29 +71,33 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_requests_keep_their_service_class_while_settings_change(seed, tmp_path):
-    world = CapturedWorld(seed, tmp_path / "a", state_chance=0.003)
+    simulation = CapturedWorld(seed, tmp_path / "a", state_chance=0.003)
     generator = random.Random(seed)
-    startup = replace(world.settings)
+    startup = replace(simulation.settings)
     admitted_under = []
 
     for _ in range(40):
-        world.run(40, chance=0.4)
-        running = [request for request in world.requests if request not in world.responses]
+        simulation.run(40, chance=0.4)
+        running = [
+            request for request in simulation.requests if request not in simulation.responses
+        ]
         admitted_under += [
             (request, request.service_class, replace(request.service_class)) for request in running
         ]
         changed = random_settings(generator, startup)
-        weights = [(upstream, generator.choice([0.5, 1.0, 2.0])) for upstream in world.upstreams]
-        world.perform(world.balancer.reconfigure(world.now, changed, weights))
+        weights = [
+            (upstream, generator.choice([0.5, 1.0, 2.0])) for upstream in simulation.upstreams
+        ]
+        simulation.perform(simulation.balancer.reconfigure(simulation.now, changed, weights))
     for _ in range(1500):
-        world.step()
-    world.writer.close()
+        simulation.step()
+    simulation.writer.close()
 
     assert len(admitted_under) > 20
     for request, service_class, copied in admitted_under:
         assert request.service_class is service_class
         assert service_class == copied
-    assert all(request in world.responses for request in world.requests)
+    assert all(request in simulation.responses for request in simulation.requests)
     replayed = replay.replay_file(tmp_path / "a", Balancer)
     assert replayed.difference is None
     assert replayed.states_checked
@@ -101,22 +105,24 @@
 
 
 def test_weight_of_an_upstream_scales_its_share_of_attempts():
-    world = PolicySimulation(3, fleet_size=1)
-    world.outcome_of = lambda _: Outcome.SERVED
-    world.latency_of = lambda _: 30 * MILLISECOND
-    weighted = world.upstreams[0]
+    simulation = PolicySimulation(3, fleet_size=1)
+    simulation.outcome_of = lambda _: Outcome.SERVED
+    simulation.latency_of = lambda _: 30 * MILLISECOND
+    weighted = simulation.upstreams[0]
     for weight, min_ratio, max_ratio in ((1.0, 0.7, 1.4), (0.25, 0.15, 0.75), (3.0, 1.5, 3.5)):
-        world.perform(
-            world.balancer.reconfigure(world.now, replace(world.settings), [(weighted, weight)])
+        simulation.perform(
+            simulation.balancer.reconfigure(
+                simulation.now, replace(simulation.settings), [(weighted, weight)]
+            )
         )
-        sent_before = len(world.sent_attempts)
+        sent_before = len(simulation.sent_attempts)
 
-        world.run(3000, arrival_probability=0.5)
+        simulation.run(3000, arrival_probability=0.5)
 
-        sent = [attempt.upstream for _, attempt in world.sent_attempts[sent_before:]]
+        sent = [attempt.upstream for _, attempt in simulation.sent_attempts[sent_before:]]
         others = [
             upstream
-            for upstream in world.upstreams
+            for upstream in simulation.upstreams
             if upstream.zone == weighted.zone and upstream is not weighted
         ]
         mean = sum(sent.count(other) for other in others) / len(others)
--- a/tests/control_plane/test_explore.py
+++ b/tests/control_plane/test_explore.py
@@ -12,9 +12,9 @@
 
 @pytest.mark.parametrize("case", explore.CASES, ids=lambda case: case.name)
 def test_no_order_of_messages_crashes_and_losses_breaks_the_rules_of_a_rollout(case):
-    states, broken = explore.explore(explore.Explorer(msgspec.structs.replace(case, turns=2)))
+    states, violation = explore.explore(explore.Explorer(msgspec.structs.replace(case, turns=2)))
 
-    assert broken is None, broken
+    assert violation is None, violation
     assert states > 1000
 
 
@@ -32,19 +32,19 @@
     # Enough turns for a step to end: only then is there a new state to store.
     case = msgspec.structs.replace(explore.CASES[0], turns=3)
 
-    _, broken = explore.explore(explore.Explorer(case, make_service_that_does_not_store))
+    _, violation = explore.explore(explore.Explorer(case, make_service_that_does_not_store))
 
-    assert broken is not None
-    assert "in memory alone" in broken.rule
-    assert broken.way[-1] == "a second passes"
+    assert violation is not None
+    assert "in memory alone" in violation.rule
+    assert violation.way[-1] == "a second passes"
 
 
 def test_version_that_members_receive_before_they_are_admitted_is_reported(monkeypatch):
     monkeypatch.setattr(rollout, "MIN_REQUESTS", 1)
     monkeypatch.setattr(rollout.Rollout, "desired_version", lambda self, _: self.version)
 
-    _, broken = explore.explore(explore.Explorer(explore.CASES[1]))
+    _, violation = explore.explore(explore.Explorer(explore.CASES[1]))
 
-    assert broken is not None
-    assert "written down as one that is in" in broken.rule
-    assert len(broken.way) == 1
+    assert violation is not None
+    assert "written down as one that is in" in violation.rule
+    assert len(violation.way) == 1
--- a/tests/control_plane/test_malformed_messages.py
+++ b/tests/control_plane/test_malformed_messages.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("mac", ["é", "\ud800", "\0", "x" * 10**6])
-def test_mac_that_is_not_ascii_is_not_verified(mac):
+def test_malformed_mac_is_not_verified(mac):
     keys = KeyRing([KEY])
 
     assert not keys.verify("k1", b"data", mac)
--- a/tests/control_plane/test_members.py
+++ b/tests/control_plane/test_members.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pepperhook.control_plane.fleet_position import SETTLE_NS, FleetPosition
+from pepperhook.control_plane.fleet_position import STABLE_VIEW_NS, FleetPosition
 from pepperhook.control_plane.member_registry import MemberRegistry
 from pepperhook.units import MILLISECOND, SECOND
 
@@ -16,7 +16,7 @@
     return registry
 
 
-def test_member_without_a_heartbeat_is_gone_after_its_lease(registry):
+def test_member_is_removed_when_its_lease_expires(registry):
     assert registry.epochs == {0: 500, 1: 500}
     assert len(registry.names(0)) == 500
     assert not registry.expire(3 * SECOND - 1)
@@ -30,7 +30,7 @@
     assert registry.epochs[1] == 1000
 
 
-def test_member_above_the_heartbeat_limit_is_ignored_until_it_slows_down(registry):
+def test_heartbeats_above_the_limit_do_not_renew_a_lease(registry):
     accepted = [
         registry.renew_lease(4 * SECOND + n * MILLISECOND, "m0", 0) is not None for n in range(100)
     ]
@@ -49,15 +49,15 @@
     assert (position.index, position.count) == (1, 5)
 
 
-def test_fleet_size_is_lowered_only_after_the_settling_time():
+def test_fleet_size_is_lowered_only_after_a_stable_view():
     position = FleetPosition("b", 3)
     position.update(0, 2, ["a", "b", "c", "d", "e"])
 
     assert position.update(SECOND, 3, ["b"])
     assert (position.index, position.count) == (0, 5)
     assert not position.update(SECOND, 3, ["a", "b"]), "the epoch is not newer"
-    assert not position.settle(SECOND + SETTLE_NS - 1)
+    assert not position.lower_if_stable(SECOND + STABLE_VIEW_NS - 1)
     assert position.count == 5
-    assert position.settle(SECOND + SETTLE_NS)
+    assert position.lower_if_stable(SECOND + STABLE_VIEW_NS)
     assert position.count == 1
-    assert not position.settle(10 * SECOND + SETTLE_NS)
+    assert not position.lower_if_stable(10 * SECOND + STABLE_VIEW_NS)
--- a/tests/control_plane/test_operator_file.py
+++ b/tests/control_plane/test_operator_file.py
@@ -39,6 +39,6 @@
         ("a long secret of the installation", "short", "secret"),
     ],
 )
-def test_operators_file_with_a_fault_is_rejected_with_its_key(before, after, key):
+def test_error_of_a_faulty_operators_file_names_the_key(before, after, key):
     with pytest.raises(tomlfile.TomlFileError, match=key):
         tomlfile.decode(OPERATOR_FILE.replace(before, after), OperatorFile)
--- a/tests/control_plane/test_rollout.py
+++ b/tests/control_plane/test_rollout.py
@@ -94,7 +94,7 @@
     assert sorted(rollout.admitted) == sorted(names)
 
 
-def test_step_ends_when_its_time_is_over_and_the_new_version_is_no_worse():
+def test_step_ends_after_its_duration_if_the_new_version_is_not_worse():
     assert advanced_rollout((990, 10), (2970, 30), 11).step == 1
     assert advanced_rollout((990, 10), (2970, 30), 9).step == 0, "a step ends before its duration"
     assert advanced_rollout((300, 200), (900, 600), 11).step == 1, (
@@ -179,7 +179,7 @@
 
 
 class RolloutModel:
-    """A rollout with three members, whose state is stored where the service has to store it."""
+    """A rollout with three members; its state is stored as by the service."""
 
     names = ("a", "b", "c")
 
@@ -192,7 +192,7 @@
         self.final_state = None
         self.now = 0
 
-    def play(self, event):
+    def perform(self, event):
         self.now += SECOND
         before = self.rollout.state
         action, _, name = event.partition(" ")
@@ -245,7 +245,7 @@
 
 
 def test_rollout_invariants_hold_in_every_order_of_five_events():
-    """Members only run versions that the service wanted them to run, and a final state is kept.
+    """Members only run versions that the service chose for them, and a final state never changes.
 
     The events are reports of members, their requests, a crash of the service, which restarts with
     the stored state, and actions of an operator.
@@ -266,7 +266,7 @@
     for order in itertools.product(events, repeat=5):
         model = RolloutModel()
         for event in order:
-            model.play(event)
+            model.perform(event)
             model.check()
             checked += 1
     assert checked == 5 * 10**5
--- a/tests/control_plane/test_safety_checks.py
+++ b/tests/control_plane/test_safety_checks.py
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("content, check, key", HARMFUL)
-def test_harmful_document_is_rejected_by_the_balancer_with_its_key(content, check, key):
+def test_balancer_rejects_a_harmful_document_and_names_the_faulty_key(content, check, key):
     violations = violations_on_balancer(parse_document(content), VIEW)
 
     assert [(violation.check, violation.key) for violation in violations] == [(check, key)]
@@ -85,7 +85,7 @@
 CHANGES = [
     (
         document(grades={"look": {"earnings": 1.6}, "sale": {"effect": "at_most_once"}}),
-        [Check.STEP_SIZE],
+        [Check.LARGE_CHANGE],
     ),
     (
         document(grades={"look": {"earnings": 1.0}, "sale": {"effect": "idempotent"}}),
@@ -97,7 +97,7 @@
 ]
 
 
-def test_service_rejects_large_steps_unsafe_repeats_and_draining_all_upstreams():
+def test_service_finds_large_changes_unsafe_repeats_and_draining_of_all_upstreams():
     for after, checks in CHANGES:
         violations = violations_of_change(BEFORE, after, parse_document(after), frozenset("ab"))
         assert [violation.check for violation in violations] == checks
--- a/tests/control_plane/test_service.py
+++ b/tests/control_plane/test_service.py
@@ -54,12 +54,12 @@
         await self.session.close()
 
     async def get(self, headers, path=MEMBERS):
-        """Status and error text."""
+        """Send a GET request; return the status and the error text."""
         async with self.session.get(f"http://{self.address}{path}", headers=headers) as response:
             return response.status, (await response.json()).get("error", "")
 
     async def post(self, path, body):
-        """Status of a signed request."""
+        """Send a signed POST request; return the status."""
         headers = sign_request(KEYS, "POST", path, body)
         url = f"http://{self.address}{path}"
         async with self.session.post(url, headers=headers, data=body) as response:
@@ -131,7 +131,7 @@
         convert_body({"author": "ann"}, ProposeRequest)
 
 
-def test_heartbeat_of_the_previous_release_is_read():
+def test_heartbeat_is_decoded_from_its_wire_keys():
     body = {
         "name": "n",
         "tier": 1,
@@ -203,6 +203,7 @@
 
             rollout = control_service.rollout
             rollout.steps[0].seconds = 0.0
+            # Enough requests for the step to end.
             rollout.baseline = RequestCounts(1000, 10)
             rollout.updated = RequestCounts(1000, 10)
             await until(lambda: running_numbers() == [1] * 4)
@@ -283,13 +284,14 @@
         # A restarted service has the members' leases from the store, but not their upstreams.
         count = len(with_upstreams)
         async with RunningControlService(tmp_path / "s", port=control_service.port) as restarted:
+            # Differs from the checksum of the upstreams, so the next heartbeat includes them.
             control.heartbeats.acknowledged_checksum = 12345
             await until(lambda: len(with_upstreams) >= count + 3 and "n" in restarted.members)
             assert sum(with_upstreams[count:]) >= 1
             await balancer.__aexit__(None)
 
 
-def test_load_measurement_reports_each_number_of_members(tmp_path):
+def test_control_load_measurement_has_a_row_for_each_number_of_members(tmp_path):
     [row] = controlload.measure([6], tmp_path, free_port())
 
     assert row["members"] == 6
--- a/tests/control_plane/test_version.py
+++ b/tests/control_plane/test_version.py
@@ -33,6 +33,7 @@
 
         assert patched == after
         assert apply_patch(before, {}) == before
+        # Not the reverse: an empty table has no leaves.
         assert bool(differences(before, after)) <= (before != after)
 
 
@@ -86,6 +87,6 @@
         ),
     ],
 )
-def test_document_with_a_fault_is_rejected_with_its_key(text, reason):
+def test_error_of_a_faulty_document_names_the_key(text, reason):
     with pytest.raises(tomlfile.TomlFileError, match=reason):
         tomlfile.decode(text, Document)
--- a/tests/control_plane/test_version_applier.py
+++ b/tests/control_plane/test_version_applier.py
@@ -14,12 +14,12 @@
 UNREACHABLE = "127.0.0.1:9"
 # Safety checks that could reject the versions before they are applied.
 FORCED = ["step", "capacity", "drains many", "limit"]
-FIRST = document(
+FIRST_DOCUMENT = document(
     grades={"look": {"time_limit_ms": 1500.0, "goal_ms": 900.0}},
     upstreams={"h0": {"weight": 2.0}},
     parts={"customers": {"default": {"per_second": 50.0}}},
 )
-SECOND = document(
+SECOND_DOCUMENT = document(
     grades={"look": {"time_limit_ms": 1800.0, "goal_ms": 950.0}},
     upstreams={"h1": {"drain": True, "weight": 0.5}},
     parts={"customers": {"default": {"per_second": 70.0}}},
@@ -42,17 +42,17 @@
 
 
 FAULT_LOCATIONS = {
-    "limits": lambda case: (case.rate_limits, "prepare"),
+    "limits": lambda fixture: (fixture.rate_limits, "prepare"),
     "settings": lambda _: (version_applier, "build_settings"),
-    "rows": lambda case: (case.applier.endpoints, "rows_to_correct"),
-    "states": lambda case: (case.balancer.policy, "on_endpoints_changed"),
+    "rows": lambda fixture: (fixture.applier.endpoints, "rows_to_correct"),
+    "states": lambda fixture: (fixture.balancer.policy, "on_endpoints_changed"),
     "weights": lambda _: (version_applier, "weight_of"),
-    "policy": lambda case: (case.balancer.policy, "on_reconfigured"),
-    "ingress": lambda case: (case.balancer.app.ingress, "update_settings"),
+    "policy": lambda fixture: (fixture.balancer.policy, "on_reconfigured"),
+    "ingress": lambda fixture: (fixture.balancer.app.ingress, "update_settings"),
 }
 
 
-class Case:
+class BalancerWithRateLimits:
     """A balancer with rate limits and an unreachable control service."""
 
     def __init__(self, last_good_file):
@@ -96,35 +96,35 @@
 async def test_version_is_rejected_and_rolled_back_if_any_step_fails(step, tmp_path, monkeypatch):
     # Guards against a partly applied version that is reported as running.
     path = tmp_path / "good.json"
-    case = Case(str(path))
-    async with case.balancer:
-        assert case.applier.receive(signed_version(1, FIRST, forced=FORCED))
-        before = case.state()
-        fail_once(monkeypatch, *FAULT_LOCATIONS[step](case))
-
-        assert not case.applier.receive(signed_version(2, SECOND, forced=FORCED))
-
-        assert case.state() == before
-        assert case.applier.rejection.version == 2
-        assert "cannot be applied" in case.applier.rejection.reason
-        assert case.applier.counters.rejected == 1
+    fixture = BalancerWithRateLimits(str(path))
+    async with fixture.balancer:
+        assert fixture.applier.receive(signed_version(1, FIRST_DOCUMENT, forced=FORCED))
+        before = fixture.state()
+        fail_once(monkeypatch, *FAULT_LOCATIONS[step](fixture))
+
+        assert not fixture.applier.receive(signed_version(2, SECOND_DOCUMENT, forced=FORCED))
+
+        assert fixture.state() == before
+        assert fixture.applier.rejection.version == 2
+        assert "cannot be applied" in fixture.applier.rejection.reason
+        assert fixture.applier.counters.rejected == 1
         # The next version is applied.
-        assert case.applier.receive(signed_version(3, SECOND, forced=FORCED))
-        assert case.state()["version"] == 3
-        assert case.state()["states"][b"h1"] == "draining"
-        assert case.state()["time limits"][0] == 1800 * 10**6
-        assert case.applier.rejection is None
+        assert fixture.applier.receive(signed_version(3, SECOND_DOCUMENT, forced=FORCED))
+        assert fixture.state()["version"] == 3
+        assert fixture.state()["states"][b"h1"] == "draining"
+        assert fixture.state()["time limits"][0] == 1800 * 10**6
+        assert fixture.applier.rejection is None
 
 
 async def test_last_good_version_that_cannot_be_applied_leaves_the_startup_settings_in_force(
     monkeypatch,
 ):
-    case = Case(None)
-    async with case.balancer:
-        before = case.state()
+    fixture = BalancerWithRateLimits(None)
+    async with fixture.balancer:
+        before = fixture.state()
         fail_once(monkeypatch, version_applier, "build_settings")
-        case.control.last_good.load = lambda _: signed_version(1, FIRST)
+        fixture.control.last_good.load = lambda _: signed_version(1, FIRST_DOCUMENT)
 
-        case.applier.restore(case.control.last_good)
+        fixture.applier.restore(fixture.control.last_good)
 
-        assert case.state() == before
+        assert fixture.state() == before
--- a/tests/server/test_supervision.py
+++ b/tests/server/test_supervision.py
@@ -113,8 +113,8 @@
 
 
 LONG_LIVED = {
-    "control stream": (control, StreamClient, "_follow"),
-    "control heartbeats": (control, Control, "_settle_position"),
+    "control stream": (control, StreamClient, "_read_stream"),
+    "control heartbeats": (control, Control, "_lower_fleet_size"),
     "idempotency peers": (idempotency, peers.Peers, "_poll_members"),
     "gossip": (gossip, SwimProtocol, "tick"),
     "gossip socket": (gossip, Gossip, "_resolve_seeds"),
