--- a/pepperhook/control_plane/stream_client.py
+++ b/pepperhook/control_plane/stream_client.py
@@ -1,4 +1,4 @@
-"""Follows the service's stream, and reconnects with growing, jittered waits."""
+"""Reads the service's stream, and reconnects with exponential, jittered backoff."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,20 +7,20 @@
 
 import aiohttp
 
-from pepperhook.control_plane.frames import FrameReader, KnownVersions, StreamError, StreamMessage
+from pepperhook.control_plane.frames import FindVersion, FrameReader, StreamError, StreamMessage
 from pepperhook.control_plane.messages import STREAM_PATH
 from pepperhook.control_plane.service_connection import SeededJitter, ServiceConnection
 from pepperhook.server.structured_logging import Log
 
 FIRST_RECONNECT_S = 0.25  # doubled with each failure
 MAX_RECONNECT_S = 20.0
-MAX_ERROR_CHARACTERS = 200  # of a response that is no stream
+MAX_ERROR_CHARACTERS = 200  # of an error response, in the log
 
 HandleMessage = Callable[[StreamMessage], Awaitable[None]]
 
 
 class StreamClient:
-    """Follows the stream and hands its messages to one handler, one after the other."""
+    """Reads the stream and passes its messages to one handler, one after the other."""
 
     def __init__(
         self,
@@ -29,13 +29,13 @@
         tier: int,
         log: Log,
         jitter: SeededJitter,
-        latest_seen_number: Callable[[], int],
-        known_version: KnownVersions,
+        latest_processed_number: Callable[[], int],
+        known_version: FindVersion,
     ) -> None:
-        """Follow the stream of the member ``name``.
+        """Read the stream of the member ``name``.
 
-        ``latest_seen_number`` gives the version that need not be sent, ``known_version`` one that a
-        patch may be applied to.
+        ``latest_processed_number`` returns the number of the version that need not be sent,
+        ``known_version`` a version by its number, for patches to be applied to.
         """
         self.connected = False
         self.broken_streams = 0
@@ -43,20 +43,22 @@
         self._tier = tier
         self._log = log
         self._jitter = jitter
-        self._latest_seen_number = latest_seen_number
+        self._latest_processed_number = latest_processed_number
         self._known_version = known_version
 
     async def run(self, connection: ServiceConnection, handle: HandleMessage) -> None:
-        """Follow one stream after another until cancelled.
+        """Read one stream after another until cancelled.
 
-        Waits are jittered, or a thousand balancers that lost the service would return together.
+        Waits are jittered so that a thousand balancers that lost the service do not reconnect at
+        the same moment.
         """
         wait_s = FIRST_RECONNECT_S
         while True:
             try:
-                await self._follow(connection, handle)
+                await self._read_stream(connection, handle)
             except (aiohttp.ClientError, OSError, StreamError) as error:
                 self.broken_streams += 1
+                # Only the end of an established stream is logged, not each failed connect.
                 if self.connected:
                     wait_s = FIRST_RECONNECT_S
                     self._log.warning(
@@ -66,8 +68,8 @@
             await asyncio.sleep(wait_s * (0.5 + self._jitter.draw()))
             wait_s = min(MAX_RECONNECT_S, wait_s * 2)
 
-    async def _follow(self, connection: ServiceConnection, handle: HandleMessage) -> None:
-        """Follow one stream. Raises ClientError, OSError or StreamError when it ends."""
+    async def _read_stream(self, connection: ServiceConnection, handle: HandleMessage) -> None:
+        """Read one stream. Raises ClientError, OSError or StreamError when it ends."""
         reader = FrameReader(self._known_version)
         async with connection.open_stream(self._path()) as response:
             if response.status != HTTPStatus.OK:
@@ -80,5 +82,5 @@
         raise StreamError("the stream ended")
 
     def _path(self) -> str:
-        query = {"name": self._name, "tier": self._tier, "have": self._latest_seen_number()}
+        query = {"name": self._name, "tier": self._tier, "have": self._latest_processed_number()}
         return f"{STREAM_PATH}?{urlencode(query)}"
--- a/tests/cli/test_control_service.py
+++ b/tests/cli/test_control_service.py
@@ -9,7 +9,7 @@
 
 from pepperhook.cli import main
 from pepperhook.server.extensions import Extensions
-from tests.control_plane.helpers import SECRET, Serving, control_extension, until
+from tests.control_plane.helpers import SECRET, RunningControlService, control_extension, until
 from tests.server.balancers import RunningBalancer
 from tests.server.peers import ScriptedPeer, always, make_response
 
@@ -45,7 +45,7 @@
 async def test_operator_plans_proposes_rolls_out_and_rolls_back(tmp_path, keys_file, document_file):
     async with (
         ScriptedPeer(always(make_response())) as peer,
-        Serving(tmp_path / "s") as served,
+        RunningControlService(tmp_path / "s") as served,
     ):
         control = control_extension(served.address)
         command = CommandLine(served.address, keys_file)
@@ -82,7 +82,7 @@
 async def test_command_that_fails_prints_the_reason(tmp_path, keys_file):
     misspelt = tmp_path / "bad.toml"
     misspelt.write_text("version = 1\n[grades.look]\ngaol_ms = 900.0\n")
-    async with Serving(tmp_path / "s") as served:
+    async with RunningControlService(tmp_path / "s") as served:
         command = CommandLine(served.address, keys_file)
 
         assert "'goal_ms' is the nearest" in await command.run(2, "plan", misspelt)
@@ -92,7 +92,7 @@
 
 
 async def test_json_output_has_the_keys_of_the_http_api(tmp_path, keys_file, document_file):
-    async with Serving(tmp_path / "s") as served:
+    async with RunningControlService(tmp_path / "s") as served:
         command = CommandLine(served.address, keys_file)
 
         plan = json.loads(await command.run(0, "plan", document_file, "--json"))
--- a/tests/server/test_supervision.py
+++ b/tests/server/test_supervision.py
@@ -26,7 +26,7 @@
 from pepperhook.server import supervision
 from pepperhook.server.extensions import Extensions
 from pepperhook.server.supervision import Supervisor
-from tests.control_plane.helpers import KEYS, Serving, control_extension
+from tests.control_plane.helpers import KEYS, RunningControlService, control_extension
 from tests.idempotency.balancers import make_extension as make_idempotency
 from tests.idempotency.balancers import make_log
 from tests.membership.test_extension import make_extension as make_gossip
@@ -112,8 +112,8 @@
 
 
 LONG_LIVED = {
-    "control stream": (control, StreamClient, "_follow"),
-    "control heartbeats": (control, Control, "_settle_position"),
+    "control stream": (control, StreamClient, "_read_stream"),
+    "control heartbeats": (control, Control, "_lower_fleet_size"),
     "idempotency peers": (idempotency, peers.Peers, "_poll_members"),
     "gossip": (gossip, SwimProtocol, "tick"),
     "gossip socket": (gossip, Gossip, "_resolve_seeds"),
@@ -129,7 +129,7 @@
     monkeypatch.setattr(owner, method, failing)
     async with (
         ScriptedPeer(always(make_response())) as upstream,
-        Serving(tmp_path / "service") as service,
+        RunningControlService(tmp_path / "service") as service,
         RunningBalancer(
             [upstream.address],
             Extensions([make(tmp_path, service.address)]),
