--- a/pepperhook/request_context/context_reader.py
+++ b/pepperhook/request_context/context_reader.py
@@ -85,7 +85,8 @@
         self._rejections[reason] += 1
         self._unlogged_rejections += 1
         if now >= self._next_log_at:
-            count = self._unlogged_rejections
-            self._log.warning("chain_not_believed", why=reason, peer=peer, count=count)
+            self._log.warning(
+                "chain_not_believed", why=reason, peer=peer, count=self._unlogged_rejections
+            )
             self._unlogged_rejections = 0
             self._next_log_at = now + LOG_INTERVAL_NS
