--- a/pepperhook/cli/gossip.py
+++ b/pepperhook/cli/gossip.py
@@ -153,7 +153,7 @@
             if page is not None:
                 return page
         raise self.failure(
-            "no response; check that this is the member's gossip.listen, and that it has the key"
+            "no answer; check that this is the member's gossip.listen, and that it has the key"
         )
 
     def receive_page(self, sequence: int) -> Any | None:
