--- a/pepperhook/lab/audit.py
+++ b/pepperhook/lab/audit.py
@@ -1,6 +1,11 @@
-"""The auditor: judges the four rules and the answers from what stand-ins and clients saw, and counts what a day gave.
+"""Auditor of a run: checks the four rules and computes figures from the recorded event rows.
 
-It believes no balancer: nothing here is read from one. Every finding has a name, a count and examples.
+It reads only what stand-ins and clients recorded, nothing that a balancer reports about itself.
+Every finding has a name, a count and examples.
+
+A ``Try`` row is one attempt of a client (or of an upstream that calls the next tier); several
+attempts with the same ``first`` id belong to one request. A ``Work`` row is one attempt as an
+upstream received it from a balancer.
 """
 
 from bisect import bisect_left
@@ -10,129 +15,158 @@
 
 from pepperhook.lab.stalls import Stalls, upstreams
 
-MS, S = 10**6, 10**9
-SLACK_NS = (
-    60 * MS
-)  # past a time limit that an answer may come: 50 ms of the platform's, and the client's own reading
-CLOSE_NS = 60 * MS  # in which a stand-in hears that a connection was closed
-TOLD_NS = (
-    150 * MS
-)  # beyond the grace after a drain was written, for a list to be read and a send to arrive
-KILLED_NS = 2 * S  # round a balancer's death, in which what it had is lost with it
-DEADLY = ("crash", "cold", "replaced", "released")  # for an upstream's process
-COLD_NS = 4 * S  # after a cold start, in which what it is sent is counted
-MOST_TAKEN = 2  # further tries that an operation takes down the chain from where it comes in
-PROBES_NS = 3 * S  # between two probes that belong to one spell
+MS, S = 10**6, 10**9  # nanoseconds
+# An answer may arrive this long after its time limit: 50 ms for the platform, the rest for the
+# client to read it.
+LATE_ANSWER_TOLERANCE_NS = 60 * MS
+CLOSE_DETECTION_NS = 60 * MS  # within which a stand-in notices that a connection was closed
+# Added to the drain grace after the list was written, for the balancer to read the list and for an
+# attempt to arrive.
+TOLD_NS = 150 * MS
+# Around the death of a balancer or upstream, within which requests and attempts may be lost.
+DEATH_WINDOW_NS = 2 * S
+FATAL_FAULTS = ("crash", "cold", "replaced", "released")  # that end an upstream's process
+COLD_START_NS = 4 * S  # after a cold start, within which the attempts sent to it are counted
+ENTRY_RETRY_ALLOWANCE = 2  # retries that a request may cause down the chain from its entry
+MAX_PROBE_GAP_NS = 3 * S  # health checks further apart belong to different series
 STAMPED_LATE = "first byte stamped late by a stand-in that stood still"
-WINDOW = 10  # seconds of the worst stretch
+WORST_WINDOW_S = 10
 
 
 class Finding(Struct):
-    rule: int
+    """All violations of one kind in a run."""
+
+    rule: int  # 1 to 4; 0: the recording of a stand-in is wrong
     name: str
     count: int
-    examples: list[str]
+    examples: list[str]  # the earliest five at most, each with its time in the run
 
 
 class Report(Struct):
+    """Result of the audit of one run."""
+
     findings: list[Finding]
     figures: dict
-    seconds: dict  # by second of the day: counts and earnings
-    excused: dict
+    seconds: dict  # by second of the run: counts and earnings
+    excused: dict  # how often each accepted reason explained what would have been a finding
 
 
-def told_ready(rows, earliest, latest, grace):
-    """Whether an upstream was told as ready to a balancer at some time from ``earliest`` to ``latest``, or within the grace before;
-    so it is where nothing was told of it yet."""
+def was_listed_ready(rows, earliest, latest, grace):
+    """Return whether a balancer may have regarded an upstream as ready between two times.
+
+    ``rows`` are the list entries written to that balancer for that upstream, by time. A state also
+    counts if it held within ``grace`` nanoseconds before ``earliest``. Without any entry until
+    ``latest`` the upstream counts as ready.
+    """
     known = rows[: bisect_left(rows, latest, key=lambda row: row.at)]
-    lately = [row for row in known if row.at > earliest - grace]
-    before = known[: len(known) - len(lately)]
-    states = [row.state for row in before[-1:] + lately]
+    recent = [row for row in known if row.at > earliest - grace]
+    earlier = known[: len(known) - len(recent)]
+    states = [row.state for row in earlier[-1:] + recent]
     return not states or "ready" in states
 
 
 class Auditor:
+    """Checks the rows of one run against the rules and computes its figures."""
+
     def __init__(self, day, rows, start, blind=()):
+        """Index the rows.
+
+        ``start`` is the start of the run in monotonic nanoseconds. Findings whose names are in
+        ``blind`` are not reported: an injected defect that tests whether a proof notices a failing
+        auditor.
+        """
         self.day, self.start, self.blind = day, start, blind
-        self.found, self.excused = defaultdict(list), Counter()
-        kinds = defaultdict(list)
+        self.examples, self.excused = defaultdict(list), Counter()
+        rows_by_type = defaultdict(list)
         for row in rows:
-            kinds[type(row).__name__].append(row)
-        self.tries, self.told = kinds["Try"], kinds["Told"]
-        self.asked, self.probes, self.connected = kinds["Asked"], kinds["Probe"], kinds["Connected"]
-        self.works, self.doubled = once(kinds["Work"])
-        self.happened, self.extra = kinds["Happened"], kinds["Extra"]
-        self.stalls = Stalls(kinds["Stall"])
-        self.by_id = defaultdict(list)
+            rows_by_type[type(row).__name__].append(row)
+        self.attempts, self.list_entries = rows_by_type["Try"], rows_by_type["Told"]
+        self.polls, self.probes, self.connections = (
+            rows_by_type["Asked"],
+            rows_by_type["Probe"],
+            rows_by_type["Connected"],
+        )
+        self.works, self.duplicate_works = split_duplicates(rows_by_type["Work"])
+        self.events, self.extra = rows_by_type["Happened"], rows_by_type["Extra"]
+        self.stalls = Stalls(rows_by_type["Stall"])
+        self.works_by_id = defaultdict(list)
         for work in self.works:
-            self.by_id[work.tier, work.id].append(work)
-        for works in self.by_id.values():
+            self.works_by_id[work.tier, work.id].append(work)
+        for works in self.works_by_id.values():
             works.sort(key=lambda work: work.came)
-        # By the key under which clients sent it, where they send copies.
-        self.copies = day.clients.duplicates > 0
-        self.firsts = (
-            {one.id: one.first for one in self.tries if not one.tier} if self.copies else {}
+        # Indexes by idempotency key (the id of the first attempt), where clients send duplicates.
+        self.has_duplicates = day.clients.duplicates > 0
+        self.first_ids = (
+            {attempt.id: attempt.first for attempt in self.attempts if not attempt.tier}
+            if self.has_duplicates
+            else {}
         )
-        self.by_key, self.tries_by_key = defaultdict(list), defaultdict(list)
-        for work in self.works if self.copies else ():
+        self.works_by_key, self.attempts_by_key = defaultdict(list), defaultdict(list)
+        for work in self.works if self.has_duplicates else ():
             if not work.tier:
-                self.by_key[self.firsts.get(work.id, work.id)].append(work)
-        for one in self.tries if self.copies else ():
-            if not one.tier:
-                self.tries_by_key[one.first].append(one)
-        self.ends = defaultdict(list)  # of each balancer and upstream, by name
-        for row in sorted(self.happened, key=lambda row: row.at):
+                self.works_by_key[self.first_ids.get(work.id, work.id)].append(work)
+        for attempt in self.attempts if self.has_duplicates else ():
+            if not attempt.tier:
+                self.attempts_by_key[attempt.first].append(attempt)
+        # Times at which each process died, by (kind, tier, number).
+        self.deaths = defaultdict(list)
+        for row in sorted(self.events, key=lambda row: row.at):
             if row.what == "balancer killed":
-                self.ends["balancer", row.tier, row.who].append(row.at)
-            elif row.on and row.what in DEADLY or row.what == "fell over":
-                self.ends["upstream", row.tier, row.who].append(row.at)
-        # Where an upstream itself resets what is open.
-        self.cuts = sorted(
-            h.at
-            for h in self.happened
-            if h.what in ("refused", "unconnectable", "unready") and h.on
+                self.deaths["balancer", row.tier, row.who].append(row.at)
+            elif row.on and row.what in FATAL_FAULTS or row.what == "fell over":
+                self.deaths["upstream", row.tier, row.who].append(row.at)
+        # Times at which an upstream itself resets its open connections.
+        self.upstream_resets = sorted(
+            row.at
+            for row in self.events
+            if row.what in ("refused", "unconnectable", "unready") and row.on
         )
-        self.killed = sorted(h.at for h in self.happened if h.what == "balancer killed")
+        self.balancer_kills = sorted(row.at for row in self.events if row.what == "balancer killed")
 
     def judge(self):
-        for one in self.tries:
-            self.answered(one)
-        for work in self.doubled:
-            # No fault of a balancer's: read as work it would be one that ran twice.
-            self.find(
+        """Check all rules and return the report."""
+        for attempt in self.attempts:
+            self.check_answer(attempt)
+        for work in self.duplicate_works:
+            # A fault of the recording: counted as work, it would look like a second execution.
+            self.add_finding(
                 0,
                 "a stand-in wrote one dispatch twice",
                 f"{work.id}, {work.outcome} at {work.upstream}",
                 work.came,
             )
         for row in self.extra:
-            self.find(
+            self.add_finding(
                 1,
                 "answered twice",
-                f"{row.size} bytes behind the answer to {row.id or 'nobody'}",
+                f"{row.size} bytes after the answer to {row.id or 'no request'}",
                 row.at,
             )
-        for (tier, identity), works in self.by_id.items():
-            self.repeated(tier, identity, works)
-        for first, works in self.by_key.items():
-            self.keyed(first, sorted(works, key=lambda work: work.came))
-        for first, tries in self.tries_by_key.items():
-            bodies = {one.body for one in tries if one.kind == "answer" and one.status == 200}
-            if len(bodies) > 1 and self.effect(tries[0].grade) != "idempotent":
-                self.find(
+        for (tier, request_id), works in self.works_by_id.items():
+            self.check_repeats(tier, request_id, works)
+        for key, works in self.works_by_key.items():
+            self.check_key(key, sorted(works, key=lambda work: work.came))
+        for key, attempts in self.attempts_by_key.items():
+            bodies = {
+                attempt.body
+                for attempt in attempts
+                if attempt.kind == "answer" and attempt.status == 200
+            }
+            if len(bodies) > 1 and self.effect(attempts[0].grade) != "idempotent":
+                self.add_finding(
                     2,
                     "answers to one key differ",
-                    f"{first}: {', '.join(sorted(bodies))}",
-                    tries[0].sent,
+                    f"{key}: {', '.join(sorted(bodies))}",
+                    attempts[0].sent,
                 )
-        self.drains()
-        for row in self.happened:
+        self.check_drains()
+        for row in self.events:
             if row.what == "fell over":
-                self.find(
+                self.add_finding(
                     4, "pushed over cold", f"upstream {row.tier}.{row.who}: {row.text}", row.at
                 )
             elif row.what == "bad message":
-                self.find(
+                self.add_finding(
                     1,
                     "bad message to an upstream",
                     f"upstream {row.tier}.{row.who}: {row.text}",
@@ -140,245 +174,281 @@
                 )
         findings = [
             Finding(rule, name, len(examples), [text for _, text in sorted(examples)[:5]])
-            for (rule, name), examples in sorted(self.found.items())
+            for (rule, name), examples in sorted(self.examples.items())
         ]
         return Report(findings, self.figures(), self.by_second(), dict(self.excused))
 
-    def find(self, rule, name, text, at):
-        if (
-            name in self.blind
-        ):  # a fault planted on purpose, for the proof that this auditor can fail
+    def add_finding(self, rule, name, text, at):
+        """Record one violation that happened at ``at``, unless its name is suppressed."""
+        if name in self.blind:
             return
-        self.found[rule, name].append((at, f"{(at - self.start) / S:.3f} s: {text}"))
+        self.examples[rule, name].append((at, f"{(at - self.start) / S:.3f} s: {text}"))
 
     @staticmethod
-    def near_death(begun, ended, deaths):
-        at = bisect_left(deaths, begun - KILLED_NS)
-        return at < len(deaths) and deaths[at] <= (ended or begun) + KILLED_NS
-
-    def died_with(self, one):
-        """Whether the balancer that had a try was killed, or the upstream that made it died: by name, as in a large fleet somebody
-        dies all the time. One that was told to leave answers what it took, and excuses nothing."""
-        names = [("balancer", one.tier, one.caller)] + (
-            [("upstream", one.tier - 1, one.caller)] if one.tier else []
+    def is_near_death(begun, ended, deaths):
+        """Return whether a process died between two times, or within the window around them."""
+        at = bisect_left(deaths, begun - DEATH_WINDOW_NS)
+        return at < len(deaths) and deaths[at] <= (ended or begun) + DEATH_WINDOW_NS
+
+    def lost_with_process(self, attempt):
+        """Return whether the attempt's balancer was killed or the upstream that made it died.
+
+        The processes are matched by name, as in a large fleet some process dies all the time. A
+        balancer that was asked to shut down still answers what it accepted, so that is no excuse.
+        Where the balancer is unknown, every balancer of the tier counts.
+        """
+        names = [("balancer", attempt.tier, attempt.caller)] + (
+            [("upstream", attempt.tier - 1, attempt.caller)] if attempt.tier else []
+        )
+        if attempt.caller < 0:
+            names = [name for name in self.deaths if name[:2] == ("balancer", attempt.tier)]
+        return any(
+            self.is_near_death(attempt.sent, attempt.ended, self.deaths.get(name, ()))
+            for name in names
         )
-        if one.caller < 0:
-            names = [name for name in self.ends if name[:2] == ("balancer", one.tier)]
-        return any(self.near_death(one.sent, one.ended, self.ends.get(name, ())) for name in names)
 
-    # Rule 1.
+    # Rule 1: each request is answered once, in time, by an upstream that worked on it.
 
-    def answered(self, one):
-        where = f"{one.id} (tier {one.tier})"
-        if one.kind in ("lost", "open"):
-            if self.died_with(one):
+    def check_answer(self, attempt):
+        """Check that an attempt got one valid answer in time and was not rejected after running."""
+        where = f"{attempt.id} (tier {attempt.tier})"
+        if attempt.kind in ("lost", "open"):
+            if self.lost_with_process(attempt):
                 self.excused["lost with its balancer, or with the upstream whose call it was"] += 1
             else:
-                self.find(1, "lost", f"{where}: {one.kind} {one.note}", one.ended or one.sent)
-        elif one.kind == "answer":
-            if one.ended - one.sent > one.limit + SLACK_NS:
-                late = (one.ended - one.sent - one.limit) / MS
-                self.find(1, "late", f"{where}: {late:.0f} ms past its limit", one.ended)
-            if one.status == 200:
-                made = self.by_id.get((one.tier, one.id), ()) or (
-                    self.by_key.get(one.first, ())
-                    if not one.tier and self.effect(one.grade) != "idempotent"
+                self.add_finding(
+                    1,
+                    "lost",
+                    f"{where}: {attempt.kind} {attempt.note}",
+                    attempt.ended or attempt.sent,
+                )
+        elif attempt.kind == "answer":
+            if attempt.ended - attempt.sent > attempt.limit + LATE_ANSWER_TOLERANCE_NS:
+                late = (attempt.ended - attempt.sent - attempt.limit) / MS
+                self.add_finding(
+                    1, "late", f"{where}: {late:.0f} ms past its time limit", attempt.ended
+                )
+            if attempt.status == 200:
+                candidates = self.works_by_id.get((attempt.tier, attempt.id), ()) or (
+                    self.works_by_key.get(attempt.first, ())
+                    if not attempt.tier and self.effect(attempt.grade) != "idempotent"
                     else ()
                 )
-                if not any(work.nonce == one.body and work.nonce for work in made):
-                    self.find(
+                if not any(work.nonce == attempt.body and work.nonce for work in candidates):
+                    self.add_finding(
                         1,
                         "invented",
-                        f"{where}: no upstream made {one.body[:60]!r} for it",
-                        one.ended,
+                        f"{where}: no upstream produced {attempt.body[:60]!r} for it",
+                        attempt.ended,
                     )
-            elif one.status in (429, 503):
-                effect = self.effect(one.grade)
+            elif attempt.status in (429, 503):
+                effect = self.effect(attempt.grade)
                 ran = [
-                    w for w in self.by_id.get((one.tier, one.id), ()) if w.outcome != "turned away"
+                    work
+                    for work in self.works_by_id.get((attempt.tier, attempt.id), ())
+                    if work.outcome != "turned away"
                 ]
-                if ran and self.near_death(
-                    ran[0].came, one.ended, self.ends.get(("balancer", one.tier, ran[0].caller), ())
+                if ran and self.is_near_death(
+                    ran[0].came,
+                    attempt.ended,
+                    self.deaths.get(("balancer", attempt.tier, ran[0].caller), ()),
                 ):
-                    # By another balancer, to which the client itself sent it again when the first was killed.
+                    # The first balancer was killed, the client itself sent the request again, and
+                    # another balancer rejected it.
                     self.excused["shed when sent again by a client whose balancer was killed"] += 1
                 elif ran and (
                     effect == "at_most_once"
                     or effect == "deduplicated"
-                    and self.day.grades[one.grade].group != "all"
+                    and self.day.grades[attempt.grade].group != "all"
                 ):
-                    self.find(
+                    self.add_finding(
                         2,
                         "shed what may have run",
                         f"{where}: {ran[0].outcome} at {ran[0].upstream}",
-                        one.ended,
+                        attempt.ended,
                     )
 
     def effect(self, grade):
+        """Return the effect of a service class, given by its index."""
         return self.day.grades[grade].effect
 
-    # Rule 2.
+    # Rule 2: only what is safe to repeat runs more than once.
 
-    def repeated(self, tier, identity, works):
+    def check_repeats(self, tier, request_id, works):
+        """Check the attempts that reached upstreams under one id, sorted by arrival."""
         if len(works) < 2:
             return
         grade = self.day.grades[works[0].grade]
-        ran, parallel = None, self.day.permissions.get("parallelTries", False)
-        # Also where the upstream had answered: what it wrote may have been lost with the balancer.
-        between = any(
-            h.what == "balancer killed"
-            and (h.tier, h.who) == (tier, works[0].caller)
-            and works[0].came - CLOSE_NS // 3 <= h.at <= works[1].came
-            for h in self.happened
+        first_run, parallel = None, self.day.permissions.get("parallelTries", False)
+        # Also if the upstream had answered: its answer may have been lost with the balancer.
+        killed_between = any(
+            row.what == "balancer killed"
+            and (row.tier, row.who) == (tier, works[0].caller)
+            and works[0].came - CLOSE_DETECTION_NS // 3 <= row.at <= works[1].came
+            for row in self.events
         )
-        mine = self.ends.get(("balancer", tier, works[0].caller), ())
+        deaths = self.deaths.get(("balancer", tier, works[0].caller), ())
         if (
-            between
+            killed_between
             or works[0].outcome == "given up"
-            and self.near_death(works[0].came, works[-1].came, mine)
+            and self.is_near_death(works[0].came, works[-1].came, deaths)
         ):
-            # Its client sent it once more on a new connection, as one does that lost a kept one with nothing read on it.
+            # The client sent the request again on a new connection, as clients do when a kept-alive
+            # connection closes before any byte of the answer was read.
             self.excused["sent again by a client whose balancer was killed"] += 1
             return
-        for before, work in zip([None, *works], works):
-            where = f"{identity} (tier {tier}, {grade.effect})"
-            # Where the stand-in itself ended it, its word is exact; else it had to hear that a connection was closed.
+        for previous, work in zip([None, *works], works):
+            where = f"{request_id} (tier {tier}, {grade.effect})"
+            # If the stand-in ended the attempt itself, its time is exact. Otherwise the stand-in
+            # first had to notice that the connection was closed.
             slack = (
                 0
-                if before is not None and before.outcome in ("served", "error", "turned away")
-                else CLOSE_NS
+                if previous is not None and previous.outcome in ("served", "error", "turned away")
+                else CLOSE_DETECTION_NS
             )
-            if before is not None and not parallel and work.came < before.ended - slack:
-                self.find(
-                    2, "overlap", f"{where}: at {before.upstream} and {work.upstream}", work.came
+            if previous is not None and not parallel and work.came < previous.ended - slack:
+                self.add_finding(
+                    2, "overlap", f"{where}: at {previous.upstream} and {work.upstream}", work.came
                 )
-            if ran is not None and grade.effect == "at_most_once":
-                self.find(
+            if first_run is not None and grade.effect == "at_most_once":
+                self.add_finding(
                     2,
                     "ran twice",
-                    f"{where}: {ran.outcome} at {ran.upstream}, again at {work.upstream}",
+                    f"{where}: {first_run.outcome} at {first_run.upstream}, "
+                    f"again at {work.upstream}",
                     work.came,
                 )
-            elif ran is not None and grade.effect == "deduplicated":
-                if work.came > ran.came + grade.key_ttl_ms * MS + CLOSE_NS:
-                    late = (work.came - ran.came) / MS
-                    self.find(
+            elif first_run is not None and grade.effect == "deduplicated":
+                if work.came > first_run.came + grade.key_ttl_ms * MS + CLOSE_DETECTION_NS:
+                    late = (work.came - first_run.came) / MS
+                    self.add_finding(
                         2, "repeated outside its window", f"{where}: after {late:.0f} ms", work.came
                     )
-                if grade.group == "cell" and work.upstream % 3 != ran.upstream % 3:
-                    self.find(
+                if grade.group == "cell" and work.upstream % 3 != first_run.upstream % 3:
+                    self.add_finding(
                         2,
                         "repeated outside its group",
-                        f"{where}: {ran.upstream}, {work.upstream}",
+                        f"{where}: {first_run.upstream}, {work.upstream}",
                         work.came,
                     )
-            if work.outcome != "turned away" and ran is None:
-                ran = work
+            if work.outcome != "turned away" and first_run is None:
+                first_run = work
 
-    def keyed(self, first, works):
-        """What upstreams ran for one key, whatever ids it came under."""
+    def check_key(self, key, works):
+        """Check what upstreams ran for one idempotency key, under whatever request ids."""
         grade = self.day.grades[works[0].grade]
         if grade.effect == "idempotent":
             return
         ran = [work for work in works if work.began]
         if grade.effect == "deduplicated":
-            # One id may go out again in its group and window, where nodes drop it by its key; that is judged with rule 2. What
-            # is judged here are other ids under one key, which nodes outside of that would run.
+            # The same id may be sent again within its group and window, where upstreams deduplicate
+            # it by its key; check_repeats checks that. Here only different ids under one key count.
             ran = [
                 work
                 for at, work in enumerate(ran)
-                if work.id not in {before.id for before in ran[:at]}
+                if work.id not in {earlier.id for earlier in ran[:at]}
             ]
-        for before, work in zip(ran, ran[1:]):
-            if grade.effect == "at_most_once" or work.came < before.came + grade.key_ttl_ms * MS:
-                self.find(
+        for previous, work in zip(ran, ran[1:]):
+            if grade.effect == "at_most_once" or work.came < previous.came + grade.key_ttl_ms * MS:
+                self.add_finding(
                     2,
                     "ran twice under one key",
-                    f"{first} ({grade.effect}): {before.id} at {before.upstream}, "
-                    f"{(work.came - before.came) / MS:.0f} ms later {work.id} at {work.upstream}",
+                    f"{key} ({grade.effect}): {previous.id} at {previous.upstream}, "
+                    f"{(work.came - previous.came) / MS:.0f} ms later {work.id} at {work.upstream}",
                     work.came,
                 )
         for work in ran:
-            # By the time limit of the first that came, dispatches are given up in any case.
-            tries = [
-                one for one in self.tries_by_key[first] if one.sent < work.gone_at - CLOSE_NS // 3
+            # At the time limit of the earliest client attempt the balancer cancels in any case.
+            attempts = [
+                attempt
+                for attempt in self.attempts_by_key[key]
+                if attempt.sent < work.gone_at - CLOSE_DETECTION_NS // 3
             ]
-            cut = bisect_left(self.cuts, work.gone_at - CLOSE_NS)
-            if cut < len(self.cuts) and self.cuts[cut] <= work.gone_at + CLOSE_NS:
+            reset = bisect_left(self.upstream_resets, work.gone_at - CLOSE_DETECTION_NS)
+            if (
+                reset < len(self.upstream_resets)
+                and self.upstream_resets[reset] <= work.gone_at + CLOSE_DETECTION_NS
+            ):
                 continue
             if (
                 work.gone_at
                 and work.outcome != "reset"
-                and tries
-                and work.gone_at < min(t.sent + t.limit for t in tries) - 2 * CLOSE_NS
-                and not (self.near_death(work.came, work.gone_at, self.killed))
+                and attempts
+                and work.gone_at
+                < min(attempt.sent + attempt.limit for attempt in attempts) - 2 * CLOSE_DETECTION_NS
+                and not (self.is_near_death(work.came, work.gone_at, self.balancer_kills))
             ):
-                waits = [
-                    one
-                    for one in tries
-                    if one.ended > work.gone_at - CLOSE_NS // 3 and one.kind == "answer"
+                waiting = [
+                    attempt
+                    for attempt in attempts
+                    if attempt.ended > work.gone_at - CLOSE_DETECTION_NS // 3
+                    and attempt.kind == "answer"
                 ]
-                if waits:
-                    self.find(
+                if waiting:
+                    self.add_finding(
                         2,
                         "called off though a repeat waited",
-                        f"{work.id}: {waits[0].id} waited",
+                        f"{work.id}: {waiting[0].id} was waiting",
                         work.gone_at,
                     )
 
-    # Rule 3.
+    # Rule 3: a balancer sends nothing to an upstream that it knows to be draining or gone.
 
-    def drains(self):
-        """What each balancer had been told of each upstream when a dispatch began to arrive there.
+    def check_drains(self):
+        """Check each attempt against the list that its balancer had when it began to arrive.
 
-        A stand-in that stood still stamps what came meanwhile later than it came: against a balancer being blamed for that, a
-        dispatch is allowed that was at some time at which it can have come.
+        A stand-in whose event loop stalled records an arrival later than it was. So that a balancer
+        is not blamed for that, an attempt is allowed if it was allowed at any time at which it can
+        have arrived.
         """
-        told = defaultdict(list)
-        for row in sorted(self.told, key=lambda row: row.at):
-            told[row.tier, row.caller, row.upstream].append(row)
+        entries = defaultdict(list)
+        for row in sorted(self.list_entries, key=lambda row: row.at):
+            entries[row.tier, row.caller, row.upstream].append(row)
         grace = int(self.day.safety.get("drainGraceUs", 300_000)) * 1000 + TOLD_NS
         for work in self.works:
-            rows = told.get((work.tier, work.caller, work.upstream))
+            rows = entries.get((work.tier, work.caller, work.upstream))
             if not rows:
                 continue
-            # All that was told within the grace counts for it as well as what holds now.
             latest = work.first_byte
             earliest = self.stalls.earliest(upstreams(work.tier), latest)
-            if told_ready(rows, latest, latest, grace):
+            if was_listed_ready(rows, latest, latest, grace):
                 continue
-            if told_ready(rows, earliest, latest, grace):
+            if was_listed_ready(rows, earliest, latest, grace):
                 self.excused[STAMPED_LATE] += 1
                 continue
-            before = [row for row in rows if row.at < latest]
-            self.find(
+            earlier = [row for row in rows if row.at < latest]
+            self.add_finding(
                 3,
                 "sent after drain",
-                f"{work.id} to {work.tier}.{work.upstream}, told {before[-1].state} "
-                f"{(latest - before[-1].at) / MS:.0f} ms before",
+                f"{work.id} to {work.tier}.{work.upstream}, listed as {earlier[-1].state} "
+                f"{(latest - earlier[-1].at) / MS:.0f} ms before",
                 latest,
             )
 
     # Figures.
 
-    def wishes(self):
-        """By first id: the first try, and the time of a served answer or None."""
-        wishes = {}
-        for one in self.tries:
-            if one.tier:
+    def requests(self):
+        """Return each client request as a pair: its first attempt, and when it was served or None.
+
+        A request whose first attempt was not recorded is left out.
+        """
+        requests = {}
+        for attempt in self.attempts:
+            if attempt.tier:
                 continue
-            known = wishes.setdefault(one.first, [None, None])
-            if not one.number:
-                known[0] = one
+            request = requests.setdefault(attempt.first, [None, None])
+            if not attempt.number:
+                request[0] = attempt
             if (
-                one.kind == "answer"
-                and one.status == 200
-                and (known[1] is None or one.ended < known[1])
+                attempt.kind == "answer"
+                and attempt.status == 200
+                and (request[1] is None or attempt.ended < request[1])
             ):
-                known[1] = one.ended
-        return [(first, served) for first, served in wishes.values() if first is not None]
+                request[1] = attempt.ended
+        return [(first, served) for first, served in requests.values() if first is not None]
 
     def earned(self, first, served):
+        """Return the earnings of a request, from its first attempt and when it was served."""
         grade = self.day.grades[first.grade]
         if served is None:
             return 0.0
@@ -389,69 +459,76 @@
         )
 
     def figures(self):
-        wishes = self.wishes()
-        possible = sum(self.day.grades[first.grade].earnings for first, _ in wishes)
-        got = sum(self.earned(*wish) for wish in wishes)
-        firsts = [one for one in self.tries if not one.tier]
-        kinds = Counter(outcome(one) for one in firsts)
+        """Return the figures of the run by name."""
+        requests = self.requests()
+        possible = sum(self.day.grades[first.grade].earnings for first, _ in requests)
+        earned = sum(self.earned(*request) for request in requests)
+        entry_attempts = [attempt for attempt in self.attempts if not attempt.tier]
+        outcomes = Counter(outcome(attempt) for attempt in entry_attempts)
         received = Counter(work.tier for work in self.works)
         figures = {
-            "wishes": len(wishes),
-            "tries": len(firsts),
-            "goodput": ratio(got, possible),
-            "served": ratio(sum(served is not None for _, served in wishes), len(wishes)),
+            "wishes": len(requests),
+            "tries": len(entry_attempts),
+            "goodput": ratio(earned, possible),
+            "served": ratio(sum(served is not None for _, served in requests), len(requests)),
             **{
-                name: ratio(kinds[name], len(firsts)) for name in ("shed", "failed", "gone", "lost")
+                name: ratio(outcomes[name], len(entry_attempts))
+                for name in ("shed", "failed", "gone", "lost")
             },
         }
         calls, amplification = 1, {}
-        for tier, told in enumerate(self.day.tiers):
-            amplification[str(tier)] = ratio(received[tier], len(wishes) * calls)
-            calls *= max(1, told.calls)
+        for number, tier in enumerate(self.day.tiers):
+            amplification[str(number)] = ratio(received[number], len(requests) * calls)
+            calls *= max(1, tier.calls)
         figures["dispatches"] = {str(tier): received[tier] for tier in range(len(self.day.tiers))}
         figures["amplification"] = amplification
-        figures["work_s"] = round(sum(w.worked for w in self.works) / S, 3)
-        useless = [w for w in self.works if w.outcome != "served" and w.worked]
-        figures["wasted_work_s"] = round(sum(w.worked for w in useless) / S, 3)
+        figures["work_s"] = round(sum(work.worked for work in self.works) / S, 3)
+        wasted = [work for work in self.works if work.outcome != "served" and work.worked]
+        figures["wasted_work_s"] = round(sum(work.worked for work in wasted) / S, 3)
         figures["after_client_left"] = sum(
-            bool(w.gone_at and w.work_ended > w.gone_at + CLOSE_NS) for w in self.works
+            bool(work.gone_at and work.work_ended > work.gone_at + CLOSE_DETECTION_NS)
+            for work in self.works
         )
-        outlived = self.outlived()
-        figures["tries_grew"] = self.tries_grew()
+        outlived = self.outlived_ns()
+        figures["tries_grew"] = self.count_grown_retry_allowances()
         visits = Counter(work.id.partition("-")[0] for work in self.works if not work.tier)
         figures["most_visits"] = max(visits.values(), default=0)
         figures["outlived"], figures["outlived_s"] = len(outlived), round(sum(outlived) / S, 2)
-        if self.copies:
-            figures["keys"] = self.keys_told()
-        figures["sums"] = self.sums(sum(served is not None for _, served in wishes))
-        figures["cold"] = self.cold()
-        figures["shortest_leave_ms"] = self.shortest_leave()
-        figures["worst_ten_seconds"] = self.worst_stretch()
+        if self.has_duplicates:
+            figures["keys"] = self.key_figures()
+        figures["sums"] = self.overhead(sum(served is not None for _, served in requests))
+        figures["cold"] = self.cold_starts()
+        figures["shortest_leave_ms"] = self.shortest_shutdown_ms()
+        figures["worst_ten_seconds"] = self.worst_window_goodput()
         for key, count in ("customer", len(self.day.customers)), ("grade", len(self.day.grades)):
             rows = getattr(self.day, key + "s")
-            parts = {}
+            goodputs = {}
             for at in range(count):
-                mine = [wish for wish in wishes if getattr(wish[0], key) == at]
-                if mine:
-                    parts[rows[at].name] = ratio(
-                        sum(self.earned(*w) for w in mine),
-                        sum(self.day.grades[w[0].grade].earnings for w in mine),
+                group = [request for request in requests if getattr(request[0], key) == at]
+                if group:
+                    goodputs[rows[at].name] = ratio(
+                        sum(self.earned(*request) for request in group),
+                        sum(self.day.grades[request[0].grade].earnings for request in group),
                     )
-            figures[f"goodput_by_{key}"] = parts
+            figures[f"goodput_by_{key}"] = goodputs
             figures[f"worst_{key}"] = (
-                min(parts.items(), key=lambda part: part[1]) if parts else None
+                min(goodputs.items(), key=lambda item: item[1]) if goodputs else None
             )
         return figures
 
-    def sums(self, served):
-        """What all balancers together ask of upstreams and of the list beside operations, for each operation that is served;
-        and how evenly a balancer probes one upstream that is not fit: with no chance in its waits all come together."""
+    def overhead(self, served):
+        """Return the health checks, connections and list polls of all balancers, per served request.
+
+        Also returns the mean and the relative spread of the waits between two health checks of one
+        balancer to one upstream. A spread of 0 means that the waits have no jitter, so that the
+        health checks of all balancers coincide.
+        """
         last, waits = {}, []
         for row in sorted(self.probes, key=lambda row: row.at):
-            name = row.tier, row.upstream, row.caller
-            if name in last and row.at - last[name] < PROBES_NS:
-                waits.append(row.at - last[name])
-            last[name] = row.at
+            pair = row.tier, row.upstream, row.caller
+            if pair in last and row.at - last[pair] < MAX_PROBE_GAP_NS:
+                waits.append(row.at - last[pair])
+            last[pair] = row.at
         mean = sum(waits) / len(waits) if waits else 0
         spread = (
             (sum((wait - mean) ** 2 for wait in waits) / len(waits)) ** 0.5 / mean
@@ -460,127 +537,152 @@
         )
         return {
             "probes": len(self.probes),
-            "connections": len(self.connected),
-            "asks": len(self.asked),
-            "asks_turned_away": sum(not row.answered for row in self.asked),
+            "connections": len(self.connections),
+            "asks": len(self.polls),
+            "asks_turned_away": sum(not row.answered for row in self.polls),
             "probes_per_served": ratio(len(self.probes), served),
-            "connections_per_served": ratio(len(self.connected), served),
-            "asks_per_served": ratio(len(self.asked), served),
+            "connections_per_served": ratio(len(self.connections), served),
+            "asks_per_served": ratio(len(self.polls), served),
             "probe_waits": len(waits),
             "probe_wait_ms": round(mean / MS),
             "probe_wait_spread": spread and round(spread, 3),
         }
 
-    def shortest_leave(self):
-        """Milliseconds between a balancer's being told to leave and its end, of the one that was the quickest; None: nobody was told."""
-        told, spans = {}, []
-        for row in sorted(self.happened, key=lambda row: row.at):
-            name = row.tier, row.who
+    def shortest_shutdown_ms(self):
+        """Return the shortest time from asking a balancer to shut down to its end.
+
+        None if no balancer was asked to shut down and ended.
+        """
+        signalled, spans = {}, []
+        for row in sorted(self.events, key=lambda row: row.at):
+            balancer = row.tier, row.who
             if row.what == "balancer told to leave":
-                told[name] = row.at
-            elif row.what == "balancer left" and name in told:
-                spans.append(row.at - told.pop(name))
+                signalled[balancer] = row.at
+            elif row.what == "balancer left" and balancer in signalled:
+                spans.append(row.at - signalled.pop(balancer))
         return round(min(spans) / MS) if spans else None
 
-    def cold(self):
-        """What those that came up cold were sent in their first seconds, for what a fellow was sent then that had not been away."""
-        came, away = defaultdict(list), defaultdict(lambda: float("inf"))
+    def cold_starts(self):
+        """Compare the attempts sent to cold-started upstreams with those sent to warm ones.
+
+        The count covers the first seconds after each cold start. It is compared with the mean, in
+        the same span, of the tier's upstreams that had not been down until then.
+        """
+        arrivals, first_down = defaultdict(list), defaultdict(lambda: float("inf"))
         for work in sorted(self.works, key=lambda work: work.first_byte):
-            came[work.tier, work.upstream].append(work.first_byte)
-        starts = [row for row in self.happened if row.what == "up cold"]
+            arrivals[work.tier, work.upstream].append(work.first_byte)
+        starts = [row for row in self.events if row.what == "up cold"]
         for name, at in [((row.tier, row.who), row.at) for row in starts] + [
-            (name[1:], times[0]) for name, times in self.ends.items() if name[0] == "upstream"
+            (name[1:], times[0]) for name, times in self.deaths.items() if name[0] == "upstream"
         ]:
-            away[name] = min(away[name], at)
+            first_down[name] = min(first_down[name], at)
 
-        def between(name, begin, end):
-            rows = came.get(name, ())
-            return bisect_left(rows, end) - bisect_left(rows, begin)
+        def count_between(name, begin, end):
+            times = arrivals.get(name, ())
+            return bisect_left(times, end) - bisect_left(times, begin)
 
-        got, fellows = 0, 0.0
+        sent, sent_to_warm = 0, 0.0
         for row in starts:
             until = min(
-                [row.at + COLD_NS]
-                + [at for at in self.ends.get(("upstream", row.tier, row.who), ()) if at > row.at]
+                [row.at + COLD_START_NS]
+                + [at for at in self.deaths.get(("upstream", row.tier, row.who), ()) if at > row.at]
             )
-            warm = [name for name in came if name[0] == row.tier and away[name] > until]
+            warm = [name for name in arrivals if name[0] == row.tier and first_down[name] > until]
             if warm:
-                got += between((row.tier, row.who), row.at, until)
-                fellows += sum(between(name, row.at, until) for name in warm) / len(warm)
+                sent += count_between((row.tier, row.who), row.at, until)
+                sent_to_warm += sum(count_between(name, row.at, until) for name in warm) / len(warm)
         return {
             "starts": len(starts),
-            "sent": got,
-            "to_a_fellow": round(fellows, 1),
-            "share": ratio(got, fellows),
+            "sent": sent,
+            "to_a_fellow": round(sent_to_warm, 1),
+            "share": ratio(sent, sent_to_warm),
         }
 
-    def keys_told(self):
-        """Of keys with an effect: how often they came, ran, and how their tries were answered."""
-        told = Counter()
-        for first, tries in self.tries_by_key.items():
-            if self.effect(tries[0].grade) == "idempotent":
+    def key_figures(self):
+        """Count how often keys with an effect were sent and ran, and how they were answered."""
+        counts = Counter()
+        for key, attempts in self.attempts_by_key.items():
+            if self.effect(attempts[0].grade) == "idempotent":
                 continue
-            runs = sum(work.began > 0 for work in self.by_key.get(first, ()))
-            served = sum(outcome(one) == "served" for one in tries)
-            told.update(
+            runs = sum(work.began > 0 for work in self.works_by_key.get(key, ()))
+            served = sum(outcome(attempt) == "served" for attempt in attempts)
+            counts.update(
                 {
                     "keys": 1,
-                    "tries": len(tries),
-                    "duplicated": len(tries) > 1,
+                    "tries": len(attempts),
+                    "duplicated": len(attempts) > 1,
                     "runs": runs,
                     "ran_once": runs == 1,
                     "answered_again": max(0, served - 1),
-                    "shed_tries": sum(outcome(one) == "shed" for one in tries),
-                    "failed_tries": sum(outcome(one) == "failed" for one in tries),
+                    "shed_tries": sum(outcome(attempt) == "shed" for attempt in attempts),
+                    "failed_tries": sum(outcome(attempt) == "failed" for attempt in attempts),
                     "keys_served": served > 0,
-                    "keys_only_shed": all(outcome(one) == "shed" for one in tries),
+                    "keys_only_shed": all(outcome(attempt) == "shed" for attempt in attempts),
                 }
             )
-        return dict(told)
+        return dict(counts)
+
+    def count_grown_retry_allowances(self):
+        """Count where the retry allowance grew on its way down the chain.
 
-    def tries_grew(self):
-        """Dispatches that were given more further tries than what they were made for had, and operations that were tried
-        more often than that. A call is named after the dispatch that made it: ID-NUMBER and a letter."""
+        These are attempts that carried more remaining retries than the attempt that caused their
+        call had, and calls that were retried more often than that. A call is named after the
+        attempt that made it: the id, "-", the number of the attempt and a letter.
+        """
         count = 0
-        for (tier, identity), works in self.by_id.items():
-            above, _, call = identity.rpartition("-")
-            parents = self.by_id.get((tier - 1, above), ())
+        for (tier, request_id), works in self.works_by_id.items():
+            parent_id, _, call = request_id.rpartition("-")
+            parents = self.works_by_id.get((tier - 1, parent_id), ())
             number = int(call[:-1]) if call[:-1].isdigit() else 0
-            if not tier and not above:
-                # Against an allowance that is the same at all tiers, and so grows nowhere: what comes in takes so many along.
-                given = MOST_TAKEN
+            if not tier and not parent_id:
+                # An attempt at the entry has no parent. It is compared with the allowance with which
+                # every request enters, which is the same at all tiers and so cannot have grown.
+                allowance = ENTRY_RETRY_ALLOWANCE
             elif 0 < number <= len(parents) and parents[number - 1].tries >= 0:
-                given = parents[number - 1].tries
+                allowance = parents[number - 1].tries
             else:
                 continue
-            count += sum(work.tries > given for work in works)
-            count += len(works) - 1 > given and works[0].tries >= 0
+            count += sum(work.tries > allowance for work in works)
+            count += len(works) - 1 > allowance and works[0].tries >= 0
         return count
 
-    def outlived(self):
-        """How long each dispatch, at any tier, was still at work after the client at the entry had its answer or had
-        given up. The stand-ins name calls after the operation that they are made for."""
-        ends = {one.id: one.ended for one in self.tries if not one.tier and one.ended}
+    def outlived_ns(self):
+        """Return how long each attempt, at any tier, went on after its client at the entry left.
+
+        The client left when it had its answer or gave up. An attempt belongs to the client request
+        whose id its own id begins with. Attempts that ended in time are left out.
+        """
+        ends = {
+            attempt.id: attempt.ended
+            for attempt in self.attempts
+            if not attempt.tier and attempt.ended
+        }
         spans = []
         for work in self.works:
             end = ends.get(work.id.partition("-")[0])
-            if end is not None and (over := max(work.ended, work.work_ended) - end) > CLOSE_NS:
+            if (
+                end is not None
+                and (over := max(work.ended, work.work_ended) - end) > CLOSE_DETECTION_NS
+            ):
                 spans.append(over)
         return spans
 
     def by_second(self):
+        """Return earnings, outcomes and attempts received per tier, by second of the run."""
         count = int(self.day.seconds) + 1
         rows = {
             name: [0.0] * count
             for name in ("earned", "possible", "served", "shed", "failed", "gone", "lost")
         }
-        for first, served in self.wishes():
+        for first, served in self.requests():
             at = min(count - 1, max(0, (first.intended - self.start) // S))
             rows["earned"][at] += self.earned(first, served)
             rows["possible"][at] += self.day.grades[first.grade].earnings
-        for one in self.tries:
-            if not one.tier:
-                rows[outcome(one)][min(count - 1, max(0, (one.intended - self.start) // S))] += 1
+        for attempt in self.attempts:
+            if not attempt.tier:
+                rows[outcome(attempt)][
+                    min(count - 1, max(0, (attempt.intended - self.start) // S))
+                ] += 1
         for tier in range(len(self.day.tiers)):
             rows[f"dispatches_{tier}"] = [0] * count
         for work in self.works:
@@ -589,31 +691,43 @@
             ] += 1
         return rows
 
-    def worst_stretch(self):
-        rows, best = self.by_second(), None
-        for at in range(max(1, int(self.day.seconds) - WINDOW + 1)):
-            possible = sum(rows["possible"][at : at + WINDOW])
+    def worst_window_goodput(self):
+        """Return the lowest goodput of any window of the run; None without any request."""
+        rows, worst = self.by_second(), None
+        for at in range(max(1, int(self.day.seconds) - WORST_WINDOW_S + 1)):
+            possible = sum(rows["possible"][at : at + WORST_WINDOW_S])
             if possible:
-                share = sum(rows["earned"][at : at + WINDOW]) / possible
-                best = share if best is None else min(best, share)
-        return None if best is None else round(best, 4)
+                share = sum(rows["earned"][at : at + WORST_WINDOW_S]) / possible
+                worst = share if worst is None else min(worst, share)
+        return None if worst is None else round(worst, 4)
+
 
+def split_duplicates(works):
+    """Return the distinct work rows, and those recorded a second time.
 
-def once(works):
-    """Dispatches, and those that are written twice: what is one and the same came at one upstream from one caller at one time."""
-    seen, kept, doubled = set(), [], []
+    Rows are the same if the same request arrived at one upstream from one caller at one time.
+    """
+    known, distinct, duplicates = set(), [], []
     for work in works:
-        name = work.tier, work.upstream, work.caller, work.id, work.first_byte, work.came
-        (doubled if name in seen else kept).append(work)
-        seen.add(name)
-    return kept, doubled
+        identity = work.tier, work.upstream, work.caller, work.id, work.first_byte, work.came
+        (duplicates if identity in known else distinct).append(work)
+        known.add(identity)
+    return distinct, duplicates
 
 
-def outcome(one):
-    if one.kind == "answer":
-        return "served" if one.status == 200 else "shed" if one.status in (429, 503) else "failed"
-    return {"lost": "lost", "open": "lost", "gone": "gone", "unconnected": "failed"}[one.kind]
+def outcome(attempt):
+    """Return how an attempt ended for its client: served, shed, failed, gone or lost."""
+    if attempt.kind == "answer":
+        return (
+            "served"
+            if attempt.status == 200
+            else "shed"
+            if attempt.status in (429, 503)
+            else "failed"
+        )
+    return {"lost": "lost", "open": "lost", "gone": "gone", "unconnected": "failed"}[attempt.kind]
 
 
 def ratio(part, whole):
+    """Return the quotient, rounded to four places; None if ``whole`` is 0."""
     return round(part / whole, 4) if whole else None
--- a/pepperhook/lab/endpoint_audit.py
+++ b/pepperhook/lab/endpoint_audit.py
@@ -1,7 +1,8 @@
-"""Audit of a fleet whose discovery service is overloaded, from what its stand-ins wrote down.
+"""Audit of a fleet whose discovery service is overloaded, from the event rows of its stand-ins.
 
-The checker of all runs (``audit``) judges rule 3 by what a balancer was told. Here a change counts
-as notified some time after the service had it, whatever became of the polls.
+The general auditor (``audit``) checks rule 3 against the list that was written to a balancer. Here
+a change counts as notified a fixed time after the discovery service had it, whether or not the
+balancer's polls succeeded.
 """
 
 from __future__ import annotations
@@ -16,59 +17,64 @@
 
 SECOND = 10**9
 READY = "ready"
-LISTED = "listed "  # what a change of the list is written down as, before its state
+LISTED = "listed "  # prefix of the state in the event row of a list change
 OVERLOADED_STATUS = 503
 
-Place = tuple[int, int]  # tier and number of a balancer or an upstream
+ProcessId = tuple[int, int]  # tier and number of a balancer or an upstream
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change of an upstream's state in the list."""
+    """One change of an upstream's state in the endpoint list."""
 
     at: int
-    state: str
+    state: str  # such as "ready" or "draining"
 
 
 @dataclass(frozen=True, slots=True)
 class LateSend:
-    """One attempt that reached an upstream after its draining or end counted as notified."""
+    """One attempt that arrived after its upstream's draining or end counted as notified."""
 
     request: str
     balancer: int
     upstream: int
-    late_ns: int  # past the last instant that is allowed
+    late_ns: int  # past the latest allowed arrival
 
 
 class EndpointAudit:
-    """Judges the rows of one run; all times are nanoseconds of the machine's monotonic clock."""
+    """Evaluates the rows of one run; times are nanoseconds of the machine's monotonic clock."""
 
     def __init__(self, rows: Iterable[events.Event]) -> None:
-        """Sort the rows by what they are about."""
+        """Group the rows by type, and by process where a check needs it."""
         self.works: list[events.Work] = []
         self.polls: list[events.Asked] = []
-        self.told: list[events.Told] = []
-        self.changes: dict[Place, list[Change]] = defaultdict(list)
-        self.vouched: dict[Place, list[tuple[int, int]]] = defaultdict(list)
+        self.list_entries: list[events.Told] = []
+        self.changes: dict[ProcessId, list[Change]] = defaultdict(list)
+        self.confirmed: dict[ProcessId, list[tuple[int, int]]] = defaultdict(list)
         rows = list(rows)
         self.stalls = Stalls(rows)
         for row in rows:
-            self._enter(row)
-        for spans in self.vouched.values():
+            self._add(row)
+        for spans in self.confirmed.values():
             spans.sort()
 
-    def _enter(self, row: events.Event) -> None:
+    def _add(self, row: events.Event) -> None:
+        """Store one row.
+
+        ``confirmed`` gets the spans in which the service confirmed a balancer's list: while it held
+        a watch, or at the moment of an answer.
+        """
         match row:
             case events.Work():
                 self.works.append(row)
             case events.Told():
-                self.told.append(row)
+                self.list_entries.append(row)
             case events.Held():
-                self.vouched[row.tier, row.caller].append((row.came, row.ended))
+                self.confirmed[row.tier, row.caller].append((row.came, row.ended))
             case events.Asked():
                 self.polls.append(row)
                 if row.answered:
-                    self.vouched[row.tier, row.caller].append((row.at, row.at))
+                    self.confirmed[row.tier, row.caller].append((row.at, row.at))
             case events.Happened() if row.what.startswith(LISTED):
                 change = Change(row.at, row.what.removeprefix(LISTED))
                 self.changes[row.tier, row.who].append(change)
@@ -76,9 +82,10 @@
     def late_sends(
         self, reachable_from: int, notified_after_ns: int, grace_ns: int
     ) -> list[LateSend]:
-        """Return what broke rule 3: the grace begins when a change is notified at the latest.
+        """Return the attempts that broke rule 3.
 
-        A change is notified ``notified_after_ns`` after the service had it and could be reached.
+        A change counts as notified ``notified_after_ns`` after the service had it and could be
+        reached (from ``reachable_from`` on); the grace begins then.
         """
         late = []
         for work in self.works:
@@ -93,21 +100,27 @@
         return late
 
     def _state_at(self, work: events.Work) -> Change | None:
-        changes = [c for c in self.changes[work.tier, work.upstream] if c.at <= work.first_byte]
+        """Return the latest change of the upstream's state before the attempt arrived, if any."""
+        changes = [
+            change
+            for change in self.changes[work.tier, work.upstream]
+            if change.at <= work.first_byte
+        ]
         return max(changes, key=lambda change: change.at, default=None)
 
     def list_ages_ns(self, since: int) -> list[int]:
-        """Return the age of its balancer's list for each attempt from ``since`` on, in order.
+        """Return, ascending, the age of the balancer's list at each attempt from ``since`` on.
 
-        It is the time since the service last vouched for it: by an answer, or by holding a watch.
+        The age is the time since the service last confirmed the list, by an answer or by holding a
+        watch. Attempts of a balancer without a confirmed list are left out.
         """
         ages = []
         for work in self.works:
             if work.first_byte < since:
                 continue
-            spans = self.vouched[work.tier, work.caller]
-            known = bisect_right(spans, work.first_byte, key=lambda span: span[0])
-            last = max((ended for _, ended in spans[:known]), default=None)
+            spans = self.confirmed[work.tier, work.caller]
+            started = bisect_right(spans, work.first_byte, key=lambda span: span[0])
+            last = max((ended for _, ended in spans[:started]), default=None)
             if last is not None:
                 ages.append(max(0, work.first_byte - last))
         return sorted(ages)
@@ -119,7 +132,7 @@
         )
 
     def notified_at(self, since: int, balancers: int) -> dict[int, int]:
-        """Return when each balancer of the first tier first had a list of after ``since``."""
+        """Return when each balancer of the first tier got its first list after ``since``."""
         first: dict[int, int] = {}
         for poll in self.polls:
             if not poll.tier and poll.answered and poll.reached_at >= since:
@@ -127,7 +140,7 @@
         return {caller: at for caller, at in first.items() if caller < balancers}
 
     def refused_share(self, spans: Sequence[tuple[int, int]]) -> tuple[int, int]:
-        """Return how many polls were answered within the spans, and how many of them with 503."""
+        """Return how many polls ended within the spans, and how many of them with status 503."""
         polls = [
             poll
             for poll in self.polls
--- a/pepperhook/lab/stalls.py
+++ b/pepperhook/lab/stalls.py
@@ -1,25 +1,29 @@
-"""When a byte can have come to a stand-in that stood still."""
+"""Bounds on arrival times that a stand-in recorded around a stall of its event loop.
+
+During a stall a stand-in reads nothing, so it stamps what arrives then only afterwards.
+"""
 
 from collections.abc import Iterable
 
 from pepperhook.lab import events
 
 MILLISECOND = 10**6
-# After a stall a stand-in works off what came meanwhile; until then it stamps it late.
+# After a stall a stand-in works off its backlog for about this long, and stamps late until then.
 BACKLOG_NS = 50 * MILLISECOND
-CHECK_NS = 10 * MILLISECOND  # between two looks at the clock: a stall may begin so much earlier
+# Period of the event loop lag check. A stall may begin up to this long before it shows.
+CHECK_NS = 10 * MILLISECOND
 
 
 def upstreams(tier: int) -> str:
-    """Return the name of the process that has the upstreams of a tier."""
+    """Return the name of the stand-in process that runs the upstreams of a tier."""
     return f"upstreams {tier}"
 
 
 class Stalls:
-    """The times at which each stand-in's event loop stood still."""
+    """The spans in which each stand-in's event loop was stalled."""
 
     def __init__(self, rows: Iterable[object]) -> None:
-        """Take the rows of a run; those that are no stalls are passed over."""
+        """Collect the spans from the ``Stall`` rows of a run; other rows are ignored."""
         self.spans: dict[str, list[tuple[int, int]]] = {}
         for row in rows:
             if isinstance(row, events.Stall):
@@ -27,7 +31,10 @@
                 self.spans.setdefault(row.process, []).append((begun, row.at))
 
     def earliest(self, process: str, stamped_at: int) -> int:
-        """Return the earliest time at which what a process stamped then can have come."""
+        """Return the earliest possible arrival of what a process stamped at ``stamped_at``.
+
+        That is the time stamp itself, unless a stall or its backlog covers it.
+        """
         begins = [
             begun
             for begun, ended in self.spans.get(process, ())
