--- a/pepperhook/lab/audit.py
+++ b/pepperhook/lab/audit.py
@@ -517,7 +517,7 @@
         return figures
 
     def overhead(self, served):
-        """Return the health checks, connections and list polls of all balancers, per served request.
+        """Return health checks, connections and list polls of all balancers, per served request.
 
         Also returns the mean and the relative spread of the waits between two health checks of one
         balancer to one upstream. A spread of 0 means that the waits have no jitter, so that the
@@ -635,8 +635,8 @@
             parents = self.works_by_id.get((tier - 1, parent_id), ())
             number = int(call[:-1]) if call[:-1].isdigit() else 0
             if not tier and not parent_id:
-                # An attempt at the entry has no parent. It is compared with the allowance with which
-                # every request enters, which is the same at all tiers and so cannot have grown.
+                # An attempt at the entry has no parent. It is compared with the allowance of each
+                # request that enters, which is the same at all tiers and so grows nowhere.
                 allowance = ENTRY_RETRY_ALLOWANCE
             elif 0 < number <= len(parents) and parents[number - 1].tries >= 0:
                 allowance = parents[number - 1].tries
--- a/pepperhook/lab/endpoint_audit.py
+++ b/pepperhook/lab/endpoint_audit.py
@@ -140,7 +140,10 @@
         return {caller: at for caller, at in first.items() if caller < balancers}
 
     def refused_share(self, spans: Sequence[tuple[int, int]]) -> tuple[int, int]:
-        """Return how many polls ended within the spans, and how many of them with status 503."""
+        """Return the number of polls that ended within the spans, and of those answered with 503.
+
+        Polls that did not reach the service are left out.
+        """
         polls = [
             poll
             for poll in self.polls
--- a/pepperhook/lab/events.py
+++ b/pepperhook/lab/events.py
@@ -1,6 +1,9 @@
-"""What stand-ins and clients saw, in rows: written as JSON lines by each process, read together by the auditor.
+"""Event rows in which stand-ins and clients record what they observe.
 
-All times are whole nanoseconds of the machine's one monotonic clock, so rows of several processes can be ordered.
+Each process writes its rows as JSON lines to a file of its own; the auditor reads all files of a
+run. All times are whole nanoseconds of the machine's monotonic clock, which its processes share, so
+rows of several processes can be ordered. Grades, customers and upstreams are numbered from 0 in the
+order of the experiment; tier 0 is the first behind the clients.
 """
 
 from pathlib import Path
@@ -10,159 +13,167 @@
 
 
 class Try(Struct, array_like=True, tag="try"):
-    """One sending of an operation by a client, or by an upstream to the tier behind it."""
+    """One attempt of a request by a client, or by an upstream that calls the next tier."""
 
     tier: int
-    caller: int  # which balancer it went to; -1: to none, or nobody knows
+    # Number of the balancer that it went to; -1: none or unknown. On calls between tiers it is the
+    # number of the upstream that made the call.
+    caller: int
     id: str
-    first: str  # the id of the first try of the same wish
-    number: int  # 0 for a first try
-    grade: int
-    customer: int
-    intended: int  # when it was to be sent
+    first: str  # id of the first attempt of the same request
+    number: int  # 0 for the first attempt
+    grade: int  # index of the service class
+    customer: int  # index of the tenant; -1 on calls between tiers
+    intended: int  # when it was scheduled to be sent
     sent: int
-    ended: int  # 0: never, to the end of the day
+    ended: int  # 0: not until the end of the run
     kind: str  # "answer", "lost", "gone", "unconnected", "open"
     status: int
-    body: str  # who answered: nonce of the work, or ""
-    limit: int  # nanoseconds that it was to take at most
-    note: str = ""
+    body: str  # body of the answer: nonce of the work that produced it, or ""
+    limit: int  # time limit in nanoseconds
+    note: str = ""  # detail of how it ended
 
 
 class Work(Struct, array_like=True, tag="work"):
-    """One dispatch, as the upstream saw it."""
+    """One attempt, as an upstream received it."""
 
     tier: int
     upstream: int
-    caller: int
+    caller: int  # number of the balancer that sent it
     id: str
-    grade: int
-    first_byte: int
-    came: int  # its last byte
-    ended: int  # the answer's last byte, or the end of the connection
+    grade: int  # index of the service class
+    first_byte: int  # arrival of its first byte
+    came: int  # arrival of its last byte
+    ended: int  # last byte of the answer, or end of the connection
     outcome: str  # "served", "error", "turned away", "reset", "hung", "given up", "spoilt", "bad"
-    began: int  # 0: its work never began
-    worked: int  # nanoseconds of work put in
-    nonce: str
-    gone_at: int = 0  # when its client gave up
-    work_ended: int = 0  # when its work ended, which may be after that
-    tries: int = -1  # that its chain header gave it; -1: there was none
+    began: int  # start of its work; 0: never started
+    worked: int  # nanoseconds of work spent on it
+    nonce: str  # unique text in the answer that identifies this work
+    gone_at: int = 0  # when its caller closed the connection or cancelled it; 0: never
+    work_ended: int = 0  # end of its work, which may be later than gone_at; 0: never started
+    tries: int = -1  # remaining retries according to its request context header; -1: no header
 
 
 class Told(Struct, array_like=True, tag="told"):
-    """The list as it was written to one balancer."""
+    """State of one upstream in the endpoint list, as written to one balancer."""
 
     tier: int
-    caller: int
+    caller: int  # number of the balancer
     at: int
     upstream: int
-    state: str
+    state: str  # such as "ready" or "draining"
 
 
 class Asked(Struct, array_like=True, tag="asked"):
-    """One call of a balancer for its list."""
+    """One poll or watch of the endpoint list by a balancer."""
 
     tier: int
-    caller: int
-    at: int
+    caller: int  # number of the balancer
+    at: int  # when the service answered or refused it
     watch: bool
-    answered: bool
-    reached_at: int = 0  # when the service had it to answer; 0: it could not be reached
+    answered: bool  # with a list
+    reached_at: int = 0  # when the service could start on it; 0: the service was unreachable
     status: int = 0
 
 
 class Held(Struct, array_like=True, tag="held"):
-    """One call of a balancer that the service held as a watch, without a change to tell."""
+    """The span in which the service held a balancer's watch open because nothing had changed."""
 
     tier: int
-    caller: int
-    came: int
+    caller: int  # number of the balancer
+    came: int  # start of the span
     ended: int
 
 
 class Probe(Struct, array_like=True, tag="probe"):
-    """One probe, as the upstream saw it."""
+    """One health check, as the upstream received it."""
 
     tier: int
     upstream: int
-    caller: int
+    caller: int  # number of the balancer
     at: int
 
 
 class Connected(Struct, array_like=True, tag="connected"):
-    """One new connection of a balancer, as the upstream saw it."""
+    """One new connection from a balancer, as the upstream accepted it."""
 
     tier: int
     upstream: int
-    caller: int
+    caller: int  # number of the balancer
     at: int
 
 
 class Happened(Struct, array_like=True, tag="happened"):
+    """A fault, or a change of state of a balancer, an upstream or the endpoint list."""
+
     at: int
-    what: str
-    tier: int
-    who: int
-    on: bool = True
-    text: str = ""
+    what: str  # name of the event
+    tier: int  # -1: none
+    who: int  # number of the balancer or upstream; -1: none
+    on: bool = True  # False: the fault ended
+    text: str = ""  # details
 
 
 class Extra(Struct, array_like=True, tag="extra"):
-    """Bytes that came with no message open, or behind an answer."""
+    """Bytes of a balancer that belong to no answer: none was awaited, or it was complete."""
 
     tier: int
     at: int
-    id: str
-    size: int
+    id: str  # request last answered on the connection; "": none
+    size: int  # bytes
 
 
 class Sample(Struct, array_like=True, tag="sample"):
-    """What one balancer's log told of itself."""
+    """Figures that a balancer logged about itself, for reports only."""
 
     tier: int
     balancer: int
     at: int
-    b: float
-    f: float
-    waiting: int
-    out: list[int]
+    b: float  # B of the retry budget
+    f: float  # f of the retry budget
+    waiting: int  # requests in the admission queue
+    out: list[int]  # attempts in flight, by upstream
 
 
 class Stall(Struct, array_like=True, tag="stall"):
-    """A stand-in's event loop ran late: what it wrote down meanwhile has later times than it should."""
+    """A stall of a stand-in's event loop; rows of that time have later time stamps than is true."""
 
     process: str
-    at: int  # when it ran on
-    late: int  # nanoseconds
+    at: int  # end of the stall
+    late: int  # nanoseconds by which the event loop was late
 
 
 Event = Try | Work | Told | Asked | Held | Probe | Connected | Happened | Extra | Sample | Stall
 
 
 class Book:
-    """Writes rows of one process; a part that a killed process left unfinished is dropped by the reader."""
+    """Writes the rows of one process; the reader drops a last row that a killed process cut off."""
 
     def __init__(self, path):
+        """Open the file for appending."""
         self.file, self.encoder, self.rows = open(path, "ab"), msgspec.json.Encoder(), []
 
     def add(self, row):
+        """Buffer a row; write the buffer out when it is full."""
         self.rows.append(row)
         if len(self.rows) >= 2000:
             self.flush()
 
     def flush(self):
+        """Write the buffered rows to the file."""
         if self.rows:
             self.file.write(self.encoder.encode_lines(self.rows))
             self.file.flush()
             self.rows.clear()
 
     def close(self):
+        """Flush and close the file."""
         self.flush()
         self.file.close()
 
 
 def read(folder: Path) -> list[Event]:
-    """All rows of a day's folder."""
+    """Return the rows of all processes in the folder of a run."""
     decoder, rows = msgspec.json.Decoder(Event), []
     for path in sorted(Path(folder).glob("*.rows")):
         with open(path, "rb") as file:
--- a/pepperhook/lab/report.py
+++ b/pepperhook/lab/report.py
@@ -1,6 +1,6 @@
-"""Reports of an experiment: one HTML file that needs nothing beside it, Markdown and JSON.
+"""Reports of an experiment: a self-contained HTML page, Markdown and JSON.
 
-All figures are of stand-ins on one machine's loopback, and each report says so.
+All figures come from stand-ins on one machine's loopback, and each report says so.
 """
 
 import base64
@@ -15,19 +15,22 @@
 from pepperhook.lab.day import store
 from pepperhook.lab.matrix import OUTCOMES
 
-COLOURS = {
+OUTCOME_COLOURS = {
     "served": "#3b7d4f",
     "shed": "#d9a441",
     "failed": "#b8433b",
     "gone": "#7a6fa8",
     "lost": "#222222",
 }
+# Colours of lines and bars, used in order and again from the first.
 LINES = ("#2b5d8a", "#b8433b", "#3b7d4f", "#d9a441", "#7a6fa8", "#5b5b5b", "#c06c9b", "#4aa3a3")
 PERCENTILES = ("p50", "p90", "p99", "p99.9")
+# Note on the origin of the figures, for every report.
 SAID = "Figures are of stand-in clients, upstreams and lists on one machine's loopback."
 
 
 def write(folder, day, results, summary):
+    """Write the reports of an experiment into its folder, in all three formats."""
     folder = Path(folder)
     store(folder / "report.json", json.dumps(summary, indent=1).encode())
     store(folder / "report.md", markdown(day, summary).encode())
@@ -35,19 +38,19 @@
 
 
 def table(summary):
-    """Head and rows of the table of variants."""
+    """Return the column names and the rows of the table of variants."""
     head = [
         "variant",
-        "days",
+        "runs",
         "goodput",
-        "against the first (95%)",
+        "against the first (95% interval)",
         "worst 10 s",
         "served",
         "shed",
         "failed",
         "lost",
         "amplification by tier",
-        "wasted work s",
+        "wasted work (s)",
         "p50 / p99 ms",
         "rules broken",
     ]
@@ -74,27 +77,32 @@
 
 
 def markdown(day, summary):
+    """Return the report as Markdown."""
     head, rows = table(summary)
     lines = [
         f"# {day.name}",
         "",
-        f"{day.seconds:g} s a day. {SAID}",
+        f"{day.seconds:g} s per run. {SAID}",
         "",
         "| " + " | ".join(head) + " |",
         "| " + " | ".join("---" for _ in head) + " |",
     ]
     lines += ["| " + " | ".join(row) + " |" for row in rows]
     if summary["void"]:
-        lines += ["", f"Void, as the load itself was late: {'; '.join(summary['void'])}."]
+        lines += [
+            "",
+            f"Void because the load generator itself was late: {'; '.join(summary['void'])}.",
+        ]
     if summary["interrupted"]:
-        lines += ["", "Interrupted: this is what had been played."]
+        lines += ["", "Interrupted: this covers only what had been run."]
     return "\n".join(lines) + "\n"
 
 
 class Plots:
-    """Figures as SVG inside the page."""
+    """Draws figures and embeds them as SVG in the page."""
 
     def __init__(self):
+        """Import matplotlib, with the backend that needs no display."""
         import matplotlib
 
         matplotlib.use("Agg")
@@ -103,20 +111,22 @@
         self.pyplot = pyplot
 
     def figure(self, width=9.5, height=2.8):
+        """Return a new figure and its axes; sizes in inches."""
         figure, axes = self.pyplot.subplots(figsize=(width, height), constrained_layout=True)
         axes.spines[["top", "right"]].set_visible(False)
         axes.grid(axis="y", alpha=0.25)
         return figure, axes
 
-    def done(self, figure):
-        held = io.BytesIO()
-        figure.savefig(held, format="svg")
+    def embed(self, figure):
+        """Return the figure as an ``img`` element, and close it."""
+        svg = io.BytesIO()
+        figure.savefig(svg, format="svg")
         self.pyplot.close(figure)
-        return f'<img alt="" src="data:image/svg+xml;base64,{base64.b64encode(held.getvalue()).decode()}">'
+        return f'<img alt="" src="data:image/svg+xml;base64,{base64.b64encode(svg.getvalue()).decode()}">'
 
 
 def shade(axes, day):
-    """Troubles as bands, each named once at the top of its own."""
+    """Mark faults and changes of load as bands, each with its name above it."""
     for trouble in day.troubles:
         axes.axvspan(
             trouble.at,
@@ -140,7 +150,7 @@
             axes.text(
                 load.at,
                 1.01,
-                " rush",
+                " load change",
                 transform=axes.get_xaxis_transform(),
                 fontsize=7,
                 va="bottom",
@@ -148,23 +158,30 @@
 
 
 def outcomes(plots, day, result):
+    """Return a figure of the outcomes of client attempts over time, for one run."""
     figure, axes = plots.figure()
     seconds = numpy.arange(int(day.seconds))
-    rows = [numpy.array(result["seconds"][name][: len(seconds)]) for name in OUTCOMES]
+    counts = [numpy.array(result["seconds"][name][: len(seconds)]) for name in OUTCOMES]
     axes.stackplot(
-        seconds, *rows, colors=[COLOURS[name] for name in OUTCOMES], labels=OUTCOMES, step="post"
+        seconds,
+        *counts,
+        colors=[OUTCOME_COLOURS[name] for name in OUTCOMES],
+        labels=OUTCOMES,
+        step="post",
     )
     shade(axes, day)
-    axes.set(ylabel="tries a second", xlabel="seconds", xlim=(0, day.seconds))
+    axes.set(ylabel="client attempts per second", xlabel="seconds", xlim=(0, day.seconds))
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
-    return plots.done(figure)
+    return plots.embed(figure)
 
 
 def goodput(plots, day, results):
+    """Return a figure of the goodput over time, one line per run."""
     figure, axes = plots.figure()
     for at, result in enumerate(results):
         earned, possible = (
-            numpy.array(result["seconds"][n][: int(day.seconds)]) for n in ("earned", "possible")
+            numpy.array(result["seconds"][name][: int(day.seconds)])
+            for name in ("earned", "possible")
         )
         with numpy.errstate(invalid="ignore"):
             axes.plot(
@@ -176,26 +193,28 @@
     shade(axes, day)
     axes.set(ylabel="goodput by earnings", xlabel="seconds", ylim=(0, 1.05), xlim=(0, day.seconds))
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
-    return plots.done(figure)
+    return plots.embed(figure)
 
 
 def latencies(plots, results):
+    """Return a figure of the latency percentiles of served requests, one line per run."""
     figure, axes = plots.figure(height=2.6)
     for at, result in enumerate(results):
         axes.plot(
             PERCENTILES,
-            [result["load"]["served_ms"][p] for p in PERCENTILES],
+            [result["load"]["served_ms"][percentile] for percentile in PERCENTILES],
             marker="o",
             ms=4,
             color=LINES[at % len(LINES)],
             label=result["variant"],
         )
-    axes.set(ylabel="ms from intended sending", yscale="log")
+    axes.set(ylabel="ms from scheduled sending", yscale="log")
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
-    return plots.done(figure)
+    return plots.embed(figure)
 
 
 def amplification(plots, day, summary):
+    """Return a bar chart of the amplification of each variant by tier."""
     figure, axes = plots.figure(height=2.6)
     width = 0.8 / max(1, len(summary["variants"]))
     for at, row in enumerate(summary["variants"]):
@@ -209,65 +228,70 @@
         )
     axes.axhline(1, color="#444444", lw=0.8)
     axes.set(
-        ylabel="work received / first tries",
+        ylabel="attempts received / requests",
         xticks=numpy.arange(len(day.tiers)) + 0.4 - width / 2,
         xticklabels=[f"tier {tier}" for tier in range(len(day.tiers))],
     )
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
-    return plots.done(figure)
+    return plots.embed(figure)
 
 
-def sideways(plots, summary):
+def comparison(plots, summary):
+    """Return a figure of each variant's goodput difference from the first variant."""
     figure, axes = plots.figure(height=0.9 + 0.32 * len(summary["variants"]))
     rows = [row for row in summary["variants"] if row["against_first"]]
     for at, row in enumerate(rows):
-        told = row["against_first"]
-        axes.plot([told["low"], told["high"]], [at, at], color=LINES[0], lw=2)
-        axes.plot(told["difference"], at, "o", color=LINES[0], ms=5)
+        difference = row["against_first"]
+        axes.plot([difference["low"], difference["high"]], [at, at], color=LINES[0], lw=2)
+        axes.plot(difference["difference"], at, "o", color=LINES[0], ms=5)
     axes.axvline(0, color="#444444", lw=0.8)
     axes.set(
         yticks=range(len(rows)),
         yticklabels=[row["variant"] for row in rows],
         ylim=(-0.6, len(rows) - 0.4),
-        xlabel=f"goodput less that of {summary['variants'][0]['variant']}, 95% interval",
+        xlabel=f"goodput minus that of {summary['variants'][0]['variant']}, 95% interval",
     )
-    return plots.done(figure)
+    return plots.embed(figure)
+
 
+def logged_figures(plots, day, folder, result):
+    """Return figures of B and f and of the attempts in flight by upstream, for one run.
 
-def beliefs(plots, day, folder, result):
-    """B and f, and dispatches out by upstream, as the balancers' logs told them; empty where they told nothing."""
+    The values come from the balancers' logs. Returns "" if they logged none.
+    """
     path = folder / f"{result['variant']}-{result['seed']}"
     rows = [row for row in events.read(path) if isinstance(row, events.Sample)]
     if not rows:
         return ""
     figure, axes = plots.figure()
     for at, (tier, number) in enumerate(sorted({(row.tier, row.balancer) for row in rows})):
-        mine = [row for row in rows if (row.tier, row.balancer) == (tier, number)]
-        times = [(row.at - result["start"]) / 1e9 for row in mine]
+        samples = [row for row in rows if (row.tier, row.balancer) == (tier, number)]
+        times = [(row.at - result["start"]) / 1e9 for row in samples]
         colour = LINES[tier % len(LINES)]
-        alone = number == 0
+        is_labelled = number == 0  # one legend entry per tier
         axes.plot(
             times,
-            [row.b for row in mine],
+            [row.b for row in samples],
             color=colour,
             lw=1.1,
-            label=f"B, tier {tier}" if alone else None,
+            label=f"B, tier {tier}" if is_labelled else None,
         )
         axes.plot(
             times,
-            [row.f for row in mine],
+            [row.f for row in samples],
             color=colour,
             lw=1.1,
             ls=":",
-            label=f"f, tier {tier}" if alone else None,
+            label=f"f, tier {tier}" if is_labelled else None,
         )
     shade(axes, day)
     axes.set(ylabel="B, f", xlabel="seconds", xlim=(0, day.seconds))
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
-    first = plots.done(figure)
+    budget_figure = plots.embed(figure)
     figure, axes = plots.figure()
     for tier in range(len(day.tiers)):
-        # One line an upstream: what the tier's balancers together have out there, as they told it each second.
+        # One line per upstream: the attempts that all balancers of the tier have in flight there,
+        # as logged each second.
         sums = {}
         for row in rows:
             if row.tier == tier:
@@ -275,34 +299,39 @@
                 for number, out in enumerate(row.out):
                     sums[number, at] = sums.get((number, at), 0) + out
         for number in sorted({number for number, _ in sums}):
-            mine = sorted((at, out) for (which, at), out in sums.items() if which == number)
+            points = sorted((at, out) for (upstream, at), out in sums.items() if upstream == number)
             axes.plot(
-                [at for at, _ in mine],
-                [out for _, out in mine],
+                [at for at, _ in points],
+                [out for _, out in points],
                 lw=1,
                 alpha=0.8,
                 color=LINES[tier % len(LINES)],
                 label=None if number else f"tier {tier}, each upstream",
             )
     shade(axes, day)
-    axes.set(ylabel="dispatches out", xlabel="seconds", xlim=(0, day.seconds))
+    axes.set(ylabel="attempts in flight", xlabel="seconds", xlim=(0, day.seconds))
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
-    return first + plots.done(figure)
+    return budget_figure + plots.embed(figure)
 
 
 def page(folder, day, results, summary):
+    """Return the report as an HTML page, with figures of the first run of each variant."""
     plots = Plots()
     shown = [
-        next(r for r in results if r["variant"] == row["variant"] and r["seed"] in row["seeds"])
+        next(
+            result
+            for result in results
+            if result["variant"] == row["variant"] and result["seed"] in row["seeds"]
+        )
         for row in summary["variants"]
     ]
     head, rows = table(summary)
     cells = "".join(
         "<tr>" + "".join(f"<td>{html.escape(cell)}</td>" for cell in row) + "</tr>" for row in rows
     )
-    parts = [f"<h1>{html.escape(day.name)}</h1><p>{day.seconds:g} s a day. {SAID}"]
+    parts = [f"<h1>{html.escape(day.name)}</h1><p>{day.seconds:g} s per run. {SAID}"]
     if summary["interrupted"]:
-        parts.append(" <b>Interrupted: this is what had been played.</b>")
+        parts.append(" <b>Interrupted: this covers only what had been run.</b>")
     parts.append(
         "</p><table><tr>"
         + "".join(f"<th>{html.escape(name)}</th>" for name in head)
@@ -314,7 +343,7 @@
             parts += [
                 f"<h2>{html.escape(result['variant'])}: outcomes</h2>",
                 outcomes(plots, day, result),
-                beliefs(plots, day, Path(folder), result),
+                logged_figures(plots, day, Path(folder), result),
             ]
         parts += [
             "<h2>Latency of served answers</h2>",
@@ -323,7 +352,7 @@
             amplification(plots, day, summary),
         ]
         if len(summary["variants"]) > 1:
-            parts += ["<h2>Side by side</h2>", sideways(plots, summary)]
+            parts += ["<h2>Side by side</h2>", comparison(plots, summary)]
         for result in shown:
             for finding in result["findings"]:
                 parts.append(
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -1,4 +1,4 @@
-"""What the auditor counts over all balancers of a run."""
+"""Figures and findings of the auditor, over all balancers of a run."""
 
 import pytest
 
@@ -10,16 +10,16 @@
 
 
 def audit_rows(*rows):
-    """Return the auditor's report of these rows."""
+    """Return the auditor's report on these rows."""
     return audit.Auditor(make_experiment(), list(rows), 0).judge()
 
 
 def audit_figures(group, *rows):
-    """Return a group of figures, over these rows besides one served request."""
+    """Return one group of figures for these rows and one served request."""
     return audit_rows(make_request_row(), make_work_row(), *rows).figures[group]
 
 
-def test_row_recorded_twice_is_the_stand_ins_fault_and_no_second_execution():
+def test_row_recorded_twice_is_a_recording_fault_and_not_a_second_execution():
     findings = audit_rows(
         make_request_row(grade=1),
         make_work_row(grade=1),
@@ -31,7 +31,7 @@
     ]
 
 
-def test_sums_are_taken_over_all_balancers_and_health_check_waits_within_each():
+def test_totals_cover_all_balancers_and_health_check_waits_are_taken_within_each():
     health_checks = [
         events.Probe(0, 0, caller, (at * 1000 + caller * 50) * MILLISECOND)
         for caller in range(3)
@@ -43,34 +43,35 @@
         events.Asked(0, 1, MILLISECOND, False, False),
     ]
 
-    sums = audit_figures("sums", *health_checks, *connections, *polls)
+    totals = audit_figures("sums", *health_checks, *connections, *polls)
 
-    assert sums["probes_per_served"] == 15.0
-    assert sums["connections_per_served"] == 4.0
-    assert sums["asks_per_served"] == 2.0
-    assert sums["probe_waits"] == 12
-    assert sums["probe_wait_ms"] == 1000
-    assert sums["probe_wait_spread"] == 0.0
-    assert sums["asks_turned_away"] == 1
+    assert totals["probes_per_served"] == 15.0
+    assert totals["connections_per_served"] == 4.0
+    assert totals["asks_per_served"] == 2.0
+    assert totals["probe_waits"] == 12
+    assert totals["probe_wait_ms"] == 1000
+    assert totals["probe_wait_spread"] == 0.0
+    assert totals["asks_turned_away"] == 1
 
 
-def test_pause_between_two_spells_is_no_wait_between_two_health_checks():
+def test_pause_between_two_series_of_health_checks_is_not_counted_as_a_wait():
     health_checks = [events.Probe(0, 0, 0, at * MILLISECOND) for at in (0, 500, 2000, 9000, 10400)]
 
-    sums = audit_figures("sums", *health_checks)
+    totals = audit_figures("sums", *health_checks)
 
-    assert sums["probe_waits"] == 3
-    assert sums["probe_wait_spread"] > 0.3
+    assert totals["probe_waits"] == 3
+    assert totals["probe_wait_spread"] > 0.3
 
 
 def make_work_rows(upstream, *seconds):
+    """Return one attempt received by the upstream at each of these times."""
     return [
         make_work_row(at=int(at * 1000), identity=f"{upstream}-{at}", upstream=upstream)
         for at in seconds
     ]
 
 
-def test_attempts_in_slow_start_are_compared_with_those_at_other_upstreams():
+def test_attempts_after_a_cold_start_are_compared_with_those_at_warm_upstreams():
     cold = audit_rows(
         events.Happened(2 * SECOND, "crash", 0, 0),
         events.Happened(5 * SECOND, "up cold", 0, 0),
@@ -81,13 +82,13 @@
         *make_work_rows(3, 1, 2),
     ).figures["cold"]
 
-    # Two in the four seconds from its start, against the mean of five and three; the third other
-    # upstream is away itself.
+    # In the four seconds after its start upstream 0 gets two attempts, upstreams 1 and 2 get five
+    # and three. Upstream 3 has crashed itself and does not count as warm.
     assert cold == {"starts": 1, "sent": 2, "to_a_fellow": 4.0, "share": 0.5}
 
 
 @pytest.mark.parametrize(
-    "happened, shortest_ms",
+    "balancer_events, shortest_ms",
     [
         (
             [
@@ -102,9 +103,12 @@
         ([], None),
     ],
 )
-def test_shortest_shutdown_is_from_the_signal_to_the_end_of_the_same_balancer(
-    happened, shortest_ms
+def test_shortest_shutdown_lasts_from_the_signal_to_the_end_of_the_same_balancer(
+    balancer_events, shortest_ms
 ):
-    rows = [events.Happened(at * MILLISECOND, what, 0, who) for at, what, who in happened]
+    rows = [
+        events.Happened(at * MILLISECOND, what, 0, balancer)
+        for at, what, balancer in balancer_events
+    ]
 
     assert audit_figures("shortest_leave_ms", *rows) == shortest_ms
