--- a/pepperhook/lab/audit.py
+++ b/pepperhook/lab/audit.py
@@ -342,7 +342,8 @@
         ran = [work for work in works if work.began]
         if grade.effect == "deduplicated":
             # The same id may be sent again within its group and window, where upstreams deduplicate
-            # it by its key; check_repeats checks that. Here only different ids under one key count.
+            # it by its key; check_repeats checks that. Here only different ids under one key count,
+            # which upstreams outside of the group or window would run.
             ran = [
                 work
                 for at, work in enumerate(ran)
@@ -364,10 +365,10 @@
                 for attempt in self.attempts_by_key[key]
                 if attempt.sent < work.gone_at - CLOSE_DETECTION_NS // 3
             ]
-            reset = bisect_left(self.upstream_resets, work.gone_at - CLOSE_DETECTION_NS)
+            reset_index = bisect_left(self.upstream_resets, work.gone_at - CLOSE_DETECTION_NS)
             if (
-                reset < len(self.upstream_resets)
-                and self.upstream_resets[reset] <= work.gone_at + CLOSE_DETECTION_NS
+                reset_index < len(self.upstream_resets)
+                and self.upstream_resets[reset_index] <= work.gone_at + CLOSE_DETECTION_NS
             ):
                 continue
             if (
--- a/pepperhook/lab/events.py
+++ b/pepperhook/lab/events.py
@@ -3,7 +3,7 @@
 Each process writes its rows as JSON lines to a file of its own; the auditor reads all files of a
 run. All times are whole nanoseconds of the machine's monotonic clock, which its processes share, so
 rows of several processes can be ordered. Grades, customers and upstreams are numbered from 0 in the
-order of the experiment; tier 0 is the first behind the clients.
+order of the experiment; tier 0 is next to the clients.
 """
 
 from pathlib import Path
@@ -16,8 +16,8 @@
     """One attempt of a request by a client, or by an upstream that calls the next tier."""
 
     tier: int
-    # Number of the balancer that it went to; -1: none or unknown. On calls between tiers it is the
-    # number of the upstream that made the call.
+    # Number of the balancer that it went to; -1: none or unknown. Each upstream calls the next tier
+    # through a balancer of its own, which has the same number.
     caller: int
     id: str
     first: str  # id of the first attempt of the same request
@@ -27,7 +27,9 @@
     intended: int  # when it was scheduled to be sent
     sent: int
     ended: int  # 0: not until the end of the run
-    kind: str  # "answer", "lost", "gone", "unconnected", "open"
+    # How it ended: "answer" (of any status), "lost" (the connection ended without an answer),
+    # "gone" (the client gave up), "unconnected" (connect failed) or "open" (no answer in time).
+    kind: str
     status: int
     body: str  # body of the answer: nonce of the work that produced it, or ""
     limit: int  # time limit in nanoseconds
@@ -45,7 +47,10 @@
     first_byte: int  # arrival of its first byte
     came: int  # arrival of its last byte
     ended: int  # last byte of the answer, or end of the connection
-    outcome: str  # "served", "error", "turned away", "reset", "hung", "given up", "spoilt", "bad"
+    # How it ended: "served", "error" (status 500), "turned away" (status 503, not processed),
+    # "reset" (by the upstream or its death), "hung" (never answered), "given up" (its caller left),
+    # "spoilt" (malformed response) or "bad".
+    outcome: str
     began: int  # start of its work; 0: never started
     worked: int  # nanoseconds of work spent on it
     nonce: str  # unique text in the answer that identifies this work
