--- a/pepperhook/lab/audit.py
+++ b/pepperhook/lab/audit.py
@@ -1,7 +1,12 @@
 """Auditor of a run: checks the four rules and computes figures from the recorded event rows.
 
 It reads only what stand-ins and clients recorded, nothing that a balancer reports about itself.
-Every finding has a name, a count and examples.
+Every finding has a name, a count and examples. The rules are:
+
+1. Each request is answered once, in time, by an upstream that worked on it.
+2. Only what is safe to repeat runs more than once.
+3. A balancer sends nothing to an upstream that it knows to be draining or gone.
+4. No upstream that has just been started cold falls over under the work it is offered.
 
 A ``Try`` row is one attempt of a client (or of an upstream that calls the next tier); several
 attempts with the same ``first`` id belong to one request. A ``Work`` row is one attempt as an
@@ -19,15 +24,16 @@
 # An answer may arrive this long after its time limit: 50 ms for the platform, the rest for the
 # client to read it.
 LATE_ANSWER_TOLERANCE_NS = 60 * MS
-CLOSE_DETECTION_NS = 60 * MS  # within which a stand-in notices that a connection was closed
-# Added to the drain grace after the list was written, for the balancer to read the list and for an
-# attempt to arrive.
+CLOSE_DETECTION_NS = 60 * MS  # a stand-in notices within this time that a connection was closed
+# Added to the drain grace, which is the time for which attempts may still arrive after an upstream
+# was listed as draining: the balancer has to read the list, and an attempt has to arrive.
 TOLD_NS = 150 * MS
-# Around the death of a balancer or upstream, within which requests and attempts may be lost.
+# Requests and attempts may be lost this long before and after a balancer or upstream process died.
 DEATH_WINDOW_NS = 2 * S
-FATAL_FAULTS = ("crash", "cold", "replaced", "released")  # that end an upstream's process
-COLD_START_NS = 4 * S  # after a cold start, within which the attempts sent to it are counted
-ENTRY_RETRY_ALLOWANCE = 2  # retries that a request may cause down the chain from its entry
+FATAL_FAULTS = ("crash", "cold", "replaced", "released")  # faults that end an upstream's process
+COLD_START_NS = 4 * S  # attempts are counted for this long after an upstream's cold start
+RETRY_ALLOWANCE = 2  # retries that a client request may cause at all tiers
+CELLS = 3  # upstreams belong to cells by number modulo this, as the discovery stand-in lists them
 MAX_PROBE_GAP_NS = 3 * S  # health checks further apart belong to different series
 STAMPED_LATE = "first byte stamped late by a stand-in that stood still"
 WORST_WINDOW_S = 10
@@ -47,7 +53,7 @@
 
     findings: list[Finding]
     figures: dict
-    seconds: dict  # by second of the run: counts and earnings
+    seconds: dict  # series of counts and earnings by name, one value per second of the run
     excused: dict  # how often each accepted reason explained what would have been a finding
 
 
@@ -72,8 +78,8 @@
         """Index the rows.
 
         ``start`` is the start of the run in monotonic nanoseconds. Findings whose names are in
-        ``blind`` are not reported: an injected defect that tests whether a proof notices a failing
-        auditor.
+        ``blind`` are not reported. This injects a defect, to test that a scenario notices an
+        auditor that fails.
         """
         self.day, self.start, self.blind = day, start, blind
         self.examples, self.excused = defaultdict(list), Counter()
@@ -115,7 +121,7 @@
                 self.deaths["balancer", row.tier, row.who].append(row.at)
             elif row.on and row.what in FATAL_FAULTS or row.what == "fell over":
                 self.deaths["upstream", row.tier, row.who].append(row.at)
-        # Times at which an upstream itself resets its open connections.
+        # Times of the faults at whose start an upstream resets its open connections.
         self.upstream_resets = sorted(
             row.at
             for row in self.events
@@ -128,7 +134,7 @@
         for attempt in self.attempts:
             self.check_answer(attempt)
         for work in self.duplicate_works:
-            # A fault of the recording: counted as work, it would look like a second execution.
+            # A recording error of the stand-in. Counted as work, it would look like a second run.
             self.add_finding(
                 0,
                 "a stand-in wrote one dispatch twice",
@@ -162,6 +168,7 @@
         self.check_drains()
         for row in self.events:
             if row.what == "fell over":
+                # While it was still cold, the upstream was offered more work than it can stand.
                 self.add_finding(
                     4, "pushed over cold", f"upstream {row.tier}.{row.who}: {row.text}", row.at
                 )
@@ -186,14 +193,17 @@
 
     @staticmethod
     def is_near_death(begun, ended, deaths):
-        """Return whether a process died between two times, or within the window around them."""
-        at = bisect_left(deaths, begun - DEATH_WINDOW_NS)
-        return at < len(deaths) and deaths[at] <= (ended or begun) + DEATH_WINDOW_NS
+        """Return whether one of ``deaths`` is in the span or at most DEATH_WINDOW_NS outside.
+
+        ``deaths`` are sorted times. ``ended`` is 0 if the span has no end; then its begin counts.
+        """
+        index = bisect_left(deaths, begun - DEATH_WINDOW_NS)
+        return index < len(deaths) and deaths[index] <= (ended or begun) + DEATH_WINDOW_NS
 
     def lost_with_process(self, attempt):
         """Return whether the attempt's balancer was killed or the upstream that made it died.
 
-        The processes are matched by name, as in a large fleet some process dies all the time. A
+        The processes are matched by name: in a large fleet some process is always dying. A
         balancer that was asked to shut down still answers what it accepted, so that is no excuse.
         Where the balancer is unknown, every balancer of the tier counts.
         """
@@ -210,8 +220,8 @@
     # Rule 1: each request is answered once, in time, by an upstream that worked on it.
 
     def check_answer(self, attempt):
-        """Check that an attempt got one valid answer in time and was not rejected after running."""
-        where = f"{attempt.id} (tier {attempt.tier})"
+        """Check that an attempt got a valid answer in time, and none that rejects work that ran."""
+        label = f"{attempt.id} (tier {attempt.tier})"
         if attempt.kind in ("lost", "open"):
             if self.lost_with_process(attempt):
                 self.excused["lost with its balancer, or with the upstream whose call it was"] += 1
@@ -219,14 +229,14 @@
                 self.add_finding(
                     1,
                     "lost",
-                    f"{where}: {attempt.kind} {attempt.note}",
+                    f"{label}: {attempt.kind} {attempt.note}",
                     attempt.ended or attempt.sent,
                 )
         elif attempt.kind == "answer":
             if attempt.ended - attempt.sent > attempt.limit + LATE_ANSWER_TOLERANCE_NS:
-                late = (attempt.ended - attempt.sent - attempt.limit) / MS
+                late_ms = (attempt.ended - attempt.sent - attempt.limit) / MS
                 self.add_finding(
-                    1, "late", f"{where}: {late:.0f} ms past its time limit", attempt.ended
+                    1, "late", f"{label}: {late_ms:.0f} ms past its time limit", attempt.ended
                 )
             if attempt.status == 200:
                 candidates = self.works_by_id.get((attempt.tier, attempt.id), ()) or (
@@ -238,25 +248,26 @@
                     self.add_finding(
                         1,
                         "invented",
-                        f"{where}: no upstream produced {attempt.body[:60]!r} for it",
+                        f"{label}: no upstream produced {attempt.body[:60]!r} for it",
                         attempt.ended,
                     )
             elif attempt.status in (429, 503):
                 effect = self.effect(attempt.grade)
-                ran = [
+                executed = [
                     work
                     for work in self.works_by_id.get((attempt.tier, attempt.id), ())
                     if work.outcome != "turned away"
                 ]
-                if ran and self.is_near_death(
-                    ran[0].came,
+                if executed and self.is_near_death(
+                    executed[0].came,
                     attempt.ended,
-                    self.deaths.get(("balancer", attempt.tier, ran[0].caller), ()),
+                    self.deaths.get(("balancer", attempt.tier, executed[0].caller), ()),
                 ):
                     # The first balancer was killed, the client itself sent the request again, and
                     # another balancer rejected it.
                     self.excused["shed when sent again by a client whose balancer was killed"] += 1
-                elif ran and (
+                # With group "all" every upstream deduplicates by the key, so a repeat is safe.
+                elif executed and (
                     effect == "at_most_once"
                     or effect == "deduplicated"
                     and self.day.grades[attempt.grade].group != "all"
@@ -264,7 +275,7 @@
                     self.add_finding(
                         2,
                         "shed what may have run",
-                        f"{where}: {ran[0].outcome} at {ran[0].upstream}",
+                        f"{label}: {executed[0].outcome} at {executed[0].upstream}",
                         attempt.ended,
                     )
 
@@ -275,12 +286,17 @@
     # Rule 2: only what is safe to repeat runs more than once.
 
     def check_repeats(self, tier, request_id, works):
-        """Check the attempts that reached upstreams under one id, sorted by arrival."""
+        """Check that the attempts under one id ran again only where their service class allows it.
+
+        They must not overlap either, unless parallel attempts are permitted. ``works`` are sorted
+        by arrival.
+        """
         if len(works) < 2:
             return
         grade = self.day.grades[works[0].grade]
-        first_run, parallel = None, self.day.permissions.get("parallelTries", False)
-        # Also if the upstream had answered: its answer may have been lost with the balancer.
+        first_run, parallel_permitted = None, self.day.permissions.get("parallelTries", False)
+        # Whether the balancer was killed between the first two attempts. That excuses the second
+        # even if the upstream had answered: the answer may have been lost with the balancer.
         killed_between = any(
             row.what == "balancer killed"
             and (row.tier, row.who) == (tier, works[0].caller)
@@ -298,7 +314,7 @@
             self.excused["sent again by a client whose balancer was killed"] += 1
             return
         for previous, work in zip([None, *works], works):
-            where = f"{request_id} (tier {tier}, {grade.effect})"
+            label = f"{request_id} (tier {tier}, {grade.effect})"
             # If the stand-in ended the attempt itself, its time is exact. Otherwise the stand-in
             # first had to notice that the connection was closed.
             slack = (
@@ -306,50 +322,61 @@
                 if previous is not None and previous.outcome in ("served", "error", "turned away")
                 else CLOSE_DETECTION_NS
             )
-            if previous is not None and not parallel and work.came < previous.ended - slack:
+            if (
+                previous is not None
+                and not parallel_permitted
+                and work.came < previous.ended - slack
+            ):
                 self.add_finding(
-                    2, "overlap", f"{where}: at {previous.upstream} and {work.upstream}", work.came
+                    2, "overlap", f"{label}: at {previous.upstream} and {work.upstream}", work.came
                 )
             if first_run is not None and grade.effect == "at_most_once":
                 self.add_finding(
                     2,
                     "ran twice",
-                    f"{where}: {first_run.outcome} at {first_run.upstream}, "
+                    f"{label}: {first_run.outcome} at {first_run.upstream}, "
                     f"again at {work.upstream}",
                     work.came,
                 )
             elif first_run is not None and grade.effect == "deduplicated":
                 if work.came > first_run.came + grade.key_ttl_ms * MS + CLOSE_DETECTION_NS:
-                    late = (work.came - first_run.came) / MS
+                    late_ms = (work.came - first_run.came) / MS
                     self.add_finding(
-                        2, "repeated outside its window", f"{where}: after {late:.0f} ms", work.came
+                        2,
+                        "repeated outside its window",
+                        f"{label}: after {late_ms:.0f} ms",
+                        work.came,
                     )
-                if grade.group == "cell" and work.upstream % 3 != first_run.upstream % 3:
+                if grade.group == "cell" and work.upstream % CELLS != first_run.upstream % CELLS:
                     self.add_finding(
                         2,
                         "repeated outside its group",
-                        f"{where}: {first_run.upstream}, {work.upstream}",
+                        f"{label}: {first_run.upstream}, {work.upstream}",
                         work.came,
                     )
             if work.outcome != "turned away" and first_run is None:
                 first_run = work
 
     def check_key(self, key, works):
-        """Check what upstreams ran for one idempotency key, under whatever request ids."""
+        """Check the executions for one idempotency key, over all request ids that used it.
+
+        Also check that no balancer cancelled work while another request with the key was waiting
+        for its answer.
+        """
         grade = self.day.grades[works[0].grade]
         if grade.effect == "idempotent":
             return
-        ran = [work for work in works if work.began]
+        executed = [work for work in works if work.began]
         if grade.effect == "deduplicated":
             # The same id may be sent again within its group and window, where upstreams deduplicate
             # it by its key; check_repeats checks that. Here only different ids under one key count,
             # which upstreams outside of the group or window would run.
-            ran = [
+            executed = [
                 work
-                for at, work in enumerate(ran)
-                if work.id not in {earlier.id for earlier in ran[:at]}
+                for index, work in enumerate(executed)
+                if work.id not in {earlier.id for earlier in executed[:index]}
             ]
-        for previous, work in zip(ran, ran[1:]):
+        for previous, work in zip(executed, executed[1:]):
             if grade.effect == "at_most_once" or work.came < previous.came + grade.key_ttl_ms * MS:
                 self.add_finding(
                     2,
@@ -358,19 +385,20 @@
                     f"{(work.came - previous.came) / MS:.0f} ms later {work.id} at {work.upstream}",
                     work.came,
                 )
-        for work in ran:
-            # At the time limit of the earliest client attempt the balancer cancels in any case.
+        for work in executed:
             attempts = [
                 attempt
                 for attempt in self.attempts_by_key[key]
                 if attempt.sent < work.gone_at - CLOSE_DETECTION_NS // 3
             ]
+            # An upstream that resets its connections ends the work itself; that is no cancellation.
             reset_index = bisect_left(self.upstream_resets, work.gone_at - CLOSE_DETECTION_NS)
             if (
                 reset_index < len(self.upstream_resets)
                 and self.upstream_resets[reset_index] <= work.gone_at + CLOSE_DETECTION_NS
             ):
                 continue
+            # At the time limit of the earliest client attempt the balancer cancels in any case.
             if (
                 work.gone_at
                 and work.outcome != "reset"
@@ -396,11 +424,10 @@
     # Rule 3: a balancer sends nothing to an upstream that it knows to be draining or gone.
 
     def check_drains(self):
-        """Check each attempt against the list that its balancer had when it began to arrive.
+        """Check each attempt against the list its balancer had when the first byte arrived.
 
-        A stand-in whose event loop stalled records an arrival later than it was. So that a balancer
-        is not blamed for that, an attempt is allowed if it was allowed at any time at which it can
-        have arrived.
+        A stand-in whose event loop stalled records arrivals too late, which is not the balancer's
+        fault. So an attempt is allowed if it was allowed at any time at which it may have arrived.
         """
         entries = defaultdict(list)
         for row in sorted(self.list_entries, key=lambda row: row.at):
@@ -429,7 +456,9 @@
     # Figures.
 
     def requests(self):
-        """Return each client request as a pair: its first attempt, and when it was served or None.
+        """Return each client request as a pair: its first attempt, and its ``served_at`` or None.
+
+        ``served_at`` is when the first served answer of any of its attempts arrived.
 
         A request whose first attempt was not recorded is left out.
         """
@@ -446,16 +475,20 @@
                 and (request[1] is None or attempt.ended < request[1])
             ):
                 request[1] = attempt.ended
-        return [(first, served) for first, served in requests.values() if first is not None]
+        return [(first, served_at) for first, served_at in requests.values() if first is not None]
+
+    def earned(self, first, served_at):
+        """Return the earnings of a request, from its first attempt and the time it was served.
 
-    def earned(self, first, served):
-        """Return the earnings of a request, from its first attempt and when it was served."""
+        They are the earnings of its service class within the latency objective (without one, the
+        time limit), the late earnings after it, and 0 if the request was not served.
+        """
         grade = self.day.grades[first.grade]
-        if served is None:
+        if served_at is None:
             return 0.0
         return (
             grade.earnings
-            if served - first.intended <= (grade.goal_ms or grade.time_limit_ms) * MS
+            if served_at - first.intended <= (grade.goal_ms or grade.time_limit_ms) * MS
             else grade.late_earnings
         )
 
@@ -471,12 +504,13 @@
             "wishes": len(requests),
             "tries": len(entry_attempts),
             "goodput": ratio(earned, possible),
-            "served": ratio(sum(served is not None for _, served in requests), len(requests)),
+            "served": ratio(sum(served_at is not None for _, served_at in requests), len(requests)),
             **{
                 name: ratio(outcomes[name], len(entry_attempts))
                 for name in ("shed", "failed", "gone", "lost")
             },
         }
+        # The calls that one client request causes at a tier, without retries.
         calls, amplification = 1, {}
         for number, tier in enumerate(self.day.tiers):
             amplification[str(number)] = ratio(received[number], len(requests) * calls)
@@ -491,49 +525,50 @@
             for work in self.works
         )
         outlived = self.outlived_ns()
-        figures["tries_grew"] = self.count_grown_retry_allowances()
+        figures["tries_grew"] = self.count_exceeded_retry_allowances()
+        # Attempts received at tier 0 for one client attempt, including calls that lead back there.
         visits = Counter(work.id.partition("-")[0] for work in self.works if not work.tier)
         figures["most_visits"] = max(visits.values(), default=0)
         figures["outlived"], figures["outlived_s"] = len(outlived), round(sum(outlived) / S, 2)
         if self.has_duplicates:
             figures["keys"] = self.key_figures()
-        figures["sums"] = self.overhead(sum(served is not None for _, served in requests))
+        figures["sums"] = self.overhead(sum(served_at is not None for _, served_at in requests))
         figures["cold"] = self.cold_starts()
         figures["shortest_leave_ms"] = self.shortest_shutdown_ms()
         figures["worst_ten_seconds"] = self.worst_window_goodput()
-        for key, count in ("customer", len(self.day.customers)), ("grade", len(self.day.grades)):
-            rows = getattr(self.day, key + "s")
+        for field, count in ("customer", len(self.day.customers)), ("grade", len(self.day.grades)):
+            definitions = getattr(self.day, field + "s")
             goodputs = {}
-            for at in range(count):
-                group = [request for request in requests if getattr(request[0], key) == at]
-                if group:
-                    goodputs[rows[at].name] = ratio(
-                        sum(self.earned(*request) for request in group),
-                        sum(self.day.grades[request[0].grade].earnings for request in group),
+            for index in range(count):
+                members = [request for request in requests if getattr(request[0], field) == index]
+                if members:
+                    goodputs[definitions[index].name] = ratio(
+                        sum(self.earned(*request) for request in members),
+                        sum(self.day.grades[request[0].grade].earnings for request in members),
                     )
-            figures[f"goodput_by_{key}"] = goodputs
-            figures[f"worst_{key}"] = (
+            figures[f"goodput_by_{field}"] = goodputs
+            figures[f"worst_{field}"] = (
                 min(goodputs.items(), key=lambda item: item[1]) if goodputs else None
             )
         return figures
 
-    def overhead(self, served):
-        """Return health checks, connections and list polls of all balancers, per served request.
+    def overhead(self, served_count):
+        """Return health checks, connections and list polls of all balancers, total and per request.
 
-        Also returns the mean and the relative spread of the waits between two health checks of one
-        balancer to one upstream. A spread of 0 means that the waits have no jitter, so that the
-        health checks of all balancers coincide.
+        Only served requests count. Also returns the mean and the coefficient of variation of the
+        intervals between two health checks of one balancer to one upstream. A coefficient of 0
+        means no jitter: health checks of several balancers that once coincide always will.
         """
-        last, waits = {}, []
+        last_check_at, intervals = {}, []
         for row in sorted(self.probes, key=lambda row: row.at):
-            pair = row.tier, row.upstream, row.caller
-            if pair in last and row.at - last[pair] < MAX_PROBE_GAP_NS:
-                waits.append(row.at - last[pair])
-            last[pair] = row.at
-        mean = sum(waits) / len(waits) if waits else 0
+            path = row.tier, row.upstream, row.caller
+            if path in last_check_at and row.at - last_check_at[path] < MAX_PROBE_GAP_NS:
+                intervals.append(row.at - last_check_at[path])
+            last_check_at[path] = row.at
+        mean = sum(intervals) / len(intervals) if intervals else 0
         spread = (
-            (sum((wait - mean) ** 2 for wait in waits) / len(waits)) ** 0.5 / mean
-            if waits
+            (sum((interval - mean) ** 2 for interval in intervals) / len(intervals)) ** 0.5 / mean
+            if intervals
             else None
         )
         return {
@@ -541,10 +576,10 @@
             "connections": len(self.connections),
             "asks": len(self.polls),
             "asks_turned_away": sum(not row.answered for row in self.polls),
-            "probes_per_served": ratio(len(self.probes), served),
-            "connections_per_served": ratio(len(self.connections), served),
-            "asks_per_served": ratio(len(self.polls), served),
-            "probe_waits": len(waits),
+            "probes_per_served": ratio(len(self.probes), served_count),
+            "connections_per_served": ratio(len(self.connections), served_count),
+            "asks_per_served": ratio(len(self.polls), served_count),
+            "probe_waits": len(intervals),
             "probe_wait_ms": round(mean / MS),
             "probe_wait_spread": spread and round(spread, 3),
         }
@@ -567,19 +602,21 @@
         """Compare the attempts sent to cold-started upstreams with those sent to warm ones.
 
         The count covers the first seconds after each cold start. It is compared with the mean, in
-        the same span, of the tier's upstreams that had not been down until then.
+        the same span, of the tier's upstreams that had never been down before its end.
         """
         arrivals, first_down = defaultdict(list), defaultdict(lambda: float("inf"))
         for work in sorted(self.works, key=lambda work: work.first_byte):
             arrivals[work.tier, work.upstream].append(work.first_byte)
         starts = [row for row in self.events if row.what == "up cold"]
-        for name, at in [((row.tier, row.who), row.at) for row in starts] + [
-            (name[1:], times[0]) for name, times in self.deaths.items() if name[0] == "upstream"
+        for upstream, at in [((row.tier, row.who), row.at) for row in starts] + [
+            (process[1:], times[0])
+            for process, times in self.deaths.items()
+            if process[0] == "upstream"
         ]:
-            first_down[name] = min(first_down[name], at)
+            first_down[upstream] = min(first_down[upstream], at)
 
-        def count_between(name, begin, end):
-            times = arrivals.get(name, ())
+        def count_between(upstream, begin, end):
+            times = arrivals.get(upstream, ())
             return bisect_left(times, end) - bisect_left(times, begin)
 
         sent, sent_to_warm = 0, 0.0
@@ -588,10 +625,14 @@
                 [row.at + COLD_START_NS]
                 + [at for at in self.deaths.get(("upstream", row.tier, row.who), ()) if at > row.at]
             )
-            warm = [name for name in arrivals if name[0] == row.tier and first_down[name] > until]
+            warm = [
+                other for other in arrivals if other[0] == row.tier and first_down[other] > until
+            ]
             if warm:
                 sent += count_between((row.tier, row.who), row.at, until)
-                sent_to_warm += sum(count_between(name, row.at, until) for name in warm) / len(warm)
+                sent_to_warm += sum(count_between(other, row.at, until) for other in warm) / len(
+                    warm
+                )
         return {
             "starts": len(starts),
             "sent": sent,
@@ -600,13 +641,16 @@
         }
 
     def key_figures(self):
-        """Count how often keys with an effect were sent and ran, and how they were answered."""
+        """Count attempts, executions and answers of idempotency keys.
+
+        Keys of idempotent service classes are left out.
+        """
         counts = Counter()
         for key, attempts in self.attempts_by_key.items():
             if self.effect(attempts[0].grade) == "idempotent":
                 continue
             runs = sum(work.began > 0 for work in self.works_by_key.get(key, ()))
-            served = sum(outcome(attempt) == "served" for attempt in attempts)
+            served_answers = sum(outcome(attempt) == "served" for attempt in attempts)
             counts.update(
                 {
                     "keys": 1,
@@ -614,21 +658,21 @@
                     "duplicated": len(attempts) > 1,
                     "runs": runs,
                     "ran_once": runs == 1,
-                    "answered_again": max(0, served - 1),
+                    "answered_again": max(0, served_answers - 1),
                     "shed_tries": sum(outcome(attempt) == "shed" for attempt in attempts),
                     "failed_tries": sum(outcome(attempt) == "failed" for attempt in attempts),
-                    "keys_served": served > 0,
+                    "keys_served": served_answers > 0,
                     "keys_only_shed": all(outcome(attempt) == "shed" for attempt in attempts),
                 }
             )
         return dict(counts)
 
-    def count_grown_retry_allowances(self):
-        """Count where the retry allowance grew on its way down the chain.
+    def count_exceeded_retry_allowances(self):
+        """Count attempts and calls whose retries exceed the allowance of the attempt behind them.
 
-        These are attempts that carried more remaining retries than the attempt that caused their
-        call had, and calls that were retried more often than that. A call is named after the
-        attempt that made it: the id, "-", the number of the attempt and a letter.
+        An attempt exceeds it by the remaining retries that it carries, a call by the number of its
+        retries. The id of a call is the id of the attempt that made it, "-", the number of that
+        attempt and a letter.
         """
         count = 0
         for (tier, request_id), works in self.works_by_id.items():
@@ -636,22 +680,22 @@
             parents = self.works_by_id.get((tier - 1, parent_id), ())
             number = int(call[:-1]) if call[:-1].isdigit() else 0
             if not tier and not parent_id:
-                # An attempt at the entry has no parent. It is compared with the allowance of each
-                # request that enters, which is the same at all tiers and so grows nowhere.
-                allowance = ENTRY_RETRY_ALLOWANCE
+                # A client request has no parent. Its allowance is fixed and the same at all tiers.
+                allowance = RETRY_ALLOWANCE
             elif 0 < number <= len(parents) and parents[number - 1].tries >= 0:
                 allowance = parents[number - 1].tries
             else:
                 continue
             count += sum(work.tries > allowance for work in works)
+            # Only counts where the attempts carry a request context header (tries >= 0).
             count += len(works) - 1 > allowance and works[0].tries >= 0
         return count
 
     def outlived_ns(self):
-        """Return how long each attempt, at any tier, went on after its client at the entry left.
+        """Return by how long attempts, at any tier, outlasted the client attempt that caused them.
 
-        The client left when it had its answer or gave up. An attempt belongs to the client request
-        whose id its own id begins with. Attempts that ended in time are left out.
+        The id of an attempt begins with the id of that client attempt. Attempts that went on for no
+        longer than CLOSE_DETECTION_NS are left out.
         """
         ends = {
             attempt.id: attempt.ended
@@ -663,42 +707,42 @@
             end = ends.get(work.id.partition("-")[0])
             if (
                 end is not None
-                and (over := max(work.ended, work.work_ended) - end) > CLOSE_DETECTION_NS
+                and (overrun := max(work.ended, work.work_ended) - end) > CLOSE_DETECTION_NS
             ):
-                spans.append(over)
+                spans.append(overrun)
         return spans
 
     def by_second(self):
         """Return earnings, outcomes and attempts received per tier, by second of the run."""
         count = int(self.day.seconds) + 1
-        rows = {
+        series = {
             name: [0.0] * count
             for name in ("earned", "possible", "served", "shed", "failed", "gone", "lost")
         }
-        for first, served in self.requests():
-            at = min(count - 1, max(0, (first.intended - self.start) // S))
-            rows["earned"][at] += self.earned(first, served)
-            rows["possible"][at] += self.day.grades[first.grade].earnings
+        for first, served_at in self.requests():
+            second = min(count - 1, max(0, (first.intended - self.start) // S))
+            series["earned"][second] += self.earned(first, served_at)
+            series["possible"][second] += self.day.grades[first.grade].earnings
         for attempt in self.attempts:
             if not attempt.tier:
-                rows[outcome(attempt)][
+                series[outcome(attempt)][
                     min(count - 1, max(0, (attempt.intended - self.start) // S))
                 ] += 1
         for tier in range(len(self.day.tiers)):
-            rows[f"dispatches_{tier}"] = [0] * count
+            series[f"dispatches_{tier}"] = [0] * count
         for work in self.works:
-            rows[f"dispatches_{work.tier}"][
+            series[f"dispatches_{work.tier}"][
                 min(count - 1, max(0, (work.came - self.start) // S))
             ] += 1
-        return rows
+        return series
 
     def worst_window_goodput(self):
         """Return the lowest goodput of any window of the run; None without any request."""
-        rows, worst = self.by_second(), None
-        for at in range(max(1, int(self.day.seconds) - WORST_WINDOW_S + 1)):
-            possible = sum(rows["possible"][at : at + WORST_WINDOW_S])
+        series, worst = self.by_second(), None
+        for second in range(max(1, int(self.day.seconds) - WORST_WINDOW_S + 1)):
+            possible = sum(series["possible"][second : second + WORST_WINDOW_S])
             if possible:
-                share = sum(rows["earned"][at : at + WORST_WINDOW_S]) / possible
+                share = sum(series["earned"][second : second + WORST_WINDOW_S]) / possible
                 worst = share if worst is None else min(worst, share)
         return None if worst is None else round(worst, 4)
 
--- a/pepperhook/lab/endpoint_audit.py
+++ b/pepperhook/lab/endpoint_audit.py
@@ -1,8 +1,8 @@
 """Audit of a fleet whose discovery service is overloaded, from the event rows of its stand-ins.
 
 The general auditor (``audit``) checks rule 3 against the list that was written to a balancer. Here
-a change counts as notified a fixed time after the discovery service had it, whether or not the
-balancer's polls succeeded.
+a balancer is assumed to know a change a fixed time after the discovery service had it, whether or
+not its polls succeeded.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LateSend:
-    """One attempt that arrived after its upstream's draining or end counted as notified."""
+    """One attempt that reached a draining or removed upstream later than rule 3 allows."""
 
     request: str
     balancer: int
@@ -47,34 +47,33 @@
     def __init__(self, rows: Iterable[events.Event]) -> None:
         """Group the rows by type, and by process where a check needs it."""
         self.works: list[events.Work] = []
+        # Polls and watches.
         self.polls: list[events.Asked] = []
         self.list_entries: list[events.Told] = []
         self.changes: dict[ProcessId, list[Change]] = defaultdict(list)
-        self.confirmed: dict[ProcessId, list[tuple[int, int]]] = defaultdict(list)
+        # Spans in which the service confirmed a balancer's list, by balancer: while it held a
+        # watch, or at the moment of an answer.
+        self.confirmed_spans: dict[ProcessId, list[tuple[int, int]]] = defaultdict(list)
         rows = list(rows)
         self.stalls = Stalls(rows)
         for row in rows:
             self._add(row)
-        for spans in self.confirmed.values():
+        for spans in self.confirmed_spans.values():
             spans.sort()
 
     def _add(self, row: events.Event) -> None:
-        """Store one row.
-
-        ``confirmed`` gets the spans in which the service confirmed a balancer's list: while it held
-        a watch, or at the moment of an answer.
-        """
+        """Store one row where the checks look for it."""
         match row:
             case events.Work():
                 self.works.append(row)
             case events.Told():
                 self.list_entries.append(row)
             case events.Held():
-                self.confirmed[row.tier, row.caller].append((row.came, row.ended))
+                self.confirmed_spans[row.tier, row.caller].append((row.came, row.ended))
             case events.Asked():
                 self.polls.append(row)
                 if row.answered:
-                    self.confirmed[row.tier, row.caller].append((row.at, row.at))
+                    self.confirmed_spans[row.tier, row.caller].append((row.at, row.at))
             case events.Happened() if row.what.startswith(LISTED):
                 change = Change(row.at, row.what.removeprefix(LISTED))
                 self.changes[row.tier, row.who].append(change)
@@ -82,14 +81,15 @@
     def late_sends(
         self, reachable_from: int, notified_after_ns: int, grace_ns: int
     ) -> list[LateSend]:
-        """Return the attempts that broke rule 3.
+        """Return the attempts that reached upstreams too late after these stopped being ready.
 
-        A change counts as notified ``notified_after_ns`` after the service had it and could be
-        reached (from ``reachable_from`` on); the grace begins then.
+        This is rule 3. A balancer is assumed to know a change ``notified_after_ns`` after the
+        service had it and could be reached (from ``reachable_from`` on); the drain grace
+        ``grace_ns`` begins then.
         """
         late = []
         for work in self.works:
-            change = self._state_at(work)
+            change = self._latest_change(work)
             if change is None or change.state == READY:
                 continue
             allowed_until = max(change.at, reachable_from) + notified_after_ns + grace_ns
@@ -99,7 +99,7 @@
                 late.append(LateSend(work.id, work.caller, work.upstream, late_ns))
         return late
 
-    def _state_at(self, work: events.Work) -> Change | None:
+    def _latest_change(self, work: events.Work) -> Change | None:
         """Return the latest change of the upstream's state before the attempt arrived, if any."""
         changes = [
             change
@@ -118,29 +118,32 @@
         for work in self.works:
             if work.first_byte < since:
                 continue
-            spans = self.confirmed[work.tier, work.caller]
-            started = bisect_right(spans, work.first_byte, key=lambda span: span[0])
-            last = max((ended for _, ended in spans[:started]), default=None)
-            if last is not None:
-                ages.append(max(0, work.first_byte - last))
+            spans = self.confirmed_spans[work.tier, work.caller]
+            started_count = bisect_right(spans, work.first_byte, key=lambda span: span[0])
+            confirmed_until = max((ended for _, ended in spans[:started_count]), default=None)
+            if confirmed_until is not None:
+                ages.append(max(0, work.first_byte - confirmed_until))
         return sorted(ages)
 
     def calls_by_second(self, since: int) -> Counter[int]:
-        """Count the polls that reached the service in each second from ``since`` on."""
+        """Count the polls and watches that reached the service in each second from ``since`` on."""
         return Counter(
             (poll.reached_at - since) // SECOND for poll in self.polls if poll.reached_at >= since
         )
 
     def notified_at(self, since: int, balancers: int) -> dict[int, int]:
-        """Return when each balancer of the first tier got its first list after ``since``."""
-        first: dict[int, int] = {}
+        """Return when each balancer of the first tier got its first list after ``since``.
+
+        Balancers numbered ``balancers`` or higher are left out.
+        """
+        first_at: dict[int, int] = {}
         for poll in self.polls:
             if not poll.tier and poll.answered and poll.reached_at >= since:
-                first[poll.caller] = min(poll.at, first.get(poll.caller, poll.at))
-        return {caller: at for caller, at in first.items() if caller < balancers}
+                first_at[poll.caller] = min(poll.at, first_at.get(poll.caller, poll.at))
+        return {caller: at for caller, at in first_at.items() if caller < balancers}
 
     def refused_share(self, spans: Sequence[tuple[int, int]]) -> tuple[int, int]:
-        """Return the number of polls that ended within the spans, and of those answered with 503.
+        """Return two counts: polls and watches that ended within the spans, and those with 503.
 
         Polls that did not reach the service are left out.
         """
--- a/pepperhook/lab/events.py
+++ b/pepperhook/lab/events.py
@@ -2,8 +2,8 @@
 
 Each process writes its rows as JSON lines to a file of its own; the auditor reads all files of a
 run. All times are whole nanoseconds of the machine's monotonic clock, which its processes share, so
-rows of several processes can be ordered. Grades, customers and upstreams are numbered from 0 in the
-order of the experiment; tier 0 is next to the clients.
+rows of several processes can be ordered. Service classes (``grade``), tenants (``customer``) and
+upstreams are numbered from 0 in the order of the experiment; tier 0 is next to the clients.
 """
 
 from pathlib import Path
@@ -48,8 +48,8 @@
     came: int  # arrival of its last byte
     ended: int  # last byte of the answer, or end of the connection
     # How it ended: "served", "error" (status 500), "turned away" (status 503, not processed),
-    # "reset" (by the upstream or its death), "hung" (never answered), "given up" (its caller left),
-    # "spoilt" (malformed response) or "bad".
+    # "reset" (by the upstream or its death), "hung" (never answered), "given up" (its caller left)
+    # or "spoilt" (malformed response).
     outcome: str
     began: int  # start of its work; 0: never started
     worked: int  # nanoseconds of work spent on it
@@ -77,8 +77,8 @@
     at: int  # when the service answered or refused it
     watch: bool
     answered: bool  # with a list
-    reached_at: int = 0  # when the service could start on it; 0: the service was unreachable
-    status: int = 0
+    reached_at: int = 0  # when the service began to process it; 0: the service was unreachable
+    status: int = 0  # of the HTTP response; 0: none recorded
 
 
 class Held(Struct, array_like=True, tag="held"):
@@ -120,7 +120,7 @@
 
 
 class Extra(Struct, array_like=True, tag="extra"):
-    """Bytes of a balancer that belong to no answer: none was awaited, or it was complete."""
+    """Unexpected bytes from a balancer: no request was pending, or its answer was complete."""
 
     tier: int
     at: int
@@ -141,7 +141,7 @@
 
 
 class Stall(Struct, array_like=True, tag="stall"):
-    """A stall of a stand-in's event loop; rows of that time have later time stamps than is true."""
+    """A stall of a stand-in's event loop. Arrivals during it are time-stamped too late."""
 
     process: str
     at: int  # end of the stall
@@ -151,8 +151,14 @@
 Event = Try | Work | Told | Asked | Held | Probe | Connected | Happened | Extra | Sample | Stall
 
 
+BUFFERED_ROWS = 2000  # a book writes them out when it has so many
+
+
 class Book:
-    """Writes the rows of one process; the reader drops a last row that a killed process cut off."""
+    """Writes the rows of one process.
+
+    A killed process may leave an incomplete last line, which ``read`` ignores.
+    """
 
     def __init__(self, path):
         """Open the file for appending."""
@@ -161,7 +167,7 @@
     def add(self, row):
         """Buffer a row; write the buffer out when it is full."""
         self.rows.append(row)
-        if len(self.rows) >= 2000:
+        if len(self.rows) >= BUFFERED_ROWS:
             self.flush()
 
     def flush(self):
@@ -178,7 +184,7 @@
 
 
 def read(folder: Path) -> list[Event]:
-    """Return the rows of all processes in the folder of a run."""
+    """Return the rows of all processes in the folder of a run, without incomplete last lines."""
     decoder, rows = msgspec.json.Decoder(Event), []
     for path in sorted(Path(folder).glob("*.rows")):
         with open(path, "rb") as file:
--- a/pepperhook/lab/report.py
+++ b/pepperhook/lab/report.py
@@ -1,6 +1,6 @@
 """Reports of an experiment: a self-contained HTML page, Markdown and JSON.
 
-All figures come from stand-ins on one machine's loopback, and each report says so.
+All figures were measured with stand-ins over the loopback of one machine; each report says so.
 """
 
 import base64
@@ -30,7 +30,10 @@
 
 
 def write(folder, day, results, summary):
-    """Write the reports of an experiment into its folder, in all three formats."""
+    """Write the reports of an experiment into its folder, in all three formats.
+
+    ``results`` are the results of its runs, and ``summary`` is their summary by ``matrix``.
+    """
     folder = Path(folder)
     store(folder / "report.json", json.dumps(summary, indent=1).encode())
     store(folder / "report.md", markdown(day, summary).encode())
@@ -39,7 +42,7 @@
 
 def table(summary):
     """Return the column names and the rows of the table of variants."""
-    head = [
+    column_names = [
         "variant",
         "runs",
         "goodput",
@@ -73,25 +76,25 @@
                 ", ".join(f"{name} {count}" for name, count in row["findings"].items()) or "none",
             ]
         )
-    return head, rows
+    return column_names, rows
 
 
 def markdown(day, summary):
     """Return the report as Markdown."""
-    head, rows = table(summary)
+    column_names, rows = table(summary)
     lines = [
         f"# {day.name}",
         "",
         f"{day.seconds:g} s per run. {SAID}",
         "",
-        "| " + " | ".join(head) + " |",
-        "| " + " | ".join("---" for _ in head) + " |",
+        "| " + " | ".join(column_names) + " |",
+        "| " + " | ".join("---" for _ in column_names) + " |",
     ]
     lines += ["| " + " | ".join(row) + " |" for row in rows]
     if summary["void"]:
         lines += [
             "",
-            f"Void because the load generator itself was late: {'; '.join(summary['void'])}.",
+            f"Void runs, left out of the figures as the load generator itself was late: {'; '.join(summary['void'])}.",
         ]
     if summary["interrupted"]:
         lines += ["", "Interrupted: this covers only what had been run."]
@@ -125,7 +128,7 @@
         return f'<img alt="" src="data:image/svg+xml;base64,{base64.b64encode(svg.getvalue()).decode()}">'
 
 
-def shade(axes, day):
+def mark_faults_and_load_changes(axes, day):
     """Mark faults and changes of load as bands, each with its name above it."""
     for trouble in day.troubles:
         axes.axvspan(
@@ -169,16 +172,16 @@
         labels=OUTCOMES,
         step="post",
     )
-    shade(axes, day)
+    mark_faults_and_load_changes(axes, day)
     axes.set(ylabel="client attempts per second", xlabel="seconds", xlim=(0, day.seconds))
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
     return plots.embed(figure)
 
 
 def goodput(plots, day, results):
-    """Return a figure of the goodput over time, one line per run."""
+    """Return a figure of the goodput over time, one line per variant."""
     figure, axes = plots.figure()
-    for at, result in enumerate(results):
+    for index, result in enumerate(results):
         earned, possible = (
             numpy.array(result["seconds"][name][: int(day.seconds)])
             for name in ("earned", "possible")
@@ -186,26 +189,26 @@
         with numpy.errstate(invalid="ignore"):
             axes.plot(
                 earned / numpy.where(possible, possible, numpy.nan),
-                color=LINES[at % len(LINES)],
+                color=LINES[index % len(LINES)],
                 lw=1.3,
                 label=result["variant"],
             )
-    shade(axes, day)
+    mark_faults_and_load_changes(axes, day)
     axes.set(ylabel="goodput by earnings", xlabel="seconds", ylim=(0, 1.05), xlim=(0, day.seconds))
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
     return plots.embed(figure)
 
 
 def latencies(plots, results):
-    """Return a figure of the latency percentiles of served requests, one line per run."""
+    """Return a figure of the latency percentiles of served requests, one line per variant."""
     figure, axes = plots.figure(height=2.6)
-    for at, result in enumerate(results):
+    for index, result in enumerate(results):
         axes.plot(
             PERCENTILES,
             [result["load"]["served_ms"][percentile] for percentile in PERCENTILES],
             marker="o",
             ms=4,
-            color=LINES[at % len(LINES)],
+            color=LINES[index % len(LINES)],
             label=result["variant"],
         )
     axes.set(ylabel="ms from scheduled sending", yscale="log")
@@ -217,13 +220,13 @@
     """Return a bar chart of the amplification of each variant by tier."""
     figure, axes = plots.figure(height=2.6)
     width = 0.8 / max(1, len(summary["variants"]))
-    for at, row in enumerate(summary["variants"]):
+    for index, row in enumerate(summary["variants"]):
         values = list(row["amplification"].values())
         axes.bar(
-            numpy.arange(len(values)) + at * width,
+            numpy.arange(len(values)) + index * width,
             values,
             width,
-            color=LINES[at % len(LINES)],
+            color=LINES[index % len(LINES)],
             label=row["variant"],
         )
     axes.axhline(1, color="#444444", lw=0.8)
@@ -240,10 +243,10 @@
     """Return a figure of each variant's goodput difference from the first variant."""
     figure, axes = plots.figure(height=0.9 + 0.32 * len(summary["variants"]))
     rows = [row for row in summary["variants"] if row["against_first"]]
-    for at, row in enumerate(rows):
+    for index, row in enumerate(rows):
         difference = row["against_first"]
-        axes.plot([difference["low"], difference["high"]], [at, at], color=LINES[0], lw=2)
-        axes.plot(difference["difference"], at, "o", color=LINES[0], ms=5)
+        axes.plot([difference["low"], difference["high"]], [index, index], color=LINES[0], lw=2)
+        axes.plot(difference["difference"], index, "o", color=LINES[0], ms=5)
     axes.axvline(0, color="#444444", lw=0.8)
     axes.set(
         yticks=range(len(rows)),
@@ -254,8 +257,8 @@
     return plots.embed(figure)
 
 
-def logged_figures(plots, day, folder, result):
-    """Return figures of B and f and of the attempts in flight by upstream, for one run.
+def budget_and_in_flight_plots(plots, day, folder, result):
+    """Return plots of B and f and of the attempts in flight by upstream, for one run.
 
     The values come from the balancers' logs. Returns "" if they logged none.
     """
@@ -284,7 +287,7 @@
             ls=":",
             label=f"f, tier {tier}" if is_labelled else None,
         )
-    shade(axes, day)
+    mark_faults_and_load_changes(axes, day)
     axes.set(ylabel="B, f", xlabel="seconds", xlim=(0, day.seconds))
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
     budget_figure = plots.embed(figure)
@@ -308,7 +311,7 @@
                 color=LINES[tier % len(LINES)],
                 label=None if number else f"tier {tier}, each upstream",
             )
-    shade(axes, day)
+    mark_faults_and_load_changes(axes, day)
     axes.set(ylabel="attempts in flight", xlabel="seconds", xlim=(0, day.seconds))
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
     return budget_figure + plots.embed(figure)
@@ -317,7 +320,7 @@
 def page(folder, day, results, summary):
     """Return the report as an HTML page, with figures of the first run of each variant."""
     plots = Plots()
-    shown = [
+    first_runs = [
         next(
             result
             for result in results
@@ -325,7 +328,7 @@
         )
         for row in summary["variants"]
     ]
-    head, rows = table(summary)
+    column_names, rows = table(summary)
     cells = "".join(
         "<tr>" + "".join(f"<td>{html.escape(cell)}</td>" for cell in row) + "</tr>" for row in rows
     )
@@ -334,26 +337,26 @@
         parts.append(" <b>Interrupted: this covers only what had been run.</b>")
     parts.append(
         "</p><table><tr>"
-        + "".join(f"<th>{html.escape(name)}</th>" for name in head)
+        + "".join(f"<th>{html.escape(name)}</th>" for name in column_names)
         + f"</tr>{cells}</table>"
     )
-    if shown:
-        parts += ["<h2>Goodput over time</h2>", goodput(plots, day, shown)]
-        for result in shown:
+    if first_runs:
+        parts += ["<h2>Goodput over time</h2>", goodput(plots, day, first_runs)]
+        for result in first_runs:
             parts += [
                 f"<h2>{html.escape(result['variant'])}: outcomes</h2>",
                 outcomes(plots, day, result),
-                logged_figures(plots, day, Path(folder), result),
+                budget_and_in_flight_plots(plots, day, Path(folder), result),
             ]
         parts += [
             "<h2>Latency of served answers</h2>",
-            latencies(plots, shown),
+            latencies(plots, first_runs),
             "<h2>Amplification by tier</h2>",
             amplification(plots, day, summary),
         ]
         if len(summary["variants"]) > 1:
-            parts += ["<h2>Side by side</h2>", comparison(plots, summary)]
-        for result in shown:
+            parts += ["<h2>Goodput against the first variant</h2>", comparison(plots, summary)]
+        for result in first_runs:
             for finding in result["findings"]:
                 parts.append(
                     f"<p><b>{html.escape(result['variant'])}, rule {finding['rule']}: "
@@ -361,10 +364,10 @@
                     + "<br>".join(html.escape(text) for text in finding["examples"])
                     + "</p>"
                 )
-    return STYLE.replace("TITLE", html.escape(day.name)).replace("BODY", "\n".join(parts))
+    return PAGE_TEMPLATE.replace("TITLE", html.escape(day.name)).replace("BODY", "\n".join(parts))
 
 
-STYLE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>TITLE</title><style>
+PAGE_TEMPLATE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>TITLE</title><style>
 body{font:15px/1.45 system-ui,sans-serif;max-width:1080px;margin:2rem auto;padding:0 1rem;color:#222}
 h1{font-size:1.5rem}h2{font-size:1.1rem;margin-top:1.6rem}img{max-width:100%}
 table{border-collapse:collapse;font-size:13px;display:block;overflow-x:auto}td,th{padding:.25rem .6rem;text-align:left;
--- a/pepperhook/lab/stalls.py
+++ b/pepperhook/lab/stalls.py
@@ -10,7 +10,7 @@
 MILLISECOND = 10**6
 # After a stall a stand-in works off its backlog for about this long, and stamps late until then.
 BACKLOG_NS = 50 * MILLISECOND
-# Period of the event loop lag check. A stall may begin up to this long before it shows.
+# Period of the event loop lag check. A stall may begin up to this long before the check notices it.
 CHECK_NS = 10 * MILLISECOND
 
 
@@ -33,7 +33,8 @@
     def earliest(self, process: str, stamped_at: int) -> int:
         """Return the earliest possible arrival of what a process stamped at ``stamped_at``.
 
-        That is the time stamp itself, unless a stall or its backlog covers it.
+        That is the time stamp itself, unless it lies within a stall or the BACKLOG_NS after it.
+        Then it is the begin of that stall.
         """
         begins = [
             begun
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -1,11 +1,11 @@
-"""Figures and findings of the auditor, over all balancers of a run."""
+"""The auditor: rows recorded twice, totals, cold starts and shutdown times."""
 
 import pytest
 
 from pepperhook.lab import audit, events
 from pepperhook.units import MILLISECOND, SECOND
 from tests.test_lab import day as make_experiment
-from tests.test_lab import one as make_request_row
+from tests.test_lab import one as make_attempt_row
 from tests.test_lab import work as make_work_row
 
 
@@ -14,15 +14,16 @@
     return audit.Auditor(make_experiment(), list(rows), 0).judge()
 
 
-def audit_figures(group, *rows):
-    """Return one group of figures for these rows and one served request."""
-    return audit_rows(make_request_row(), make_work_row(), *rows).figures[group]
+def audit_figure(name, *rows):
+    """Return the figure ``name`` for these rows and one served request."""
+    return audit_rows(make_attempt_row(), make_work_row(), *rows).figures[name]
 
 
 def test_row_recorded_twice_is_a_recording_fault_and_not_a_second_execution():
     findings = audit_rows(
-        make_request_row(grade=1),
+        make_attempt_row(grade=1),
         make_work_row(grade=1),
+        # The same arrival, recorded again with another end.
         make_work_row(grade=1, outcome="given up", gone=111),
     ).findings
 
@@ -31,7 +32,7 @@
     ]
 
 
-def test_totals_cover_all_balancers_and_health_check_waits_are_taken_within_each():
+def test_totals_sum_over_balancers_but_health_check_intervals_are_per_balancer():
     health_checks = [
         events.Probe(0, 0, caller, (at * 1000 + caller * 50) * MILLISECOND)
         for caller in range(3)
@@ -43,7 +44,7 @@
         events.Asked(0, 1, MILLISECOND, False, False),
     ]
 
-    totals = audit_figures("sums", *health_checks, *connections, *polls)
+    totals = audit_figure("sums", *health_checks, *connections, *polls)
 
     assert totals["probes_per_served"] == 15.0
     assert totals["connections_per_served"] == 4.0
@@ -57,8 +58,9 @@
 def test_pause_between_two_series_of_health_checks_is_not_counted_as_a_wait():
     health_checks = [events.Probe(0, 0, 0, at * MILLISECOND) for at in (0, 500, 2000, 9000, 10400)]
 
-    totals = audit_figures("sums", *health_checks)
+    totals = audit_figure("sums", *health_checks)
 
+    # Intervals of 500, 1500 and 1400 ms.
     assert totals["probe_waits"] == 3
     assert totals["probe_wait_spread"] > 0.3
 
@@ -111,4 +113,4 @@
         for at, what, balancer in balancer_events
     ]
 
-    assert audit_figures("shortest_leave_ms", *rows) == shortest_ms
+    assert audit_figure("shortest_leave_ms", *rows) == shortest_ms
--- a/tests/lab/test_stalls.py
+++ b/tests/lab/test_stalls.py
@@ -1,10 +1,10 @@
 """A stalled stand-in must not be reported as a balancer that sends to a draining upstream.
 
-Scenario h2 once failed in CI with "timed 1-1: sent after drain 1" and passed in the next run; 688
-further runs, some under load, did not show the failure again. Stopping one process around the drain
-for 0.4 to 1.0 s reproduced it in 6 of 12 runs when that was the stand-in of the upstreams, and in
-none of 12 when it was the balancer, or the discovery service (6 of these void). With LB_LOG=debug,
-in seconds of the run, the stand-in stopped from 4.75 to 5.35:
+Scenario h2 once failed in CI with finding "timed 1-1: sent after drain 1" and passed in the next
+run; 688 further runs, some under load, did not show the failure again. Stopping one process around
+the drain for 0.4 to 1.0 s reproduced it in 6 of 12 runs when that was the stand-in of the
+upstreams, and in none of 12 when it was the balancer, or the discovery service (6 of these void).
+With LB_LOG=debug, in seconds of the run, the stand-in stopped from 4.75 to 5.35:
 
     4.751  last_check id=17.2e2 upstream=t0-03 may_send=True
     4.755  last_check id=17.2e4 upstream=t0-03 may_send=True
@@ -13,8 +13,8 @@
     5.351  it stamps the first bytes of 17.2e2 and 17.2e4, 550 ms after the drain was written
 
 The balancer had sent both attempts before the drain, but the stand-in stamped their bytes when it
-could read them. The machine's counters cannot detect every such stall: a process that waits for a
-core makes the run void only from 400 ms on, and one that waits for a disk does not show there.
+could read them. The counters of waits for a core cannot detect every such stall: they make a run
+void only from 400 ms on, and a process that waits for a disk does not show in them at all.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 from pepperhook.lab.endpoint_audit import EndpointAudit
 from pepperhook.lab.stalls import BACKLOG_NS, Stalls, upstreams
 from tests.test_lab import day as make_experiment
-from tests.test_lab import one as make_request_row
+from tests.test_lab import one as make_attempt_row
 from tests.test_lab import told as make_told_row
 from tests.test_lab import work as make_work_row
 
@@ -44,7 +44,7 @@
 def audit_stalls(*stalls):
     """Audit an attempt stamped 550 ms after its upstream was listed as draining."""
     rows = [
-        make_request_row(at=900, took=STAMPED_MS - 880),
+        make_attempt_row(at=900, took=STAMPED_MS - 880),
         make_work_row(at=STAMPED_MS),
         make_told_row(0, "ready"),
         make_told_row(DRAIN_MS, "draining"),
@@ -82,13 +82,13 @@
         make_stall_row(STAMPED_MS, 70),
     ],
 )
-def test_stalls_that_cannot_have_delayed_the_stamp_enough_excuse_nothing(row):
+def test_attempt_is_a_finding_if_no_stall_can_have_delayed_its_stamp_enough(row):
     assert rule_3_findings(audit_stalls(row)) == ["sent after drain"]
 
 
-def test_attempt_allowed_at_the_time_of_its_stamp_needs_no_excuse():
+def test_attempt_allowed_at_its_stamped_time_is_neither_a_finding_nor_excused():
     rows = [
-        make_request_row(at=900, took=STAMPED_MS - 880),
+        make_attempt_row(at=900, took=STAMPED_MS - 880),
         make_work_row(at=STAMPED_MS),
         make_told_row(0, "gone"),
         make_told_row(STAMPED_MS - 50, "ready"),
@@ -100,7 +100,7 @@
     assert rule_3_findings(report) == [] and not report.excused
 
 
-def test_endpoint_audit_uses_the_earliest_possible_arrival_too():
+def test_endpoint_audit_reports_no_late_attempt_that_a_stall_can_explain():
     rows = [
         events.Happened(DRAIN_MS * MS, "listed draining", 0, 0),
         make_work_row(at=STAMPED_MS),
