--- a/pepperhook/lab/report.py
+++ b/pepperhook/lab/report.py
@@ -94,7 +94,8 @@
     if summary["void"]:
         lines += [
             "",
-            f"Void runs, left out of the figures as the load generator itself was late: {'; '.join(summary['void'])}.",
+            "Void runs, left out of the figures as the load generator itself was late: "
+            f"{'; '.join(summary['void'])}.",
         ]
     if summary["interrupted"]:
         lines += ["", "Interrupted: this covers only what had been run."]
