--- a/pepperhook/lab/upstream.py
+++ b/pepperhook/lab/upstream.py
@@ -1,5 +1,8 @@
-"""An upstream on sockets: HTTP/1.1 round one Machine, with its troubles, and calls to the next tier through a balancer
-of its own. What it sees goes into the book."""
+"""A stand-in upstream: serves HTTP requests on sockets with the work model of one Machine.
+
+It applies injected faults, calls the next tier through a balancer of its own, and records what it
+observes as event rows.
+"""
 
 import asyncio
 import errno
@@ -14,14 +17,14 @@
 from pepperhook.lab.machine import Job
 
 MS, S = 10**6, 10**9
-CHAIN, BACK = b"pepperhook-chain", b"pepperhook-chain-result"
+CHAIN_HEADER, CHAIN_RESULT_HEADER = b"pepperhook-chain", b"pepperhook-chain-result"
 TRIES = re.compile(rb"tries=(\d+)")
-MARGIN_MS = 5  # kept back from the time that is told to the next tier
+MARGIN_MS = 5  # subtracted from the time limit that is sent to the next tier
 NOT_PROCESSED = b"X-Not-Processed: 1\r\n"
 
 
 class Attempt:
-    """One message on its way through: a Job's owner. Times in nanoseconds."""
+    """One received request, from its arrival to its event row; times are in nanoseconds."""
 
     __slots__ = (
         "back",
@@ -43,27 +46,27 @@
         "seen",
     )
 
-    back: list  # contexts that came back from the next tier
+    back: list  # chain results returned by the next tier
     began: int  # 0: its work never began
-    calls: int
+    calls: int  # calls to the next tier that have not ended
     came: int
-    carried: bytes | None
-    closed: bool
-    end: Any
-    ends_at: int
-    failed: bool
+    carried: bytes | None  # value of the chain header
+    closed: bool  # its event row has been written
+    end: Any  # the connection or stream that it came on
+    ends_at: int  # when its time limit is over
+    failed: bool  # a call to the next tier failed
     first_byte: int
-    gone_at: int
-    grade: int
+    gone_at: int  # when its connection ended; 0: it has not
+    grade: int  # index of its service class
     id: str
     job: Job
     limit: int
-    nonce: str
-    seen: int
+    nonce: str  # names this attempt in the response body; empty: no valid response was sent
+    seen: int  # how often this request id has reached the tier, this attempt included
 
 
 class End(asyncio.Protocol):
-    """The upstream's end of one connection."""
+    """The server side of one HTTP/1.1 connection."""
 
     def __init__(self, upstream, caller):
         self.upstream, self.caller, self.transport, self.messages = (
@@ -93,7 +96,7 @@
         if not self.messages.begun:
             self.first_byte = upstream.now()
             if data.startswith(b"PRI * HTTP/2.0"):
-                # Prior knowledge: the caller speaks HTTP/2.
+                # HTTP/2 with prior knowledge.
                 from pepperhook.lab.wire2 import End2
 
                 end, self.open = End2(upstream, self.caller), None
@@ -101,21 +104,21 @@
                 self.transport.set_protocol(end)
                 end.connection_made(self.transport)
                 return end.data_received(data)
-        if upstream.hits("reset_before", self.first_byte):
+        if upstream.fault_applies("reset_before", self.first_byte):
             return self.abort()
         self.messages.feed(data)
         try:
             while (whole := self.messages.next()) is not None:
                 if self.open is not None:
-                    raise wire.Broken("a second message before the answer")
-                upstream.take(self, *whole)
+                    raise wire.Broken("a second request before the response")
+                upstream.handle_request(self, *whole)
         except (wire.Broken, ValueError) as problem:
             upstream.happened("bad message", text=str(problem))
             self.transport.write(wire.answer(400))
             self.transport.close()
 
     def abort(self):
-        # A reset, as the other side would see of a process that dies.
+        # A linger time of 0 sends a reset, as the peer of a process that dies sees it.
         sock = self.transport.get_extra_info("socket")
         with suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -127,20 +130,22 @@
     def connection_lost(self, problem):
         self.upstream.ends.discard(self)
         if self.open is not None:
-            self.upstream.left(self.open)
+            self.upstream.on_disconnect(self.open)
 
 
 class Upstream:
+    """One stand-in upstream process and its faults."""
+
     def __init__(self, stage, number):
         self.stage, self.number, self.tier, self.day = stage, number, stage.tier, stage.day
         self.spec = stage.day.tiers[stage.tier].machine
         self.machine, self.ends, self.servers = None, set(), []
         self.down, self.unready, self.draining = True, False, False
-        self.fails_checks = False  # from the beginning of a drain on
-        self.on = {}  # troubles at work, by what they are, to their sizes and kinds
-        self.timer, self.pool, self.fillers, self.turn = None, None, [], 0
-        self.calls, self.copied = set(), None
-        self.works = set()  # dispatches whose end is not in the book yet
+        self.fails_checks = False  # since its drain began
+        self.on = {}  # active faults by kind
+        self.timer, self.pool, self.fillers, self.malformed_count = None, None, [], 0
+        self.calls, self.copied = set(), None  # copied: the first chain header received
+        self.open_attempts = set()  # attempts whose event row has not been written
         carry = self.day.tiers[self.tier].carry
         self.carry = carry[number % len(carry)]
 
@@ -148,26 +153,33 @@
         return time.monotonic_ns()
 
     def happened(self, what, on=True, text=""):
+        """Record an event of this upstream; ``on`` is False where it ends."""
         self.stage.book.add(events.Happened(self.now(), what, self.tier, self.number, on, text))
 
-    def hits(self, what, name):
-        """Whether a trouble that is on meets this one."""
+    def fault_applies(self, what, name):
+        """Whether an active fault of this kind applies to the named attempt or connection.
+
+        A fault with a size applies to that fraction of the names, by a chance that depends on the
+        seed and the name.
+        """
         trouble = self.on.get(what)
         if trouble is None or not trouble.size:
             return trouble is not None
-        # Where all upstreams have it an operation's fate goes by its name alone, whichever it is sent to.
+        # If all upstreams have the fault, the result depends on the name alone, so a request has
+        # the same fate at each of them.
         where = "all" if trouble.part == 1 else self.number
         return chance.share(self.stage.plan.seed, what, where, name) < trouble.size
 
-    # Up and down.
+    # Process lifecycle.
 
-    async def up(self, cold=False):
+    async def start(self, cold=False):
+        """Start the process with a fresh machine, and listen."""
         self.machine = machine.Machine(self.spec, self.now(), cold)
         self.down = self.draining = self.fails_checks = False
         if cold:
             self.happened("up cold")
-        told, last = self.day.tiers[self.tier], self.tier + 1 == len(self.day.tiers)
-        if self.pool is None and told.calls and (not last or told.circle):
+        settings, last = self.day.tiers[self.tier], self.tier + 1 == len(self.day.tiers)
+        if self.pool is None and settings.calls and (not last or settings.circle):
             address = (
                 self.stage.plan.balancer(0, 0)
                 if last
@@ -177,8 +189,9 @@
         await self.listen()
 
     async def listen(self):
+        """Accept connections; raise OSError if an address stays in use for a second."""
         if self.servers:
-            return  # another fault has ended within the one that ends now
+            return  # an overlapping fault that ended earlier has already reopened it
         loop = asyncio.get_running_loop()
         for caller in range(self.stage.callers):
             address = self.stage.plan.upstream(self.tier, self.number, caller)
@@ -198,34 +211,38 @@
                         raise
                     await asyncio.sleep(0.02)
             else:
-                raise OSError(errno.EADDRINUSE, f"{address[0]}:{address[1]} stays in use")
+                raise OSError(
+                    errno.EADDRINUSE, f"{address[0]}:{address[1]} is still in use after 1 s"
+                )
 
-    def deafen(self):
-        """Takes no new connections."""
+    def stop_listening(self):
+        """Stop accepting connections."""
         for server in self.servers:
             server.close()
         self.servers.clear()
 
     def fall(self):
-        """The process dies: connections are reset, what it had is lost."""
-        self.deafen()
+        """Kill the process: reset its connections and drop its work."""
+        self.stop_listening()
         self.down = True
-        # Each dispatch ends here, once: what it still waited for, such as calls to the next tier, ends with the process.
-        for it in list(self.works):
-            if it.end.open is it:
-                it.end.open = None
-            self.write(it, "reset", it.gone_at or self.now())
+        # Each attempt is recorded here, once. Calls to the next tier that it waits for end with the
+        # process and must not record it again.
+        for attempt in list(self.open_attempts):
+            if attempt.end.open is attempt:
+                attempt.end.open = None
+            self.record(attempt, "reset", attempt.gone_at or self.now())
         for call in list(self.calls):
-            call.give_up()
+            call.cancel()
         for end in list(self.ends):
             end.abort()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
-    # Operations.
+    # Requests.
 
-    def take(self, end, head, body):
+    def handle_request(self, end, head, body):
+        """Handle one request; raise wire.Broken if it names no service class or has no id."""
         now, stage = self.now(), self.stage
         path, identity = head.start[1], head.headers.get(b"x-request-id")
         if path in (b"/ping", b"/_load"):
@@ -234,9 +251,9 @@
             return None
         name = path.split(b"/", 2)[1].partition(b"?")[0].decode()
         if identity is None or name not in stage.grades:
-            raise wire.Broken("no operation of this deployment")
-        it = Attempt()
-        it.end, it.id, it.grade, it.first_byte, it.came = (
+            raise wire.Broken("no request id, or a path that names no service class")
+        attempt = Attempt()
+        attempt.end, attempt.id, attempt.grade, attempt.first_byte, attempt.came = (
             end,
             identity.decode(),
             stage.grades[name],
@@ -244,38 +261,54 @@
             now,
         )
         limit = head.number(b"x-timeout-ms")
-        it.limit = (
-            limit * MS if limit is not None else int(self.day.grades[it.grade].time_limit_ms * MS)
+        attempt.limit = (
+            limit * MS
+            if limit is not None
+            else int(self.day.grades[attempt.grade].time_limit_ms * MS)
+        )
+        attempt.carried, attempt.back = head.headers.get(CHAIN_HEADER), []
+        if attempt.carried is not None:
+            self.copied = self.copied or attempt.carried
+        (
+            attempt.calls,
+            attempt.failed,
+            attempt.gone_at,
+            attempt.began,
+            attempt.nonce,
+            attempt.closed,
+        ) = 0, False, 0, 0, "", False
+        attempt.seen = stage.seen[attempt.id] = stage.seen.get(attempt.id, 0) + 1
+        attempt.ends_at = now + attempt.limit
+        end.open = attempt
+        self.open_attempts.add(attempt)
+        attempt.job = Job(
+            chance.work_ns(stage.plan.seed, attempt.id, self.day.grades[attempt.grade]), attempt
         )
-        it.carried, it.back = head.headers.get(CHAIN), []
-        if it.carried is not None:
-            self.copied = self.copied or it.carried
-        it.calls, it.failed, it.gone_at, it.began, it.nonce, it.closed = 0, False, 0, 0, "", False
-        it.seen = stage.seen[it.id] = stage.seen.get(it.id, 0) + 1
-        it.ends_at = now + it.limit
-        end.open = it
-        self.works.add(it)
-        it.job = Job(chance.work_ns(stage.plan.seed, it.id, self.day.grades[it.grade]), it)
-        if self.on.get("hang") is not None and self.hits("hang", f"{it.id} {it.seen}"):
+        if self.on.get("hang") is not None and self.fault_applies(
+            "hang", f"{attempt.id} {attempt.seen}"
+        ):
             return None
         if self.draining or self.unready:
-            return self.end(it, "turned away", wire.answer(503, b"draining\n", NOT_PROCESSED))
-        if self.hits("errors", f"{it.id} {it.seen}"):
-            it.began = now
-            return self.end(it, "error", wire.answer(500, b"error\n"))
-        said = self.machine.arrive(now, it.job)
+            return self.respond(
+                attempt, "turned away", wire.answer(503, b"draining\n", NOT_PROCESSED)
+            )
+        if self.fault_applies("errors", f"{attempt.id} {attempt.seen}"):
+            attempt.began = now
+            return self.respond(attempt, "error", wire.answer(500, b"error\n"))
+        admission = self.machine.arrive(now, attempt.job)
         if self.machine.fell:
             self.happened(
                 "fell over", text=f"cold, offered {self.machine.offered / S:.2f} s of work"
             )
             self.fall()
-            asyncio.get_running_loop().call_later(2.0, lambda: stage.spawn(self.up(cold=True)))
+            asyncio.get_running_loop().call_later(2.0, lambda: stage.spawn(self.start(cold=True)))
             return None
-        if said == machine.TURNED_AWAY:
-            return self.end(it, "turned away", wire.answer(503, b"full\n", NOT_PROCESSED))
+        if admission == machine.TURNED_AWAY:
+            return self.respond(attempt, "turned away", wire.answer(503, b"full\n", NOT_PROCESSED))
         self.arm()
 
     def told_load(self, path):
+        """Return the response to a health check (``/ping``) or a load query (``/_load``)."""
         if path == b"/ping":
             return wire.answer(503 if self.fails_checks or self.unready else 200, b"pong\n")
         if "lost_report" in self.on:
@@ -285,6 +318,7 @@
         return wire.answer(200, events.msgspec.json.encode(self.stale))
 
     def arm(self):
+        """Set the timer for the machine's next event."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -293,72 +327,83 @@
         at = self.machine.next_at(self.now())
         if at is not None:
             loop = asyncio.get_running_loop()
-            self.timer = loop.call_at(loop.time() + max(0, at - self.now()) / S, self.due)
+            self.timer = loop.call_at(loop.time() + max(0, at - self.now()) / S, self.on_timer)
 
-    def due(self):
+    def on_timer(self):
+        """Continue the attempts whose work is done, and set the timer again."""
         self.timer = None
         for job in self.machine.due(self.now()):
-            self.worked(job.about)
+            self.on_work_done(job.about)
         self.arm()
 
-    def worked(self, it):
-        """Its work here is done: the next tier is called, or it is answered."""
-        it.began = it.job.began
-        told = self.day.tiers[self.tier]
-        if it.gone_at and told.heeds_leaving:
-            self.machine.free(self.now(), it.job)
-            return self.write(it, "given up", it.gone_at)
+    def on_work_done(self, attempt):
+        """Handle the end of the work here: call the next tier, or respond."""
+        attempt.began = attempt.job.began
+        settings = self.day.tiers[self.tier]
+        if attempt.gone_at and settings.heeds_leaving:
+            self.machine.free(self.now(), attempt.job)
+            return self.record(attempt, "given up", attempt.gone_at)
         last = self.tier + 1 == len(self.day.tiers)
-        if self.pool is not None and (not last or told.circle == self.day.grades[it.grade].name):
-            it.calls = told.calls
-            for number in range(it.calls):
-                call = Call(self, it, number)
+        if self.pool is not None and (
+            not last or settings.circle == self.day.grades[attempt.grade].name
+        ):
+            attempt.calls = settings.calls
+            for number in range(attempt.calls):
+                call = Call(self, attempt, number)
                 self.calls.add(call)
                 call.begin()
             return None
-        self.reply(it)
-
-    def called(self, it, good):
-        it.calls -= 1
-        it.failed = it.failed or not good
-        if it.closed:
-            return  # it ended with the process that waited; its slot was that process's
-        if not it.calls:
-            self.reply(it)
+        self.reply(attempt)
+
+    def on_call_ended(self, attempt, is_good):
+        """Handle the end of one call to the next tier; respond after the last one."""
+        attempt.calls -= 1
+        attempt.failed = attempt.failed or not is_good
+        if attempt.closed:
+            return  # it ended with its process, and so did the slot that it held
+        if not attempt.calls:
+            self.reply(attempt)
             self.arm()
 
-    def reply(self, it):
-        day, now = self.day.tiers[self.tier], self.now()
-        self.machine.free(now, it.job)
+    def reply(self, attempt):
+        """Release the slot and respond: served, error, or as a fault demands."""
+        settings, now = self.day.tiers[self.tier], self.now()
+        self.machine.free(now, attempt.job)
         own = (
-            day.fail
+            settings.fail
             and chance.share(
-                self.stage.plan.seed, "fail", self.tier, it.id, 0 if day.fail_sticks else it.seen
+                self.stage.plan.seed,
+                "fail",
+                self.tier,
+                attempt.id,
+                0 if settings.fail_sticks else attempt.seen,
             )
-            < day.fail
+            < settings.fail
         )
-        if it.gone_at:
-            return self.write(it, "given up", it.gone_at)  # there is nobody to answer any more
-        if own or it.failed and not day.hide_failures:
-            return self.end(it, "error", wire.answer(500, b"error\n", self.back(it)))
-        it.nonce = f"{self.tier}.{self.number}.{it.id}.{it.seen}"
-        body = it.nonce.encode() + b"\n"
-        if self.hits("reset_after", f"{it.id} {it.seen}"):
-            return self.end(it, "reset", None)
-        if self.hits("spoilt", f"{it.id} {it.seen}"):
-            it.nonce = ""
-            return self.end(it, "spoilt", self.spoil(body))
-        self.end(it, "served", wire.answer(200, body, self.back(it)))
-
-    def back(self, it):
-        """What came back from the tier behind, passed on as it came."""
-        return b"".join(b"%s: %s\r\n" % (BACK, value) for value in it.back)
-
-    def spoil(self, body):
-        """An answer that no client may be given."""
+        if attempt.gone_at:
+            return self.record(attempt, "given up", attempt.gone_at)  # the client has left
+        if own or attempt.failed and not settings.hide_failures:
+            return self.respond(
+                attempt, "error", wire.answer(500, b"error\n", self.chain_result_headers(attempt))
+            )
+        attempt.nonce = f"{self.tier}.{self.number}.{attempt.id}.{attempt.seen}"
+        body = attempt.nonce.encode() + b"\n"
+        if self.fault_applies("reset_after", f"{attempt.id} {attempt.seen}"):
+            return self.respond(attempt, "reset", None)
+        if self.fault_applies("spoilt", f"{attempt.id} {attempt.seen}"):
+            attempt.nonce = ""
+            return self.respond(attempt, "spoilt", self.make_malformed_response(body))
+        self.respond(attempt, "served", wire.answer(200, body, self.chain_result_headers(attempt)))
+
+    def chain_result_headers(self, attempt):
+        """Return the next tier's chain results as header lines, unchanged."""
+        return b"".join(b"%s: %s\r\n" % (CHAIN_RESULT_HEADER, value) for value in attempt.back)
+
+    def make_malformed_response(self, body):
+        """Return a malformed response, which a balancer must not pass on to a client."""
         kinds = ("short", "noise", "no_length", "two_lengths", "large", "half")
-        self.turn += 1
-        kind = self.on["spoilt"].kind or kinds[self.turn % len(kinds)]
+        self.malformed_count += 1
+        kind = self.on["spoilt"].kind or kinds[self.malformed_count % len(kinds)]
         whole = wire.answer(200, body)
         return {
             "short": wire.answer(200, body + b"x" * 40)[:-40],
@@ -370,9 +415,9 @@
             "half": whole[: len(whole) // 2],
         }[kind]
 
-    def end(self, it, outcome, data):
-        """Answers; None resets the connection."""
-        end = it.end
+    def respond(self, attempt, outcome, data):
+        """Send a response (None resets the connection) and record the attempt."""
+        end = attempt.end
         end.open = None
         if data is None:
             end.abort()
@@ -381,63 +426,66 @@
             end.idle_at = self.now()
             if outcome == "spoilt":
                 end.transport.close()
-        self.write(it, outcome, self.now())
-
-    def write(self, it, outcome, ended):
-        """The one row of a dispatch; a second would be judged as work that ran twice."""
-        it.closed = True
-        self.works.discard(it)
-        began = it.began or it.job.began
-        worked = int(it.job.work) if began and outcome not in ("hung", "turned away") else 0
+        self.record(attempt, outcome, self.now())
+
+    def record(self, attempt, outcome, ended):
+        """Record an attempt's only event row; the auditor takes a second one for work that ran twice."""
+        attempt.closed = True
+        self.open_attempts.discard(attempt)
+        began = attempt.began or attempt.job.began
+        worked = int(attempt.job.work) if began and outcome not in ("hung", "turned away") else 0
         self.stage.book.add(
             events.Work(
                 self.tier,
                 self.number,
-                it.end.caller,
-                it.id,
-                it.grade,
-                it.first_byte,
-                it.came,
+                attempt.end.caller,
+                attempt.id,
+                attempt.grade,
+                attempt.first_byte,
+                attempt.came,
                 ended,
                 outcome,
                 began,
                 worked,
-                it.nonce,
-                it.gone_at,
+                attempt.nonce,
+                attempt.gone_at,
                 self.now() if began else 0,
-                int(found[1]) if it.carried and (found := TRIES.search(it.carried)) else -1,
+                int(found[1])
+                if attempt.carried and (found := TRIES.search(attempt.carried))
+                else -1,
             )
         )
 
-    def left(self, it):
-        """The connection ended before the answer: the client gave it up, or this process died."""
-        it.end.open = None
-        it.gone_at = self.now()
+    def on_disconnect(self, attempt):
+        """Handle the end of a connection before the response: the client left or the process died."""
+        attempt.end.open = None
+        attempt.gone_at = self.now()
         if self.down:
-            return self.write(it, "reset", it.gone_at)
-        if it.job.state is None:
-            return self.write(it, "hung", it.gone_at)
+            return self.record(attempt, "reset", attempt.gone_at)
+        if attempt.job.state is None:
+            return self.record(attempt, "hung", attempt.gone_at)
         if not self.day.tiers[self.tier].heeds_leaving:
-            it.job.given = True
+            attempt.job.given = True
             return None
-        began = it.job.began
-        over = self.machine.abandon(it.gone_at, it.job)
-        for call in [call for call in self.calls if call.parent is it]:
-            call.give_up()
-        if over:
-            it.began = began
-            self.write(it, "given up", it.gone_at)
+        began = attempt.job.began
+        is_over = self.machine.abandon(attempt.gone_at, attempt.job)
+        for call in [call for call in self.calls if call.parent is attempt]:
+            call.cancel()
+        if is_over:
+            attempt.began = began
+            self.record(attempt, "given up", attempt.gone_at)
         self.arm()
 
     def sweep(self):
-        """Closes connections that stand idle."""
+        """Close connections that have been idle for too long."""
         before = self.now() - int(self.spec.idle_close_s * S)
         for end in [end for end in self.ends if end.open is None and end.idle_at < before]:
             end.transport.close()
 
-    # Troubles.
+    # Injected faults.
 
     async def trouble(self, trouble, on):
+        """Begin or end one fault."""
         what, now = trouble.what, self.now()
         self.happened(what, on)
         if on:
@@ -445,9 +493,9 @@
         else:
             self.on.pop(what, None)
         if what in OF_LIFECYCLES:
-            return  # its process follows the timeline of the tier
+            return  # the timeline of the tier drives the process, see apply_transition
         if what == "unready":
-            # Dead for a moment, then back and not yet fit for service, as it says to probes.
+            # Dead for a moment, then up but not ready, which health checks are told.
             if on:
                 self.refuse()
                 await asyncio.sleep(trouble.size or 0.5)
@@ -474,31 +522,35 @@
                 self.fillers = [filler.close() for filler in self.fillers][:0]
                 await self.listen()
 
-    async def follow(self, transition):
-        """Make a transition of the process's lifecycle."""
+    async def apply_transition(self, transition):
+        """Apply a transition of the process's lifecycle."""
         if transition is Transition.END:
             self.fall()
         elif transition is Transition.START:
-            await self.up(cold=True)
+            await self.start(cold=True)
         else:
-            # Balancers hear of a drain a little later, so requests are served for the grace.
+            # Balancers learn of a drain with a delay, so requests are served for the grace period.
             self.fails_checks = transition is not Transition.SERVE
             self.draining = transition is Transition.REJECT
 
     def refuse(self):
-        """Connections are reset and new ones refused; what it worked on goes on."""
-        self.deafen()
+        """Reset all connections and refuse new ones; attempts in progress continue."""
+        self.stop_listening()
         for end in list(self.ends):
             end.abort()
 
     async def close(self):
+        """Stop the process and close its connections to the next tier."""
         self.fall()
         if self.pool is not None:
             await self.pool.close()
 
 
 class Call:
-    """A call to the next tier: a client's try, with what is left of the time."""
+    """One call to the next tier, as a client's attempt with the remaining time limit.
+
+    It is an exchange of a wire.Pool.
+    """
 
     def __init__(self, upstream, parent, number):
         self.upstream, self.parent, self.over, self.link = upstream, parent, False, None
@@ -513,8 +565,9 @@
         self.timer = None
 
     def begin(self):
+        """Send the request, or end at once if no time is left."""
         if self.limit < 2 * MS:
-            return self.done("gone", 0, b"", "no time left")
+            return self.finish("gone", 0, b"", "no time left")
         grade = self.upstream.day.grades[self.parent.grade]
         method = b"GET" if grade.effect == "idempotent" else b"POST"
         headers = [
@@ -523,9 +576,9 @@
         ]
         if grade.effect == "deduplicated":
             headers.append((b"Idempotency-Key", self.id.encode()))
-        headers += [(CHAIN, value) for value in self.carried()]
+        headers += [(CHAIN_HEADER, value) for value in self.chain_headers()]
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(self.limit / S + 0.1, self.late)
+        self.timer = loop.call_later(self.limit / S + 0.1, self.on_timeout)
         self.upstream.pool.send(
             self,
             wire.message(
@@ -533,41 +586,47 @@
             ),
         )
 
-    def carried(self):
-        """What the node passes on of its chain, by the way that it has."""
-        way, value = self.upstream.carry, self.parent.carried
-        if value is None or way == "drop":
+    def chain_headers(self):
+        """Return the chain headers to send, as the tier's ``carry`` setting says."""
+        mode, value = self.upstream.carry, self.parent.carried
+        if value is None or mode == "drop":
             return []
-        if way == "copy":
-            return [self.upstream.copied]  # of the first call that it ever saw
-        if way == "change":
+        if mode == "copy":
+            return [self.upstream.copied]  # of the first request with one
+        if mode == "change":
             return [re.sub(rb"left=\d+", b"left=1", re.sub(rb"tries=\d+", b"tries=9", value))]
-        return [value] * (2 if way == "twice" else 1)
+        return [value] * (2 if mode == "twice" else 1)
 
     def written(self):
-        """The connection is up."""
+        """Handle the connection's establishment; there is nothing to do."""
 
     def answered(self, status, body, headers):
-        if BACK in headers and self.upstream.carry != "drop":
-            self.parent.back.append(headers[BACK])
-        self.done("answer", status, body)
+        """Handle the response."""
+        if CHAIN_RESULT_HEADER in headers and self.upstream.carry != "drop":
+            self.parent.back.append(headers[CHAIN_RESULT_HEADER])
+        self.finish("answer", status, body)
 
     def lost(self, why, unread=False):
-        self.done("lost", 0, b"", why)
+        """Handle the loss of the connection before the response."""
+        self.finish("lost", 0, b"", why)
 
     def unconnected(self, why):
-        self.done("unconnected", 0, b"", why)
+        """Handle a failure to connect."""
+        self.finish("unconnected", 0, b"", why)
 
-    def late(self):
+    def on_timeout(self):
+        """Handle the end of the time limit."""
         self.upstream.pool.drop(self)
-        self.done("open", 0, b"", "no answer in time")
+        self.finish("open", 0, b"", "no answer in time")
 
-    def give_up(self):
+    def cancel(self):
+        """Cancel the call, unless it has ended."""
         if not self.over:
             self.upstream.pool.drop(self)
-            self.done("gone", 0, b"")
+            self.finish("gone", 0, b"")
 
-    def done(self, kind, status, body, note=""):
+    def finish(self, kind, status, body, note=""):
+        """End the call, record attempt, and tell the upstream; only the first use has an effect."""
         if self.over:
             return
         self.over = True
@@ -595,5 +654,5 @@
                     note,
                 )
             )
-        good = status == 200 and f".{self.id}." in body.decode(errors="replace")
-        upstream.called(self.parent, good)
+        is_good = status == 200 and f".{self.id}." in body.decode(errors="replace")
+        upstream.on_call_ended(self.parent, is_good)
--- a/tests/lab/test_upstream.py
+++ b/tests/lab/test_upstream.py
@@ -35,7 +35,7 @@
     head = SimpleNamespace(
         start=[b"GET", b"/look", b""], headers={b"x-request-id": b"a"}, number=always(400)
     )
-    upstream.take(connection, head, b"")
+    upstream.handle_request(connection, head, b"")
     return connection.open
 
 
@@ -46,7 +46,7 @@
     # as work that was executed twice.
     upstream = make_upstream(tmp_path)
     attempt = take_request(upstream)
-    assert isinstance(attempt, Attempt) and upstream.works == {attempt}
+    assert isinstance(attempt, Attempt) and upstream.open_attempts == {attempt}
     await wait_until(lambda: upstream.calls)
     call = next(iter(upstream.calls))
     assert isinstance(call, Call) and upstream.machine.held == 1
@@ -54,11 +54,11 @@
     upstream.fall()
     # The next process has a machine of its own.
     next_machine = upstream.machine = Machine(upstream.spec, time.monotonic_ns())
-    call.done("lost", 0, b"")
-    upstream.called(attempt, False)
+    call.finish("lost", 0, b"")
+    upstream.on_call_ended(attempt, False)
     upstream.stage.book.close()
 
     rows = [row for row in events.read(tmp_path) if isinstance(row, events.Work)]
     assert [row.outcome for row in rows] == ["reset"]
     assert next_machine.held == 0
-    assert not upstream.works
+    assert not upstream.open_attempts
