--- a/pepperhook/lab/call_queue.py
+++ b/pepperhook/lab/call_queue.py
@@ -1,4 +1,4 @@
-"""The capacity of the discovery stand-in, in virtual time: a queue of polls with one server."""
+"""A model of the discovery stand-in's capacity: a queue of polls with one server."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """What becomes of a poll that was admitted: when it is answered, and whether with a list."""
+    """When an admitted poll is answered, and whether that is before its timeout."""
 
     answer_at: float
     is_in_time: bool
@@ -20,21 +20,21 @@
 
 @dataclass(slots=True)
 class CallQueue:
-    """Works through polls one by one, as an overloaded service does; all times are in seconds.
+    """Process polls one by one, as an overloaded service does; all times are in seconds.
 
-    A poll that is given up at its timeout is worked on all the same: that is what lets a service
-    with many callers collapse, since nobody gets what it does.
+    A poll that has timed out is processed nevertheless. This is how a service with many callers
+    collapses: it spends its capacity on responses that nobody receives.
     """
 
     call_cost_s: float
     line_cost_s: float
-    max_backlog_s: float  # of work in its waiting places; what would exceed it is refused at once
+    max_backlog_s: float  # work that may wait; a poll that would wait longer is refused at once
     timeout_s: float
-    idle_at: float = 0.0
+    idle_at: float = 0.0  # when all admitted work is done
 
     @classmethod
     def of(cls, settings: Discovery) -> CallQueue | None:
-        """Return the queue that an experiment's table asks for; None where it has no capacity."""
+        """Return the queue for an experiment's settings; None if they limit no capacity."""
         if settings.calls_per_s is None:
             return None
         call_cost_s = 1 / settings.calls_per_s
@@ -46,11 +46,14 @@
         )
 
     def cost_s(self, lines: int) -> float:
-        """Return the work that an answer with so many lines is."""
+        """Return the work of a response with that many lines."""
         return self.call_cost_s + lines * self.line_cost_s
 
     def enter(self, now: float, lines: int, slow_call_s: float = 0.0) -> Ticket | None:
-        """Admit a poll, or refuse it (None); ``slow_call_s`` stands in for a call's own cost."""
+        """Admit a poll, or refuse it (None).
+
+        A ``slow_call_s`` above ``call_cost_s`` replaces it.
+        """
         cost_s = self.cost_s(lines) + max(0.0, slow_call_s - self.call_cost_s)
         begins_at = max(now, self.idle_at)
         done_at = begins_at + cost_s
--- a/pepperhook/lab/discovery.py
+++ b/pepperhook/lab/discovery.py
@@ -1,5 +1,8 @@
-"""The list of upstreams, as the platform's page has it: whole lists and watches, one service that works through calls
-in turn, with lag, outage, slow calls and a move to another address."""
+"""The stand-in for the platform's discovery service: whole endpoint lists and watches over HTTP.
+
+One service answers the polls of all callers. Its injected faults are lag, outage, slow calls,
+refused polls, silence and a move to another address.
+"""
 
 import asyncio
 import bisect
@@ -15,13 +18,15 @@
 from pepperhook.lab.instances import GONE, READY, Timeline, host_name
 
 S = 10**9
-ODD_ROW = {"host": "odd", "dial": "127.0.0.1:9", "health": "warming"}
+# A row with a health state that balancers do not know.
+UNKNOWN_STATE_ROW = {"host": "odd", "dial": "127.0.0.1:9", "health": "warming"}
 
 
 class Catalog:
-    """One tier's list at a moment."""
+    """The present endpoint list of one tier, and its change log."""
 
     def __init__(self, plan, tier):
+        # rows: (number, health state, start in Unix ms) by host name; seq: the list's version.
         self.plan, self.tier, self.rows, self.seq = plan, tier, {}, 1
         self.log = []  # (seq, host) of each change
         born = 0 if not plan.day.cold else int(time.time() * 1000)
@@ -30,6 +35,7 @@
         self.changed = asyncio.Event()
 
     def change(self, number, name, state, born):
+        """Change one row and wake the watches; ``born`` None leaves the start time."""
         known = self.rows.get(name)
         self.rows[name] = (number, state, known[2] if born is None and known else born or 0)
         self.seq += 1
@@ -37,15 +43,16 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def news(self, since):
-        """The names of the rows that an answer has, and whether they are the whole list."""
+    def names_since(self, since):
+        """Return the host names that a response has, and whether they are the whole list."""
         if since is None or since > self.seq:
             return [name for name, row in self.rows.items() if row[1] != GONE], True
         at = bisect.bisect_right(self.log, (since, "\uffff"))
         return list(dict.fromkeys(name for _, name in self.log[at:])), False
 
     def told(self, since, caller):
-        names, whole = self.news(since)
+        """Return a response's document, and the (number, state) pairs that it tells the caller."""
+        names, whole = self.names_since(since)
         rows = []
         for name in names:
             number, state, born = self.rows[name]
@@ -62,10 +69,10 @@
                 }
             )
         if self.plan.day.discovery.odd_rows and rows:
-            rows.append(ODD_ROW)
+            rows.append(UNKNOWN_STATE_ROW)
         states = [self.rows[name][:2] for name in names]
         if whole:
-            # What a whole list does not name is gone.
+            # A whole list says of each upstream that it does not contain that it is gone.
             listed = {number for number, _ in states}
             states += [
                 (n, GONE)
@@ -76,23 +83,27 @@
 
 
 class Discovery:
+    """The stand-in service with its faults and open watches."""
+
     def __init__(self, plan, book):
         self.plan, self.book, self.tasks, self.servers = plan, book, set(), {}
         self.catalogs = [Catalog(plan, tier) for tier in range(len(plan.day.tiers))]
+        # slow: seconds a call takes, 0 for the usual time; lag: seconds by which changes are listed
+        # late; moved: number of the address that answers.
         self.down, self.slow, self.lag, self.moved = False, 0.0, 0.0, 0
         self.turn, self.waiting = asyncio.Lock(), 0
-        self.queue = (
-            None  # where it has a capacity, from the day's start on: fleets come up unhindered
-        )
+        self.queue = None  # limits the capacity only from the run's start on, so that all balancers can start
         self.refused, self.polls = 0.0, 0  # the fraction of polls that a fault refuses; all polls
         self.is_silent, self.silence_ended_at = False, -inf
-        self.held = {}  # open watches: (tier, caller) by the time at which they came, by identity
+        self.held = {}  # the event rows of open watches, by a key object per watch
         self.writers = set()
 
     async def open(self):
+        """Listen on the first address."""
         await self.listen(0)
 
     async def listen(self, moved):
+        """Listen for each tier and caller; ``moved`` is 0 before a move and 1 after it."""
         made = self.servers[moved] = []
         for tier in range(len(self.plan.day.tiers)):
             for caller in range(experiment.callers(self.plan.day, tier)):
@@ -106,6 +117,7 @@
                 )
 
     def begin(self, start):
+        """Schedule all changes and faults; ``start`` is in monotonic nanoseconds."""
         self.queue = CallQueue.of(self.plan.day.discovery)
         for tier, catalog in enumerate(self.catalogs):
             for listing in Timeline.of(self.plan.day, tier).listings:
@@ -114,15 +126,17 @@
             if trouble.what in experiment.OF_DISCOVERY:
                 self.spawn(self.trouble(start, trouble))
 
-    def spawn(self, work):
-        task = asyncio.get_running_loop().create_task(work)
+    def spawn(self, coroutine):
+        """Start a task that ``close`` cancels."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def change(self, start, catalog, listing):
+        """Apply one change of the endpoint list at its time, after the present lag."""
         await self.until(start, listing.at)
         await asyncio.sleep(self.lag)
-        # The platform's clock for starts is Unix time.
+        # The platform reports start times in Unix time.
         unix = time.time() - (time.monotonic_ns() - start) / S
         born = None if listing.started_at is None else int((unix + listing.started_at) * 1000)
         catalog.change(listing.number, listing.host, listing.state, born)
@@ -130,6 +144,7 @@
         self.book.add(events.Happened(time.monotonic_ns(), what, catalog.tier, listing.number))
 
     async def trouble(self, start, trouble):
+        """Begin one fault at its time and end it; a move does not end."""
         await self.until(start, trouble.at)
         self.book.add(events.Happened(time.monotonic_ns(), trouble.what, -1, -1))
         if trouble.what == "discovery_outage":
@@ -158,9 +173,11 @@
             self.down, self.slow, self.lag = False, 0.0, 0.0
 
     async def until(self, start, at):
+        """Sleep until ``at`` seconds after the start."""
         await asyncio.sleep(max(0.0, start / S + at - time.monotonic_ns() / S))
 
     async def serve(self, reader, writer, tier, caller, moved):
+        """Serve one connection until it ends."""
         self.writers.add(writer)
         messages = wire.Messages()
         if self.down:
@@ -174,7 +191,7 @@
                 while (whole := messages.next()) is not None:
                     if not await self.answer(whole[0], writer, tier, caller, moved):
                         while await reader.read(65536):
-                            pass  # until whoever polled gives it up
+                            pass  # until the caller closes the connection
                         return
         except (wire.Broken, ConnectionError, ValueError, asyncio.CancelledError):
             pass
@@ -183,52 +200,52 @@
             writer.close()
 
     async def answer(self, head, writer, tier, caller, moved):
-        """Answer one poll; False where its watch has fallen silent and never is answered."""
+        """Answer one poll; return False if a silence fault leaves it unanswered for good."""
         catalog, query = self.catalogs[tier], parse_qs(urlsplit(head.start[1].decode()).query)
         since = int(query["since"][0]) if "since" in query else None
-        came = time.monotonic()
+        arrived_at = time.monotonic()
         if is_refused := self.refuses(caller):
             reached_at = time.monotonic_ns()
         else:
             if since is not None:
                 wait_s = int(query.get("timeout_ms", ["0"])[0]) / 1000
                 await self.hold(catalog, since, wait_s, caller)
-                if self.is_silent or came < self.silence_ended_at:
+                if self.is_silent or arrived_at < self.silence_ended_at:
                     return False
             reached_at = time.monotonic_ns()
-            is_refused = not await self.work(catalog, since)
-        away = is_refused or self.down or self.moved > moved
+            is_refused = not await self.wait_for_response(catalog, since)
+        is_unavailable = is_refused or self.down or self.moved > moved
         self.book.add(
             events.Asked(
                 tier,
                 caller,
                 time.monotonic_ns(),
                 since is not None,
-                not away,
+                not is_unavailable,
                 reached_at,
-                503 if away else 200,
+                503 if is_unavailable else 200,
             )
         )
-        if away:
+        if is_unavailable:
             after_s = self.plan.day.discovery.retry_after_s
             writer.write(
                 wire.answer(503, more=b"Retry-After: %d\r\n" % after_s if after_s else b"")
             )
             return True
-        told, states = catalog.told(since, caller)
-        writer.write(wire.answer(200, msgspec.json.encode(told)))
+        document, states = catalog.told(since, caller)
+        writer.write(wire.answer(200, msgspec.json.encode(document)))
         now = time.monotonic_ns()
         for number, state in states:
             self.book.add(events.Told(tier, caller, now, number, state))
         return True
 
     def refuses(self, caller):
-        """Whether a fault refuses this poll, by chance that hangs on the day's seed."""
+        """Count a poll and return whether a fault refuses it, at random by the plan's seed."""
         self.polls += 1
         return chance.share(self.plan.seed, "discovery", caller, self.polls) < self.refused
 
     async def hold(self, catalog, since, wait_s, caller):
-        """Hold a watch until there is a change, or it has waited as long as it may."""
+        """Hold a watch until there is a change or its time is over."""
         wait_s = min(wait_s, self.plan.day.discovery.longest_watch_s or inf)
         ends, watch = time.monotonic() + wait_s, object()
         self.held[watch] = events.Held(catalog.tier, caller, time.monotonic_ns(), 0)
@@ -239,38 +256,42 @@
                         catalog.changed.wait(), max(0.001, min(0.5, ends - time.monotonic()))
                     )
         finally:
-            self.let_go(watch)
+            self.record_watch(watch)
 
-    def let_go(self, watch):
-        """Write down a watch that is held no longer."""
+    def record_watch(self, watch):
+        """Record a watch that has ended."""
         if (row := self.held.pop(watch, None)) is not None:
             row.ended = time.monotonic_ns()
             self.book.add(row)
 
-    async def work(self, catalog, since):
-        """Wait until the answer to a poll is made; False where the service gives the poll up."""
+    async def wait_for_response(self, catalog, since):
+        """Wait until the response to a poll is ready; return False if the service rejects the poll.
+
+        It also returns False if the poll times out at the service.
+        """
         if self.queue is not None:
             now = time.monotonic()
-            ticket = self.queue.enter(now, len(catalog.news(since)[0]), self.slow)
+            ticket = self.queue.enter(now, len(catalog.names_since(since)[0]), self.slow)
             if ticket is None:
                 return False
             await asyncio.sleep(ticket.answer_at - now)
             return ticket.is_in_time
-        told = self.plan.day.discovery
-        if told.waiting and self.waiting >= told.waiting:
+        settings = self.plan.day.discovery
+        if settings.waiting and self.waiting >= settings.waiting:
             return False
         self.waiting += 1
         try:
             async with self.turn:
-                # One service for all, which works through calls in turn.
-                await asyncio.sleep(self.slow or told.answer_ms / 1000)
+                # The service handles one call at a time, of all tiers and callers.
+                await asyncio.sleep(self.slow or settings.answer_ms / 1000)
         finally:
             self.waiting -= 1
         return True
 
     async def close(self):
+        """Record open watches and close all connections."""
         for watch in list(self.held):
-            self.let_go(watch)
+            self.record_watch(watch)
         for task in list(self.tasks):
             task.cancel()
         for servers in self.servers.values():
--- a/pepperhook/lab/gossip.py
+++ b/pepperhook/lab/gossip.py
@@ -1,5 +1,9 @@
-"""Gossip among many members in virtual time: the members' own decisions (``pepperhook.membership.protocol``), an event queue, a network that loses,
-delays and is cut, members that die, stand still and come back. All from one seed; nothing here reads a clock."""
+"""A simulation of gossip among many members in virtual time.
+
+The members run the real protocol (``pepperhook.membership.protocol``). The simulated network loses
+and delays datagrams and can be partitioned; members can die, pause and return. A run is determined
+by its seed; nothing here reads a clock.
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -14,39 +18,42 @@
 from pepperhook.membership.settings import NS_PER_MS as MS
 from pepperhook.membership.settings import NS_PER_S as S
 
-QUEUE = (
-    300  # datagrams that wait at a member that stands still; more are lost, as in a socket's buffer
-)
+# Datagrams that wait for a paused member; more are lost, as with a full socket buffer.
+MAX_WAITING_DATAGRAMS = 300
 
 
 class Noticed(Struct):
-    """What became of one death, in nanoseconds from it. None: not within the run."""
+    """How one death was noticed: times in nanoseconds after it; None: not within the run."""
 
     name: str
-    at: int
-    suspected: int | None = None  # by the first
-    lost: int | None = None  # by the first
-    known: int | None = None  # by all that live
+    at: int  # virtual time of the death, in nanoseconds
+    suspected: int | None = None  # by the first member
+    lost: int | None = None  # by the first member
+    known: int | None = None  # by all running members
 
 
 class Figures(Struct):
-    """What a run shows."""
+    """The results of a run."""
 
     members: int
     seconds: float
-    probes_each_s: float
-    datagrams_each_s: float
-    busiest_s: float  # of one member, datagrams sent a second over the whole run
-    rows_each_datagram: float
-    suspected: int  # suspicions begun
-    falsely_suspected: int  # of members that lived and could be reached
-    falsely_lost: int
-    refuted: int
+    probes_each_s: float  # per member and second
+    datagrams_each_s: float  # sent, per member and second
+    busiest_s: float  # datagrams that the busiest member sent, per second of the whole run
+    rows_each_datagram: float  # mean number of updates in a datagram
+    suspected: int  # suspicions raised
+    falsely_suspected: int  # suspicions of members that were running and reachable
+    falsely_lost: int  # running and reachable members that were declared lost
+    refuted: int  # suspicions that their subject refuted
     deaths: list[Noticed]
 
 
 class Network:
-    """``members`` of names m0000, m0001 ...; ``loss``: share of datagrams; ``delay_ms``: one way, drawn evenly between two numbers."""
+    """The simulated network and its members, named m0000, m0001 and so on.
+
+    ``loss`` is the fraction of datagrams that are lost. ``delay_ms`` are the bounds of the one-way
+    delay, which is drawn uniformly.
+    """
 
     def __init__(
         self,
@@ -64,32 +71,34 @@
         self.delay = delay_ms
         self.make = make
         self.seed, self.now, self.events, self.counter = seed, 0, [], 0
-        self.members: dict[str, Watched] = {}
+        self.members: dict[str, ObservedMember] = {}
         self.by_address: dict[tuple[str, int], str] = {}
         self.rows = [
             MemberRecord(f"m{n:04}", (f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}", 7946), n % tiers, 1)
             for n in range(members)
         ]
-        self.asleep: dict[str, list] = {}  # stand still: what waits for them
-        self.wakes: dict[str, int] = {}
-        self.cut: Callable[[str, str], bool] = lambda one, other: False
+        self.asleep: dict[str, list] = {}  # paused members and the datagrams that wait for them
+        self.wakes: dict[str, int] = {}  # next timer of each member
+        # Whether datagrams between two members are dropped.
+        self.cut: Callable[[str, str], bool] = lambda sender, receiver: False
         self.sent: Counter = Counter()
-        self.carried = 0
+        self.updates_sent = 0
         self.deaths: dict[str, Noticed] = {}
-        self.false_suspected = self.false_lost = self.gone_counts = 0
+        self.false_suspected = self.false_lost = self.refuted_by_killed = 0
         self.begun: dict[str, int] = {}
 
-    # What a script does.
+    # What a scenario does.
 
     def begin(self, number: int, incarnation: int = 1):
+        """Start a member."""
         row = self.rows[number]
         row = MemberRecord(row.name, row.address, row.tier, incarnation)
         seeds = [
-            self.rows[other].address
-            for other in (0, 1, 2)
-            if other != number and other < len(self.rows)
+            self.rows[seed].address
+            for seed in (0, 1, 2)
+            if seed != number and seed < len(self.rows)
         ]
-        self.members[row.name] = Watched(
+        self.members[row.name] = ObservedMember(
             self,
             self.make(
                 row, seeds, self.seed * 100_003 + number * 7 + incarnation, self.now, self.settings
@@ -100,18 +109,21 @@
         self.wake(row.name)
 
     def kill(self, name: str):
-        self.gone_counts += self.members.pop(name).protocol.counters.refuted
+        """End a member without notice."""
+        self.refuted_by_killed += self.members.pop(name).protocol.counters.refuted
         self.wakes.pop(name, None)
         self.asleep.pop(name, None)
         self.deaths[name] = Noticed(name, self.now)
 
     def stop(self, name: str):
+        """Pause a member."""
         self.asleep.setdefault(name, [])
 
     def go_on(self, name: str):
+        """Resume a paused member."""
         waiting = self.asleep.pop(name, [])
         if name in self.members:
-            # As an event loop does: a datagram, then the timers that are due, then the rest of the datagrams.
+            # The order of an event loop: one datagram, then the due timers, then the other datagrams.
             for message in waiting[:1]:
                 self.deliver(name, message)
             self.carry(name, self.members[name].tick(self.now))
@@ -120,33 +132,36 @@
             self.wake(name, self.now)
 
     def leave(self, name: str):
+        """Make a member leave in an orderly way."""
         self.carry(name, self.members[name].protocol.leave())
         del self.members[name]
         self.wakes.pop(name, None)
 
     def at(self, seconds: float, work: Callable[[], None]):
+        """Schedule a call at a time of the run."""
         self.push(int(seconds * S), work)
 
     # Time.
 
     def push(self, at: int, work):
+        """Schedule a call at a time in nanoseconds."""
         self.counter += 1
         heappush(self.events, (at, self.counter, work))
 
     def run(self, seconds: float):
-        """Until so many seconds of the run have passed."""
+        """Run until that many seconds have passed since the start."""
         ends = int(seconds * S)
         while self.events and self.events[0][0] <= ends:
             self.step()
         self.now = ends
 
     def step(self):
-        """What is next, one event."""
+        """Run the next event."""
         self.now, _, work = heappop(self.events)
         work()
 
     def wake(self, name: str, at: int | None = None):
-        """Sees to it that a member's turn comes when it wants it."""
+        """Schedule a member's tick at ``at``, or at its next deadline."""
         if name in self.asleep or name not in self.members:
             return
         at = max(self.now, self.members[name].protocol.next_deadline()) if at is None else at
@@ -156,6 +171,7 @@
         self.push(at, lambda: self.turn(name, at))
 
     def turn(self, name: str, at: int):
+        """Run a member's scheduled tick, unless it was rescheduled or the member is paused."""
         if self.wakes.get(name) != at or name not in self.members:
             return
         if name in self.asleep:
@@ -169,14 +185,15 @@
     # The network.
 
     def carry(self, sender: str, out: list[Outgoing]):
+        """Send datagrams; some are lost or cut off, the others arrive after a delay."""
         for address, message in ((item.address, item.message) for item in out):
             self.sent[sender] += 1
-            self.carried += len(message.updates)
-            to = self.by_address.get(address)
-            if to is None or self.cut(sender, to) or self.random.random() < self.loss:
+            self.updates_sent += len(message.updates)
+            receiver = self.by_address.get(address)
+            if receiver is None or self.cut(sender, receiver) or self.random.random() < self.loss:
                 continue
             at = self.now + int(self.random.uniform(*self.delay) * MS)
-            # A copy of what can be changed: members share no memory.
+            # Copy what is mutable: members must share no memory.
             copy = Message(
                 message.type,
                 message.sequence,
@@ -186,25 +203,27 @@
                 list(message.updates),
                 list(message.accusers),
             )
-            self.push(at, lambda to=to, copy=copy: self.deliver(to, copy))
+            self.push(at, lambda receiver=receiver, copy=copy: self.deliver(receiver, copy))
 
-    def deliver(self, to: str, message: Message):
-        if to in self.asleep:
-            if len(self.asleep[to]) < QUEUE:
-                self.asleep[to].append(message)
+    def deliver(self, receiver: str, message: Message):
+        """Deliver a datagram, or queue it for a paused member."""
+        if receiver in self.asleep:
+            if len(self.asleep[receiver]) < MAX_WAITING_DATAGRAMS:
+                self.asleep[receiver].append(message)
             return
-        member = self.members.get(to)
+        member = self.members.get(receiver)
         if member is not None:
-            self.carry(to, member.receive(self.now, message))
-            self.wake(to)
+            self.carry(receiver, member.receive(self.now, message))
+            self.wake(receiver)
 
-    # What is seen.
+    # Observations.
 
     def lives(self, name: str) -> bool:
+        """Whether a member runs and is not paused."""
         return name in self.members and name not in self.asleep
 
     def changed(self, by: str, name: str, state: MemberState):
-        """A member has changed its mind on another."""
+        """Record that a member, ``by``, now takes another for suspect or lost."""
         death = self.deaths.get(name)
         if death is not None and name not in self.members:
             if state == MemberState.SUSPECT and death.suspected is None:
@@ -212,9 +231,9 @@
             if state == MemberState.LOST:
                 death.lost = self.now - death.at if death.lost is None else death.lost
                 if death.known is None and all(
-                    name not in other.protocol.table.others
-                    or not other.protocol.table.record_of(name).is_present
-                    for other in self.members.values()
+                    name not in member.protocol.table.others
+                    or not member.protocol.table.record_of(name).is_present
+                    for member in self.members.values()
                 ):
                     death.known = self.now - death.at
         elif self.lives(name) and self.lives(by) and not self.cut(by, name):
@@ -222,40 +241,42 @@
             self.false_lost += state == MemberState.LOST
 
     def agreed(self) -> bool:
-        """Whether all that live see the same, which is who lives."""
-        there = sorted(self.members)
+        """Whether each member's list of present members is exactly the running ones."""
+        running = sorted(self.members)
         return all(
-            member.protocol.table.present_names() == there for member in self.members.values()
+            member.protocol.table.present_names() == running for member in self.members.values()
         )
 
     def differing(self) -> int:
-        there = sorted(self.members)
+        """Return how many members have another list of present members than the running ones."""
+        running = sorted(self.members)
         return sum(
-            member.protocol.table.present_names() != there for member in self.members.values()
+            member.protocol.table.present_names() != running for member in self.members.values()
         )
 
     def figures(self) -> Figures:
+        """Return the results of the run so far."""
         seconds = self.now / S
-        lived = sum((self.now - self.begun[name]) / S for name in self.members) or 1.0
+        member_seconds = sum((self.now - self.begun[name]) / S for name in self.members) or 1.0
         total = sum(self.sent.values())
         counters = [member.protocol.counters for member in self.members.values()]
         return Figures(
             members=len(self.members),
             seconds=seconds,
-            probes_each_s=sum(each.probes for each in counters) / lived,
-            datagrams_each_s=total / lived,
+            probes_each_s=sum(each.probes for each in counters) / member_seconds,
+            datagrams_each_s=total / member_seconds,
             busiest_s=max(self.sent.values(), default=0) / seconds,
-            rows_each_datagram=self.carried / max(1, total),
+            rows_each_datagram=self.updates_sent / max(1, total),
             suspected=sum(each.suspected for each in counters),
             falsely_suspected=self.false_suspected,
             falsely_lost=self.false_lost,
-            refuted=sum(each.refuted for each in counters) + self.gone_counts,
+            refuted=sum(each.refuted for each in counters) + self.refuted_by_killed,
             deaths=list(self.deaths.values()),
         )
 
 
-class Watched:
-    """A member whose changes of mind are told to the network."""
+class ObservedMember:
+    """A member whose changes of other members' states are reported to the network."""
 
     def __init__(self, network: Network, protocol: SwimProtocol):
         self.network = network
@@ -263,20 +284,27 @@
         protocol.view.listeners.append(self.record_changed)
 
     def record_changed(self, previous: MemberRecord, current: MemberRecord) -> None:
+        """Report that a present member became suspect or lost."""
         if not previous.is_present or current.state == previous.state:
             return
         if current.state in (MemberState.SUSPECT, MemberState.LOST):
             self.network.changed(self.protocol.table.local.name, current.name, current.state)
 
     def tick(self, now: int) -> list[Outgoing]:
+        """Run due timers; return the datagrams to send."""
         return self.protocol.tick(now)
 
     def receive(self, now: int, message: Message) -> list[Outgoing]:
+        """Handle a datagram; return the datagrams to send."""
         return self.protocol.receive(now, message)
 
 
 def settled(members: int, seed: int, **more) -> Network:
-    """A network whose members have all joined by three seeds, a hundredth of a second apart, and agree. Raises RuntimeError where they don't."""
+    """Return a network whose members have all joined through three seeds and agree on the list.
+
+    Members start 10 ms apart; more than 100 of them start evenly over one second. Raise
+    RuntimeError if they still differ at the last of 60 checks, which are one second apart.
+    """
     network = Network(members, seed, **more)
     for number in range(members):
         network.at(
--- a/pepperhook/lab/instances.py
+++ b/pepperhook/lab/instances.py
@@ -1,7 +1,8 @@
-"""Which instances of a tier's upstreams live when, by the faults of an experiment.
+"""The lifecycles of a tier's upstream processes, as the faults of an experiment determine them.
 
-One timeline for the stand-ins and for the endpoint list, so that both have the same instance in
-mind: a fault happens to whoever lives at that place then, and to nobody where nobody does.
+The stand-ins and the endpoint list share one timeline, so that both apply a fault to the same
+instance. A fault applies to the instance that runs at its place at that time; if none runs there,
+it has no effect.
 """
 
 from __future__ import annotations
@@ -16,10 +17,11 @@
 from pepperhook.lab.experiment import Experiment, Trouble
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
-# From a drain's beginning until the upstream rejects requests, from a release's until it ends.
+# Default time from the start of a drain until the upstream rejects requests, and from the start of
+# a release until the process ends.
 DRAIN_GRACE_S = 1.0
-RESTART_S = 0.1  # a process needs to end and begin again at the least
-RENEWING = ("replaced", "released")  # faults after which another instance begins
+RESTART_S = 0.1  # minimum time between the end of a process and the start of its successor
+RENEWING = ("replaced", "released")  # faults after which a new instance starts
 OF_LIFECYCLES = ("crash", "cold", "drain", *RENEWING)
 
 
@@ -44,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """One change of the endpoint list; ``started_at`` is None where it does not change."""
+    """One change of the endpoint list; ``started_at`` is None if the start time is unchanged."""
 
     at: float
     number: int
@@ -60,9 +62,11 @@
     host: str
     started_at: float = -inf
     ended_at: float = inf
-    is_released: bool = False  # the endpoint list knows of its end beforehand
-    states: list[tuple[float, str]] = field(default_factory=list)  # drains, and their ends
-    drains: set[int] = field(default_factory=set)  # faults that drain it now
+    is_released: bool = False  # a planned end, which the endpoint list shows without delay
+    states: list[tuple[float, str]] = field(
+        default_factory=list
+    )  # (time, state) of drains and their ends
+    drains: set[int] = field(default_factory=set)  # indexes of the faults that drain it now
 
 
 def host_name(tier: int, number: int) -> str:
@@ -71,67 +75,67 @@
 
 
 class Place:
-    """One place of a tier, and the instances that live there one after the other."""
+    """One place of a tier, with the instances that run there one after the other."""
 
     def __init__(self, tier: int, number: int) -> None:
-        """Begin with an instance that has always lived."""
+        """Begin with an instance that runs since before the experiment."""
         self.number = number
         self.name = host_name(tier, number)
         self.instances = [Instance(self.name)]
         self.steps: list[Step] = []
 
     @property
-    def _living(self) -> Instance | None:
+    def _current(self) -> Instance | None:
         last = self.instances[-1]
         return last if last.ended_at == inf else None
 
     def apply(self, change: Change) -> None:
-        """Apply one change by a fault to whoever lives here."""
-        living = self._living
-        if living is None:
+        """Apply a fault's change to the instance that runs here, if any."""
+        instance = self._current
+        if instance is None:
             if change.transition is Transition.START:
                 self._start(change)
         elif change.transition is Transition.END:
-            self._end(living, change)
+            self._end(instance, change)
         elif change.transition is Transition.DRAIN:
-            self._drain(living, change)
-        elif change.fault in living.drains:
-            self._go_on_draining(living, change)
+            self._drain(instance, change)
+        elif change.fault in instance.drains:
+            self._continue_drain(instance, change)
 
     def _start(self, change: Change) -> None:
         host = f"{self.name}-r{change.fault_at:g}" if change.renews else self.instances[-1].host
         self.instances.append(Instance(host, started_at=change.at))
         self._step(change)
 
-    def _end(self, living: Instance, change: Change) -> None:
-        if change.is_release and change.fault not in living.drains:
-            return  # the release was of an instance before this one
-        living.ended_at = change.at
-        living.is_released = change.is_release
+    def _end(self, instance: Instance, change: Change) -> None:
+        if change.is_release and change.fault not in instance.drains:
+            return  # the release applied to an earlier instance
+        instance.ended_at = change.at
+        instance.is_released = change.is_release
         self._step(change)
 
-    def _drain(self, living: Instance, change: Change) -> None:
-        if not living.drains:
-            living.states.append((change.at, DRAINING))
+    def _drain(self, instance: Instance, change: Change) -> None:
+        if not instance.drains:
+            instance.states.append((change.at, DRAINING))
             self._step(change)
-        living.drains.add(change.fault)
+        instance.drains.add(change.fault)
 
-    def _go_on_draining(self, living: Instance, change: Change) -> None:
+    def _continue_drain(self, instance: Instance, change: Change) -> None:
         if change.transition is Transition.REJECT:
             self._step(change)
         elif change.transition is Transition.SERVE:
-            living.drains.discard(change.fault)
-            if not living.drains:
-                living.states.append((change.at, READY))
+            instance.drains.discard(change.fault)
+            if not instance.drains:
+                instance.states.append((change.at, READY))
                 self._step(change)
 
     def _step(self, change: Change) -> None:
         self.steps.append(Step(change.at, self.number, change.transition))
 
     def listings(self, notice_s: float) -> Iterator[Listing]:
-        """Yield what the endpoint list says.
+        """Yield the changes of the endpoint list.
 
-        It notices starts, and ends without a drain, ``notice_s`` late.
+        Starts, and ends that are no release, are listed with a delay of ``notice_s``.
         """
         listed: set[str] = {self.name}
         for instance, following in itertools.pairwise([*self.instances, None]):
@@ -166,10 +170,10 @@
 
     at: float
     transition: Transition
-    fault: int  # which fault of the experiment
+    fault: int  # index of the fault in the experiment
     fault_at: float
-    renews: bool = False  # of a start: under a name of its own
-    is_release: bool = False  # of an end: only of the instance that the fault drains
+    renews: bool = False  # for START: a new instance with its own host name
+    is_release: bool = False  # for END: only if this fault drains the running instance
 
 
 def _changes(fault: Trouble, index: int, at: float, ends: float) -> Iterator[Change]:
@@ -192,14 +196,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Timeline:
-    """What happens to the processes of one tier, and what the endpoint list says of them."""
+    """The lifecycle steps of one tier's processes and the changes of its endpoint list."""
 
     steps: list[Step]
     listings: list[Listing]
 
     @classmethod
     def of(cls, day: Experiment, tier: int) -> Timeline:
-        """Return the timeline of a tier; all times are seconds of the run."""
+        """Return the timeline of a tier; all times are in seconds since the start of the run."""
         changes: dict[int, list[Change]] = {}
         for index, fault in enumerate(day.troubles):
             if fault.tier != tier or fault.what not in OF_LIFECYCLES:
--- a/pepperhook/lab/machine.py
+++ b/pepperhook/lab/machine.py
@@ -1,9 +1,10 @@
-"""A model of one upstream machine, without I/O and without a clock: sockets or virtual time drive it.
+"""A model of one upstream machine, without I/O and without a clock: its caller passes the time.
 
-Work is done by processor sharing: the jobs that hold a slot share the cores evenly, none gets more than one core, and
-all get a speed that is the product of the machine's own, its warmth, crowding and whatever troubles it. Shared service
-is counted by one running sum V(t) of what each job was given; a job that began at V ends at V + its work, so an event costs O(log n)
-(the virtual time of generalised processor sharing, Parekh and Gallager 1993, with equal weights).
+Work is done by processor sharing: the jobs that hold a slot share the cores evenly, and none gets
+more than one core. Their speed is the product of the machine's own speed, its warmth, crowding and
+active faults. V(t) is the work that each running job has been given so far. A job that began at V
+ends at V + its work, so an event costs O(log n). This is the virtual time of generalised processor
+sharing (Parekh and Gallager 1993) with equal weights.
 
 Times are whole nanoseconds, work is nanoseconds of one core at speed one.
 """
@@ -16,67 +17,78 @@
 
 MS, S = 10**6, 10**9
 TAKEN, QUEUED, TURNED_AWAY = "taken", "queued", "turned away"
-LOOK = 20 * MS  # how often a machine that warms or falls is looked at
+MAX_COLD_STEP_NS = 20 * MS  # a cold machine is advanced in steps of at most this length
 
 
 class Spec(Struct, forbid_unknown_fields=True, kw_only=True):
-    """What a machine is; the defaults are a sound machine without peculiarities."""
+    """The properties of a machine; the defaults are a healthy machine that is always warm."""
 
     cores: float = 2.0
     speed: float = 1.0
     slots: int = 32  # jobs worked on at once
-    queue: int = 64  # jobs that wait beyond that; more are turned away
-    connect_work_ms: float = 0.2  # of a new connection, as a handshake would cost
-    connections: int = 1024  # more are closed at once
-    idle_close_s: float = 15.0
-    crowd_at: int = 0  # jobs in it that make it crowded; 0: never
-    crowd_speed: float = 0.4  # its speed then
-    crowd_rest_s: float = 1.0  # idle for this long it recovers
-    start_capacity: float = 1.0  # share of its speed that it has cold
-    warm_s: float = 10.0  # time it takes to warm
-    warm_work_ms: float = 0.0  # or work: where above zero, warmth goes by work done
+    queue: int = 64  # jobs that wait for a slot; more are turned away
+    connect_work_ms: float = 0.2  # work of a new connection, as a handshake would cost
+    connections: int = 1024  # open connections; more are closed at once
+    idle_close_s: float = 15.0  # idle connections are closed after this time
+    crowd_at: int = 0  # jobs, running and waiting, that make it crowded; 0: never
+    crowd_speed: float = 0.4  # factor of its speed while it is crowded
+    crowd_rest_s: float = 1.0  # idle time after which it is no longer crowded
+    start_capacity: float = 1.0  # share of its speed when it starts cold
+    warm_s: float = 10.0  # time to full speed
+    warm_work_ms: float = 0.0  # work to full speed; 0: warm_s counts instead
     fall_multiple: float = (
-        0.0  # offered over present capacity at which a cold one falls over; 0: never
+        0.0  # offered over present capacity at which a cold machine crashes; 0: never
     )
-    fall_s: float = 1.0  # over which that is measured
-    cancel_stops: bool = True  # whether giving a job up ends its work
+    fall_s: float = 1.0  # period over which fall_multiple is measured
+    cancel_stops: bool = True  # whether cancelling a job ends its work
 
 
 class Job:
-    """One operation here. ``work`` is what it takes; ``about`` is whose it is."""
+    """One unit of work.
+
+    ``work`` is its cost in nanoseconds of one core; ``about`` is the object that it belongs to.
+    """
 
     __slots__ = ("work", "about", "ends_v", "state", "came", "began", "given")
 
     def __init__(self, work, about):
         self.work, self.about, self.ends_v, self.state = max(1, int(work)), about, 0.0, None
         self.came = self.began = 0
-        self.given = False  # given up by its client
+        self.abandoned = False  # cancelled by its client
 
 
 class Machine:
-    """Call ``arrive``, ``abandon``, ``free`` and ``due`` with a time that never goes back; ``next_at`` says when to
-    call ``due`` at the latest. ``due`` gives jobs whose work is done: they hold their slot until ``free``."""
+    """A machine that works on jobs.
+
+    Call ``arrive``, ``abandon``, ``free`` and ``due`` with times that never decrease; ``next_at``
+    returns when to call ``due`` at the latest. ``due`` returns the jobs whose work is done; they
+    hold their slot until ``free``.
+    """
 
     def __init__(self, spec, now, cold=False):
         self.spec, self.at, self.v = spec, now, 0.0
-        self.running, self.order, self.held, self.waiting = [], 0, 0, deque()
-        self.working = 0
-        self.troubled = 1.0  # speed under the troubles of the moment; 0: it stands still
+        # running: a heap of (V at the end, sequence number, job); held: slots in use.
+        self.running, self.sequence, self.held, self.waiting = [], 0, 0, deque()
+        self.working = 0  # jobs that share the cores
+        self.fault_factor = 1.0  # of the speed, by active faults; 0: it is paused
         self.crowded, self.idle_since = False, now
         self.cold_since = now if cold and spec.start_capacity < 1 else None
-        self.warmed_by = 0.0  # work done since
-        self.offered, self.offered_at = 0.0, now  # work that came, fading over fall_s
-        self.fell = False
+        self.warm_up_work = 0.0  # work done since the start
+        self.offered, self.offered_at = (
+            0.0,
+            now,
+        )  # work that arrived, decaying with time constant fall_s
+        self.fell = False  # whether overload has crashed it while cold
         self.done_work = self.wasted_work = 0.0
-        self.finished = []  # done and not yet asked for
+        self.finished = []  # done and not yet returned by due
 
     def warmth(self, now):
-        """The share of its speed that it has at this moment."""
+        """Return the present share of its full speed, by its warm-up."""
         if self.cold_since is None:
             return 1.0
         spec = self.spec
         share = (
-            self.warmed_by / (spec.warm_work_ms * MS)
+            self.warm_up_work / (spec.warm_work_ms * MS)
             if spec.warm_work_ms
             else (now - self.cold_since) / (spec.warm_s * S)
         )
@@ -85,55 +97,60 @@
             return 1.0
         return spec.start_capacity + (1 - spec.start_capacity) * max(0.0, share)
 
-    def pace(self, now):
-        """What each job is given: nanoseconds of work for one of time."""
+    def work_rate(self, now):
+        """Return the work each running job is given per unit of time."""
         if not self.working:
             return 0.0
         speed = (
             self.spec.speed
-            * self.troubled
+            * self.fault_factor
             * self.warmth(now)
             * (self.spec.crowd_speed if self.crowded else 1.0)
         )
         return speed * min(1.0, self.spec.cores / self.working)
 
-    def move(self, now):
-        """Brings V up to date. What changes the pace is called after this, and never before."""
+    def advance(self, now):
+        """Advance V to ``now``.
+
+        Call this before every change of the rate: the time up to ``now`` counts at the old rate.
+        """
         while now > self.at:
-            # A cold one warms in small steps, or one long wait would be worked through at the first one's pace.
-            until = min(now, self.at + LOOK) if self.cold_since is not None else now
-            pace = self.pace(self.at)
+            # The rate of a cold machine grows, so a long span is split: the rate is constant in
+            # each step.
+            until = min(now, self.at + MAX_COLD_STEP_NS) if self.cold_since is not None else now
+            rate = self.work_rate(self.at)
             span = until - self.at
-            if pace and self.running:
-                # Not past the next end: behind it fewer share.
-                left = self.live()
-                if left is not None and left > self.v:
-                    span = min(span, max(1, int((left - self.v) / pace) + 1))
-            self.v += pace * span
-            self.warmed_by += pace * span * self.working
-            self.done_work += pace * span * self.working
+            if rate and self.running:
+                # Stop at the next end: after it fewer jobs share the cores.
+                next_end = self.next_end()
+                if next_end is not None and next_end > self.v:
+                    span = min(span, max(1, int((next_end - self.v) / rate) + 1))
+            self.v += rate * span
+            self.warm_up_work += rate * span * self.working
+            self.done_work += rate * span * self.working
             self.at += span
-            if pace and self.running and self.live() is not None and self.live() <= self.v:
-                self.reap()
+            if rate and self.running and self.next_end() is not None and self.next_end() <= self.v:
+                self.collect_finished()
         if self.crowded and not self.held and now - self.idle_since >= self.spec.crowd_rest_s * S:
             self.crowded = False
 
-    def live(self):
-        """The V at which the next job ends."""
+    def next_end(self):
+        """Return the V at which the next job ends, or None."""
         while self.running and self.running[0][2].state != "working":
             heappop(self.running)
         return self.running[0][0] if self.running else None
 
-    def reap(self):
-        while (ends := self.live()) is not None and ends <= self.v:
+    def collect_finished(self):
+        """Move the jobs whose work is done to ``finished``."""
+        while (ends := self.next_end()) is not None and ends <= self.v:
             job = heappop(self.running)[2]
             job.state = "done"
             self.working -= 1
             self.finished.append(job)
 
     def arrive(self, now, job):
-        """TAKEN, QUEUED or TURNED_AWAY; the last never runs."""
-        self.move(now)
+        """Admit a job; return TAKEN, QUEUED or TURNED_AWAY (it never runs)."""
+        self.advance(now)
         spec = self.spec
         self.offered *= exp((self.offered_at - now) / (spec.fall_s * S))
         self.offered_at = now
@@ -141,7 +158,7 @@
         job.came = now
         if spec.fall_multiple and self.cold_since is not None:
             present = self.warmth(now) * spec.cores * spec.speed * spec.fall_s * S
-            # Against two single jobs counting as a push: what is offered must be more than a few at once.
+            # Three jobs' work on top, so that a few jobs at once do not count as overload.
             if (
                 self.cold_since is not None
                 and self.offered > spec.fall_multiple * present + 3 * job.work
@@ -152,37 +169,41 @@
                 return TURNED_AWAY
             job.state = "waiting"
             self.waiting.append(job)
-            self.crowd()
+            self.update_crowding()
             return QUEUED
         self.begin(now, job)
-        self.crowd()
+        self.update_crowding()
         return TAKEN
 
-    def crowd(self):
+    def update_crowding(self):
+        """Become crowded if enough jobs are here."""
         if self.spec.crowd_at and self.held + len(self.waiting) >= self.spec.crowd_at:
             self.crowded = True
 
     def begin(self, now, job):
+        """Give a job a slot and begin its work."""
         job.state, job.began, job.ends_v = "working", now, self.v + job.work
         self.held += 1
         self.working += 1
-        self.order += 1
-        heappush(self.running, (job.ends_v, self.order, job))
+        self.sequence += 1
+        heappush(self.running, (job.ends_v, self.sequence, job))
 
     def charge(self, now, work):
-        """Work beside the jobs, such as a handshake: each job that shares the cores is put back by its part."""
-        self.move(now)
+        """Do work besides the jobs, such as a handshake; it delays each running job by its share."""
+        self.advance(now)
         if self.working:
             self.v -= min(work / max(self.spec.cores, self.working), self.v)
         self.done_work += work
 
     def abandon(self, now, job):
-        """Its client is gone. A waiting job leaves; one at work stops or runs on, by the spec. True: it holds nothing
-        here any more."""
-        self.move(now)
-        if job.given or job.state in (None, "over"):
+        """Cancel a job whose client is gone; return whether it has left the machine.
+
+        A waiting job leaves; a running one stops only if ``cancel_stops`` is set.
+        """
+        self.advance(now)
+        if job.abandoned or job.state in (None, "over"):
             return job.state == "over"
-        job.given = True
+        job.abandoned = True
         if job.state == "waiting":
             self.waiting.remove(job)
             job.state = "over"
@@ -198,13 +219,14 @@
         return False
 
     def free(self, now, job):
-        """A job that ``due`` gave has been answered: its slot goes to the next."""
-        self.move(now)
+        """Release the slot of a job that ``due`` returned."""
+        self.advance(now)
         if job.state == "done":
             job.state = "over"
             self.release(now)
 
     def release(self, now):
+        """Free one slot and begin waiting jobs."""
         self.held -= 1
         if not self.held:
             self.idle_since = now
@@ -212,32 +234,32 @@
             self.begin(now, self.waiting.popleft())
 
     def due(self, now):
-        """The jobs whose work is done by now, in the order of their ends."""
-        self.move(now)
-        self.reap()
+        """Return the jobs whose work is done by now, in the order in which they ended."""
+        self.advance(now)
+        self.collect_finished()
         done, self.finished = self.finished, []
         return done
 
     def next_at(self, now):
-        """When ``due`` has something at the latest; None: nothing is under way."""
-        ends, pace = self.live(), self.pace(now)
+        """Return when to call ``due`` at the latest; None if no job is running."""
+        ends, rate = self.next_end(), self.work_rate(now)
         if self.finished:
             return now
         if ends is None:
             return None
-        if not pace:
+        if not rate:
             return now + 50 * MS
-        at = now + max(1, int((ends - self.v) / pace) + 1)
-        return min(at, now + LOOK) if self.cold_since is not None else at
+        at = now + max(1, int((ends - self.v) / rate) + 1)
+        return min(at, now + MAX_COLD_STEP_NS) if self.cold_since is not None else at
 
     def slow(self, now, factor):
-        """Sets the speed under troubles; 0 makes it stand still."""
-        self.move(now)
-        self.troubled = factor
+        """Set the factor that faults put on the speed; 0 pauses the machine."""
+        self.advance(now)
+        self.fault_factor = factor
 
     def report(self, now):
-        """What a load report tells."""
-        self.move(now)
+        """Return the content of a load report."""
+        self.advance(now)
         return {
             "outstanding": self.held,
             "backlog": len(self.waiting),
--- a/pepperhook/lab/network.py
+++ b/pepperhook/lab/network.py
@@ -1,4 +1,7 @@
-"""The network between balancers and a tier: relays in user space that delay, lose a direction, fall silent, cut and heal."""
+"""The network between balancers and a tier: TCP relays in user space that inject network faults.
+
+They can delay data, drop it in one direction or both, refuse new connections and cut existing ones.
+"""
 
 import asyncio
 import socket
@@ -12,17 +15,20 @@
 
 
 class Side(asyncio.Protocol):
-    """One end of a relayed connection; what it reads goes to the other, as the relay allows."""
+    """One of the two connections of a relayed connection; forwards what it reads to the other.
+
+    ``towards`` is the direction of that data: "on" to the target or "back" to the caller.
+    """
 
     def __init__(self, relay, towards, other=None):
-        self.relay, self.towards, self.other, self.transport, self.held = (
+        self.relay, self.towards, self.other, self.transport, self.pending = (
             relay,
             towards,
             other,
             None,
             [],
         )
-        self.delayed = deque()  # rows of (when it is due, data), in the order in which they came
+        self.delayed = deque()  # (due time, data) in the order of arrival
 
     def connection_made(self, transport):
         self.transport = transport
@@ -32,6 +38,7 @@
             self.relay.network.spawn(self.connect())
 
     async def connect(self):
+        """Connect to the target; then forward what has arrived meanwhile."""
         loop = asyncio.get_running_loop()
         try:
             _, other = await loop.create_connection(
@@ -40,19 +47,21 @@
         except OSError:
             return self.transport.abort()
         self.other = other
-        for data in self.held:
-            self.pass_on(data)
-        self.held.clear()
+        for data in self.pending:
+            self.forward(data)
+        self.pending.clear()
 
     def data_received(self, data):
         if self.other is None:
-            self.held.append(data)
+            self.pending.append(data)
         else:
-            self.pass_on(data)
+            self.forward(data)
 
-    def pass_on(self, data):
+    def forward(self, data):
+        """Forward data now or after the delay, or drop it, as the relay's faults demand."""
         relay = self.relay
-        # What a silent network swallows is gone: TCP would send it again after healing, a balancer has given up by then.
+        # Dropped data is not sent later. TCP would retransmit it after the fault, but a balancer has
+        # closed the connection by then.
         if (
             relay.silent
             or relay.deaf
@@ -65,18 +74,19 @@
         if not relay.delay_s and not self.delayed:
             self.write(data)
             return
-        # Behind all that came before it, also where the delay has ended since: a network never changes the order within a
-        # connection.
+        # Data queues behind delayed data even if the delay has ended since: a network never reorders
+        # the bytes of a connection.
         self.delayed.append((asyncio.get_running_loop().time() + relay.delay_s, data))
         if len(self.delayed) == 1:
             self.arm()
 
     def arm(self):
+        """Set the timer for the first delayed data."""
         loop = asyncio.get_running_loop()
         loop.call_later(max(0.0, self.delayed[0][0] - loop.time()), self.write_due)
 
     def write_due(self):
-        """Writes what comes first, and all that is due behind it."""
+        """Write the first delayed data and all that is due after it."""
         self.write(self.delayed.popleft()[1])
         now = asyncio.get_running_loop().time()
         while self.delayed and self.delayed[0][0] <= now:
@@ -85,57 +95,68 @@
             self.arm()
 
     def write(self, data):
+        """Write data to the other connection, if it is open."""
         if self.other is not None and not self.other.transport.is_closing():
             self.other.transport.write(data)
 
     def connection_lost(self, problem):
         self.relay.sides.discard(self)
-        # In silence nobody hears of an end either.
+        # A silent relay does not pass on the end of a connection either.
         if self.other is not None and not self.relay.silent and self.other.transport is not None:
             self.other.transport.abort() if problem else self.other.transport.close()
 
 
 class Relay:
+    """The relay between one caller and one upstream, with its active faults."""
+
     ends: tuple  # the zones of its upstream and of its caller
 
     def __init__(self, network, target):
         self.network, self.target, self.sides, self.server = network, target, set(), None
         self.address, self.fillers = None, []
+        # deaf: drops data to the target; mute: drops data to the caller; silent: drops both.
         self.delay_s, self.deaf, self.mute, self.silent = 0.0, False, False, False
 
     async def open(self, address):
+        """Listen on the address."""
         self.address = address
         self.server = await asyncio.get_running_loop().create_server(
             lambda: Side(self, "on"), *address, backlog=512, reuse_address=True
         )
 
     def shut(self):
-        """New connections never come up, as where the way to a machine is gone."""
+        """Make new connections time out, as if the target were unreachable."""
         self.server.close()
-        self.fillers = wire.stop_up(self.address)
+        self.fillers = wire.fill_backlog(self.address)
 
     async def reopen(self):
+        """Accept connections again."""
         while self.fillers:
             self.fillers.pop().close()
         await self.open(self.address)
 
     def cut(self):
+        """Abort all connections."""
         for side in list(self.sides):
             side.transport.abort()
 
 
 class Network:
+    """All relays of an experiment and the faults of its network."""
+
     def __init__(self, plan, book):
         self.plan, self.book, self.relays, self.tasks = plan, book, {}, set()
 
-    def spawn(self, work):
-        task = asyncio.get_running_loop().create_task(work)
+    def spawn(self, coroutine):
+        """Start a task that ``close`` cancels."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def open(self):
-        for tier, told in enumerate(self.plan.day.tiers):
-            for number in range(told.upstreams if told.network else 0):
+        """Open the relays of all tiers that have a network."""
+        for tier, settings in enumerate(self.plan.day.tiers):
+            for number in range(settings.upstreams if settings.network else 0):
                 for caller in range(experiment.callers(self.plan.day, tier)):
                     relay = Relay(self, self.plan.upstream(tier, number, caller))
                     await relay.open(self.plan.relay(tier, number, caller))
@@ -146,11 +167,13 @@
                     self.relays.setdefault((tier, number), []).append(relay)
 
     def begin(self, start):
+        """Schedule the network faults; ``start`` is the run's start in monotonic nanoseconds."""
         for trouble in self.plan.day.troubles:
             if trouble.what in experiment.OF_NETWORK:
                 self.spawn(self.trouble(start, trouble))
 
     async def trouble(self, start, trouble):
+        """Begin and end one fault at its times."""
         chosen = [
             relay
             for number in experiment.targets(self.plan.day, trouble)
@@ -166,11 +189,12 @@
                     relay.shut() if on else await relay.reopen()
 
     def crosses(self, relay, trouble):
-        """Whether it crosses the border of the trouble's zone."""
+        """Whether exactly one end of the relay is in the fault's zone."""
         return sum(end == experiment.zone(self.plan.day, trouble.zone) for end in relay.ends) == 1
 
     @staticmethod
     def set(relay, trouble, on):
+        """Apply a fault to a relay, or end it."""
         if trouble.what == "net_delay":
             relay.delay_s = (trouble.size or 0.05) if on else 0.0
         elif trouble.what == "net_deaf":
@@ -180,10 +204,11 @@
         elif trouble.what in ("net_silence", "net_apart"):
             relay.silent = on
         if trouble.what == "net_cut" or not on and trouble.what != "net_delay":
-            # Healed: what stood half-open comes back as resets.
+            # At the end of a fault its half-open connections are reset.
             relay.cut()
 
     async def close(self):
+        """Cancel all faults and close all relays."""
         for task in list(self.tasks):
             task.cancel()
         with suppress(asyncio.CancelledError):
--- a/pepperhook/lab/stage.py
+++ b/pepperhook/lab/stage.py
@@ -1,7 +1,10 @@
-"""The processes of a day's stand-ins: ``python -m pepperhook.lab.stage PLAN FOLDER upstreams TIER | discovery | relays``.
+"""The processes of a run's stand-ins.
 
-Each says "ready" on standard output, is told the day's start on standard input (nanoseconds of the monotonic clock), plays
-its part of the troubles on the time line, and ends with its input: none outlives who started it.
+Usage: ``python -m pepperhook.lab.stage PLAN FOLDER upstreams TIER | discovery | relays``.
+
+Each process prints "ready" to standard output, then reads the run's start from standard input (in
+nanoseconds of the monotonic clock) and injects its part of the scheduled faults. It ends when its
+standard input is closed, so that it does not outlive the process that started it.
 """
 
 import asyncio
@@ -12,36 +15,39 @@
 from pepperhook.lab.experiment import Plan
 
 S = 10**9
-STALL_NS = 50 * 10**6  # a third of what the auditor allows for a list to be read
+STALL_NS = 50 * 10**6  # a third of the time that the auditor allows for reading a list
 
 
 class Stage:
-    """What all upstreams of one tier share."""
+    """The state that all upstreams of one tier share."""
 
     def __init__(self, plan, folder, tier):
         self.plan, self.day, self.tier = plan, plan.day, tier
         self.book = events.Book(f"{folder}/upstreams-{tier}.rows")
         self.callers = experiment.callers(plan.day, tier)
         self.grades = {grade.name: at for at, grade in enumerate(plan.day.grades)}
+        # seen: how often each request id has reached the tier.
         self.seen, self.tasks = {}, set()
 
-    def spawn(self, work):
-        task = asyncio.get_running_loop().create_task(work)
+    def spawn(self, coroutine):
+        """Start a task and keep a reference until it ends."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def unasked(self, exchange, data):
+    def record_unsolicited(self, exchange, data):
+        """Record data that the next tier's balancer sent without a request or after a response."""
         self.book.add(
             events.Extra(
                 self.tier + 1, time.monotonic_ns(), exchange.id if exchange else "", len(data)
             )
         )
 
-    after = unasked
+    record_excess = record_unsolicited
 
 
 async def note_stalls(process, book):
-    """Write down when this process's event loop ran late, until it is cancelled."""
+    """Record when this process's event loop runs late, until it is cancelled."""
     while True:
         due = time.monotonic_ns() + stalls.CHECK_NS
         await asyncio.sleep(stalls.CHECK_NS / S)
@@ -51,53 +57,59 @@
 
 
 async def upstreams(plan, folder, tier, begin):
+    """Run all upstreams of one tier."""
     from pepperhook.lab.upstream import Upstream
 
     stage = Stage(plan, folder, tier)
-    all_here = [Upstream(stage, number) for number in range(plan.day.tiers[tier].upstreams)]
-    for upstream in all_here:
-        await upstream.up(plan.day.cold)
+    tier_upstreams = [Upstream(stage, number) for number in range(plan.day.tiers[tier].upstreams)]
+    for upstream in tier_upstreams:
+        await upstream.start(plan.day.cold)
     start, ended = await begin()
-    play = [asyncio.create_task(step(*row)) for row in steps(plan.day, tier, start, all_here)]
-    play += [
-        asyncio.create_task(follow(start, all_here[row.number], row))
+    tasks = [
+        asyncio.create_task(run_fault(*row))
+        for row in fault_changes(plan.day, tier, start, tier_upstreams)
+    ]
+    tasks += [
+        asyncio.create_task(run_transition(start, tier_upstreams[row.number], row))
         for row in instances.Timeline.of(plan.day, tier).steps
     ]
-    play.append(asyncio.create_task(note_stalls(stalls.upstreams(tier), stage.book)))
+    tasks.append(asyncio.create_task(note_stalls(stalls.upstreams(tier), stage.book)))
     while not ended.done():
         await asyncio.wait([ended], timeout=0.5)
         stage.book.flush()
-        for upstream in all_here:
+        for upstream in tier_upstreams:
             upstream.sweep()
-    for task in play:
+    for task in tasks:
         task.cancel()
-    for upstream in all_here:
+    for upstream in tier_upstreams:
         await upstream.close()
     await asyncio.sleep(0)
     stage.book.close()
 
 
-def steps(day, tier, start, all_here):
-    """Yield when each trouble of upstreams begins and ends, and for which."""
+def fault_changes(day, tier, start, tier_upstreams):
+    """Yield the begin and end of each upstream fault: (time, upstream, fault, whether it begins)."""
     for trouble in day.troubles:
         if trouble.what in experiment.OF_UPSTREAMS and trouble.tier == tier:
             for number, begins, ends in experiment.moments(day, trouble):
                 for at, on in (begins, True), (ends, False):
-                    yield start + int(at * S), all_here[number], trouble, on
+                    yield start + int(at * S), tier_upstreams[number], trouble, on
 
 
-async def step(at, upstream, trouble, on):
+async def run_fault(at, upstream, trouble, on):
+    """Begin or end a fault of an upstream at its time."""
     await asyncio.sleep(max(0, at - time.monotonic_ns()) / S)
     await upstream.trouble(trouble, on)
 
 
-async def follow(start, upstream, row):
-    """Let an upstream make a transition of its lifecycle at its time."""
+async def run_transition(start, upstream, row):
+    """Apply a lifecycle transition to an upstream at its time."""
     await asyncio.sleep(max(0, start / S + row.at - time.monotonic_ns() / S))
-    await upstream.follow(row.transition)
+    await upstream.apply_transition(row.transition)
 
 
 async def discovery(plan, folder, begin):
+    """Run the discovery service."""
     from pepperhook.lab.discovery import Discovery
 
     book = events.Book(f"{folder}/discovery.rows")
@@ -105,16 +117,17 @@
     await service.open()
     start, ended = await begin()
     service.begin(start)
-    watch = asyncio.create_task(note_stalls("discovery", book))
+    stall_monitor = asyncio.create_task(note_stalls("discovery", book))
     while not ended.done():
         await asyncio.wait([ended], timeout=0.5)
         book.flush()
-    watch.cancel()
+    stall_monitor.cancel()
     await service.close()
     book.close()
 
 
 async def relays(plan, folder, begin):
+    """Run the relays of the network."""
     from pepperhook.lab.network import Network
 
     book = events.Book(f"{folder}/relays.rows")
@@ -128,7 +141,7 @@
 
 
 async def begin():
-    """Says that all is ready; the day's start, and a task that ends with standard input."""
+    """Print "ready"; return the run's start and a task that ends with standard input."""
     print("ready", flush=True)
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
@@ -140,6 +153,7 @@
 
 
 def main(arguments):
+    """Run the process that the arguments name."""
     plan, folder, role, *more = arguments
     plan = Plan.read(plan)
 
--- a/pepperhook/lab/upstream.py
+++ b/pepperhook/lab/upstream.py
@@ -185,7 +185,9 @@
                 if last
                 else self.stage.plan.balancer(self.tier + 1, self.number)
             )
-            self.pool = wire.Pool(lambda: address, self.stage.unasked, self.stage.after)
+            self.pool = wire.Pool(
+                lambda: address, self.stage.record_unsolicited, self.stage.record_excess
+            )
         await self.listen()
 
     async def listen(self):
@@ -465,7 +467,7 @@
         if attempt.job.state is None:
             return self.record(attempt, "hung", attempt.gone_at)
         if not self.day.tiers[self.tier].heeds_leaving:
-            attempt.job.given = True
+            attempt.job.abandoned = True
             return None
         began = attempt.job.began
         is_over = self.machine.abandon(attempt.gone_at, attempt.job)
@@ -507,7 +509,7 @@
             self.machine.slow(now, (0.0 if what == "pause" else trouble.size or 0.2) if on else 1.0)
             self.arm()
         elif what == "crowd":
-            self.machine.move(now)
+            self.machine.advance(now)
             self.machine.crowded = on or self.machine.crowded
             self.arm()
         elif what in ("refused", "unconnectable"):
@@ -515,7 +517,7 @@
                 self.refuse()
                 if what == "unconnectable":
                     for caller in range(self.stage.callers):
-                        self.fillers += wire.stop_up(
+                        self.fillers += wire.fill_backlog(
                             self.stage.plan.upstream(self.tier, self.number, caller)
                         )
             else:
--- a/pepperhook/lab/wire.py
+++ b/pepperhook/lab/wire.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 as the stand-ins speak it: small, quick, and strict about what a balancer may send or answer.
+"""The HTTP/1.1 of the stand-ins: small, fast, and strict about what a balancer may send.
 
-A side's own parser, on purpose not the balancer's: two ends that share one parser agree on its mistakes.
+It has its own parser, because two ends with the same parser would agree on its mistakes.
 """
 
 import asyncio
@@ -8,12 +8,12 @@
 from contextlib import suppress
 
 HEAD_END = b"\r\n\r\n"
-MOST = 256 * 1024
-CONNECT_S = 5
+MAX_HEAD_BYTES = 256 * 1024
+CONNECT_TIMEOUT_S = 5
 
 
 class Broken(ValueError):
-    """What came is no message."""
+    """Received data is not a valid HTTP message."""
 
 
 class Head:
@@ -25,58 +25,62 @@
         first, _, rest = raw.partition(b"\r\n")
         self.start = first.split(b" ", 2)
         if len(self.start) < 2:
-            raise Broken(f"no start line: {first[:60]!r}")
+            raise Broken(f"malformed start line: {first[:60]!r}")
         self.headers = {}
         for line in rest.split(b"\r\n"):
             name, colon, value = line.partition(b":")
             if not colon:
-                raise Broken(f"no header: {line[:60]!r}")
+                raise Broken(f"malformed header line: {line[:60]!r}")
             self.headers[name.lower()] = value.strip()
 
     def number(self, name, default=None):
+        """Return a header's value as an integer; raise Broken if it is none."""
         value = self.headers.get(name)
         if value is None:
             return default
         if not value.isdigit():
-            raise Broken(f"{name.decode()}: {value[:20]!r} is no whole number")
+            raise Broken(f"{name.decode()}: {value[:20]!r} is not a whole number")
         return int(value)
 
 
 class Messages:
-    """Cuts a stream of bytes into whole messages."""
+    """Splits a stream of bytes into messages."""
 
-    __slots__ = ("buffer", "head", "wanted")
+    __slots__ = ("buffer", "head", "body_length")
 
     def __init__(self):
-        self.buffer, self.head, self.wanted = b"", None, 0
+        self.buffer, self.head, self.body_length = b"", None, 0
 
     def feed(self, data):
+        """Add received data."""
         self.buffer += data
 
     def next(self):
-        """(head, body) of the next whole message, or None. Raises Broken."""
+        """Return (head, body) of the next message, or None if it is incomplete; raise Broken."""
         if self.head is None:
             end = self.buffer.find(HEAD_END)
             if end < 0:
-                if len(self.buffer) > MOST:
-                    raise Broken("a head without end")
+                if len(self.buffer) > MAX_HEAD_BYTES:
+                    raise Broken(f"message head longer than {MAX_HEAD_BYTES} bytes")
                 return None
             self.head, self.buffer = Head(self.buffer[:end]), self.buffer[end + 4 :]
             if b"chunked" in self.head.headers.get(b"transfer-encoding", b""):
-                raise Broken("chunks are not read here")
-            self.wanted = self.head.number(b"content-length", 0)
-        if len(self.buffer) < self.wanted:
+                raise Broken("chunked bodies are not supported")
+            self.body_length = self.head.number(b"content-length", 0)
+        if len(self.buffer) < self.body_length:
             return None
-        whole, self.head = (self.head, self.buffer[: self.wanted]), None
-        self.buffer = self.buffer[self.wanted :]
+        whole, self.head = (self.head, self.buffer[: self.body_length]), None
+        self.buffer = self.buffer[self.body_length :]
         return whole
 
     @property
     def begun(self):
+        """Whether part of a message has been received."""
         return self.head is not None or bool(self.buffer)
 
 
 def message(method, path, headers, body=b""):
+    """Return the bytes of a request."""
     lines = [b"%s %s HTTP/1.1\r\nHost: service.internal\r\n" % (method, path)]
     lines += [b"%s: %s\r\n" % pair for pair in headers]
     if body or method == b"POST":
@@ -85,6 +89,7 @@
 
 
 def answer(status, body=b"", more=b""):
+    """Return the bytes of a response; ``more`` are further header lines, each with its CRLF."""
     return b"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s" % (
         status,
         b"OK" if status == 200 else b"Not",
@@ -94,25 +99,27 @@
     )
 
 
-def stop_up(address):
-    """Makes new connections to a free address never come up: its backlog is full and nobody takes from it. The sockets to
-    close when that is over."""
-    held = socket.socket()
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    held.bind(address)
-    held.listen(0)
-    made = [held]
+def fill_backlog(address):
+    """Make new connections to a free address time out, by a listener with a full backlog.
+
+    Return the sockets to close when this is to end.
+    """
+    listener = socket.socket()
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listener.bind(address)
+    listener.listen(0)
+    sockets = [listener]
     for _ in range(3):
         filler = socket.socket()
         filler.setblocking(False)
         with suppress(BlockingIOError):
             filler.connect(address)
-        made.append(filler)
-    return made
+        sockets.append(filler)
+    return sockets
 
 
 class Link(asyncio.Protocol):
-    """A client's end of one connection; one message at a time. ``exchange`` is told how each ended."""
+    """The client side of one connection, with at most one open exchange."""
 
     def __init__(self, pool):
         self.pool, self.transport, self.exchange, self.messages = pool, None, None, Messages()
@@ -127,18 +134,18 @@
         except Broken as problem:
             return self.fail(f"no answer: {problem}")
         if self.exchange is None:
-            # Said unasked, or after the answer: the pool's owner must hear of it.
-            self.pool.unasked(self, data)
+            # Data without a request, or after the response, is reported to the pool's owner.
+            self.pool.report_unsolicited(self, data)
             return self.transport.abort()
         if whole is None:
             return None
         head, body = whole
         exchange, self.exchange = self.exchange, None
         close = head.headers.get(b"connection", b"").lower() == b"close"
-        more = self.messages.buffer
+        excess = self.messages.buffer
         exchange.answered(int(head.start[1]), body, head.headers)
-        if more:
-            self.pool.after(exchange, more)
+        if excess:
+            self.pool.report_excess(exchange, excess)
             self.transport.abort()
         elif close or self.pool.closed:
             self.transport.close()
@@ -146,9 +153,10 @@
             self.last = exchange
             self.pool.idle.append(self)
 
-    last = None
+    last = None  # the last exchange that ended on this connection
 
     def fail(self, why):
+        """Abort the connection and end its exchange as lost."""
         exchange, self.exchange = self.exchange, None
         self.transport.abort()
         if exchange is not None:
@@ -170,19 +178,31 @@
 
 
 class Pool:
-    """Kept connections to wherever ``where`` says at the moment; an exchange has ``answered(status, body, headers)``,
-    ``lost(why, unread)`` and ``unconnected(why)``, one of which is called once."""
+    """Keep-alive connections to the address that ``where()`` returns for each new connection.
+
+    An exchange is one request with its response. Each send ends with one call of its
+    ``answered(status, body, headers)``, ``lost(why, unread)`` or ``unconnected(why)``, unless the
+    exchange is dropped or over before. ``unread`` means that no part of a response was received, or that the peer did not process
+    the request. ``written()`` is called when a new connection is up, and ``over`` is true when the
+    exchange has ended. The pool sets ``link`` and ``fresh`` (its connection is new).
+    """
 
-    def __init__(self, where, on_unasked=None, on_after=None):
+    def __init__(self, where, on_unsolicited=None, on_excess=None):
         self.where, self.idle, self.links, self.closed = where, [], set(), False
-        self.on_unasked, self.on_after, self.loop = on_unasked, on_after, asyncio.get_running_loop()
+        self.on_unsolicited, self.on_excess, self.loop = (
+            on_unsolicited,
+            on_excess,
+            asyncio.get_running_loop(),
+        )
         self.connecting = set()
 
     def ask(self, exchange, method, path, headers, body):
+        """Send a request; its encoded form stays in ``exchange.data`` for a repetition."""
         exchange.data = message(method, path, headers, body)
         self.send(exchange, exchange.data)
 
     def send(self, exchange, data):
+        """Send an encoded request on an idle connection, or else on a new one."""
         while self.idle:
             link = self.idle.pop()
             if not link.transport.is_closing():
@@ -194,14 +214,14 @@
         self.connecting.add(task)
         task.add_done_callback(self.connecting.discard)
 
-    async def reach(self, exchange, make):
-        """A new connection, or None where there is none and the exchange has heard so."""
+    async def open_link(self, exchange, make):
+        """Connect; on failure call ``exchange.unconnected``, unless it is over, and return None."""
         try:
             address = self.where()
             if address is None:
-                raise OSError("nobody is there")
+                raise OSError("no address to connect to")
             _, link = await asyncio.wait_for(
-                self.loop.create_connection(lambda: make(self), *address), CONNECT_S
+                self.loop.create_connection(lambda: make(self), *address), CONNECT_TIMEOUT_S
             )
             link.address = address
             return link
@@ -211,12 +231,13 @@
             return None
 
     async def connect(self, exchange, data):
-        link = await self.reach(exchange, Link)
+        """Connect and send an encoded request."""
+        link = await self.open_link(exchange, Link)
         if link is None:
             return
         self.links.add(link)
         if exchange.over:
-            # Given up meanwhile: the connection is kept for the next.
+            # The exchange ended meanwhile; keep the connection for the next one.
             self.idle.append(link)
             return
         sock = link.transport.get_extra_info("socket")
@@ -226,21 +247,24 @@
         link.transport.write(data)
 
     def drop(self, exchange):
-        """The client gives up: its connection is closed."""
+        """Abort an exchange's connection, because its client leaves or its time is over."""
         link = exchange.link
         if link is not None and link.exchange is exchange:
             link.exchange = None
             link.transport.abort()
 
-    def unasked(self, link, data):
-        if self.on_unasked is not None:
-            self.on_unasked(link.last, data)
+    def report_unsolicited(self, link, data):
+        """Report data that came without an open exchange."""
+        if self.on_unsolicited is not None:
+            self.on_unsolicited(link.last, data)
 
-    def after(self, exchange, data):
-        if self.on_after is not None:
-            self.on_after(exchange, data)
+    def report_excess(self, exchange, data):
+        """Report data that came after the response of an exchange."""
+        if self.on_excess is not None:
+            self.on_excess(exchange, data)
 
     async def close(self):
+        """Cancel connection attempts and abort all connections."""
         self.closed = True
         for task in list(self.connecting):
             task.cancel()
--- a/pepperhook/lab/wire2.py
+++ b/pepperhook/lab/wire2.py
@@ -1,4 +1,4 @@
-"""HTTP/2 as the stand-ins speak it: a pool with the calls of wire.Pool, and an upstream's end beside upstream.End."""
+"""The HTTP/2 of the stand-ins: a pool with the interface of wire.Pool, and the server side."""
 
 import asyncio
 import socket
@@ -14,17 +14,20 @@
 from pepperhook.lab import wire
 
 PREFACE = b"PRI * HTTP/2.0"
-CONNECTIONS = 4  # of a pool: terminals keep few, and long
-STREAMS = 200
+MAX_CONNECTIONS = 4  # per pool: a terminal keeps few connections for a long time
+MAX_STREAMS = 200  # per connection
 Codes = h2.errors.ErrorCodes
 
 
 class Link2(asyncio.Protocol):
-    """A client's end of one connection with many streams."""
+    """The client side of one connection with many streams."""
 
     def __init__(self, pool):
+        # streams: [exchange, status, headers, body] by stream id; gone: whether new streams are
+        # not allowed any more.
         self.pool, self.transport, self.streams, self.gone = pool, None, {}, False
-        # Not the library's own: it takes a GOAWAY for the end of all streams, also of those that are still answered.
+        # Not the library's connection class: it takes a GOAWAY as the end of all streams, even of
+        # those that are still answered.
         self.h2 = Http2Connection(
             h2.config.H2Configuration(client_side=True, header_encoding="utf-8")
         )
@@ -40,6 +43,7 @@
             self.transport.write(self.h2.data_to_send())
 
     def begin(self, exchange, method, path, headers, body):
+        """Send a request on a new stream."""
         number = self.h2.get_next_available_stream_id()
         self.streams[number] = [exchange, None, {}, b""]
         exchange.link, exchange.stream = self, number
@@ -64,85 +68,91 @@
         except h2.exceptions.ProtocolError:
             return self.transport.abort()
         for event in events:
-            self.take(event)
+            self.handle_event(event)
         self.flush()
 
-    def take(self, event):
+    def handle_event(self, event):
+        """Handle one event of the HTTP/2 connection."""
         kind, number = type(event), getattr(event, "stream_id", None)
-        row = self.streams.get(number)
+        stream = self.streams.get(number)
         if kind is h2.events.ResponseReceived:
-            if row is None:
-                return self.pool.unasked(self, b"x")
-            row[2] = {name.encode(): value.encode() for name, value in event.headers}
-            row[1] = int(row[2][b":status"])
+            if stream is None:
+                return self.pool.report_unsolicited(self, b"x")
+            stream[2] = {name.encode(): value.encode() for name, value in event.headers}
+            stream[1] = int(stream[2][b":status"])
         elif kind is h2.events.DataReceived:
             self.h2.acknowledge_received_data(event.flow_controlled_length, number)
-            if row is not None:
-                row[3] += event.data
-        elif kind is h2.events.StreamEnded and row is not None:
+            if stream is not None:
+                stream[3] += event.data
+        elif kind is h2.events.StreamEnded and stream is not None:
             del self.streams[number]
-            row[0].answered(row[1], row[3], row[2])
-        elif kind is h2.events.StreamReset and row is not None:
+            stream[0].answered(stream[1], stream[3], stream[2])
+        elif kind is h2.events.StreamReset and stream is not None:
             del self.streams[number]
-            # Refused is as good as never read: the client may send it once more.
-            row[0].lost(
+            # A refused stream was not processed, so the client may send its request again.
+            stream[0].lost(
                 f"reset {event.error_code}", unread=event.error_code == Codes.REFUSED_STREAM
             )
         elif kind is h2.events.ConnectionTerminated:
-            self.leave()
-            for above in [n for n in self.streams if n > event.last_stream_id]:
-                self.streams.pop(above)[0].lost("above a GOAWAY", unread=True)
+            self.retire()
+            for unprocessed in [n for n in self.streams if n > event.last_stream_id]:
+                self.streams.pop(unprocessed)[0].lost("above a GOAWAY", unread=True)
 
-    def leave(self):
+    def retire(self):
+        """Use this connection for no new streams."""
         self.gone = True
         if self in self.pool.links:
             self.pool.links.remove(self)
 
     def connection_lost(self, problem):
-        self.leave()
+        self.retire()
         streams, self.streams = self.streams, {}
-        for row in streams.values():
-            row[0].lost("the connection ended")
+        for stream in streams.values():
+            stream[0].lost("the connection ended")
 
 
 class Pool2(wire.Pool):
-    """As wire.Pool, on few connections with many streams."""
+    """A wire.Pool for HTTP/2, with few connections of many streams."""
 
-    def __init__(self, where, on_unasked=None, on_after=None):
-        super().__init__(where, on_unasked, on_after)
+    def __init__(self, where, on_unsolicited=None, on_excess=None):
+        super().__init__(where, on_unsolicited, on_excess)
         self.links, self.turn = [], 0
 
     def ask(self, exchange, method, path, headers, body):
+        """Send a request; its parts stay in ``exchange.data`` for a repetition."""
         exchange.link, exchange.fresh, exchange.data = None, False, (method, path, headers, body)
         self.send(exchange, exchange.data)
 
     def send(self, exchange, data):
+        """Send a request on the next connection in turn, or on a new one while there are few."""
         method, path, headers, body = data
-        told = (
+        request = (
             method.decode(),
             path.decode(),
             [(n.decode().lower(), v.decode()) for n, v in headers],
             body,
         )
-        if len(self.links) >= CONNECTIONS:
+        if len(self.links) >= MAX_CONNECTIONS:
             self.turn += 1
             link = self.links[self.turn % len(self.links)]
-            if len(link.streams) < STREAMS:
-                return link.begin(exchange, *told)
-        task = self.loop.create_task(self.connect(exchange, told))
+            if len(link.streams) < MAX_STREAMS:
+                return link.begin(exchange, *request)
+        task = self.loop.create_task(self.connect(exchange, request))
         self.connecting.add(task)
         task.add_done_callback(self.connecting.discard)
 
-    async def connect(self, exchange, told):
-        link = await self.reach(exchange, Link2)
+    async def connect(self, exchange, request):
+        """Connect and send a request."""
+        link = await self.open_link(exchange, Link2)
         if link is None:
             return
         self.links.append(link)  # type: ignore[attr-defined]
         if not exchange.over:
             exchange.written()
-            link.begin(exchange, *told)
+            link.begin(exchange, *request)
 
     def drop(self, exchange):
+        """Cancel an exchange's stream, because its client leaves or its time is over."""
         link = exchange.link
         if link is not None and link.streams.pop(exchange.stream, None) is not None:
             try:
@@ -151,13 +161,14 @@
             except h2.exceptions.ProtocolError:
                 pass
 
-    def unasked(self, link, data):
-        if self.on_unasked is not None:
-            self.on_unasked(None, data)
+    def report_unsolicited(self, link, data):
+        """Report data on a stream without an open exchange."""
+        if self.on_unsolicited is not None:
+            self.on_unsolicited(None, data)
 
 
 class End2(asyncio.Protocol):
-    """The upstream's end of one HTTP/2 connection; each stream is an end of its own to the upstream."""
+    """The server side of one HTTP/2 connection; the upstream handles each stream like an End."""
 
     def __init__(self, upstream, caller):
         self.upstream, self.caller, self.transport, self.streams, self.idle_at, self.open = (
@@ -179,7 +190,8 @@
         self.upstream.ends.add(self)
         self.idle_at = self.upstream.now()
         self.h2.local_settings = h2.settings.Settings(
-            client=False, initial_values={h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: STREAMS}
+            client=False,
+            initial_values={h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: MAX_STREAMS},
         )
         self.h2.initiate_connection()
         self.flush()
@@ -197,7 +209,7 @@
         for event in events:
             kind, number = type(event), getattr(event, "stream_id", None)
             if kind is h2.events.RequestReceived:
-                if self.upstream.hits("reset_before", self.upstream.now()):
+                if self.upstream.fault_applies("reset_before", self.upstream.now()):
                     self.h2.reset_stream(number, Codes.REFUSED_STREAM)
                     continue
                 self.streams[number] = StreamEnd(self, number, dict(event.headers))  # type: ignore[attr-defined]
@@ -207,25 +219,26 @@
             elif kind is h2.events.StreamEnded and number in self.streams:
                 stream = self.streams[number]
                 try:
-                    self.upstream.take(stream, stream, b"")
+                    self.upstream.handle_request(stream, stream, b"")
                 except (wire.Broken, ValueError) as problem:
                     self.upstream.happened("bad message", text=str(problem))
                     self.h2.reset_stream(number, Codes.PROTOCOL_ERROR)
             elif kind is h2.events.StreamReset and number in self.streams:
-                self.streams[number].gone()
+                self.streams[number].on_end()
         self.flush()
 
     def abort(self):
+        """Abort the connection."""
         self.transport.abort()
 
     def connection_lost(self, problem):
         self.upstream.ends.discard(self)
         for stream in list(self.streams.values()):
-            stream.gone()
+            stream.on_end()
 
 
 class StreamEnd:
-    """One stream, with what Upstream asks of an end, of a head and of a transport."""
+    """One stream, with the interfaces of End, wire.Head and a transport that Upstream needs."""
 
     def __init__(self, end, number, headers):
         self.end, self.stream, self.caller, self.open, self.idle_at = (
@@ -240,14 +253,19 @@
         self.start = [self.headers[b":method"], self.headers[b":path"]]
 
     def number(self, name, default=None):
+        """Return a header's value as an integer."""
         value = self.headers.get(name)
         return default if value is None else int(value)
 
     def is_closing(self):
+        """Whether the stream has ended."""
         return self.stream not in self.end.streams
 
     def write(self, data):
-        """An answer in HTTP/1.1's bytes, as Upstream words them; what is none is sent as one that is not whole."""
+        """Send a response that Upstream has encoded as HTTP/1.1.
+
+        A malformed one is sent as a response whose body is shorter than its content length.
+        """
         messages = wire.Messages()
         messages.feed(data)
         try:
@@ -255,8 +273,8 @@
         except wire.Broken:
             whole = None
         if whole is not None and (messages.buffer or b"content-length" not in whole[0].headers):
-            whole = None  # spoilt on purpose; here its end would be told by the stream
-        self.forget()
+            whole = None  # malformed on purpose, but the stream's end would make it valid here
+        self.remove()
         try:
             if whole is None:
                 self.end.h2.send_headers(
@@ -286,25 +304,28 @@
         self.end.flush()
 
     def close(self):
-        """The connection stays: others are on it."""
+        """Do nothing: the connection has other streams."""
 
     def abort(self):
+        """Reset the stream."""
         if self.stream in self.end.streams:
-            self.forget()
+            self.remove()
             try:
                 self.end.h2.reset_stream(self.stream, Codes.INTERNAL_ERROR)
                 self.end.flush()
             except h2.exceptions.ProtocolError:
                 pass
             if self.open is not None:
-                self.end.upstream.left(self.open)
+                self.end.upstream.on_disconnect(self.open)
 
-    def forget(self):
+    def remove(self):
+        """Remove the stream from its connection and its upstream."""
         self.end.streams.pop(self.stream, None)
         self.end.upstream.ends.discard(self)
         self.end.idle_at = self.end.upstream.now()
 
-    def gone(self):
-        self.forget()
+    def on_end(self):
+        """Handle the end of the stream by the client or of its connection."""
+        self.remove()
         if self.open is not None:
-            self.end.upstream.left(self.open)
+            self.end.upstream.on_disconnect(self.open)
--- a/tests/lab/test_discovery.py
+++ b/tests/lab/test_discovery.py
@@ -10,7 +10,7 @@
 
 
 class RecordingWriter:
-    """Keeps what is written."""
+    """A stream writer that records what is written."""
 
     def __init__(self):
         self.written = b""
--- a/tests/lab/test_discovery_stand_in.py
+++ b/tests/lab/test_discovery_stand_in.py
@@ -1,4 +1,4 @@
-"""The discovery stand-in's capacity and faults, forced by events; its queue in virtual time."""
+"""The discovery stand-in: its queue in virtual time, and faults that events begin and end."""
 
 import asyncio
 from math import inf
@@ -16,53 +16,53 @@
 
 WHOLE = "GET /catalog/members HTTP/1.1\r\nHost: list\r\n\r\n"
 WATCH = "GET /catalog/members?since=1&timeout_ms=60000 HTTP/1.1\r\nHost: list\r\n\r\n"
-LINES = 4  # that the whole list of the first tier has
+LINES = 4  # length of the first tier's whole list
 
 
 # The queue.
 
 
-def queue(**more):
+def make_queue(**overrides):
     values = {"call_cost_s": 0.25, "line_cost_s": 0.0, "max_backlog_s": inf, "timeout_s": 2.0}
-    return CallQueue(**{**values, **more})
+    return CallQueue(**{**values, **overrides})
 
 
-def test_polls_are_worked_through_one_by_one_and_idle_time_is_not_saved_up():
-    polls = queue()
+def test_polls_are_processed_one_by_one_and_idle_time_is_not_accumulated():
+    polls = make_queue()
     assert [polls.enter(0.0, 0) for _ in range(2)] == [Ticket(0.25, True), Ticket(0.5, True)]
     assert polls.enter(9.0, 0) == Ticket(9.25, True)
 
 
-def test_an_answer_costs_a_fixed_part_and_its_lines():
-    polls = queue(line_cost_s=0.125)
+def test_answer_costs_a_fixed_part_and_a_part_for_each_line():
+    polls = make_queue(line_cost_s=0.125)
     assert polls.enter(0.0, 2) == Ticket(0.5, True)
     assert polls.enter(0.0, 0) == Ticket(0.75, True)
 
 
-def test_a_poll_beyond_the_waiting_places_is_refused_at_once_and_costs_nothing():
-    polls = queue(max_backlog_s=0.5)
+def test_poll_beyond_the_backlog_limit_is_refused_at_once_and_costs_nothing():
+    polls = make_queue(max_backlog_s=0.5)
     assert [polls.enter(0.0, 0) is not None for _ in range(4)] == [True, True, True, False]
     assert polls.idle_at == 0.75
     assert polls.enter(0.5, 0) == Ticket(1.0, True)
 
 
-def test_a_poll_that_waited_too_long_is_given_up_though_its_work_is_done():
-    polls = queue(timeout_s=0.5)
+def test_poll_that_times_out_is_still_processed():
+    polls = make_queue(timeout_s=0.5)
     tickets = [polls.enter(0.0, 0) for _ in range(4)]
     assert tickets[1:] == [Ticket(0.5, True), Ticket(0.5, False), Ticket(0.5, False)]
     assert polls.idle_at == 1.0
 
 
-def test_a_slow_service_takes_the_time_of_the_fault_for_each_call():
-    assert queue(line_cost_s=0.125).enter(0.0, 1, slow_call_s=0.5) == Ticket(0.625, True)
+def test_slow_call_fault_replaces_the_cost_of_a_call():
+    assert make_queue(line_cost_s=0.125).enter(0.0, 1, slow_call_s=0.5) == Ticket(0.625, True)
 
 
-@pytest.mark.parametrize(("pause_s", "served"), [(0.2, False), (24.0, True)])
-def test_a_fleet_that_polls_again_after_a_short_pause_keeps_the_service_from_answering_anyone(
-    pause_s, served
+@pytest.mark.parametrize(("pause_s", "all_answered"), [(0.2, False), (24.0, True)])
+def test_fleet_that_polls_again_after_a_short_pause_keeps_the_service_from_answering_anyone(
+    pause_s, all_answered
 ):
-    polls = queue(max_backlog_s=4.0)
-    # 60 callers, in the order of their next polls; those that were answered need no more.
+    polls = make_queue(max_backlog_s=4.0)
+    # (time of the next poll, caller) of 60 callers; an answered caller polls no more.
     due = [(0.001 * caller, caller) for caller in range(60)]
     answered_after = []
     while due:
@@ -75,12 +75,12 @@
             answered_after.append(ticket.answer_at)
         else:
             due.append(((ticket.answer_at if ticket else now) + pause_s, caller))
-    # Without a pause that is long enough only the first find a queue that is short enough.
-    assert (len(answered_after) == 60) is served
-    assert served or max(answered_after) <= 4.0
+    # With a short pause only the first callers find a queue that is short enough.
+    assert (len(answered_after) == 60) is all_answered
+    assert all_answered or max(answered_after) <= 4.0
 
 
-def test_the_table_makes_the_queue_and_without_a_capacity_there_is_none():
+def test_queue_is_built_from_the_settings_and_there_is_none_without_a_capacity():
     assert CallQueue.of(experiment.Discovery()) is None
     settings = experiment.Discovery(calls_per_s=8.0, lines_per_s=80.0, waiting=4)
     assert CallQueue.of(settings) == CallQueue(1 / 8, 1 / 80, 4 / 8, 2.0)
@@ -91,20 +91,20 @@
 
 
 class Writer:
-    """The service's end of a connection that is not there."""
+    """A stream writer of the service that records what is written."""
 
     def __init__(self):
-        self.said = b""
+        self.written = b""
 
     def write(self, data):
-        self.said += data
+        self.written += data
 
     def close(self):
         pass
 
 
 class Caller:
-    """A balancer's connection to the service."""
+    """A balancer's connection to the service, without a socket."""
 
     def __init__(self, service, number=0):
         self.reader, self.writer = asyncio.StreamReader(), Writer()
@@ -114,31 +114,31 @@
         self.reader.feed_data(request.encode())
 
     async def answer(self):
-        while not self.writer.said:
+        while not self.writer.written:
             await asyncio.sleep(0)
         return self.status()
 
     def status(self):
-        return int(self.writer.said.split()[1])
+        return int(self.writer.written.split()[1])
 
     async def leave(self):
         self.reader.feed_eof()
         await self.work
 
 
-class Stand:
-    """A service whose faults begin and end by events, and what it wrote down."""
+class StandIn:
+    """A service whose faults begin and end by events, with its recorded event rows."""
 
-    def __init__(self, folder, table=""):
+    def __init__(self, folder, settings=""):
         self.folder = folder
-        made = tomlfile.decode(DAY + "[discovery]\n" + table, Experiment)
-        experiment.check(made)
+        run = tomlfile.decode(DAY + "[discovery]\n" + settings, Experiment)
+        experiment.check(run)
         self.book = events.Book(folder / "x.rows")
-        self.service = Discovery(Plan(made, 1, 30), self.book)
+        self.service = Discovery(Plan(run, 1, 30), self.book)
         self.service.begin(0)
         self.catalog = self.service.catalogs[0]
 
-    async def held(self, count):
+    async def wait_for_watches(self, count):
         while len(self.service.held) < count:
             await asyncio.sleep(0)
 
@@ -146,7 +146,7 @@
         self.catalog.change(0, "t0-00", "draining", None)
 
     async def fault(self, what, size=0.0):
-        """Begin a fault; the event ends it."""
+        """Begin a fault; return its task and the event that ends it."""
         begins, ends = asyncio.Event(), asyncio.Event()
         gates = iter([begins, ends])
         self.service.until = lambda *_: next(gates).wait()
@@ -160,135 +160,135 @@
         return [row for row in events.read(self.folder) if isinstance(row, kind)]
 
 
-async def settled():
-    """Let everything run that is not waiting for an event."""
+async def run_ready_tasks():
+    """Run all tasks that are not waiting for an event."""
     for _ in range(20):
         await asyncio.sleep(0)
 
 
 @loopback
-async def test_without_a_capacity_polls_are_answered_as_ever_and_a_refusal_says_no_more(tmp_path):
-    stand = Stand(tmp_path, "waiting = 1\n")
-    callers = [Caller(stand.service, number) for number in range(3)]
+async def test_poll_rejected_without_a_capacity_gets_no_retry_after(tmp_path):
+    stand_in = StandIn(tmp_path, "waiting = 1\n")
+    callers = [Caller(stand_in.service, number) for number in range(3)]
     for caller in callers:
         caller.poll(WHOLE)
     assert sorted([await caller.answer() for caller in callers]) == [200, 503, 503]
-    assert b"Retry-After" not in b"".join(caller.writer.said for caller in callers)
+    assert b"Retry-After" not in b"".join(caller.writer.written for caller in callers)
 
 
 @loopback
-async def test_a_poll_beyond_the_waiting_places_is_answered_503_at_once(tmp_path):
-    stand = Stand(tmp_path, "calls_per_s = 20\nlines_per_s = 1000000\nwaiting = 1\n")
-    callers = [Caller(stand.service, number) for number in range(4)]
+async def test_poll_beyond_the_backlog_limit_is_answered_503_at_once(tmp_path):
+    stand_in = StandIn(tmp_path, "calls_per_s = 20\nlines_per_s = 1000000\nwaiting = 1\n")
+    callers = [Caller(stand_in.service, number) for number in range(4)]
     for caller in callers:
         caller.poll(WHOLE)
-    await settled()
-    # Before any answer: one poll is worked on, one waits.
-    assert [caller.writer.said[:12] for caller in callers[2:]] == [b"HTTP/1.1 503"] * 2
+    await run_ready_tasks()
+    # One poll is processed and one waits; neither has been answered yet.
+    assert [caller.writer.written[:12] for caller in callers[2:]] == [b"HTTP/1.1 503"] * 2
     assert [await caller.answer() for caller in callers] == [200, 200, 503, 503]
-    assert [row.status for row in stand.rows(events.Asked)] == [503, 503, 200, 200]
+    assert [row.status for row in stand_in.rows(events.Asked)] == [503, 503, 200, 200]
 
 
 @loopback
-async def test_a_poll_that_waited_too_long_is_answered_503_and_delays_the_next_all_the_same(
+async def test_poll_that_times_out_is_answered_503_and_still_delays_the_next(
     tmp_path,
 ):
-    stand = Stand(tmp_path, "calls_per_s = 20\ntimeout_s = 0.01\n")
-    caller = Caller(stand.service)
+    stand_in = StandIn(tmp_path, "calls_per_s = 20\ntimeout_s = 0.01\n")
+    caller = Caller(stand_in.service)
     caller.poll(WHOLE)
     assert await caller.answer() == 503
-    row = stand.rows(events.Asked)[0]
+    row = stand_in.rows(events.Asked)[0]
     assert not row.answered and row.at - row.reached_at >= 10 * 10**6
-    assert stand.service.queue.idle_at > asyncio.get_running_loop().time()
+    assert stand_in.service.queue.idle_at > asyncio.get_running_loop().time()
 
 
 @pytest.mark.parametrize(
-    ("table", "header"), [("", b""), ("retry_after_s = 3\n", b"Retry-After: 3\r\n")]
+    ("settings", "header"), [("", b""), ("retry_after_s = 3\n", b"Retry-After: 3\r\n")]
 )
 @loopback
-async def test_a_fault_refuses_polls_with_or_without_the_time_to_come_again(
-    tmp_path, table, header
-):
-    stand = Stand(tmp_path, table)
-    fault, ends = await stand.fault("discovery_refused")
-    during, after = Caller(stand.service), Caller(stand.service, 1)
+async def test_fault_refuses_polls_with_or_without_retry_after(tmp_path, settings, header):
+    stand_in = StandIn(tmp_path, settings)
+    fault, ends = await stand_in.fault("discovery_refused")
+    during, after = Caller(stand_in.service), Caller(stand_in.service, 1)
     during.poll(WATCH)
-    assert await during.answer() == 503 and (b"Retry-After" in during.writer.said) == bool(header)
-    assert header in during.writer.said
+    assert await during.answer() == 503 and (b"Retry-After" in during.writer.written) == bool(
+        header
+    )
+    assert header in during.writer.written
     ends.set()
     await fault
     after.poll(WHOLE)
     assert await after.answer() == 200
-    assert b"Retry-After" not in after.writer.said
+    assert b"Retry-After" not in after.writer.written
 
 
 @loopback
-async def test_a_fault_that_refuses_a_fraction_refuses_the_same_polls_for_the_same_seed(tmp_path):
-    stand = Stand(tmp_path)
-    await stand.fault("discovery_refused", 0.3)
-    first = [stand.service.refuses(0) for _ in range(400)]
-    stand.service.polls = 0
-    assert [stand.service.refuses(0) for _ in range(400)] == first
+async def test_fault_that_refuses_a_fraction_refuses_the_same_polls_for_the_same_seed(tmp_path):
+    stand_in = StandIn(tmp_path)
+    await stand_in.fault("discovery_refused", 0.3)
+    first = [stand_in.service.refuses(0) for _ in range(400)]
+    stand_in.service.polls = 0
+    assert [stand_in.service.refuses(0) for _ in range(400)] == first
     assert 0.2 < sum(first) / 400 < 0.4
 
 
 @loopback
-async def test_a_long_poll_ends_early_without_changes(tmp_path):
-    stand = Stand(tmp_path, "longest_watch_s = 0.01\n")
-    caller = Caller(stand.service)
+async def test_watch_is_answered_without_changes_at_the_longest_watch_time(tmp_path):
+    stand_in = StandIn(tmp_path, "longest_watch_s = 0.01\n")
+    caller = Caller(stand_in.service)
     caller.poll(WATCH)
-    assert await caller.answer() == 200 and b'"hosts":[]' in caller.writer.said
-    held = stand.rows(events.Held)
-    assert len(held) == 1 and held[0].ended > held[0].came
+    assert await caller.answer() == 200 and b'"hosts":[]' in caller.writer.written
+    watches = stand_in.rows(events.Held)
+    assert len(watches) == 1 and watches[0].ended > watches[0].came
 
 
 @loopback
-async def test_a_watch_that_fell_silent_says_nothing_any_more_and_a_new_one_does(tmp_path):
-    stand = Stand(tmp_path)
-    before, during, after = (Caller(stand.service, number) for number in range(3))
+async def test_watch_open_during_a_silence_is_never_answered_and_a_later_one_is(tmp_path):
+    stand_in = StandIn(tmp_path)
+    before, during, after = (Caller(stand_in.service, number) for number in range(3))
     before.poll(WATCH)
-    await stand.held(1)
-    fault, ends = await stand.fault("discovery_silence")
+    await stand_in.wait_for_watches(1)
+    fault, ends = await stand_in.fault("discovery_silence")
     during.poll(WATCH)
-    await stand.held(2)
-    stand.change()
-    await settled()
-    assert not before.writer.said and not during.writer.said
+    await stand_in.wait_for_watches(2)
+    stand_in.change()
+    await run_ready_tasks()
+    assert not before.writer.written and not during.writer.written
     ends.set()
     await fault
     before.poll(WATCH)
-    await settled()
-    assert not before.writer.said, "nothing comes on that connection, whatever is asked"
+    await run_ready_tasks()
+    assert not before.writer.written, "the connection stays silent, also for new polls"
     after.poll(WATCH)
-    assert await after.answer() == 200 and b"draining" in after.writer.said
+    assert await after.answer() == 200 and b"draining" in after.writer.written
     await before.leave()
     await during.leave()
-    assert [row.caller for row in stand.rows(events.Asked)] == [2]
+    assert [row.caller for row in stand_in.rows(events.Asked)] == [2]
 
 
 @loopback
-async def test_a_silence_binds_no_poll_for_the_whole_list(tmp_path):
-    stand = Stand(tmp_path)
-    await stand.fault("discovery_silence")
-    caller = Caller(stand.service)
+async def test_silence_does_not_affect_polls_for_the_whole_list(tmp_path):
+    stand_in = StandIn(tmp_path)
+    await stand_in.fault("discovery_silence")
+    caller = Caller(stand_in.service)
     caller.poll(WHOLE)
     assert await caller.answer() == 200
 
 
 @loopback
-async def test_what_an_overloaded_service_answers_late_is_the_list_as_it_is_then(tmp_path):
-    stand = Stand(tmp_path, "calls_per_s = 20\n")
-    caller = Caller(stand.service)
+async def test_delayed_answer_has_the_list_at_the_time_of_the_answer(tmp_path):
+    stand_in = StandIn(tmp_path, "calls_per_s = 20\n")
+    caller = Caller(stand_in.service)
     caller.poll(WHOLE)
-    await settled()
-    stand.change()
-    assert await caller.answer() == 200 and b"draining" in caller.writer.said
+    await run_ready_tasks()
+    stand_in.change()
+    assert await caller.answer() == 200 and b"draining" in caller.writer.written
 
 
 @loopback
-async def test_the_capacity_binds_from_the_start_of_the_run_on(tmp_path):
-    made = tomlfile.decode(DAY + "[discovery]\ncalls_per_s = 0.001\n", Experiment)
-    service = Discovery(Plan(made, 1, 30), events.Book(tmp_path / "x.rows"))
+async def test_capacity_applies_from_the_start_of_the_run(tmp_path):
+    run = tomlfile.decode(DAY + "[discovery]\ncalls_per_s = 0.001\n", Experiment)
+    service = Discovery(Plan(run, 1, 30), events.Book(tmp_path / "x.rows"))
     caller = Caller(service)
     caller.poll(WHOLE)
     assert await caller.answer() == 200
@@ -297,20 +297,20 @@
 
 
 @loopback
-async def test_a_watch_that_is_open_at_the_end_is_written_down(tmp_path):
-    stand = Stand(tmp_path)
-    caller = Caller(stand.service, 1)
+async def test_watch_that_is_open_at_the_end_is_recorded(tmp_path):
+    stand_in = StandIn(tmp_path)
+    caller = Caller(stand_in.service, 1)
     caller.poll(WATCH)
-    await stand.held(1)
+    await stand_in.wait_for_watches(1)
     caller.writer.transport = SimpleNamespace(abort=lambda: None)
-    await stand.service.close()
-    assert [(row.tier, row.caller) for row in stand.rows(events.Held)] == [(0, 1)]
+    await stand_in.service.close()
+    assert [(row.tier, row.caller) for row in stand_in.rows(events.Held)] == [(0, 1)]
     caller.work.cancel()
 
 
 # The experiment file.
 
-WRONG = [
+INVALID_SETTINGS = [
     ("calls_per_s = 0", "discovery.calls_per_s: expected `float` > 0"),
     ("calls_per_s = 1\nlines_per_s = -1", "discovery.lines_per_s: expected `float` > 0"),
     ("lines_per_s = 5", "discovery.lines_per_s: needs calls_per_s beside it"),
@@ -325,11 +325,11 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "told"), WRONG)
-def test_wrong_values_of_the_discovery_service_are_refused_in_one_line(tmp_path, text, told):
+@pytest.mark.parametrize(("text", "message"), INVALID_SETTINGS)
+def test_invalid_discovery_settings_are_refused_with_a_one_line_message(tmp_path, text, message):
     path = tmp_path / "run.toml"
     path.write_text(DAY + "[discovery]\n" + text + "\n")
     with pytest.raises(tomlfile.TomlFileError) as problem:
         experiment.read(path)
-    assert told in str(problem.value) and str(path) in str(problem.value)
+    assert message in str(problem.value) and str(path) in str(problem.value)
     assert "\n" not in str(problem.value)
--- a/tests/lab/test_goaway.py
+++ b/tests/lab/test_goaway.py
@@ -1,9 +1,10 @@
-"""A client of the lab reads the answers to what a GOAWAY leaves open.
+"""A stand-in client reads the responses to streams that a GOAWAY leaves open.
 
-What happened: the soak's seed 4 lost a request at a planned restart ("lost: the connection
-ended"). The balancer answered it: its upstream served it 5 ms after SIGTERM, ``responses_served``
-counted it, and GOAWAY had named its stream. The stand-in's library takes a GOAWAY for the end of
-the connection, so the answer was a protocol error to it, and it aborted the connection.
+Regression (soak, seed 4): a request was lost at a planned restart ("lost: the connection ended"),
+though the balancer answered it: the upstream served it 5 ms after SIGTERM, ``responses_served``
+counted it, and its stream was within the GOAWAY's last stream id. The h2 library takes a GOAWAY as
+the end of the connection, so it treated the response as a protocol error, and the client aborted
+the connection.
 """
 
 from types import SimpleNamespace
@@ -16,7 +17,7 @@
 
 
 class Transport:
-    """A connection that is written to, or aborted."""
+    """A transport that records whether it was aborted."""
 
     def __init__(self):
         self.is_aborted = False
@@ -34,7 +35,7 @@
         self.is_aborted = True
 
 
-def test_answer_after_a_goaway_that_leaves_its_stream_open_is_taken():
+def test_response_on_a_stream_that_a_goaway_leaves_open_is_accepted():
     answers = []
     link = Link2(SimpleNamespace(links=[]))
     link.connection_made(Transport())
--- a/tests/lab/test_instances.py
+++ b/tests/lab/test_instances.py
@@ -1,4 +1,4 @@
-"""Which instance each fault of a run is about, in the stand-ins and in the endpoint list."""
+"""Timelines: which instance each fault applies to, and what the endpoint list shows."""
 
 import itertools
 import random
@@ -8,7 +8,7 @@
 from pepperhook.lab.instances import OF_LIFECYCLES, Timeline, Transition
 from tests.lab.experiments import EXPERIMENT, read_experiment
 
-NOTICE_S = 1.0  # of the experiment's endpoint list
+NOTICE_S = 1.0  # delay of the experiment's endpoint list
 DRAIN, REJECT, SERVE = Transition.DRAIN, Transition.REJECT, Transition.SERVE
 END, START = Transition.END, Transition.START
 
@@ -26,8 +26,9 @@
     return [(row.at, row.host, row.state) for row in timeline_of(*faults).listings]
 
 
-def test_fault_after_a_replacement_is_about_the_new_instance():
-    # The endpoint list named the first instance for all faults, so nobody heard of this drain.
+def test_fault_after_a_replacement_applies_to_the_new_instance():
+    # Regression: the endpoint list named the first instance for all faults, so no balancer was
+    # notified of this drain.
     assert listings_of(("replaced", 1, 0.5, 0), ("released", 4, 3, 1)) == [
         (2, "t0-00", "gone"),
         (2.5, "t0-00-r1", "ready"),
@@ -37,7 +38,7 @@
     ]
 
 
-def test_drain_after_a_release_is_about_the_new_instance():
+def test_drain_after_a_release_applies_to_the_new_instance():
     assert listings_of(("released", 1, 2, 1), ("drain", 5, 2, 1)) == [
         (1, "t0-00", "draining"),
         (2, "t0-00", "gone"),
@@ -47,7 +48,7 @@
     ]
 
 
-def test_release_that_begins_within_a_replacement_is_about_nobody():
+def test_release_that_begins_during_a_replacement_has_no_effect():
     timeline = timeline_of(("replaced", 1, 2, 0), ("released", 2, 3, 1.5))
 
     assert [(step.at, step.transition) for step in timeline.steps] == [(1, END), (3, START)]
@@ -57,7 +58,7 @@
     ]
 
 
-def test_drain_that_outlives_its_instance_ends_with_it():
+def test_drain_ends_with_its_instance():
     timeline = timeline_of(("drain", 1, 5, 0.5), ("crash", 3, 1.5, 0))
 
     assert [(step.at, step.transition) for step in timeline.steps] == [
@@ -94,7 +95,7 @@
 
 
 def test_release_shorter_than_its_drain_still_ends_the_old_instance_first():
-    # The new process used to begin before the old one had ended, and then ended in its place.
+    # Regression: the new process started before the old one had ended, and was ended in its place.
     timeline = timeline_of(("released", 1, 0.6, 1.5))
 
     assert [(step.at, step.transition) for step in timeline.steps] == [
@@ -105,7 +106,7 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_drained_instance_is_listed_as_draining_until_it_serves_again_or_ends(seed):
+def test_drained_instance_is_listed_as_draining_until_it_serves_again_or_ends(seed):
     chance = random.Random(seed)
     timeline = timeline_of(
         *(
--- a/tests/lab/test_network.py
+++ b/tests/lab/test_network.py
@@ -1,4 +1,4 @@
-"""The lab's network between processes."""
+"""The relays of the lab's network."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 async def try_to_connect(address):
-    """Return the writer of a new connection, or None if it does not come up."""
+    """Return the writer of a new connection, or None if it times out."""
     try:
         connecting = asyncio.open_connection(*address)
         _, writer = await asyncio.wait_for(connecting, CONNECT_TIMEOUT_S)
@@ -22,14 +22,14 @@
     return writer
 
 
-async def test_connections_do_not_come_up_while_a_relay_is_shut_and_do_when_it_is_open_again():
+async def test_connections_time_out_while_a_relay_is_shut_and_succeed_after_it_is_reopened():
     server = await asyncio.start_server(echo_one_byte, "127.0.0.1", 0)
     relay = Relay(Network(None, None), server.sockets[0].getsockname()[:2])
     await relay.open(("127.0.0.1", 0))
     relay.address = relay.server.sockets[0].getsockname()[:2]
 
     relay.shut()
-    # One that comes up has only filled the backlog; the next ones get no answer to their SYN.
+    # A first connection may still fit into the backlog; the next ones get no answer to their SYN.
     writers = [await try_to_connect(relay.address) for _ in range(3)]
     assert None in writers
     for writer in filter(None, writers):
--- a/tests/lab/test_relay_order.py
+++ b/tests/lab/test_relay_order.py
@@ -1,9 +1,8 @@
-"""A relay keeps the order of bytes within a connection, also where its delay ends.
+"""A relay keeps the order of bytes within a connection, even when its delay ends.
 
-What happened: the soak's seed 4 had an upstream read a request without a path over HTTP/2 (``bad
-message to an upstream: Header block missing mandatory b':path' header``), 7 ms after the end of a
-``net_delay``. What came after the end was written at once, before what was still delayed, so header
-blocks came in another order than they were encoded in.
+Regression (soak, seed 4): 7 ms after the end of a ``net_delay`` an upstream read an HTTP/2 request
+without a path (``bad message to an upstream: Header block missing mandatory b':path' header``).
+Data that arrived after the end overtook delayed data, so header blocks arrived out of order.
 """
 
 import asyncio
@@ -14,8 +13,8 @@
 DELAY_S = 0.05
 
 
-class Written:
-    """The other end's transport."""
+class RecordingTransport:
+    """The other side's transport; records what is written."""
 
     def __init__(self):
         self.pieces = []
@@ -27,13 +26,13 @@
         self.pieces.append(data)
 
 
-async def test_what_comes_after_a_delay_is_written_behind_what_was_delayed():
+async def test_data_after_the_end_of_a_delay_is_written_after_delayed_data():
     relay = SimpleNamespace(silent=False, deaf=False, mute=False, delay_s=DELAY_S)
-    other = SimpleNamespace(transport=Written())
+    other = SimpleNamespace(transport=RecordingTransport())
     side = Side(relay, "on", other)
     loop = asyncio.get_running_loop()
 
-    begun = loop.time()
+    started_at = loop.time()
     side.data_received(b"1")
     side.data_received(b"2")
     relay.delay_s = 0.0
@@ -43,6 +42,6 @@
         await asyncio.sleep(0.001)
 
     assert other.transport.pieces == [b"1", b"2", b"3"]
-    assert loop.time() >= begun + DELAY_S
+    assert loop.time() >= started_at + DELAY_S
     side.data_received(b"4")
     assert other.transport.pieces[-1] == b"4"
--- a/tests/lab/test_upstream.py
+++ b/tests/lab/test_upstream.py
@@ -13,7 +13,7 @@
 
 
 def make_upstream(directory):
-    """Return a stand-in of the first tier, whose calls of the next tier are not answered."""
+    """Return a stand-in of the first tier, whose calls to the next tier get no response."""
     stage = Stage(SimpleNamespace(day=make_experiment(), seed=1, upstream=None), directory, 0)
     stage.plan.seed = 1
     upstream = Upstream(stage, 0)
@@ -42,8 +42,8 @@
 async def test_attempt_that_waits_for_the_next_tier_when_its_process_dies_is_recorded_once(
     tmp_path,
 ):
-    # It was recorded as reset at the death, and as given up when its call came back: that read
-    # as work that was executed twice.
+    # Regression: it was recorded as reset when the process died, and again as given up when its
+    # call ended, which the auditor took for work that ran twice.
     upstream = make_upstream(tmp_path)
     attempt = take_request(upstream)
     assert isinstance(attempt, Attempt) and upstream.open_attempts == {attempt}
