--- a/pepperhook/lab/discovery.py
+++ b/pepperhook/lab/discovery.py
@@ -36,8 +36,8 @@
 
     def change(self, number, name, state, born):
         """Change one row and wake the watches; ``born`` None leaves the start time."""
-        known = self.rows.get(name)
-        self.rows[name] = (number, state, known[2] if born is None and known else born or 0)
+        previous = self.rows.get(name)
+        self.rows[name] = (number, state, previous[2] if born is None and previous else born or 0)
         self.seq += 1
         self.log.append((self.seq, name))
         self.changed.set()
@@ -92,7 +92,8 @@
         # late; moved: number of the address that answers.
         self.down, self.slow, self.lag, self.moved = False, 0.0, 0.0, 0
         self.turn, self.waiting = asyncio.Lock(), 0
-        self.queue = None  # limits the capacity only from the run's start on, so that all balancers can start
+        # The capacity is limited only from the run's start on, so that all balancers can start.
+        self.queue = None
         self.refused, self.polls = 0.0, 0  # the fraction of polls that a fault refuses; all polls
         self.is_silent, self.silence_ended_at = False, -inf
         self.held = {}  # the event rows of open watches, by a key object per watch
@@ -104,10 +105,10 @@
 
     async def listen(self, moved):
         """Listen for each tier and caller; ``moved`` is 0 before a move and 1 after it."""
-        made = self.servers[moved] = []
+        servers = self.servers[moved] = []
         for tier in range(len(self.plan.day.tiers)):
             for caller in range(experiment.callers(self.plan.day, tier)):
-                made.append(
+                servers.append(
                     await asyncio.start_server(
                         lambda reader, writer, tier=tier, caller=caller: self.serve(
                             reader, writer, tier, caller, moved
@@ -227,9 +228,11 @@
             )
         )
         if is_unavailable:
-            after_s = self.plan.day.discovery.retry_after_s
+            retry_after_s = self.plan.day.discovery.retry_after_s
             writer.write(
-                wire.answer(503, more=b"Retry-After: %d\r\n" % after_s if after_s else b"")
+                wire.answer(
+                    503, more=b"Retry-After: %d\r\n" % retry_after_s if retry_after_s else b""
+                )
             )
             return True
         document, states = catalog.told(since, caller)
@@ -247,13 +250,13 @@
     async def hold(self, catalog, since, wait_s, caller):
         """Hold a watch until there is a change or its time is over."""
         wait_s = min(wait_s, self.plan.day.discovery.longest_watch_s or inf)
-        ends, watch = time.monotonic() + wait_s, object()
+        deadline, watch = time.monotonic() + wait_s, object()
         self.held[watch] = events.Held(catalog.tier, caller, time.monotonic_ns(), 0)
         try:
-            while since == catalog.seq and time.monotonic() < ends and not self.down:
+            while since == catalog.seq and time.monotonic() < deadline and not self.down:
                 with suppress(TimeoutError):
                     await asyncio.wait_for(
-                        catalog.changed.wait(), max(0.001, min(0.5, ends - time.monotonic()))
+                        catalog.changed.wait(), max(0.001, min(0.5, deadline - time.monotonic()))
                     )
         finally:
             self.record_watch(watch)
--- a/pepperhook/lab/gossip.py
+++ b/pepperhook/lab/gossip.py
@@ -123,7 +123,7 @@
         """Resume a paused member."""
         waiting = self.asleep.pop(name, [])
         if name in self.members:
-            # The order of an event loop: one datagram, then the due timers, then the other datagrams.
+            # The order of an event loop: one datagram, the due timers, then the other datagrams.
             for message in waiting[:1]:
                 self.deliver(name, message)
             self.carry(name, self.members[name].tick(self.now))
--- a/pepperhook/lab/machine.py
+++ b/pepperhook/lab/machine.py
@@ -49,7 +49,7 @@
     ``work`` is its cost in nanoseconds of one core; ``about`` is the object that it belongs to.
     """
 
-    __slots__ = ("work", "about", "ends_v", "state", "came", "began", "given")
+    __slots__ = ("work", "about", "ends_v", "state", "came", "began", "abandoned")
 
     def __init__(self, work, about):
         self.work, self.about, self.ends_v, self.state = max(1, int(work)), about, 0.0, None
@@ -74,10 +74,8 @@
         self.crowded, self.idle_since = False, now
         self.cold_since = now if cold and spec.start_capacity < 1 else None
         self.warm_up_work = 0.0  # work done since the start
-        self.offered, self.offered_at = (
-            0.0,
-            now,
-        )  # work that arrived, decaying with time constant fall_s
+        # Work that arrived, decaying with time constant fall_s, and when it was last updated.
+        self.offered, self.offered_at = 0.0, now
         self.fell = False  # whether overload has crashed it while cold
         self.done_work = self.wasted_work = 0.0
         self.finished = []  # done and not yet returned by due
@@ -189,7 +187,7 @@
         heappush(self.running, (job.ends_v, self.sequence, job))
 
     def charge(self, now, work):
-        """Do work besides the jobs, such as a handshake; it delays each running job by its share."""
+        """Do work besides the jobs, such as a handshake; it delays each running job."""
         self.advance(now)
         if self.working:
             self.v -= min(work / max(self.spec.cores, self.working), self.v)
--- a/pepperhook/lab/network.py
+++ b/pepperhook/lab/network.py
@@ -60,8 +60,8 @@
     def forward(self, data):
         """Forward data now or after the delay, or drop it, as the relay's faults demand."""
         relay = self.relay
-        # Dropped data is not sent later. TCP would retransmit it after the fault, but a balancer has
-        # closed the connection by then.
+        # Dropped data is not sent later. TCP would retransmit it after the fault, but a balancer
+        # has closed the connection by then.
         if (
             relay.silent
             or relay.deaf
@@ -74,8 +74,8 @@
         if not relay.delay_s and not self.delayed:
             self.write(data)
             return
-        # Data queues behind delayed data even if the delay has ended since: a network never reorders
-        # the bytes of a connection.
+        # Data queues behind delayed data even if the delay has ended since: a network never
+        # reorders the bytes of a connection.
         self.delayed.append((asyncio.get_running_loop().time() + relay.delay_s, data))
         if len(self.delayed) == 1:
             self.arm()
--- a/pepperhook/lab/stage.py
+++ b/pepperhook/lab/stage.py
@@ -26,8 +26,8 @@
         self.book = events.Book(f"{folder}/upstreams-{tier}.rows")
         self.callers = experiment.callers(plan.day, tier)
         self.grades = {grade.name: at for at, grade in enumerate(plan.day.grades)}
-        # seen: how often each request id has reached the tier.
-        self.seen, self.tasks = {}, set()
+        # deliveries: how often each request id has reached the tier.
+        self.deliveries, self.tasks = {}, set()
 
     def spawn(self, coroutine):
         """Start a task and keep a reference until it ends."""
@@ -78,7 +78,7 @@
         await asyncio.wait([ended], timeout=0.5)
         stage.book.flush()
         for upstream in tier_upstreams:
-            upstream.sweep()
+            upstream.close_idle_connections()
     for task in tasks:
         task.cancel()
     for upstream in tier_upstreams:
@@ -88,7 +88,7 @@
 
 
 def fault_changes(day, tier, start, tier_upstreams):
-    """Yield the begin and end of each upstream fault: (time, upstream, fault, whether it begins)."""
+    """Yield each start and end of a fault as (time in ns, upstream, fault, whether it starts)."""
     for trouble in day.troubles:
         if trouble.what in experiment.OF_UPSTREAMS and trouble.tier == tier:
             for number, begins, ends in experiment.moments(day, trouble):
--- a/pepperhook/lab/upstream.py
+++ b/pepperhook/lab/upstream.py
@@ -27,42 +27,42 @@
     """One received request, from its arrival to its event row; times are in nanoseconds."""
 
     __slots__ = (
-        "back",
+        "chain_results",
         "began",
         "calls",
-        "came",
-        "carried",
-        "closed",
-        "end",
-        "ends_at",
+        "arrived_at",
+        "chain_header",
+        "is_recorded",
+        "connection",
+        "deadline",
         "failed",
         "first_byte",
-        "gone_at",
+        "disconnected_at",
         "grade",
         "id",
         "job",
         "limit",
         "nonce",
-        "seen",
+        "delivery",
     )
 
-    back: list  # chain results returned by the next tier
+    chain_results: list  # chain result headers from the next tier
     began: int  # 0: its work never began
     calls: int  # calls to the next tier that have not ended
-    came: int
-    carried: bytes | None  # value of the chain header
-    closed: bool  # its event row has been written
-    end: Any  # the connection or stream that it came on
-    ends_at: int  # when its time limit is over
+    arrived_at: int
+    chain_header: bytes | None
+    is_recorded: bool  # its event row has been written
+    connection: Any  # the End or StreamEnd that it came on
+    deadline: int  # when its time limit is over
     failed: bool  # a call to the next tier failed
     first_byte: int
-    gone_at: int  # when its connection ended; 0: it has not
+    disconnected_at: int  # when its connection ended; 0: it has not
     grade: int  # index of its service class
     id: str
     job: Job
     limit: int
     nonce: str  # names this attempt in the response body; empty: no valid response was sent
-    seen: int  # how often this request id has reached the tier, this attempt included
+    delivery: int  # how often this request id has reached the tier, this attempt included
 
 
 class End(asyncio.Protocol):
@@ -113,7 +113,7 @@
                     raise wire.Broken("a second request before the response")
                 upstream.handle_request(self, *whole)
         except (wire.Broken, ValueError) as problem:
-            upstream.happened("bad message", text=str(problem))
+            upstream.record_event("bad message", text=str(problem))
             self.transport.write(wire.answer(400))
             self.transport.close()
 
@@ -144,7 +144,7 @@
         self.fails_checks = False  # since its drain began
         self.on = {}  # active faults by kind
         self.timer, self.pool, self.fillers, self.malformed_count = None, None, [], 0
-        self.calls, self.copied = set(), None  # copied: the first chain header received
+        self.calls, self.first_chain_header = set(), None
         self.open_attempts = set()  # attempts whose event row has not been written
         carry = self.day.tiers[self.tier].carry
         self.carry = carry[number % len(carry)]
@@ -152,7 +152,7 @@
     def now(self):
         return time.monotonic_ns()
 
-    def happened(self, what, on=True, text=""):
+    def record_event(self, what, on=True, text=""):
         """Record an event of this upstream; ``on`` is False where it ends."""
         self.stage.book.add(events.Happened(self.now(), what, self.tier, self.number, on, text))
 
@@ -177,7 +177,7 @@
         self.machine = machine.Machine(self.spec, self.now(), cold)
         self.down = self.draining = self.fails_checks = False
         if cold:
-            self.happened("up cold")
+            self.record_event("up cold")
         settings, last = self.day.tiers[self.tier], self.tier + 1 == len(self.day.tiers)
         if self.pool is None and settings.calls and (not last or settings.circle):
             address = (
@@ -223,16 +223,16 @@
             server.close()
         self.servers.clear()
 
-    def fall(self):
+    def crash(self):
         """Kill the process: reset its connections and drop its work."""
         self.stop_listening()
         self.down = True
         # Each attempt is recorded here, once. Calls to the next tier that it waits for end with the
         # process and must not record it again.
         for attempt in list(self.open_attempts):
-            if attempt.end.open is attempt:
-                attempt.end.open = None
-            self.record(attempt, "reset", attempt.gone_at or self.now())
+            if attempt.connection.open is attempt:
+                attempt.connection.open = None
+            self.record(attempt, "reset", attempt.disconnected_at or self.now())
         for call in list(self.calls):
             call.cancel()
         for end in list(self.ends):
@@ -246,18 +246,18 @@
     def handle_request(self, end, head, body):
         """Handle one request; raise wire.Broken if it names no service class or has no id."""
         now, stage = self.now(), self.stage
-        path, identity = head.start[1], head.headers.get(b"x-request-id")
+        path, request_id = head.start[1], head.headers.get(b"x-request-id")
         if path in (b"/ping", b"/_load"):
             stage.book.add(events.Probe(self.tier, self.number, end.caller, now))
             end.transport.write(self.told_load(path))
             return None
         name = path.split(b"/", 2)[1].partition(b"?")[0].decode()
-        if identity is None or name not in stage.grades:
+        if request_id is None or name not in stage.grades:
             raise wire.Broken("no request id, or a path that names no service class")
         attempt = Attempt()
-        attempt.end, attempt.id, attempt.grade, attempt.first_byte, attempt.came = (
+        attempt.connection, attempt.id, attempt.grade, attempt.first_byte, attempt.arrived_at = (
             end,
-            identity.decode(),
+            request_id.decode(),
             stage.grades[name],
             end.first_byte,
             now,
@@ -268,41 +268,41 @@
             if limit is not None
             else int(self.day.grades[attempt.grade].time_limit_ms * MS)
         )
-        attempt.carried, attempt.back = head.headers.get(CHAIN_HEADER), []
-        if attempt.carried is not None:
-            self.copied = self.copied or attempt.carried
+        attempt.chain_header, attempt.chain_results = head.headers.get(CHAIN_HEADER), []
+        if attempt.chain_header is not None:
+            self.first_chain_header = self.first_chain_header or attempt.chain_header
         (
             attempt.calls,
             attempt.failed,
-            attempt.gone_at,
+            attempt.disconnected_at,
             attempt.began,
             attempt.nonce,
-            attempt.closed,
+            attempt.is_recorded,
         ) = 0, False, 0, 0, "", False
-        attempt.seen = stage.seen[attempt.id] = stage.seen.get(attempt.id, 0) + 1
-        attempt.ends_at = now + attempt.limit
+        attempt.delivery = stage.deliveries[attempt.id] = stage.deliveries.get(attempt.id, 0) + 1
+        attempt.deadline = now + attempt.limit
         end.open = attempt
         self.open_attempts.add(attempt)
         attempt.job = Job(
             chance.work_ns(stage.plan.seed, attempt.id, self.day.grades[attempt.grade]), attempt
         )
         if self.on.get("hang") is not None and self.fault_applies(
-            "hang", f"{attempt.id} {attempt.seen}"
+            "hang", f"{attempt.id} {attempt.delivery}"
         ):
             return None
         if self.draining or self.unready:
             return self.respond(
                 attempt, "turned away", wire.answer(503, b"draining\n", NOT_PROCESSED)
             )
-        if self.fault_applies("errors", f"{attempt.id} {attempt.seen}"):
+        if self.fault_applies("errors", f"{attempt.id} {attempt.delivery}"):
             attempt.began = now
             return self.respond(attempt, "error", wire.answer(500, b"error\n"))
         admission = self.machine.arrive(now, attempt.job)
         if self.machine.fell:
-            self.happened(
+            self.record_event(
                 "fell over", text=f"cold, offered {self.machine.offered / S:.2f} s of work"
             )
-            self.fall()
+            self.crash()
             asyncio.get_running_loop().call_later(2.0, lambda: stage.spawn(self.start(cold=True)))
             return None
         if admission == machine.TURNED_AWAY:
@@ -342,9 +342,9 @@
         """Handle the end of the work here: call the next tier, or respond."""
         attempt.began = attempt.job.began
         settings = self.day.tiers[self.tier]
-        if attempt.gone_at and settings.heeds_leaving:
+        if attempt.disconnected_at and settings.heeds_leaving:
             self.machine.free(self.now(), attempt.job)
-            return self.record(attempt, "given up", attempt.gone_at)
+            return self.record(attempt, "given up", attempt.disconnected_at)
         last = self.tier + 1 == len(self.day.tiers)
         if self.pool is not None and (
             not last or settings.circle == self.day.grades[attempt.grade].name
@@ -361,7 +361,7 @@
         """Handle the end of one call to the next tier; respond after the last one."""
         attempt.calls -= 1
         attempt.failed = attempt.failed or not is_good
-        if attempt.closed:
+        if attempt.is_recorded:
             return  # it ended with its process, and so did the slot that it held
         if not attempt.calls:
             self.reply(attempt)
@@ -371,35 +371,37 @@
         """Release the slot and respond: served, error, or as a fault demands."""
         settings, now = self.day.tiers[self.tier], self.now()
         self.machine.free(now, attempt.job)
-        own = (
+        fails_here = (
             settings.fail
             and chance.share(
                 self.stage.plan.seed,
                 "fail",
                 self.tier,
                 attempt.id,
-                0 if settings.fail_sticks else attempt.seen,
+                0 if settings.fail_sticks else attempt.delivery,
             )
             < settings.fail
         )
-        if attempt.gone_at:
-            return self.record(attempt, "given up", attempt.gone_at)  # the client has left
-        if own or attempt.failed and not settings.hide_failures:
+        if attempt.disconnected_at:
+            return self.record(attempt, "given up", attempt.disconnected_at)  # the client has left
+        if fails_here or attempt.failed and not settings.hide_failures:
             return self.respond(
                 attempt, "error", wire.answer(500, b"error\n", self.chain_result_headers(attempt))
             )
-        attempt.nonce = f"{self.tier}.{self.number}.{attempt.id}.{attempt.seen}"
+        attempt.nonce = f"{self.tier}.{self.number}.{attempt.id}.{attempt.delivery}"
         body = attempt.nonce.encode() + b"\n"
-        if self.fault_applies("reset_after", f"{attempt.id} {attempt.seen}"):
+        if self.fault_applies("reset_after", f"{attempt.id} {attempt.delivery}"):
             return self.respond(attempt, "reset", None)
-        if self.fault_applies("spoilt", f"{attempt.id} {attempt.seen}"):
+        if self.fault_applies("spoilt", f"{attempt.id} {attempt.delivery}"):
             attempt.nonce = ""
             return self.respond(attempt, "spoilt", self.make_malformed_response(body))
         self.respond(attempt, "served", wire.answer(200, body, self.chain_result_headers(attempt)))
 
     def chain_result_headers(self, attempt):
         """Return the next tier's chain results as header lines, unchanged."""
-        return b"".join(b"%s: %s\r\n" % (CHAIN_RESULT_HEADER, value) for value in attempt.back)
+        return b"".join(
+            b"%s: %s\r\n" % (CHAIN_RESULT_HEADER, value) for value in attempt.chain_results
+        )
 
     def make_malformed_response(self, body):
         """Return a malformed response, which a balancer must not pass on to a client."""
@@ -419,7 +421,7 @@
 
     def respond(self, attempt, outcome, data):
         """Send a response (None resets the connection) and record the attempt."""
-        end = attempt.end
+        end = attempt.connection
         end.open = None
         if data is None:
             end.abort()
@@ -431,8 +433,8 @@
         self.record(attempt, outcome, self.now())
 
     def record(self, attempt, outcome, ended):
-        """Record an attempt's only event row; the auditor takes a second one for work that ran twice."""
-        attempt.closed = True
+        """Record an attempt's only event row; the auditor takes a second one for repeated work."""
+        attempt.is_recorded = True
         self.open_attempts.discard(attempt)
         began = attempt.began or attempt.job.began
         worked = int(attempt.job.work) if began and outcome not in ("hung", "turned away") else 0
@@ -440,45 +442,45 @@
             events.Work(
                 self.tier,
                 self.number,
-                attempt.end.caller,
+                attempt.connection.caller,
                 attempt.id,
                 attempt.grade,
                 attempt.first_byte,
-                attempt.came,
+                attempt.arrived_at,
                 ended,
                 outcome,
                 began,
                 worked,
                 attempt.nonce,
-                attempt.gone_at,
+                attempt.disconnected_at,
                 self.now() if began else 0,
                 int(found[1])
-                if attempt.carried and (found := TRIES.search(attempt.carried))
+                if attempt.chain_header and (found := TRIES.search(attempt.chain_header))
                 else -1,
             )
         )
 
     def on_disconnect(self, attempt):
-        """Handle the end of a connection before the response: the client left or the process died."""
-        attempt.end.open = None
-        attempt.gone_at = self.now()
+        """Handle a connection that ended before the response: client left or process died."""
+        attempt.connection.open = None
+        attempt.disconnected_at = self.now()
         if self.down:
-            return self.record(attempt, "reset", attempt.gone_at)
+            return self.record(attempt, "reset", attempt.disconnected_at)
         if attempt.job.state is None:
-            return self.record(attempt, "hung", attempt.gone_at)
+            return self.record(attempt, "hung", attempt.disconnected_at)
         if not self.day.tiers[self.tier].heeds_leaving:
             attempt.job.abandoned = True
             return None
         began = attempt.job.began
-        is_over = self.machine.abandon(attempt.gone_at, attempt.job)
+        is_over = self.machine.abandon(attempt.disconnected_at, attempt.job)
         for call in [call for call in self.calls if call.parent is attempt]:
             call.cancel()
         if is_over:
             attempt.began = began
-            self.record(attempt, "given up", attempt.gone_at)
+            self.record(attempt, "given up", attempt.disconnected_at)
         self.arm()
 
-    def sweep(self):
+    def close_idle_connections(self):
         """Close connections that have been idle for too long."""
         before = self.now() - int(self.spec.idle_close_s * S)
         for end in [end for end in self.ends if end.open is None and end.idle_at < before]:
@@ -489,7 +491,7 @@
     async def trouble(self, trouble, on):
         """Begin or end one fault."""
         what, now = trouble.what, self.now()
-        self.happened(what, on)
+        self.record_event(what, on)
         if on:
             self.on[what] = trouble
         else:
@@ -527,7 +529,7 @@
     async def apply_transition(self, transition):
         """Apply a transition of the process's lifecycle."""
         if transition is Transition.END:
-            self.fall()
+            self.crash()
         elif transition is Transition.START:
             await self.start(cold=True)
         else:
@@ -543,7 +545,7 @@
 
     async def close(self):
         """Stop the process and close its connections to the next tier."""
-        self.fall()
+        self.crash()
         if self.pool is not None:
             await self.pool.close()
 
@@ -556,12 +558,12 @@
 
     def __init__(self, upstream, parent, number):
         self.upstream, self.parent, self.over, self.link = upstream, parent, False, None
-        self.id = f"{parent.id}-{parent.seen}{'abcdefgh'[number]}"
+        self.id = f"{parent.id}-{parent.delivery}{'abcdefgh'[number]}"
         self.begun = upstream.now()
-        tells = upstream.day.tiers[upstream.tier].tells_time
+        forwards_limit = upstream.day.tiers[upstream.tier].tells_time
         self.limit = (
-            parent.ends_at - self.begun
-            if tells
+            parent.deadline - self.begun
+            if forwards_limit
             else int(upstream.day.grades[parent.grade].time_limit_ms * MS)
         ) - MARGIN_MS * MS
         self.timer = None
@@ -590,11 +592,11 @@
 
     def chain_headers(self):
         """Return the chain headers to send, as the tier's ``carry`` setting says."""
-        mode, value = self.upstream.carry, self.parent.carried
+        mode, value = self.upstream.carry, self.parent.chain_header
         if value is None or mode == "drop":
             return []
         if mode == "copy":
-            return [self.upstream.copied]  # of the first request with one
+            return [self.upstream.first_chain_header]  # of the first request with one
         if mode == "change":
             return [re.sub(rb"left=\d+", b"left=1", re.sub(rb"tries=\d+", b"tries=9", value))]
         return [value] * (2 if mode == "twice" else 1)
@@ -605,7 +607,7 @@
     def answered(self, status, body, headers):
         """Handle the response."""
         if CHAIN_RESULT_HEADER in headers and self.upstream.carry != "drop":
-            self.parent.back.append(headers[CHAIN_RESULT_HEADER])
+            self.parent.chain_results.append(headers[CHAIN_RESULT_HEADER])
         self.finish("answer", status, body)
 
     def lost(self, why, unread=False):
@@ -628,7 +630,7 @@
             self.finish("gone", 0, b"")
 
     def finish(self, kind, status, body, note=""):
-        """End the call, record attempt, and tell the upstream; only the first use has an effect."""
+        """End the call, record it, and tell the upstream; only the first use has an effect."""
         if self.over:
             return
         self.over = True
--- a/pepperhook/lab/wire.py
+++ b/pepperhook/lab/wire.py
@@ -141,13 +141,13 @@
             return None
         head, body = whole
         exchange, self.exchange = self.exchange, None
-        close = head.headers.get(b"connection", b"").lower() == b"close"
+        should_close = head.headers.get(b"connection", b"").lower() == b"close"
         excess = self.messages.buffer
         exchange.answered(int(head.start[1]), body, head.headers)
         if excess:
             self.pool.report_excess(exchange, excess)
             self.transport.abort()
-        elif close or self.pool.closed:
+        elif should_close or self.pool.closed:
             self.transport.close()
         else:
             self.last = exchange
@@ -182,9 +182,10 @@
 
     An exchange is one request with its response. Each send ends with one call of its
     ``answered(status, body, headers)``, ``lost(why, unread)`` or ``unconnected(why)``, unless the
-    exchange is dropped or over before. ``unread`` means that no part of a response was received, or that the peer did not process
-    the request. ``written()`` is called when a new connection is up, and ``over`` is true when the
-    exchange has ended. The pool sets ``link`` and ``fresh`` (its connection is new).
+    exchange is dropped or over before. ``unread`` means that no part of a response was received, or
+    that the peer did not process the request. ``written()`` is called when a new connection is up,
+    and ``over`` is true when the exchange has ended. The pool sets ``link`` (its connection) and
+    ``fresh`` (the connection is new).
     """
 
     def __init__(self, where, on_unsolicited=None, on_excess=None):
--- a/pepperhook/lab/wire2.py
+++ b/pepperhook/lab/wire2.py
@@ -204,7 +204,7 @@
         try:
             events = self.h2.receive_data(data)
         except h2.exceptions.ProtocolError as problem:
-            self.upstream.happened("bad message", text=f"no HTTP/2: {problem}")
+            self.upstream.record_event("bad message", text=f"no HTTP/2: {problem}")
             return self.transport.abort()
         for event in events:
             kind, number = type(event), getattr(event, "stream_id", None)
@@ -221,7 +221,7 @@
                 try:
                     self.upstream.handle_request(stream, stream, b"")
                 except (wire.Broken, ValueError) as problem:
-                    self.upstream.happened("bad message", text=str(problem))
+                    self.upstream.record_event("bad message", text=str(problem))
                     self.h2.reset_stream(number, Codes.PROTOCOL_ERROR)
             elif kind is h2.events.StreamReset and number in self.streams:
                 self.streams[number].on_end()
--- a/tests/lab/test_upstream.py
+++ b/tests/lab/test_upstream.py
@@ -51,7 +51,7 @@
     call = next(iter(upstream.calls))
     assert isinstance(call, Call) and upstream.machine.held == 1
 
-    upstream.fall()
+    upstream.crash()
     # The next process has a machine of its own.
     next_machine = upstream.machine = Machine(upstream.spec, time.monotonic_ns())
     call.finish("lost", 0, b"")
