--- a/tests/lab/test_discovery_stand_in.py
+++ b/tests/lab/test_discovery_stand_in.py
@@ -167,7 +167,7 @@
 
 
 @loopback
-async def test_poll_rejected_without_a_capacity_gets_no_retry_after(tmp_path):
+async def test_polls_without_a_capacity_are_answered_or_rejected_without_retry_after(tmp_path):
     stand_in = StandIn(tmp_path, "waiting = 1\n")
     callers = [Caller(stand_in.service, number) for number in range(3)]
     for caller in callers:
