--- a/pepperhook/lab/call_queue.py
+++ b/pepperhook/lab/call_queue.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ticket:
+class Admission:
     """When an admitted poll is answered, and whether that is before its timeout."""
 
     answer_at: float
@@ -49,7 +49,7 @@
         """Return the work of a response with that many lines."""
         return self.call_cost_s + lines * self.line_cost_s
 
-    def enter(self, now: float, lines: int, slow_call_s: float = 0.0) -> Ticket | None:
+    def enter(self, now: float, lines: int, slow_call_s: float = 0.0) -> Admission | None:
         """Admit a poll, or refuse it (None).
 
         A ``slow_call_s`` above ``call_cost_s`` replaces it.
@@ -60,4 +60,4 @@
         if begins_at - now > self.max_backlog_s:
             return None
         self.idle_at = done_at
-        return Ticket(min(done_at, now + self.timeout_s), done_at <= now + self.timeout_s)
+        return Admission(min(done_at, now + self.timeout_s), done_at <= now + self.timeout_s)
--- a/pepperhook/lab/discovery.py
+++ b/pepperhook/lab/discovery.py
@@ -18,7 +18,7 @@
 from pepperhook.lab.instances import GONE, READY, Timeline, host_name
 
 S = 10**9
-# A row with a health state that balancers do not know.
+# A row with a health state that the protocol does not define, sent if odd_rows is set.
 UNKNOWN_STATE_ROW = {"host": "odd", "dial": "127.0.0.1:9", "health": "warming"}
 
 
@@ -29,33 +29,41 @@
         # rows: (number, health state, start in Unix ms) by host name; seq: the list's version.
         self.plan, self.tier, self.rows, self.seq = plan, tier, {}, 1
         self.log = []  # (seq, host) of each change
-        born = 0 if not plan.day.cold else int(time.time() * 1000)
+        started_ms = 0 if not plan.day.cold else int(time.time() * 1000)
         for number in range(plan.day.tiers[tier].upstreams):
-            self.rows[host_name(tier, number)] = (number, READY, born)
+            self.rows[host_name(tier, number)] = (number, READY, started_ms)
         self.changed = asyncio.Event()
 
-    def change(self, number, name, state, born):
-        """Change one row and wake the watches; ``born`` None leaves the start time."""
+    def change(self, number, name, state, started_ms):
+        """Change one row and wake the watches; ``started_ms`` None keeps the start time."""
         previous = self.rows.get(name)
-        self.rows[name] = (number, state, previous[2] if born is None and previous else born or 0)
+        self.rows[name] = (
+            number,
+            state,
+            previous[2] if started_ms is None and previous else started_ms or 0,
+        )
         self.seq += 1
         self.log.append((self.seq, name))
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def names_since(self, since):
-        """Return the host names that a response has, and whether they are the whole list."""
+    def hosts_for_response(self, since):
+        """Return the host names to send to a caller that has version ``since``.
+
+        Also return whether they are the whole list.
+        """
         if since is None or since > self.seq:
             return [name for name, row in self.rows.items() if row[1] != GONE], True
+        # "\uffff" sorts after every host name of that version.
         at = bisect.bisect_right(self.log, (since, "\uffff"))
         return list(dict.fromkeys(name for _, name in self.log[at:])), False
 
     def told(self, since, caller):
-        """Return a response's document, and the (number, state) pairs that it tells the caller."""
-        names, whole = self.names_since(since)
+        """Return the response document and the (number, state) pairs that it tells the caller."""
+        names, whole = self.hosts_for_response(since)
         rows = []
         for name in names:
-            number, state, born = self.rows[name]
+            number, state, started_ms = self.rows[name]
             rows.append(
                 {
                     "host": name,
@@ -65,14 +73,14 @@
                     "block": number % 3,
                     "health": state,
                     "share": 1.0,
-                    "born_ms": born,
+                    "born_ms": started_ms,
                 }
             )
         if self.plan.day.discovery.odd_rows and rows:
             rows.append(UNKNOWN_STATE_ROW)
         states = [self.rows[name][:2] for name in names]
         if whole:
-            # A whole list says of each upstream that it does not contain that it is gone.
+            # An upstream that is missing from a whole list is gone.
             listed = {number for number, _ in states}
             states += [
                 (n, GONE)
@@ -88,32 +96,32 @@
     def __init__(self, plan, book):
         self.plan, self.book, self.tasks, self.servers = plan, book, set(), {}
         self.catalogs = [Catalog(plan, tier) for tier in range(len(plan.day.tiers))]
-        # slow: seconds a call takes, 0 for the usual time; lag: seconds by which changes are listed
-        # late; moved: number of the address that answers.
-        self.down, self.slow, self.lag, self.moved = False, 0.0, 0.0, 0
-        self.turn, self.waiting = asyncio.Lock(), 0
+        # slow: seconds a call takes, 0 for the usual time; lag: delay of list changes in seconds;
+        # active_address: index of the address that answers.
+        self.down, self.slow, self.lag, self.active_address = False, 0.0, 0.0, 0
+        self.call_lock, self.waiting_polls = asyncio.Lock(), 0
         # The capacity is limited only from the run's start on, so that all balancers can start.
         self.queue = None
         self.refused, self.polls = 0.0, 0  # the fraction of polls that a fault refuses; all polls
         self.is_silent, self.silence_ended_at = False, -inf
-        self.held = {}  # the event rows of open watches, by a key object per watch
+        self.open_watches = {}  # the event rows of open watches, by a key object per watch
         self.writers = set()
 
     async def open(self):
         """Listen on the first address."""
         await self.listen(0)
 
-    async def listen(self, moved):
-        """Listen for each tier and caller; ``moved`` is 0 before a move and 1 after it."""
-        servers = self.servers[moved] = []
+    async def listen(self, address_index):
+        """Listen for each tier and caller; ``address_index`` is 0 before a move and 1 after it."""
+        servers = self.servers[address_index] = []
         for tier in range(len(self.plan.day.tiers)):
             for caller in range(experiment.callers(self.plan.day, tier)):
                 servers.append(
                     await asyncio.start_server(
                         lambda reader, writer, tier=tier, caller=caller: self.serve(
-                            reader, writer, tier, caller, moved
+                            reader, writer, tier, caller, address_index
                         ),
-                        *self.plan.discovery(tier, caller, moved),
+                        *self.plan.discovery(tier, caller, address_index),
                     )
                 )
 
@@ -123,9 +131,9 @@
         for tier, catalog in enumerate(self.catalogs):
             for listing in Timeline.of(self.plan.day, tier).listings:
                 self.spawn(self.change(start, catalog, listing))
-        for trouble in self.plan.day.troubles:
-            if trouble.what in experiment.OF_DISCOVERY:
-                self.spawn(self.trouble(start, trouble))
+        for fault in self.plan.day.troubles:
+            if fault.what in experiment.OF_DISCOVERY:
+                self.spawn(self.run_fault(start, fault))
 
     def spawn(self, coroutine):
         """Start a task that ``close`` cancels."""
@@ -139,36 +147,36 @@
         await asyncio.sleep(self.lag)
         # The platform reports start times in Unix time.
         unix = time.time() - (time.monotonic_ns() - start) / S
-        born = None if listing.started_at is None else int((unix + listing.started_at) * 1000)
-        catalog.change(listing.number, listing.host, listing.state, born)
+        started_ms = None if listing.started_at is None else int((unix + listing.started_at) * 1000)
+        catalog.change(listing.number, listing.host, listing.state, started_ms)
         what = f"listed {listing.state}"
         self.book.add(events.Happened(time.monotonic_ns(), what, catalog.tier, listing.number))
 
-    async def trouble(self, start, trouble):
+    async def run_fault(self, start, fault):
         """Begin one fault at its time and end it; a move does not end."""
-        await self.until(start, trouble.at)
-        self.book.add(events.Happened(time.monotonic_ns(), trouble.what, -1, -1))
-        if trouble.what == "discovery_outage":
+        await self.until(start, fault.at)
+        self.book.add(events.Happened(time.monotonic_ns(), fault.what, -1, -1))
+        if fault.what == "discovery_outage":
             self.down = True
             for writer in list(self.writers):
                 writer.transport.abort()
-        elif trouble.what == "discovery_slow":
-            self.slow = trouble.size or 0.5
-        elif trouble.what == "discovery_lag":
-            self.lag = trouble.size or 3.0
-        elif trouble.what == "discovery_refused":
-            self.refused = trouble.size or 1.0
-        elif trouble.what == "discovery_silence":
+        elif fault.what == "discovery_slow":
+            self.slow = fault.size or 0.5
+        elif fault.what == "discovery_lag":
+            self.lag = fault.size or 3.0
+        elif fault.what == "discovery_refused":
+            self.refused = fault.size or 1.0
+        elif fault.what == "discovery_silence":
             self.is_silent = True
-        else:
+        else:  # discovery_move: the service answers at another address from now on
             await self.listen(1)
-            self.moved = 1
+            self.active_address = 1
             return
-        await self.until(start, trouble.at + trouble.for_)
-        self.book.add(events.Happened(time.monotonic_ns(), trouble.what, -1, -1, False))
-        if trouble.what == "discovery_refused":
+        await self.until(start, fault.at + fault.for_)
+        self.book.add(events.Happened(time.monotonic_ns(), fault.what, -1, -1, False))
+        if fault.what == "discovery_refused":
             self.refused = 0.0
-        elif trouble.what == "discovery_silence":
+        elif fault.what == "discovery_silence":
             self.is_silent, self.silence_ended_at = False, time.monotonic()
         else:
             self.down, self.slow, self.lag = False, 0.0, 0.0
@@ -177,7 +185,7 @@
         """Sleep until ``at`` seconds after the start."""
         await asyncio.sleep(max(0.0, start / S + at - time.monotonic_ns() / S))
 
-    async def serve(self, reader, writer, tier, caller, moved):
+    async def serve(self, reader, writer, tier, caller, address_index):
         """Serve one connection until it ends."""
         self.writers.add(writer)
         messages = wire.Messages()
@@ -190,7 +198,7 @@
                     break
                 messages.feed(data)
                 while (whole := messages.next()) is not None:
-                    if not await self.answer(whole[0], writer, tier, caller, moved):
+                    if not await self.answer(whole[0], writer, tier, caller, address_index):
                         while await reader.read(65536):
                             pass  # until the caller closes the connection
                         return
@@ -200,22 +208,23 @@
             self.writers.discard(writer)
             writer.close()
 
-    async def answer(self, head, writer, tier, caller, moved):
-        """Answer one poll; return False if a silence fault leaves it unanswered for good."""
+    async def answer(self, head, writer, tier, caller, address_index):
+        """Answer one poll; return False if a silence fault keeps it unanswered."""
         catalog, query = self.catalogs[tier], parse_qs(urlsplit(head.start[1].decode()).query)
         since = int(query["since"][0]) if "since" in query else None
         arrived_at = time.monotonic()
-        if is_refused := self.refuses(caller):
+        if is_refused := self.count_and_check_refusal(caller):
             reached_at = time.monotonic_ns()
         else:
             if since is not None:
                 wait_s = int(query.get("timeout_ms", ["0"])[0]) / 1000
-                await self.hold(catalog, since, wait_s, caller)
+                await self.wait_for_change(catalog, since, wait_s, caller)
                 if self.is_silent or arrived_at < self.silence_ended_at:
                     return False
+            # When the service begins to answer.
             reached_at = time.monotonic_ns()
             is_refused = not await self.wait_for_response(catalog, since)
-        is_unavailable = is_refused or self.down or self.moved > moved
+        is_unavailable = is_refused or self.down or self.active_address > address_index
         self.book.add(
             events.Asked(
                 tier,
@@ -242,16 +251,16 @@
             self.book.add(events.Told(tier, caller, now, number, state))
         return True
 
-    def refuses(self, caller):
+    def count_and_check_refusal(self, caller):
         """Count a poll and return whether a fault refuses it, at random by the plan's seed."""
         self.polls += 1
         return chance.share(self.plan.seed, "discovery", caller, self.polls) < self.refused
 
-    async def hold(self, catalog, since, wait_s, caller):
-        """Hold a watch until there is a change or its time is over."""
+    async def wait_for_change(self, catalog, since, wait_s, caller):
+        """Keep a watch open until the list changes, it times out or the service goes down."""
         wait_s = min(wait_s, self.plan.day.discovery.longest_watch_s or inf)
         deadline, watch = time.monotonic() + wait_s, object()
-        self.held[watch] = events.Held(catalog.tier, caller, time.monotonic_ns(), 0)
+        self.open_watches[watch] = events.Held(catalog.tier, caller, time.monotonic_ns(), 0)
         try:
             while since == catalog.seq and time.monotonic() < deadline and not self.down:
                 with suppress(TimeoutError):
@@ -263,7 +272,7 @@
 
     def record_watch(self, watch):
         """Record a watch that has ended."""
-        if (row := self.held.pop(watch, None)) is not None:
+        if (row := self.open_watches.pop(watch, None)) is not None:
             row.ended = time.monotonic_ns()
             self.book.add(row)
 
@@ -274,26 +283,26 @@
         """
         if self.queue is not None:
             now = time.monotonic()
-            ticket = self.queue.enter(now, len(catalog.names_since(since)[0]), self.slow)
-            if ticket is None:
+            admission = self.queue.enter(now, len(catalog.hosts_for_response(since)[0]), self.slow)
+            if admission is None:
                 return False
-            await asyncio.sleep(ticket.answer_at - now)
-            return ticket.is_in_time
+            await asyncio.sleep(admission.answer_at - now)
+            return admission.is_in_time
         settings = self.plan.day.discovery
-        if settings.waiting and self.waiting >= settings.waiting:
+        if settings.waiting and self.waiting_polls >= settings.waiting:
             return False
-        self.waiting += 1
+        self.waiting_polls += 1
         try:
-            async with self.turn:
+            async with self.call_lock:
                 # The service handles one call at a time, of all tiers and callers.
                 await asyncio.sleep(self.slow or settings.answer_ms / 1000)
         finally:
-            self.waiting -= 1
+            self.waiting_polls -= 1
         return True
 
     async def close(self):
         """Record open watches and close all connections."""
-        for watch in list(self.held):
+        for watch in list(self.open_watches):
             self.record_watch(watch)
         for task in list(self.tasks):
             task.cancel()
--- a/pepperhook/lab/gossip.py
+++ b/pepperhook/lab/gossip.py
@@ -27,9 +27,9 @@
 
     name: str
     at: int  # virtual time of the death, in nanoseconds
-    suspected: int | None = None  # by the first member
-    lost: int | None = None  # by the first member
-    known: int | None = None  # by all running members
+    suspected: int | None = None  # until the first member suspected it
+    lost: int | None = None  # until the first member declared it lost
+    known: int | None = None  # until no running member had it as present
 
 
 class Figures(Struct):
@@ -43,7 +43,7 @@
     rows_each_datagram: float  # mean number of updates in a datagram
     suspected: int  # suspicions raised
     falsely_suspected: int  # suspicions of members that were running and reachable
-    falsely_lost: int  # running and reachable members that were declared lost
+    falsely_lost: int  # declarations of loss about running and reachable members
     refuted: int  # suspicions that their subject refuted
     deaths: list[Noticed]
 
@@ -79,7 +79,7 @@
         ]
         self.asleep: dict[str, list] = {}  # paused members and the datagrams that wait for them
         self.wakes: dict[str, int] = {}  # next timer of each member
-        # Whether datagrams between two members are dropped.
+        # Whether datagrams from the first to the second member are dropped; by default none.
         self.cut: Callable[[str, str], bool] = lambda sender, receiver: False
         self.sent: Counter = Counter()
         self.updates_sent = 0
@@ -87,7 +87,7 @@
         self.false_suspected = self.false_lost = self.refuted_by_killed = 0
         self.begun: dict[str, int] = {}
 
-    # What a scenario does.
+    # Called by scenarios.
 
     def begin(self, number: int, incarnation: int = 1):
         """Start a member."""
@@ -106,7 +106,7 @@
         )
         self.by_address[row.address] = row.name
         self.begun[row.name] = self.now
-        self.wake(row.name)
+        self.schedule_tick(row.name)
 
     def kill(self, name: str):
         """End a member without notice."""
@@ -126,14 +126,14 @@
             # The order of an event loop: one datagram, the due timers, then the other datagrams.
             for message in waiting[:1]:
                 self.deliver(name, message)
-            self.carry(name, self.members[name].tick(self.now))
+            self.send(name, self.members[name].tick(self.now))
             for message in waiting[1:]:
                 self.deliver(name, message)
-            self.wake(name, self.now)
+            self.schedule_tick(name, self.now)
 
     def leave(self, name: str):
         """Make a member leave in an orderly way."""
-        self.carry(name, self.members[name].protocol.leave())
+        self.send(name, self.members[name].protocol.leave())
         del self.members[name]
         self.wakes.pop(name, None)
 
@@ -160,7 +160,7 @@
         self.now, _, work = heappop(self.events)
         work()
 
-    def wake(self, name: str, at: int | None = None):
+    def schedule_tick(self, name: str, at: int | None = None):
         """Schedule a member's tick at ``at``, or at its next deadline."""
         if name in self.asleep or name not in self.members:
             return
@@ -168,9 +168,9 @@
         if self.wakes.get(name, 1 << 62) <= at and self.wakes[name] >= self.now:
             return
         self.wakes[name] = at
-        self.push(at, lambda: self.turn(name, at))
+        self.push(at, lambda: self.run_scheduled_tick(name, at))
 
-    def turn(self, name: str, at: int):
+    def run_scheduled_tick(self, name: str, at: int):
         """Run a member's scheduled tick, unless it was rescheduled or the member is paused."""
         if self.wakes.get(name) != at or name not in self.members:
             return
@@ -179,13 +179,13 @@
             return
         del self.wakes[name]
         member = self.members[name]
-        self.carry(name, member.tick(self.now))
-        self.wake(name)
+        self.send(name, member.tick(self.now))
+        self.schedule_tick(name)
 
     # The network.
 
-    def carry(self, sender: str, out: list[Outgoing]):
-        """Send datagrams; some are lost or cut off, the others arrive after a delay."""
+    def send(self, sender: str, out: list[Outgoing]):
+        """Send datagrams; some are lost or dropped by a partition, the others are delayed."""
         for address, message in ((item.address, item.message) for item in out):
             self.sent[sender] += 1
             self.updates_sent += len(message.updates)
@@ -213,17 +213,17 @@
             return
         member = self.members.get(receiver)
         if member is not None:
-            self.carry(receiver, member.receive(self.now, message))
-            self.wake(receiver)
+            self.send(receiver, member.receive(self.now, message))
+            self.schedule_tick(receiver)
 
     # Observations.
 
-    def lives(self, name: str) -> bool:
+    def is_running(self, name: str) -> bool:
         """Whether a member runs and is not paused."""
         return name in self.members and name not in self.asleep
 
-    def changed(self, by: str, name: str, state: MemberState):
-        """Record that a member, ``by``, now takes another for suspect or lost."""
+    def record_state(self, by: str, name: str, state: MemberState):
+        """Record that a member, ``by``, now considers another suspect or lost."""
         death = self.deaths.get(name)
         if death is not None and name not in self.members:
             if state == MemberState.SUSPECT and death.suspected is None:
@@ -236,7 +236,7 @@
                     for member in self.members.values()
                 ):
                     death.known = self.now - death.at
-        elif self.lives(name) and self.lives(by) and not self.cut(by, name):
+        elif self.is_running(name) and self.is_running(by) and not self.cut(by, name):
             self.false_suspected += state == MemberState.SUSPECT
             self.false_lost += state == MemberState.LOST
 
@@ -247,7 +247,7 @@
             member.protocol.table.present_names() == running for member in self.members.values()
         )
 
-    def differing(self) -> int:
+    def count_differing(self) -> int:
         """Return how many members have another list of present members than the running ones."""
         running = sorted(self.members)
         return sum(
@@ -288,7 +288,7 @@
         if not previous.is_present or current.state == previous.state:
             return
         if current.state in (MemberState.SUSPECT, MemberState.LOST):
-            self.network.changed(self.protocol.table.local.name, current.name, current.state)
+            self.network.record_state(self.protocol.table.local.name, current.name, current.state)
 
     def tick(self, now: int) -> list[Outgoing]:
         """Run due timers; return the datagrams to send."""
@@ -300,7 +300,7 @@
 
 
 def settled(members: int, seed: int, **more) -> Network:
-    """Return a network whose members have all joined through three seeds and agree on the list.
+    """Return a network whose members have joined through the first three and agree on the list.
 
     Members start 10 ms apart; more than 100 of them start evenly over one second. Raise
     RuntimeError if they still differ at the last of 60 checks, which are one second apart.
@@ -318,7 +318,7 @@
             return network
         ends += 1.0
     raise RuntimeError(
-        f"{network.differing()} of {members} members still differ after {ends:.0f} s"
+        f"{network.count_differing()} of {members} members still differ after {ends:.0f} s"
     )
 
 
--- a/pepperhook/lab/instances.py
+++ b/pepperhook/lab/instances.py
@@ -1,8 +1,8 @@
 """The lifecycles of a tier's upstream processes, as the faults of an experiment determine them.
 
 The stand-ins and the endpoint list share one timeline, so that both apply a fault to the same
-instance. A fault applies to the instance that runs at its place at that time; if none runs there,
-it has no effect.
+instance. A place is one upstream number of a tier; its instances run one after the other. A fault
+applies to the instance that runs at its place at that time; if none runs there, it has no effect.
 """
 
 from __future__ import annotations
@@ -21,8 +21,9 @@
 # a release until the process ends.
 DRAIN_GRACE_S = 1.0
 RESTART_S = 0.1  # minimum time between the end of a process and the start of its successor
-RENEWING = ("replaced", "released")  # faults after which a new instance starts
-OF_LIFECYCLES = ("crash", "cold", "drain", *RENEWING)
+# Faults after which the new process has its own host name.
+REPLACING_FAULTS = ("replaced", "released")
+LIFECYCLE_FAULTS = ("crash", "cold", "drain", *REPLACING_FAULTS)
 
 
 class Transition(Enum):
@@ -75,7 +76,7 @@
 
 
 class Place:
-    """One place of a tier, with the instances that run there one after the other."""
+    """The sequence of instances that run under one upstream number."""
 
     def __init__(self, tier: int, number: int) -> None:
         """Begin with an instance that runs since before the experiment."""
@@ -103,7 +104,11 @@
             self._continue_drain(instance, change)
 
     def _start(self, change: Change) -> None:
-        host = f"{self.name}-r{change.fault_at:g}" if change.renews else self.instances[-1].host
+        host = (
+            f"{self.name}-r{change.fault_at:g}"
+            if change.has_new_host_name
+            else self.instances[-1].host
+        )
         self.instances.append(Instance(host, started_at=change.at))
         self._step(change)
 
@@ -135,7 +140,7 @@
     def listings(self, notice_s: float) -> Iterator[Listing]:
         """Yield the changes of the endpoint list.
 
-        Starts, and ends that are no release, are listed with a delay of ``notice_s``.
+        Starts and unplanned ends are listed with a delay of ``notice_s``.
         """
         listed: set[str] = {self.name}
         for instance, following in itertools.pairwise([*self.instances, None]):
@@ -145,6 +150,7 @@
                 listed.add(instance.host)
                 yield from self._states(instance, listed_at)
             gone_at = instance.ended_at + (0 if instance.is_released else notice_s)
+            # A restart under the same host name before gone_at hides the end.
             is_noticed = (
                 following is None
                 or following.host != instance.host
@@ -172,26 +178,28 @@
     transition: Transition
     fault: int  # index of the fault in the experiment
     fault_at: float
-    renews: bool = False  # for START: a new instance with its own host name
+    has_new_host_name: bool = False  # for START only
     is_release: bool = False  # for END: only if this fault drains the running instance
 
 
-def _changes(fault: Trouble, index: int, at: float, ends: float) -> Iterator[Change]:
+def _changes(fault: Trouble, index: int, at: float, ends_at: float) -> Iterator[Change]:
     """Yield the changes that one fault makes at one place."""
     grace_s = fault.size or DRAIN_GRACE_S
     if fault.what == "drain":
         yield Change(at, Transition.DRAIN, index, fault.at)
-        if at + grace_s < ends:
+        if at + grace_s < ends_at:
             yield Change(at + grace_s, Transition.REJECT, index, fault.at)
-        yield Change(ends, Transition.SERVE, index, fault.at)
+        yield Change(ends_at, Transition.SERVE, index, fault.at)
         return
     if fault.what == "released":
         yield Change(at, Transition.DRAIN, index, fault.at)
         yield Change(at + grace_s, Transition.END, index, fault.at, is_release=True)
-        ends = max(ends, at + grace_s + RESTART_S)
+        ends_at = max(ends_at, at + grace_s + RESTART_S)
     else:
         yield Change(at, Transition.END, index, fault.at)
-    yield Change(ends, Transition.START, index, fault.at, renews=fault.what in RENEWING)
+    yield Change(
+        ends_at, Transition.START, index, fault.at, has_new_host_name=fault.what in REPLACING_FAULTS
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -206,10 +214,10 @@
         """Return the timeline of a tier; all times are in seconds since the start of the run."""
         changes: dict[int, list[Change]] = {}
         for index, fault in enumerate(day.troubles):
-            if fault.tier != tier or fault.what not in OF_LIFECYCLES:
+            if fault.tier != tier or fault.what not in LIFECYCLE_FAULTS:
                 continue
-            for number, at, ends in experiment.moments(day, fault):
-                changes.setdefault(number, []).extend(_changes(fault, index, at, ends))
+            for number, at, ends_at in experiment.moments(day, fault):
+                changes.setdefault(number, []).extend(_changes(fault, index, at, ends_at))
         places = []
         for number, rows in changes.items():
             place = Place(tier, number)
--- a/pepperhook/lab/machine.py
+++ b/pepperhook/lab/machine.py
@@ -17,6 +17,7 @@
 
 MS, S = 10**6, 10**9
 TAKEN, QUEUED, TURNED_AWAY = "taken", "queued", "turned away"
+PAUSED_CHECK_NS = 50 * MS  # a paused machine is checked again after this time
 MAX_COLD_STEP_NS = 20 * MS  # a cold machine is advanced in steps of at most this length
 
 
@@ -30,15 +31,14 @@
     connect_work_ms: float = 0.2  # work of a new connection, as a handshake would cost
     connections: int = 1024  # open connections; more are closed at once
     idle_close_s: float = 15.0  # idle connections are closed after this time
-    crowd_at: int = 0  # jobs, running and waiting, that make it crowded; 0: never
+    crowd_at: int = 0  # jobs, running or waiting, from which on crowd_speed applies; 0: never
     crowd_speed: float = 0.4  # factor of its speed while it is crowded
     crowd_rest_s: float = 1.0  # idle time after which it is no longer crowded
     start_capacity: float = 1.0  # share of its speed when it starts cold
     warm_s: float = 10.0  # time to full speed
-    warm_work_ms: float = 0.0  # work to full speed; 0: warm_s counts instead
-    fall_multiple: float = (
-        0.0  # offered over present capacity at which a cold machine crashes; 0: never
-    )
+    warm_work_ms: float = 0.0  # work until full speed, in place of warm_s; 0: warm_s applies
+    # Ratio of offered work to present capacity above which a cold machine crashes; 0: never.
+    fall_multiple: float = 0.0
     fall_s: float = 1.0  # period over which fall_multiple is measured
     cancel_stops: bool = True  # whether cancelling a job ends its work
 
@@ -46,14 +46,15 @@
 class Job:
     """One unit of work.
 
-    ``work`` is its cost in nanoseconds of one core; ``about`` is the object that it belongs to.
+    ``work`` is its cost in nanoseconds of one core; ``owner`` is the object that it belongs to.
     """
 
-    __slots__ = ("work", "about", "ends_v", "state", "came", "began", "abandoned")
+    __slots__ = ("work", "owner", "ends_v", "state", "arrived_at", "began", "abandoned")
 
-    def __init__(self, work, about):
-        self.work, self.about, self.ends_v, self.state = max(1, int(work)), about, 0.0, None
-        self.came = self.began = 0
+    def __init__(self, work, owner):
+        # state: None, "waiting", "working", "done" (work ended, slot still in use) or "over".
+        self.work, self.owner, self.ends_v, self.state = max(1, int(work)), owner, 0.0, None
+        self.arrived_at = self.began = 0
         self.abandoned = False  # cancelled by its client
 
 
@@ -153,10 +154,10 @@
         self.offered *= exp((self.offered_at - now) / (spec.fall_s * S))
         self.offered_at = now
         self.offered += job.work
-        job.came = now
+        job.arrived_at = now
         if spec.fall_multiple and self.cold_since is not None:
             present = self.warmth(now) * spec.cores * spec.speed * spec.fall_s * S
-            # Three jobs' work on top, so that a few jobs at once do not count as overload.
+            # Allow the work of three more jobs, so that a few jobs at once are no overload.
             if (
                 self.cold_since is not None
                 and self.offered > spec.fall_multiple * present + 3 * job.work
@@ -174,7 +175,7 @@
         return TAKEN
 
     def update_crowding(self):
-        """Become crowded if enough jobs are here."""
+        """Become crowded if at least ``crowd_at`` jobs run or wait."""
         if self.spec.crowd_at and self.held + len(self.waiting) >= self.spec.crowd_at:
             self.crowded = True
 
@@ -187,7 +188,10 @@
         heappush(self.running, (job.ends_v, self.sequence, job))
 
     def charge(self, now, work):
-        """Do work besides the jobs, such as a handshake; it delays each running job."""
+        """Do work besides the jobs, such as a handshake.
+
+        V is set back, which postpones the end of every running job.
+        """
         self.advance(now)
         if self.working:
             self.v -= min(work / max(self.spec.cores, self.working), self.v)
@@ -246,7 +250,7 @@
         if ends is None:
             return None
         if not rate:
-            return now + 50 * MS
+            return now + PAUSED_CHECK_NS
         at = now + max(1, int((ends - self.v) / rate) + 1)
         return min(at, now + MAX_COLD_STEP_NS) if self.cold_since is not None else at
 
--- a/pepperhook/lab/network.py
+++ b/pepperhook/lab/network.py
@@ -58,7 +58,7 @@
             self.forward(data)
 
     def forward(self, data):
-        """Forward data now or after the delay, or drop it, as the relay's faults demand."""
+        """Forward data now or after the delay, or drop it, as the relay's active faults require."""
         relay = self.relay
         # Dropped data is not sent later. TCP would retransmit it after the fault, but a balancer
         # has closed the connection by then.
@@ -78,9 +78,9 @@
         # reorders the bytes of a connection.
         self.delayed.append((asyncio.get_running_loop().time() + relay.delay_s, data))
         if len(self.delayed) == 1:
-            self.arm()
+            self.set_timer()
 
-    def arm(self):
+    def set_timer(self):
         """Set the timer for the first delayed data."""
         loop = asyncio.get_running_loop()
         loop.call_later(max(0.0, self.delayed[0][0] - loop.time()), self.write_due)
@@ -92,7 +92,7 @@
         while self.delayed and self.delayed[0][0] <= now:
             self.write(self.delayed.popleft()[1])
         if self.delayed:
-            self.arm()
+            self.set_timer()
 
     def write(self, data):
         """Write data to the other connection, if it is open."""
@@ -101,7 +101,7 @@
 
     def connection_lost(self, problem):
         self.relay.sides.discard(self)
-        # A silent relay does not pass on the end of a connection either.
+        # A silent relay does not forward the close or reset of a connection either.
         if self.other is not None and not self.relay.silent and self.other.transport is not None:
             self.other.transport.abort() if problem else self.other.transport.close()
 
@@ -168,42 +168,45 @@
 
     def begin(self, start):
         """Schedule the network faults; ``start`` is the run's start in monotonic nanoseconds."""
-        for trouble in self.plan.day.troubles:
-            if trouble.what in experiment.OF_NETWORK:
-                self.spawn(self.trouble(start, trouble))
+        for fault in self.plan.day.troubles:
+            if fault.what in experiment.OF_NETWORK:
+                self.spawn(self.run_fault(start, fault))
 
-    async def trouble(self, start, trouble):
-        """Begin and end one fault at its times."""
+    async def run_fault(self, start, fault):
+        """Begin and end one fault at its times.
+
+        net_apart is a partition: existing connections go silent and new ones time out.
+        """
         chosen = [
             relay
-            for number in experiment.targets(self.plan.day, trouble)
-            for relay in self.relays[trouble.tier, number]
-            if trouble.zone is None or self.crosses(relay, trouble)
+            for number in experiment.targets(self.plan.day, fault)
+            for relay in self.relays[fault.tier, number]
+            if fault.zone is None or self.crosses(relay, fault)
         ]
-        for at, on in (trouble.at, True), (trouble.at + trouble.for_, False):
+        for at, on in (fault.at, True), (fault.at + fault.for_, False):
             await asyncio.sleep(max(0, start + int(at * S) - time.monotonic_ns()) / S)
-            self.book.add(events.Happened(time.monotonic_ns(), trouble.what, trouble.tier, -1, on))
+            self.book.add(events.Happened(time.monotonic_ns(), fault.what, fault.tier, -1, on))
             for relay in chosen:
-                self.set(relay, trouble, on)
-                if trouble.what == "net_apart":
+                self.set(relay, fault, on)
+                if fault.what == "net_apart":
                     relay.shut() if on else await relay.reopen()
 
-    def crosses(self, relay, trouble):
-        """Whether exactly one end of the relay is in the fault's zone."""
-        return sum(end == experiment.zone(self.plan.day, trouble.zone) for end in relay.ends) == 1
+    def crosses(self, relay, fault):
+        """Whether exactly one of its upstream and its caller is in the fault's zone."""
+        return sum(end == experiment.zone(self.plan.day, fault.zone) for end in relay.ends) == 1
 
     @staticmethod
-    def set(relay, trouble, on):
+    def set(relay, fault, on):
         """Apply a fault to a relay, or end it."""
-        if trouble.what == "net_delay":
-            relay.delay_s = (trouble.size or 0.05) if on else 0.0
-        elif trouble.what == "net_deaf":
+        if fault.what == "net_delay":
+            relay.delay_s = (fault.size or 0.05) if on else 0.0
+        elif fault.what == "net_deaf":
             relay.deaf = on
-        elif trouble.what == "net_mute":
+        elif fault.what == "net_mute":
             relay.mute = on
-        elif trouble.what in ("net_silence", "net_apart"):
+        elif fault.what in ("net_silence", "net_apart"):
             relay.silent = on
-        if trouble.what == "net_cut" or not on and trouble.what != "net_delay":
+        if fault.what == "net_cut" or not on and fault.what != "net_delay":
             # At the end of a fault its half-open connections are reset.
             relay.cut()
 
--- a/pepperhook/lab/stage.py
+++ b/pepperhook/lab/stage.py
@@ -19,7 +19,7 @@
 
 
 class Stage:
-    """The state that all upstreams of one tier share."""
+    """Shared state of a tier's upstreams: plan, event rows and request counts."""
 
     def __init__(self, plan, folder, tier):
         self.plan, self.day, self.tier = plan, plan.day, tier
@@ -47,7 +47,7 @@
 
 
 async def note_stalls(process, book):
-    """Record when this process's event loop runs late, until it is cancelled."""
+    """Record each delay of this event loop of at least STALL_NS, until cancelled."""
     while True:
         due = time.monotonic_ns() + stalls.CHECK_NS
         await asyncio.sleep(stalls.CHECK_NS / S)
@@ -56,7 +56,7 @@
             book.add(events.Stall(process, due + late, late))
 
 
-async def upstreams(plan, folder, tier, begin):
+async def run_upstreams(plan, folder, tier, begin):
     """Run all upstreams of one tier."""
     from pepperhook.lab.upstream import Upstream
 
@@ -89,17 +89,17 @@
 
 def fault_changes(day, tier, start, tier_upstreams):
     """Yield each start and end of a fault as (time in ns, upstream, fault, whether it starts)."""
-    for trouble in day.troubles:
-        if trouble.what in experiment.OF_UPSTREAMS and trouble.tier == tier:
-            for number, begins, ends in experiment.moments(day, trouble):
+    for fault in day.troubles:
+        if fault.what in experiment.OF_UPSTREAMS and fault.tier == tier:
+            for number, begins, ends in experiment.moments(day, fault):
                 for at, on in (begins, True), (ends, False):
-                    yield start + int(at * S), tier_upstreams[number], trouble, on
+                    yield start + int(at * S), tier_upstreams[number], fault, on
 
 
-async def run_fault(at, upstream, trouble, on):
+async def run_fault(at, upstream, fault, on):
     """Begin or end a fault of an upstream at its time."""
     await asyncio.sleep(max(0, at - time.monotonic_ns()) / S)
-    await upstream.trouble(trouble, on)
+    await upstream.apply_fault(fault, on)
 
 
 async def run_transition(start, upstream, row):
@@ -108,7 +108,7 @@
     await upstream.apply_transition(row.transition)
 
 
-async def discovery(plan, folder, begin):
+async def run_discovery(plan, folder, begin):
     """Run the discovery service."""
     from pepperhook.lab.discovery import Discovery
 
@@ -126,7 +126,7 @@
     book.close()
 
 
-async def relays(plan, folder, begin):
+async def run_relays(plan, folder, begin):
     """Run the relays of the network."""
     from pepperhook.lab.network import Network
 
@@ -158,9 +158,9 @@
     plan = Plan.read(plan)
 
     roles = {
-        "upstreams": lambda: upstreams(plan, folder, int(more[0]), begin),
-        "discovery": lambda: discovery(plan, folder, begin),
-        "relays": lambda: relays(plan, folder, begin),
+        "upstreams": lambda: run_upstreams(plan, folder, int(more[0]), begin),
+        "discovery": lambda: run_discovery(plan, folder, begin),
+        "relays": lambda: run_relays(plan, folder, begin),
     }
     import uvloop
 
--- a/pepperhook/lab/upstream.py
+++ b/pepperhook/lab/upstream.py
@@ -13,12 +13,13 @@
 from typing import Any
 
 from pepperhook.lab import chance, events, machine, wire
-from pepperhook.lab.instances import OF_LIFECYCLES, Transition
+from pepperhook.lab.instances import LIFECYCLE_FAULTS, Transition
 from pepperhook.lab.machine import Job
 
 MS, S = 10**6, 10**9
 CHAIN_HEADER, CHAIN_RESULT_HEADER = b"pepperhook-chain", b"pepperhook-chain-result"
 TRIES = re.compile(rb"tries=(\d+)")
+RESTART_AFTER_OVERLOAD_S = 2.0
 MARGIN_MS = 5  # subtracted from the time limit that is sent to the next tier
 NOT_PROCESSED = b"X-Not-Processed: 1\r\n"
 
@@ -52,7 +53,7 @@
     arrived_at: int
     chain_header: bytes | None
     is_recorded: bool  # its event row has been written
-    connection: Any  # the End or StreamEnd that it came on
+    connection: Any  # the ServerConnection or ServerStream that it came on
     deadline: int  # when its time limit is over
     failed: bool  # a call to the next tier failed
     first_byte: int
@@ -65,7 +66,7 @@
     delivery: int  # how often this request id has reached the tier, this attempt included
 
 
-class End(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """The server side of one HTTP/1.1 connection."""
 
     def __init__(self, upstream, caller):
@@ -80,9 +81,9 @@
     def connection_made(self, transport):
         self.transport = transport
         upstream = self.upstream
-        if len(upstream.ends) >= upstream.spec.connections or upstream.down:
+        if len(upstream.connections) >= upstream.spec.connections or upstream.down:
             return transport.abort()
-        upstream.ends.add(self)
+        upstream.connections.add(self)
         upstream.stage.book.add(
             events.Connected(upstream.tier, upstream.number, self.caller, upstream.now())
         )
@@ -97,13 +98,13 @@
             self.first_byte = upstream.now()
             if data.startswith(b"PRI * HTTP/2.0"):
                 # HTTP/2 with prior knowledge.
-                from pepperhook.lab.wire2 import End2
+                from pepperhook.lab.wire2 import Http2ServerConnection
 
-                end, self.open = End2(upstream, self.caller), None
-                upstream.ends.discard(self)
-                self.transport.set_protocol(end)
-                end.connection_made(self.transport)
-                return end.data_received(data)
+                connection, self.open = Http2ServerConnection(upstream, self.caller), None
+                upstream.connections.discard(self)
+                self.transport.set_protocol(connection)
+                connection.connection_made(self.transport)
+                return connection.data_received(data)
         if upstream.fault_applies("reset_before", self.first_byte):
             return self.abort()
         self.messages.feed(data)
@@ -128,7 +129,7 @@
         return False
 
     def connection_lost(self, problem):
-        self.upstream.ends.discard(self)
+        self.upstream.connections.discard(self)
         if self.open is not None:
             self.upstream.on_disconnect(self.open)
 
@@ -139,9 +140,9 @@
     def __init__(self, stage, number):
         self.stage, self.number, self.tier, self.day = stage, number, stage.tier, stage.day
         self.spec = stage.day.tiers[stage.tier].machine
-        self.machine, self.ends, self.servers = None, set(), []
+        self.machine, self.connections, self.servers = None, set(), []
         self.down, self.unready, self.draining = True, False, False
-        self.fails_checks = False  # since its drain began
+        self.fails_checks = False  # health checks fail: true from the start of a drain
         self.on = {}  # active faults by kind
         self.timer, self.pool, self.fillers, self.malformed_count = None, None, [], 0
         self.calls, self.first_chain_header = set(), None
@@ -153,22 +154,22 @@
         return time.monotonic_ns()
 
     def record_event(self, what, on=True, text=""):
-        """Record an event of this upstream; ``on`` is False where it ends."""
+        """Record an event of this upstream; ``on`` is False if it is the end of a fault."""
         self.stage.book.add(events.Happened(self.now(), what, self.tier, self.number, on, text))
 
     def fault_applies(self, what, name):
-        """Whether an active fault of this kind applies to the named attempt or connection.
+        """Whether an active fault of this kind applies to the attempt or connection with this name.
 
         A fault with a size applies to that fraction of the names, by a chance that depends on the
         seed and the name.
         """
-        trouble = self.on.get(what)
-        if trouble is None or not trouble.size:
-            return trouble is not None
+        fault = self.on.get(what)
+        if fault is None or not fault.size:
+            return fault is not None
         # If all upstreams have the fault, the result depends on the name alone, so a request has
-        # the same fate at each of them.
-        where = "all" if trouble.part == 1 else self.number
-        return chance.share(self.stage.plan.seed, what, where, name) < trouble.size
+        # the same outcome at each of them.
+        where = "all" if fault.part == 1 else self.number
+        return chance.share(self.stage.plan.seed, what, where, name) < fault.size
 
     # Process lifecycle.
 
@@ -178,6 +179,7 @@
         self.down = self.draining = self.fails_checks = False
         if cold:
             self.record_event("up cold")
+        # circle: the last tier calls tier 0, for attempts of that service class.
         settings, last = self.day.tiers[self.tier], self.tier + 1 == len(self.day.tiers)
         if self.pool is None and settings.calls and (not last or settings.circle):
             address = (
@@ -201,7 +203,7 @@
                 try:
                     self.servers.append(
                         await loop.create_server(
-                            lambda caller=caller: End(self, caller),
+                            lambda caller=caller: ServerConnection(self, caller),
                             *address,
                             backlog=512,
                             reuse_address=True,
@@ -235,31 +237,31 @@
             self.record(attempt, "reset", attempt.disconnected_at or self.now())
         for call in list(self.calls):
             call.cancel()
-        for end in list(self.ends):
-            end.abort()
+        for connection in list(self.connections):
+            connection.abort()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     # Requests.
 
-    def handle_request(self, end, head, body):
+    def handle_request(self, connection, head, body):
         """Handle one request; raise wire.Broken if it names no service class or has no id."""
         now, stage = self.now(), self.stage
         path, request_id = head.start[1], head.headers.get(b"x-request-id")
         if path in (b"/ping", b"/_load"):
-            stage.book.add(events.Probe(self.tier, self.number, end.caller, now))
-            end.transport.write(self.told_load(path))
+            stage.book.add(events.Probe(self.tier, self.number, connection.caller, now))
+            connection.transport.write(self.told_load(path))
             return None
         name = path.split(b"/", 2)[1].partition(b"?")[0].decode()
         if request_id is None or name not in stage.grades:
             raise wire.Broken("no request id, or a path that names no service class")
         attempt = Attempt()
         attempt.connection, attempt.id, attempt.grade, attempt.first_byte, attempt.arrived_at = (
-            end,
+            connection,
             request_id.decode(),
             stage.grades[name],
-            end.first_byte,
+            connection.first_byte,
             now,
         )
         limit = head.number(b"x-timeout-ms")
@@ -281,7 +283,7 @@
         ) = 0, False, 0, 0, "", False
         attempt.delivery = stage.deliveries[attempt.id] = stage.deliveries.get(attempt.id, 0) + 1
         attempt.deadline = now + attempt.limit
-        end.open = attempt
+        connection.open = attempt
         self.open_attempts.add(attempt)
         attempt.job = Job(
             chance.work_ns(stage.plan.seed, attempt.id, self.day.grades[attempt.grade]), attempt
@@ -299,15 +301,18 @@
             return self.respond(attempt, "error", wire.answer(500, b"error\n"))
         admission = self.machine.arrive(now, attempt.job)
         if self.machine.fell:
+            # Overload while cold crashes the process; it restarts cold.
             self.record_event(
                 "fell over", text=f"cold, offered {self.machine.offered / S:.2f} s of work"
             )
             self.crash()
-            asyncio.get_running_loop().call_later(2.0, lambda: stage.spawn(self.start(cold=True)))
+            asyncio.get_running_loop().call_later(
+                RESTART_AFTER_OVERLOAD_S, lambda: stage.spawn(self.start(cold=True))
+            )
             return None
         if admission == machine.TURNED_AWAY:
             return self.respond(attempt, "turned away", wire.answer(503, b"full\n", NOT_PROCESSED))
-        self.arm()
+        self.set_timer()
 
     def told_load(self, path):
         """Return the response to a health check (``/ping``) or a load query (``/_load``)."""
@@ -319,7 +324,7 @@
             self.stale = self.machine.report(self.now())
         return wire.answer(200, events.msgspec.json.encode(self.stale))
 
-    def arm(self):
+    def set_timer(self):
         """Set the timer for the machine's next event."""
         if self.timer is not None:
             self.timer.cancel()
@@ -335,13 +340,14 @@
         """Continue the attempts whose work is done, and set the timer again."""
         self.timer = None
         for job in self.machine.due(self.now()):
-            self.on_work_done(job.about)
-        self.arm()
+            self.on_work_done(job.owner)
+        self.set_timer()
 
     def on_work_done(self, attempt):
         """Handle the end of the work here: call the next tier, or respond."""
         attempt.began = attempt.job.began
         settings = self.day.tiers[self.tier]
+        # heeds_leaving: work stops when the client disconnects.
         if attempt.disconnected_at and settings.heeds_leaving:
             self.machine.free(self.now(), attempt.job)
             return self.record(attempt, "given up", attempt.disconnected_at)
@@ -362,16 +368,16 @@
         attempt.calls -= 1
         attempt.failed = attempt.failed or not is_good
         if attempt.is_recorded:
-            return  # it ended with its process, and so did the slot that it held
+            return  # its process died: the attempt is recorded, the machine with its slot is gone
         if not attempt.calls:
             self.reply(attempt)
-            self.arm()
+            self.set_timer()
 
     def reply(self, attempt):
-        """Release the slot and respond: served, error, or as a fault demands."""
+        """Release the slot and respond: served, error, or as an active fault requires."""
         settings, now = self.day.tiers[self.tier], self.now()
         self.machine.free(now, attempt.job)
-        fails_here = (
+        fails_at_random = (
             settings.fail
             and chance.share(
                 self.stage.plan.seed,
@@ -384,7 +390,7 @@
         )
         if attempt.disconnected_at:
             return self.record(attempt, "given up", attempt.disconnected_at)  # the client has left
-        if fails_here or attempt.failed and not settings.hide_failures:
+        if fails_at_random or attempt.failed and not settings.hide_failures:
             return self.respond(
                 attempt, "error", wire.answer(500, b"error\n", self.chain_result_headers(attempt))
             )
@@ -405,6 +411,9 @@
 
     def make_malformed_response(self, body):
         """Return a malformed response, which a balancer must not pass on to a client."""
+        # short: body shorter than its Content-Length; noise: bytes before the status line;
+        # no_length and two_lengths: no or two Content-Length headers; large: a body of 70,000
+        # bytes; half: the connection closes in the middle.
         kinds = ("short", "noise", "no_length", "two_lengths", "large", "half")
         self.malformed_count += 1
         kind = self.on["spoilt"].kind or kinds[self.malformed_count % len(kinds)]
@@ -421,19 +430,19 @@
 
     def respond(self, attempt, outcome, data):
         """Send a response (None resets the connection) and record the attempt."""
-        end = attempt.connection
-        end.open = None
+        connection = attempt.connection
+        connection.open = None
         if data is None:
-            end.abort()
-        elif not end.transport.is_closing():
-            end.transport.write(data)
-            end.idle_at = self.now()
+            connection.abort()
+        elif not connection.transport.is_closing():
+            connection.transport.write(data)
+            connection.idle_at = self.now()
             if outcome == "spoilt":
-                end.transport.close()
+                connection.transport.close()
         self.record(attempt, outcome, self.now())
 
     def record(self, attempt, outcome, ended):
-        """Record an attempt's only event row; the auditor takes a second one for repeated work."""
+        """Record an attempt's only event row; the auditor counts a second as a second execution."""
         attempt.is_recorded = True
         self.open_attempts.discard(attempt)
         began = attempt.began or attempt.job.began
@@ -478,45 +487,50 @@
         if is_over:
             attempt.began = began
             self.record(attempt, "given up", attempt.disconnected_at)
-        self.arm()
+        self.set_timer()
 
     def close_idle_connections(self):
         """Close connections that have been idle for too long."""
-        before = self.now() - int(self.spec.idle_close_s * S)
-        for end in [end for end in self.ends if end.open is None and end.idle_at < before]:
-            end.transport.close()
+        oldest_allowed = self.now() - int(self.spec.idle_close_s * S)
+        for connection in [
+            connection
+            for connection in self.connections
+            if connection.open is None and connection.idle_at < oldest_allowed
+        ]:
+            connection.transport.close()
 
     # Injected faults.
 
-    async def trouble(self, trouble, on):
+    async def apply_fault(self, fault, on):
         """Begin or end one fault."""
-        what, now = trouble.what, self.now()
+        what, now = fault.what, self.now()
         self.record_event(what, on)
         if on:
-            self.on[what] = trouble
+            self.on[what] = fault
         else:
             self.on.pop(what, None)
-        if what in OF_LIFECYCLES:
-            return  # the timeline of the tier drives the process, see apply_transition
+        if what in LIFECYCLE_FAULTS:
+            return  # the tier's timeline starts and ends the process, see apply_transition
         if what == "unready":
-            # Dead for a moment, then up but not ready, which health checks are told.
+            # Refuses connections for the fault's size in seconds, then accepts them but fails
+            # health checks and rejects requests.
             if on:
-                self.refuse()
-                await asyncio.sleep(trouble.size or 0.5)
+                self.refuse_connections()
+                await asyncio.sleep(fault.size or 0.5)
                 self.unready = True
                 await self.listen()
             else:
                 self.unready = False
         elif what in ("slow", "pause"):
-            self.machine.slow(now, (0.0 if what == "pause" else trouble.size or 0.2) if on else 1.0)
-            self.arm()
+            self.machine.slow(now, (0.0 if what == "pause" else fault.size or 0.2) if on else 1.0)
+            self.set_timer()
         elif what == "crowd":
             self.machine.advance(now)
             self.machine.crowded = on or self.machine.crowded
-            self.arm()
+            self.set_timer()
         elif what in ("refused", "unconnectable"):
             if on:
-                self.refuse()
+                self.refuse_connections()
                 if what == "unconnectable":
                     for caller in range(self.stage.callers):
                         self.fillers += wire.fill_backlog(
@@ -537,11 +551,11 @@
             self.fails_checks = transition is not Transition.SERVE
             self.draining = transition is Transition.REJECT
 
-    def refuse(self):
+    def refuse_connections(self):
         """Reset all connections and refuse new ones; attempts in progress continue."""
         self.stop_listening()
-        for end in list(self.ends):
-            end.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
     async def close(self):
         """Stop the process and close its connections to the next tier."""
@@ -551,9 +565,11 @@
 
 
 class Call:
-    """One call to the next tier, as a client's attempt with the remaining time limit.
+    """One request to the next tier's balancer.
 
-    It is an exchange of a wire.Pool.
+    Its time limit is the parent attempt's remaining time, or with ``tells_time`` off the service
+    class's whole limit, in both cases less MARGIN_MS. It implements the exchange interface that
+    wire.Pool describes.
     """
 
     def __init__(self, upstream, parent, number):
@@ -571,6 +587,7 @@
     def begin(self):
         """Send the request, or end at once if no time is left."""
         if self.limit < 2 * MS:
+            # The request is never sent, and finish records none with this note.
             return self.finish("gone", 0, b"", "no time left")
         grade = self.upstream.day.grades[self.parent.grade]
         method = b"GET" if grade.effect == "idempotent" else b"POST"
@@ -602,7 +619,7 @@
         return [value] * (2 if mode == "twice" else 1)
 
     def written(self):
-        """Handle the connection's establishment; there is nothing to do."""
+        """Do nothing; wire.Pool calls it when a new connection is established."""
 
     def answered(self, status, body, headers):
         """Handle the response."""
@@ -611,7 +628,7 @@
         self.finish("answer", status, body)
 
     def lost(self, why, unread=False):
-        """Handle the loss of the connection before the response."""
+        """Handle the loss of the connection before the response; ``unread`` is not used here."""
         self.finish("lost", 0, b"", why)
 
     def unconnected(self, why):
@@ -630,7 +647,7 @@
             self.finish("gone", 0, b"")
 
     def finish(self, kind, status, body, note=""):
-        """End the call, record it, and tell the upstream; only the first use has an effect."""
+        """End the call, record it, and notify the upstream; later calls have no effect."""
         if self.over:
             return
         self.over = True
--- a/pepperhook/lab/wire.py
+++ b/pepperhook/lab/wire.py
@@ -90,6 +90,7 @@
 
 def answer(status, body=b"", more=b""):
     """Return the bytes of a response; ``more`` are further header lines, each with its CRLF."""
+    # Any reason phrase is valid.
     return b"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s" % (
         status,
         b"OK" if status == 200 else b"Not",
@@ -183,9 +184,9 @@
     An exchange is one request with its response. Each send ends with one call of its
     ``answered(status, body, headers)``, ``lost(why, unread)`` or ``unconnected(why)``, unless the
     exchange is dropped or over before. ``unread`` means that no part of a response was received, or
-    that the peer did not process the request. ``written()`` is called when a new connection is up,
-    and ``over`` is true when the exchange has ended. The pool sets ``link`` (its connection) and
-    ``fresh`` (the connection is new).
+    that the peer did not process the request. ``written()`` is called when a new connection is
+    open, and ``over`` is true when the exchange has ended. The pool sets ``link`` (its connection) and
+    ``fresh`` (it was opened for this exchange).
     """
 
     def __init__(self, where, on_unsolicited=None, on_excess=None):
@@ -248,7 +249,7 @@
         link.transport.write(data)
 
     def drop(self, exchange):
-        """Abort an exchange's connection, because its client leaves or its time is over."""
+        """Abort an exchange's connection, when its client has left or it has timed out."""
         link = exchange.link
         if link is not None and link.exchange is exchange:
             link.exchange = None
--- a/pepperhook/lab/wire2.py
+++ b/pepperhook/lab/wire2.py
@@ -14,7 +14,7 @@
 from pepperhook.lab import wire
 
 PREFACE = b"PRI * HTTP/2.0"
-MAX_CONNECTIONS = 4  # per pool: a terminal keeps few connections for a long time
+MAX_CONNECTIONS = 4  # per pool, as clients keep few connections for a long time
 MAX_STREAMS = 200  # per connection
 Codes = h2.errors.ErrorCodes
 
@@ -26,8 +26,8 @@
         # streams: [exchange, status, headers, body] by stream id; gone: whether new streams are
         # not allowed any more.
         self.pool, self.transport, self.streams, self.gone = pool, None, {}, False
-        # Not the library's connection class: it takes a GOAWAY as the end of all streams, even of
-        # those that are still answered.
+        # The connection class of h2 treats a GOAWAY as the end of every stream, even of those that
+        # the peer still answers.
         self.h2 = Http2Connection(
             h2.config.H2Configuration(client_side=True, header_encoding="utf-8")
         )
@@ -77,6 +77,7 @@
         stream = self.streams.get(number)
         if kind is h2.events.ResponseReceived:
             if stream is None:
+                # One byte stands for a response head without a request.
                 return self.pool.report_unsolicited(self, b"x")
             stream[2] = {name.encode(): value.encode() for name, value in event.headers}
             stream[1] = int(stream[2][b":status"])
@@ -99,7 +100,7 @@
                 self.streams.pop(unprocessed)[0].lost("above a GOAWAY", unread=True)
 
     def retire(self):
-        """Use this connection for no new streams."""
+        """Stop opening streams on this connection."""
         self.gone = True
         if self in self.pool.links:
             self.pool.links.remove(self)
@@ -124,7 +125,10 @@
         self.send(exchange, exchange.data)
 
     def send(self, exchange, data):
-        """Send a request on the next connection in turn, or on a new one while there are few."""
+        """Send a request on the next connection in turn.
+
+        Open a new one if fewer than MAX_CONNECTIONS are open or the chosen one is full.
+        """
         method, path, headers, body = data
         request = (
             method.decode(),
@@ -152,7 +156,7 @@
             link.begin(exchange, *request)
 
     def drop(self, exchange):
-        """Cancel an exchange's stream, because its client leaves or its time is over."""
+        """Cancel an exchange's stream, when its client has left or it has timed out."""
         link = exchange.link
         if link is not None and link.streams.pop(exchange.stream, None) is not None:
             try:
@@ -167,8 +171,11 @@
             self.on_unsolicited(None, data)
 
 
-class End2(asyncio.Protocol):
-    """The server side of one HTTP/2 connection; the upstream handles each stream like an End."""
+class Http2ServerConnection(asyncio.Protocol):
+    """The server side of one HTTP/2 connection.
+
+    The upstream handles each of its streams like a ServerConnection.
+    """
 
     def __init__(self, upstream, caller):
         self.upstream, self.caller, self.transport, self.streams, self.idle_at, self.open = (
@@ -187,7 +194,7 @@
 
     def connection_made(self, transport):
         self.transport = transport
-        self.upstream.ends.add(self)
+        self.upstream.connections.add(self)
         self.idle_at = self.upstream.now()
         self.h2.local_settings = h2.settings.Settings(
             client=False,
@@ -212,8 +219,8 @@
                 if self.upstream.fault_applies("reset_before", self.upstream.now()):
                     self.h2.reset_stream(number, Codes.REFUSED_STREAM)
                     continue
-                self.streams[number] = StreamEnd(self, number, dict(event.headers))  # type: ignore[attr-defined]
-                self.upstream.ends.add(self.streams[number])
+                self.streams[number] = ServerStream(self, number, dict(event.headers))  # type: ignore[attr-defined]
+                self.upstream.connections.add(self.streams[number])
             elif kind is h2.events.DataReceived:
                 self.h2.acknowledge_received_data(event.flow_controlled_length, number)  # type: ignore[attr-defined]
             elif kind is h2.events.StreamEnded and number in self.streams:
@@ -232,23 +239,26 @@
         self.transport.abort()
 
     def connection_lost(self, problem):
-        self.upstream.ends.discard(self)
+        self.upstream.connections.discard(self)
         for stream in list(self.streams.values()):
             stream.on_end()
 
 
-class StreamEnd:
-    """One stream, with the interfaces of End, wire.Head and a transport that Upstream needs."""
+class ServerStream:
+    """One stream of an HTTP/2 connection.
+
+    It has the parts of ServerConnection, wire.Head and a transport that Upstream uses.
+    """
 
-    def __init__(self, end, number, headers):
-        self.end, self.stream, self.caller, self.open, self.idle_at = (
-            end,
+    def __init__(self, connection, number, headers):
+        self.connection, self.stream, self.caller, self.open, self.idle_at = (
+            connection,
             number,
-            end.caller,
+            connection.caller,
             None,
             0,
         )
-        self.first_byte, self.transport = end.upstream.now(), self
+        self.first_byte, self.transport = connection.upstream.now(), self
         self.headers = {name.encode(): value.encode() for name, value in headers.items()}
         self.start = [self.headers[b":method"], self.headers[b":path"]]
 
@@ -259,7 +269,7 @@
 
     def is_closing(self):
         """Whether the stream has ended."""
-        return self.stream not in self.end.streams
+        return self.stream not in self.connection.streams
 
     def write(self, data):
         """Send a response that Upstream has encoded as HTTP/1.1.
@@ -273,17 +283,17 @@
         except wire.Broken:
             whole = None
         if whole is not None and (messages.buffer or b"content-length" not in whole[0].headers):
-            whole = None  # malformed on purpose, but the stream's end would make it valid here
+            whole = None  # deliberately malformed as HTTP/1.1, but valid once framed as HTTP/2
         self.remove()
         try:
             if whole is None:
-                self.end.h2.send_headers(
+                self.connection.h2.send_headers(
                     self.stream, [(":status", "200"), ("content-length", "99")]
                 )
-                self.end.h2.send_data(self.stream, b"half", end_stream=True)
+                self.connection.h2.send_data(self.stream, b"half", end_stream=True)
             else:
                 head, body = whole
-                self.end.h2.send_headers(
+                self.connection.h2.send_headers(
                     self.stream,
                     [
                         (":status", head.start[1].decode()),
@@ -291,41 +301,43 @@
                     ],
                     end_stream=not body,
                 )
-                rest = body
-                while rest:
-                    room = min(16384, self.end.h2.local_flow_control_window(self.stream))
-                    if room <= 0:
-                        self.end.h2.reset_stream(self.stream, Codes.INTERNAL_ERROR)
+                remaining = body
+                while remaining:
+                    window = min(16384, self.connection.h2.local_flow_control_window(self.stream))
+                    if window <= 0:
+                        self.connection.h2.reset_stream(self.stream, Codes.INTERNAL_ERROR)
                         break
-                    self.end.h2.send_data(self.stream, rest[:room], end_stream=room >= len(rest))
-                    rest = rest[room:]
+                    self.connection.h2.send_data(
+                        self.stream, remaining[:window], end_stream=window >= len(remaining)
+                    )
+                    remaining = remaining[window:]
         except h2.exceptions.ProtocolError:
             pass
-        self.end.flush()
+        self.connection.flush()
 
     def close(self):
-        """Do nothing: the connection has other streams."""
+        """Do nothing: the connection may have other streams."""
 
     def abort(self):
         """Reset the stream."""
-        if self.stream in self.end.streams:
+        if self.stream in self.connection.streams:
             self.remove()
             try:
-                self.end.h2.reset_stream(self.stream, Codes.INTERNAL_ERROR)
-                self.end.flush()
+                self.connection.h2.reset_stream(self.stream, Codes.INTERNAL_ERROR)
+                self.connection.flush()
             except h2.exceptions.ProtocolError:
                 pass
             if self.open is not None:
-                self.end.upstream.on_disconnect(self.open)
+                self.connection.upstream.on_disconnect(self.open)
 
     def remove(self):
         """Remove the stream from its connection and its upstream."""
-        self.end.streams.pop(self.stream, None)
-        self.end.upstream.ends.discard(self)
-        self.end.idle_at = self.end.upstream.now()
+        self.connection.streams.pop(self.stream, None)
+        self.connection.upstream.connections.discard(self)
+        self.connection.idle_at = self.connection.upstream.now()
 
     def on_end(self):
         """Handle the end of the stream by the client or of its connection."""
         self.remove()
         if self.open is not None:
-            self.end.upstream.on_disconnect(self.open)
+            self.connection.upstream.on_disconnect(self.open)
--- a/tests/lab/test_discovery.py
+++ b/tests/lab/test_discovery.py
@@ -24,7 +24,7 @@
         return self.written.split()[1]
 
 
-async def test_polls_beyond_the_bound_are_rejected_and_recorded(tmp_path):
+async def test_polls_beyond_the_waiting_limit_are_rejected_and_recorded(tmp_path):
     limited = read_experiment(EXPERIMENT + "[discovery]\nanswer_ms = 60\nwaiting = 2\n")
     book = events.Book(tmp_path / "x.rows")
     service = discovery.Discovery(Plan(limited, 1, 30), book)
@@ -36,7 +36,7 @@
     )
 
     assert [writer.status for writer in writers] == [b"200"] * 2 + [b"503"] * 4
-    assert not service.waiting
+    assert not service.waiting_polls
     book.close()
     polls = [row for row in events.read(tmp_path) if isinstance(row, events.Asked)]
     assert Counter(row.answered for row in polls) == {True: 2, False: 4}
--- a/tests/lab/test_discovery_stand_in.py
+++ b/tests/lab/test_discovery_stand_in.py
@@ -1,4 +1,4 @@
-"""The discovery stand-in: its queue in virtual time, and faults that events begin and end."""
+"""The discovery stand-in: its queue in virtual time, and faults that the test begins and ends."""
 
 import asyncio
 from math import inf
@@ -8,15 +8,15 @@
 
 from pepperhook import tomlfile
 from pepperhook.lab import events, experiment
-from pepperhook.lab.call_queue import CallQueue, Ticket
+from pepperhook.lab.call_queue import Admission, CallQueue
 from pepperhook.lab.discovery import Discovery
 from pepperhook.lab.experiment import Experiment, Plan, Trouble
 from tests.test_lab import DAY
 from tests.world import loopback
 
-WHOLE = "GET /catalog/members HTTP/1.1\r\nHost: list\r\n\r\n"
+POLL_WHOLE_LIST = "GET /catalog/members HTTP/1.1\r\nHost: list\r\n\r\n"
 WATCH = "GET /catalog/members?since=1&timeout_ms=60000 HTTP/1.1\r\nHost: list\r\n\r\n"
-LINES = 4  # length of the first tier's whole list
+WHOLE_LIST_ROWS = 4  # length of the first tier's whole list
 
 
 # The queue.
@@ -29,36 +29,36 @@
 
 def test_polls_are_processed_one_by_one_and_idle_time_is_not_accumulated():
     polls = make_queue()
-    assert [polls.enter(0.0, 0) for _ in range(2)] == [Ticket(0.25, True), Ticket(0.5, True)]
-    assert polls.enter(9.0, 0) == Ticket(9.25, True)
+    assert [polls.enter(0.0, 0) for _ in range(2)] == [Admission(0.25, True), Admission(0.5, True)]
+    assert polls.enter(9.0, 0) == Admission(9.25, True)
 
 
 def test_answer_costs_a_fixed_part_and_a_part_for_each_line():
     polls = make_queue(line_cost_s=0.125)
-    assert polls.enter(0.0, 2) == Ticket(0.5, True)
-    assert polls.enter(0.0, 0) == Ticket(0.75, True)
+    assert polls.enter(0.0, 2) == Admission(0.5, True)
+    assert polls.enter(0.0, 0) == Admission(0.75, True)
 
 
 def test_poll_beyond_the_backlog_limit_is_refused_at_once_and_costs_nothing():
     polls = make_queue(max_backlog_s=0.5)
     assert [polls.enter(0.0, 0) is not None for _ in range(4)] == [True, True, True, False]
     assert polls.idle_at == 0.75
-    assert polls.enter(0.5, 0) == Ticket(1.0, True)
+    assert polls.enter(0.5, 0) == Admission(1.0, True)
 
 
 def test_poll_that_times_out_is_still_processed():
     polls = make_queue(timeout_s=0.5)
-    tickets = [polls.enter(0.0, 0) for _ in range(4)]
-    assert tickets[1:] == [Ticket(0.5, True), Ticket(0.5, False), Ticket(0.5, False)]
+    admissions = [polls.enter(0.0, 0) for _ in range(4)]
+    assert admissions[1:] == [Admission(0.5, True), Admission(0.5, False), Admission(0.5, False)]
     assert polls.idle_at == 1.0
 
 
 def test_slow_call_fault_replaces_the_cost_of_a_call():
-    assert make_queue(line_cost_s=0.125).enter(0.0, 1, slow_call_s=0.5) == Ticket(0.625, True)
+    assert make_queue(line_cost_s=0.125).enter(0.0, 1, slow_call_s=0.5) == Admission(0.625, True)
 
 
 @pytest.mark.parametrize(("pause_s", "all_answered"), [(0.2, False), (24.0, True)])
-def test_fleet_that_polls_again_after_a_short_pause_keeps_the_service_from_answering_anyone(
+def test_callers_are_all_answered_only_if_they_wait_long_enough_between_polls(
     pause_s, all_answered
 ):
     polls = make_queue(max_backlog_s=4.0)
@@ -70,11 +70,11 @@
         now, caller = due.pop(0)
         if now > 120.0:
             break
-        ticket = polls.enter(now, 0)
-        if ticket is not None and ticket.is_in_time:
-            answered_after.append(ticket.answer_at)
+        admission = polls.enter(now, 0)
+        if admission is not None and admission.is_in_time:
+            answered_after.append(admission.answer_at)
         else:
-            due.append(((ticket.answer_at if ticket else now) + pause_s, caller))
+            due.append(((admission.answer_at if admission else now) + pause_s, caller))
     # With a short pause only the first callers find a queue that is short enough.
     assert (len(answered_after) == 60) is all_answered
     assert all_answered or max(answered_after) <= 4.0
@@ -127,7 +127,7 @@
 
 
 class StandIn:
-    """A service whose faults begin and end by events, with its recorded event rows."""
+    """A service whose faults the test begins and ends, with its recorded event rows."""
 
     def __init__(self, folder, settings=""):
         self.folder = folder
@@ -139,7 +139,7 @@
         self.catalog = self.service.catalogs[0]
 
     async def wait_for_watches(self, count):
-        while len(self.service.held) < count:
+        while len(self.service.open_watches) < count:
             await asyncio.sleep(0)
 
     def change(self):
@@ -148,9 +148,10 @@
     async def fault(self, what, size=0.0):
         """Begin a fault; return its task and the event that ends it."""
         begins, ends = asyncio.Event(), asyncio.Event()
+        # Discovery.run_fault waits twice: for the begin and for the end.
         gates = iter([begins, ends])
         self.service.until = lambda *_: next(gates).wait()
-        work = asyncio.ensure_future(self.service.trouble(0, Trouble(what=what, at=0, size=size)))
+        work = asyncio.ensure_future(self.service.run_fault(0, Trouble(what=what, at=0, size=size)))
         begins.set()
         await asyncio.sleep(0)
         return work, ends
@@ -171,7 +172,7 @@
     stand_in = StandIn(tmp_path, "waiting = 1\n")
     callers = [Caller(stand_in.service, number) for number in range(3)]
     for caller in callers:
-        caller.poll(WHOLE)
+        caller.poll(POLL_WHOLE_LIST)
     assert sorted([await caller.answer() for caller in callers]) == [200, 503, 503]
     assert b"Retry-After" not in b"".join(caller.writer.written for caller in callers)
 
@@ -181,7 +182,7 @@
     stand_in = StandIn(tmp_path, "calls_per_s = 20\nlines_per_s = 1000000\nwaiting = 1\n")
     callers = [Caller(stand_in.service, number) for number in range(4)]
     for caller in callers:
-        caller.poll(WHOLE)
+        caller.poll(POLL_WHOLE_LIST)
     await run_ready_tasks()
     # One poll is processed and one waits; neither has been answered yet.
     assert [caller.writer.written[:12] for caller in callers[2:]] == [b"HTTP/1.1 503"] * 2
@@ -195,7 +196,7 @@
 ):
     stand_in = StandIn(tmp_path, "calls_per_s = 20\ntimeout_s = 0.01\n")
     caller = Caller(stand_in.service)
-    caller.poll(WHOLE)
+    caller.poll(POLL_WHOLE_LIST)
     assert await caller.answer() == 503
     row = stand_in.rows(events.Asked)[0]
     assert not row.answered and row.at - row.reached_at >= 10 * 10**6
@@ -217,7 +218,7 @@
     assert header in during.writer.written
     ends.set()
     await fault
-    after.poll(WHOLE)
+    after.poll(POLL_WHOLE_LIST)
     assert await after.answer() == 200
     assert b"Retry-After" not in after.writer.written
 
@@ -226,9 +227,9 @@
 async def test_fault_that_refuses_a_fraction_refuses_the_same_polls_for_the_same_seed(tmp_path):
     stand_in = StandIn(tmp_path)
     await stand_in.fault("discovery_refused", 0.3)
-    first = [stand_in.service.refuses(0) for _ in range(400)]
+    first = [stand_in.service.count_and_check_refusal(0) for _ in range(400)]
     stand_in.service.polls = 0
-    assert [stand_in.service.refuses(0) for _ in range(400)] == first
+    assert [stand_in.service.count_and_check_refusal(0) for _ in range(400)] == first
     assert 0.2 < sum(first) / 400 < 0.4
 
 
@@ -271,7 +272,7 @@
     stand_in = StandIn(tmp_path)
     await stand_in.fault("discovery_silence")
     caller = Caller(stand_in.service)
-    caller.poll(WHOLE)
+    caller.poll(POLL_WHOLE_LIST)
     assert await caller.answer() == 200
 
 
@@ -279,21 +280,21 @@
 async def test_delayed_answer_has_the_list_at_the_time_of_the_answer(tmp_path):
     stand_in = StandIn(tmp_path, "calls_per_s = 20\n")
     caller = Caller(stand_in.service)
-    caller.poll(WHOLE)
+    caller.poll(POLL_WHOLE_LIST)
     await run_ready_tasks()
     stand_in.change()
     assert await caller.answer() == 200 and b"draining" in caller.writer.written
 
 
 @loopback
-async def test_capacity_applies_from_the_start_of_the_run(tmp_path):
+async def test_poll_before_the_start_of_the_run_is_not_limited_by_the_capacity(tmp_path):
     run = tomlfile.decode(DAY + "[discovery]\ncalls_per_s = 0.001\n", Experiment)
     service = Discovery(Plan(run, 1, 30), events.Book(tmp_path / "x.rows"))
     caller = Caller(service)
-    caller.poll(WHOLE)
+    caller.poll(POLL_WHOLE_LIST)
     assert await caller.answer() == 200
     service.begin(0)
-    assert service.queue.cost_s(LINES) == 1000.0
+    assert service.queue.cost_s(WHOLE_LIST_ROWS) == 1000.0
 
 
 @loopback
--- a/tests/lab/test_instances.py
+++ b/tests/lab/test_instances.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from pepperhook.lab.instances import OF_LIFECYCLES, Timeline, Transition
+from pepperhook.lab.instances import LIFECYCLE_FAULTS, Timeline, Transition
 from tests.lab.experiments import EXPERIMENT, read_experiment
 
 NOTICE_S = 1.0  # delay of the experiment's endpoint list
@@ -58,7 +58,7 @@
     ]
 
 
-def test_drain_ends_with_its_instance():
+def test_crash_during_a_drain_ends_the_drain():
     timeline = timeline_of(("drain", 1, 5, 0.5), ("crash", 3, 1.5, 0))
 
     assert [(step.at, step.transition) for step in timeline.steps] == [
@@ -74,7 +74,7 @@
     ]
 
 
-def test_overlapping_drains_end_with_the_last():
+def test_instance_serves_again_when_the_last_of_overlapping_drains_ends():
     timeline = timeline_of(("drain", 1, 2, 0.5), ("drain", 2, 3, 0.5))
 
     assert [(step.at, step.transition) for step in timeline.steps] == [
@@ -94,8 +94,9 @@
     ]
 
 
-def test_release_shorter_than_its_drain_still_ends_the_old_instance_first():
-    # Regression: the new process started before the old one had ended, and was ended in its place.
+def test_new_instance_starts_after_the_old_one_ends_if_a_release_is_shorter_than_its_grace_time():
+    # Regression: the new process started before the old one had ended, and the release ended it
+    # instead of the old one.
     timeline = timeline_of(("released", 1, 0.6, 1.5))
 
     assert [(step.at, step.transition) for step in timeline.steps] == [
@@ -111,7 +112,7 @@
     timeline = timeline_of(
         *(
             (
-                chance.choice(OF_LIFECYCLES),
+                chance.choice(LIFECYCLE_FAULTS),
                 round(chance.uniform(0, 20), 2),
                 round(chance.uniform(0.3, 6), 2),
                 round(chance.uniform(0.2, 2), 2),
@@ -138,5 +139,6 @@
         elif row.transition is START:
             started_at = at
         elif row.transition is DRAIN and at > started_at + NOTICE_S:
+            # An instance whose end has been listed has no state to check.
             [state] = [state for state in latest.values() if state != "gone"] or ["draining"]
             assert state == "draining"
--- a/tests/lab/test_upstream.py
+++ b/tests/lab/test_upstream.py
@@ -22,7 +22,7 @@
     return upstream
 
 
-def take_request(upstream):
+def send_request(upstream):
     """Hand a request to the stand-in; return its attempt."""
     transport = SimpleNamespace(is_closing=always(False), write=always(None))
     connection = SimpleNamespace(
@@ -32,6 +32,7 @@
         transport=transport,
         idle_at=0,
     )
+    # "look" is a service class of the experiment.
     head = SimpleNamespace(
         start=[b"GET", b"/look", b""], headers={b"x-request-id": b"a"}, number=always(400)
     )
@@ -45,7 +46,7 @@
     # Regression: it was recorded as reset when the process died, and again as given up when its
     # call ended, which the auditor took for work that ran twice.
     upstream = make_upstream(tmp_path)
-    attempt = take_request(upstream)
+    attempt = send_request(upstream)
     assert isinstance(attempt, Attempt) and upstream.open_attempts == {attempt}
     await wait_until(lambda: upstream.calls)
     call = next(iter(upstream.calls))
