--- a/pepperhook/lab/wire.py
+++ b/pepperhook/lab/wire.py
@@ -185,8 +185,8 @@
     ``answered(status, body, headers)``, ``lost(why, unread)`` or ``unconnected(why)``, unless the
     exchange is dropped or over before. ``unread`` means that no part of a response was received, or
     that the peer did not process the request. ``written()`` is called when a new connection is
-    open, and ``over`` is true when the exchange has ended. The pool sets ``link`` (its connection) and
-    ``fresh`` (it was opened for this exchange).
+    open, and ``over`` is true when the exchange has ended. The pool sets ``link`` (its connection)
+    and ``fresh`` (it was opened for this exchange).
     """
 
     def __init__(self, where, on_unsolicited=None, on_excess=None):
