--- a/pepperhook/lab/discovery.py
+++ b/pepperhook/lab/discovery.py
@@ -60,7 +60,7 @@
 
     def told(self, since, caller):
         """Return the response document and the (number, state) pairs that it tells the caller."""
-        names, whole = self.hosts_for_response(since)
+        names, is_whole_list = self.hosts_for_response(since)
         rows = []
         for name in names:
             number, state, started_ms = self.rows[name]
@@ -79,7 +79,7 @@
         if self.plan.day.discovery.odd_rows and rows:
             rows.append(UNKNOWN_STATE_ROW)
         states = [self.rows[name][:2] for name in names]
-        if whole:
+        if is_whole_list:
             # An upstream that is missing from a whole list is gone.
             listed = {number for number, _ in states}
             states += [
@@ -87,7 +87,7 @@
                 for n in range(self.plan.day.tiers[self.tier].upstreams)
                 if n not in listed
             ]
-        return {"seq": self.seq, "whole": whole, "hosts": rows}, states
+        return {"seq": self.seq, "whole": is_whole_list, "hosts": rows}, states
 
 
 class Discovery:
@@ -197,8 +197,8 @@
                 if not data:
                     break
                 messages.feed(data)
-                while (whole := messages.next()) is not None:
-                    if not await self.answer(whole[0], writer, tier, caller, address_index):
+                while (request := messages.next()) is not None:
+                    if not await self.answer(request[0], writer, tier, caller, address_index):
                         while await reader.read(65536):
                             pass  # until the caller closes the connection
                         return
--- a/pepperhook/lab/upstream.py
+++ b/pepperhook/lab/upstream.py
@@ -109,10 +109,10 @@
             return self.abort()
         self.messages.feed(data)
         try:
-            while (whole := self.messages.next()) is not None:
+            while (request := self.messages.next()) is not None:
                 if self.open is not None:
                     raise wire.Broken("a second request before the response")
-                upstream.handle_request(self, *whole)
+                upstream.handle_request(self, *request)
         except (wire.Broken, ValueError) as problem:
             upstream.record_event("bad message", text=str(problem))
             self.transport.write(wire.answer(400))
@@ -157,19 +157,19 @@
         """Record an event of this upstream; ``on`` is False if it is the end of a fault."""
         self.stage.book.add(events.Happened(self.now(), what, self.tier, self.number, on, text))
 
-    def fault_applies(self, what, name):
+    def fault_applies(self, kind, name):
         """Whether an active fault of this kind applies to the attempt or connection with this name.
 
         A fault with a size applies to that fraction of the names, by a chance that depends on the
         seed and the name.
         """
-        fault = self.on.get(what)
+        fault = self.on.get(kind)
         if fault is None or not fault.size:
             return fault is not None
         # If all upstreams have the fault, the result depends on the name alone, so a request has
         # the same outcome at each of them.
-        where = "all" if fault.part == 1 else self.number
-        return chance.share(self.stage.plan.seed, what, where, name) < fault.size
+        scope = "all" if fault.part == 1 else self.number
+        return chance.share(self.stage.plan.seed, kind, scope, name) < fault.size
 
     # Process lifecycle.
 
@@ -417,15 +417,15 @@
         kinds = ("short", "noise", "no_length", "two_lengths", "large", "half")
         self.malformed_count += 1
         kind = self.on["spoilt"].kind or kinds[self.malformed_count % len(kinds)]
-        whole = wire.answer(200, body)
+        valid = wire.answer(200, body)
         return {
             "short": wire.answer(200, body + b"x" * 40)[:-40],
-            "noise": b"\x00\xffnoise\r\n\r\n" + whole,
+            "noise": b"\x00\xffnoise\r\n\r\n" + valid,
             "no_length": b"HTTP/1.1 200 OK\r\n\r\n" + body,
             "two_lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n"
             + body,
             "large": wire.answer(200, b"x" * 70000),
-            "half": whole[: len(whole) // 2],
+            "half": valid[: len(valid) // 2],
         }[kind]
 
     def respond(self, attempt, outcome, data):
--- a/pepperhook/lab/wire2.py
+++ b/pepperhook/lab/wire2.py
@@ -279,20 +279,22 @@
         messages = wire.Messages()
         messages.feed(data)
         try:
-            whole = messages.next()
+            response = messages.next()
         except wire.Broken:
-            whole = None
-        if whole is not None and (messages.buffer or b"content-length" not in whole[0].headers):
-            whole = None  # deliberately malformed as HTTP/1.1, but valid once framed as HTTP/2
+            response = None
+        if response is not None and (
+            messages.buffer or b"content-length" not in response[0].headers
+        ):
+            response = None  # deliberately malformed as HTTP/1.1, but valid once framed as HTTP/2
         self.remove()
         try:
-            if whole is None:
+            if response is None:
                 self.connection.h2.send_headers(
                     self.stream, [(":status", "200"), ("content-length", "99")]
                 )
                 self.connection.h2.send_data(self.stream, b"half", end_stream=True)
             else:
-                head, body = whole
+                head, body = response
                 self.connection.h2.send_headers(
                     self.stream,
                     [
