--- a/pepperhook/lab/upstream.py
+++ b/pepperhook/lab/upstream.py
@@ -1,5 +1,8 @@
-"""An upstream on sockets: HTTP/1.1 round one Machine, with its troubles, and calls to the next tier through a balancer
-of its own. What it sees goes into the book."""
+"""A stand-in upstream: serves HTTP requests on sockets with the work model of one Machine.
+
+It applies injected faults, calls the next tier through a balancer of its own, and records what it
+observes as event rows.
+"""
 
 import asyncio
 import errno
@@ -10,60 +13,61 @@
 from typing import Any
 
 from pepperhook.lab import chance, events, machine, wire
-from pepperhook.lab.instances import OF_LIFECYCLES, Transition
+from pepperhook.lab.instances import LIFECYCLE_FAULTS, Transition
 from pepperhook.lab.machine import Job
 
 MS, S = 10**6, 10**9
-CHAIN, BACK = b"pepperhook-chain", b"pepperhook-chain-result"
+CHAIN_HEADER, CHAIN_RESULT_HEADER = b"pepperhook-chain", b"pepperhook-chain-result"
 TRIES = re.compile(rb"tries=(\d+)")
-MARGIN_MS = 5  # kept back from the time that is told to the next tier
+RESTART_AFTER_OVERLOAD_S = 2.0
+MARGIN_MS = 5  # subtracted from the time limit that is sent to the next tier
 NOT_PROCESSED = b"X-Not-Processed: 1\r\n"
 
 
 class Attempt:
-    """One message on its way through: a Job's owner. Times in nanoseconds."""
+    """One received request, from its arrival to its event row; times are in nanoseconds."""
 
     __slots__ = (
-        "back",
+        "chain_results",
         "began",
         "calls",
-        "came",
-        "carried",
-        "closed",
-        "end",
-        "ends_at",
+        "arrived_at",
+        "chain_header",
+        "is_recorded",
+        "connection",
+        "deadline",
         "failed",
         "first_byte",
-        "gone_at",
+        "disconnected_at",
         "grade",
         "id",
         "job",
         "limit",
         "nonce",
-        "seen",
+        "delivery",
     )
 
-    back: list  # contexts that came back from the next tier
+    chain_results: list  # chain result headers from the next tier
     began: int  # 0: its work never began
-    calls: int
-    came: int
-    carried: bytes | None
-    closed: bool
-    end: Any
-    ends_at: int
-    failed: bool
+    calls: int  # calls to the next tier that have not ended
+    arrived_at: int
+    chain_header: bytes | None
+    is_recorded: bool  # its event row has been written
+    connection: Any  # the ServerConnection or ServerStream that it came on
+    deadline: int  # when its time limit is over
+    failed: bool  # a call to the next tier failed
     first_byte: int
-    gone_at: int
-    grade: int
+    disconnected_at: int  # when its connection ended; 0: it has not
+    grade: int  # index of its service class
     id: str
     job: Job
     limit: int
-    nonce: str
-    seen: int
+    nonce: str  # names this attempt in the response body; empty: no valid response was sent
+    delivery: int  # how often this request id has reached the tier, this attempt included
 
 
-class End(asyncio.Protocol):
-    """The upstream's end of one connection."""
+class ServerConnection(asyncio.Protocol):
+    """The server side of one HTTP/1.1 connection."""
 
     def __init__(self, upstream, caller):
         self.upstream, self.caller, self.transport, self.messages = (
@@ -77,9 +81,9 @@
     def connection_made(self, transport):
         self.transport = transport
         upstream = self.upstream
-        if len(upstream.ends) >= upstream.spec.connections or upstream.down:
+        if len(upstream.connections) >= upstream.spec.connections or upstream.down:
             return transport.abort()
-        upstream.ends.add(self)
+        upstream.connections.add(self)
         upstream.stage.book.add(
             events.Connected(upstream.tier, upstream.number, self.caller, upstream.now())
         )
@@ -93,29 +97,29 @@
         if not self.messages.begun:
             self.first_byte = upstream.now()
             if data.startswith(b"PRI * HTTP/2.0"):
-                # Prior knowledge: the caller speaks HTTP/2.
-                from pepperhook.lab.wire2 import End2
-
-                end, self.open = End2(upstream, self.caller), None
-                upstream.ends.discard(self)
-                self.transport.set_protocol(end)
-                end.connection_made(self.transport)
-                return end.data_received(data)
-        if upstream.hits("reset_before", self.first_byte):
+                # HTTP/2 with prior knowledge.
+                from pepperhook.lab.wire2 import Http2ServerConnection
+
+                connection, self.open = Http2ServerConnection(upstream, self.caller), None
+                upstream.connections.discard(self)
+                self.transport.set_protocol(connection)
+                connection.connection_made(self.transport)
+                return connection.data_received(data)
+        if upstream.fault_applies("reset_before", self.first_byte):
             return self.abort()
         self.messages.feed(data)
         try:
-            while (whole := self.messages.next()) is not None:
+            while (request := self.messages.next()) is not None:
                 if self.open is not None:
-                    raise wire.Broken("a second message before the answer")
-                upstream.take(self, *whole)
+                    raise wire.Broken("a second request before the response")
+                upstream.handle_request(self, *request)
         except (wire.Broken, ValueError) as problem:
-            upstream.happened("bad message", text=str(problem))
+            upstream.record_event("bad message", text=str(problem))
             self.transport.write(wire.answer(400))
             self.transport.close()
 
     def abort(self):
-        # A reset, as the other side would see of a process that dies.
+        # A linger time of 0 sends a reset, as the peer of a process that dies sees it.
         sock = self.transport.get_extra_info("socket")
         with suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -125,60 +129,73 @@
         return False
 
     def connection_lost(self, problem):
-        self.upstream.ends.discard(self)
+        self.upstream.connections.discard(self)
         if self.open is not None:
-            self.upstream.left(self.open)
+            self.upstream.on_disconnect(self.open)
 
 
 class Upstream:
+    """One stand-in upstream process and its faults."""
+
     def __init__(self, stage, number):
         self.stage, self.number, self.tier, self.day = stage, number, stage.tier, stage.day
         self.spec = stage.day.tiers[stage.tier].machine
-        self.machine, self.ends, self.servers = None, set(), []
+        self.machine, self.connections, self.servers = None, set(), []
         self.down, self.unready, self.draining = True, False, False
-        self.fails_checks = False  # from the beginning of a drain on
-        self.on = {}  # troubles at work, by what they are, to their sizes and kinds
-        self.timer, self.pool, self.fillers, self.turn = None, None, [], 0
-        self.calls, self.copied = set(), None
-        self.works = set()  # dispatches whose end is not in the book yet
+        self.fails_checks = False  # health checks fail: true from the start of a drain
+        self.on = {}  # active faults by kind
+        self.timer, self.pool, self.fillers, self.malformed_count = None, None, [], 0
+        self.calls, self.first_chain_header = set(), None
+        self.open_attempts = set()  # attempts whose event row has not been written
         carry = self.day.tiers[self.tier].carry
         self.carry = carry[number % len(carry)]
 
     def now(self):
         return time.monotonic_ns()
 
-    def happened(self, what, on=True, text=""):
+    def record_event(self, what, on=True, text=""):
+        """Record an event of this upstream; ``on`` is False if it is the end of a fault."""
         self.stage.book.add(events.Happened(self.now(), what, self.tier, self.number, on, text))
 
-    def hits(self, what, name):
-        """Whether a trouble that is on meets this one."""
-        trouble = self.on.get(what)
-        if trouble is None or not trouble.size:
-            return trouble is not None
-        # Where all upstreams have it an operation's fate goes by its name alone, whichever it is sent to.
-        where = "all" if trouble.part == 1 else self.number
-        return chance.share(self.stage.plan.seed, what, where, name) < trouble.size
+    def fault_applies(self, kind, name):
+        """Whether an active fault of this kind applies to the attempt or connection with this name.
 
-    # Up and down.
+        A fault with a size applies to that fraction of the names, by a chance that depends on the
+        seed and the name.
+        """
+        fault = self.on.get(kind)
+        if fault is None or not fault.size:
+            return fault is not None
+        # If all upstreams have the fault, the result depends on the name alone, so a request has
+        # the same outcome at each of them.
+        scope = "all" if fault.part == 1 else self.number
+        return chance.share(self.stage.plan.seed, kind, scope, name) < fault.size
 
-    async def up(self, cold=False):
+    # Process lifecycle.
+
+    async def start(self, cold=False):
+        """Start the process with a fresh machine, and listen."""
         self.machine = machine.Machine(self.spec, self.now(), cold)
         self.down = self.draining = self.fails_checks = False
         if cold:
-            self.happened("up cold")
-        told, last = self.day.tiers[self.tier], self.tier + 1 == len(self.day.tiers)
-        if self.pool is None and told.calls and (not last or told.circle):
+            self.record_event("up cold")
+        # circle: the last tier calls tier 0, for attempts of that service class.
+        settings, last = self.day.tiers[self.tier], self.tier + 1 == len(self.day.tiers)
+        if self.pool is None and settings.calls and (not last or settings.circle):
             address = (
                 self.stage.plan.balancer(0, 0)
                 if last
                 else self.stage.plan.balancer(self.tier + 1, self.number)
             )
-            self.pool = wire.Pool(lambda: address, self.stage.unasked, self.stage.after)
+            self.pool = wire.Pool(
+                lambda: address, self.stage.record_unsolicited, self.stage.record_excess
+            )
         await self.listen()
 
     async def listen(self):
+        """Accept connections; raise OSError if an address stays in use for a second."""
         if self.servers:
-            return  # another fault has ended within the one that ends now
+            return  # an overlapping fault that ended earlier has already reopened it
         loop = asyncio.get_running_loop()
         for caller in range(self.stage.callers):
             address = self.stage.plan.upstream(self.tier, self.number, caller)
@@ -186,7 +203,7 @@
                 try:
                     self.servers.append(
                         await loop.create_server(
-                            lambda caller=caller: End(self, caller),
+                            lambda caller=caller: ServerConnection(self, caller),
                             *address,
                             backlog=512,
                             reuse_address=True,
@@ -198,84 +215,107 @@
                         raise
                     await asyncio.sleep(0.02)
             else:
-                raise OSError(errno.EADDRINUSE, f"{address[0]}:{address[1]} stays in use")
+                raise OSError(
+                    errno.EADDRINUSE, f"{address[0]}:{address[1]} is still in use after 1 s"
+                )
 
-    def deafen(self):
-        """Takes no new connections."""
+    def stop_listening(self):
+        """Stop accepting connections."""
         for server in self.servers:
             server.close()
         self.servers.clear()
 
-    def fall(self):
-        """The process dies: connections are reset, what it had is lost."""
-        self.deafen()
+    def crash(self):
+        """Kill the process: reset its connections and drop its work."""
+        self.stop_listening()
         self.down = True
-        # Each dispatch ends here, once: what it still waited for, such as calls to the next tier, ends with the process.
-        for it in list(self.works):
-            if it.end.open is it:
-                it.end.open = None
-            self.write(it, "reset", it.gone_at or self.now())
+        # Each attempt is recorded here, once. Calls to the next tier that it waits for end with the
+        # process and must not record it again.
+        for attempt in list(self.open_attempts):
+            if attempt.connection.open is attempt:
+                attempt.connection.open = None
+            self.record(attempt, "reset", attempt.disconnected_at or self.now())
         for call in list(self.calls):
-            call.give_up()
-        for end in list(self.ends):
-            end.abort()
+            call.cancel()
+        for connection in list(self.connections):
+            connection.abort()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
-    # Operations.
+    # Requests.
 
-    def take(self, end, head, body):
+    def handle_request(self, connection, head, body):
+        """Handle one request; raise wire.Broken if it names no service class or has no id."""
         now, stage = self.now(), self.stage
-        path, identity = head.start[1], head.headers.get(b"x-request-id")
+        path, request_id = head.start[1], head.headers.get(b"x-request-id")
         if path in (b"/ping", b"/_load"):
-            stage.book.add(events.Probe(self.tier, self.number, end.caller, now))
-            end.transport.write(self.told_load(path))
+            stage.book.add(events.Probe(self.tier, self.number, connection.caller, now))
+            connection.transport.write(self.told_load(path))
             return None
         name = path.split(b"/", 2)[1].partition(b"?")[0].decode()
-        if identity is None or name not in stage.grades:
-            raise wire.Broken("no operation of this deployment")
-        it = Attempt()
-        it.end, it.id, it.grade, it.first_byte, it.came = (
-            end,
-            identity.decode(),
+        if request_id is None or name not in stage.grades:
+            raise wire.Broken("no request id, or a path that names no service class")
+        attempt = Attempt()
+        attempt.connection, attempt.id, attempt.grade, attempt.first_byte, attempt.arrived_at = (
+            connection,
+            request_id.decode(),
             stage.grades[name],
-            end.first_byte,
+            connection.first_byte,
             now,
         )
         limit = head.number(b"x-timeout-ms")
-        it.limit = (
-            limit * MS if limit is not None else int(self.day.grades[it.grade].time_limit_ms * MS)
+        attempt.limit = (
+            limit * MS
+            if limit is not None
+            else int(self.day.grades[attempt.grade].time_limit_ms * MS)
+        )
+        attempt.chain_header, attempt.chain_results = head.headers.get(CHAIN_HEADER), []
+        if attempt.chain_header is not None:
+            self.first_chain_header = self.first_chain_header or attempt.chain_header
+        (
+            attempt.calls,
+            attempt.failed,
+            attempt.disconnected_at,
+            attempt.began,
+            attempt.nonce,
+            attempt.is_recorded,
+        ) = 0, False, 0, 0, "", False
+        attempt.delivery = stage.deliveries[attempt.id] = stage.deliveries.get(attempt.id, 0) + 1
+        attempt.deadline = now + attempt.limit
+        connection.open = attempt
+        self.open_attempts.add(attempt)
+        attempt.job = Job(
+            chance.work_ns(stage.plan.seed, attempt.id, self.day.grades[attempt.grade]), attempt
         )
-        it.carried, it.back = head.headers.get(CHAIN), []
-        if it.carried is not None:
-            self.copied = self.copied or it.carried
-        it.calls, it.failed, it.gone_at, it.began, it.nonce, it.closed = 0, False, 0, 0, "", False
-        it.seen = stage.seen[it.id] = stage.seen.get(it.id, 0) + 1
-        it.ends_at = now + it.limit
-        end.open = it
-        self.works.add(it)
-        it.job = Job(chance.work_ns(stage.plan.seed, it.id, self.day.grades[it.grade]), it)
-        if self.on.get("hang") is not None and self.hits("hang", f"{it.id} {it.seen}"):
+        if self.on.get("hang") is not None and self.fault_applies(
+            "hang", f"{attempt.id} {attempt.delivery}"
+        ):
             return None
         if self.draining or self.unready:
-            return self.end(it, "turned away", wire.answer(503, b"draining\n", NOT_PROCESSED))
-        if self.hits("errors", f"{it.id} {it.seen}"):
-            it.began = now
-            return self.end(it, "error", wire.answer(500, b"error\n"))
-        said = self.machine.arrive(now, it.job)
+            return self.respond(
+                attempt, "turned away", wire.answer(503, b"draining\n", NOT_PROCESSED)
+            )
+        if self.fault_applies("errors", f"{attempt.id} {attempt.delivery}"):
+            attempt.began = now
+            return self.respond(attempt, "error", wire.answer(500, b"error\n"))
+        admission = self.machine.arrive(now, attempt.job)
         if self.machine.fell:
-            self.happened(
+            # Overload while cold crashes the process; it restarts cold.
+            self.record_event(
                 "fell over", text=f"cold, offered {self.machine.offered / S:.2f} s of work"
             )
-            self.fall()
-            asyncio.get_running_loop().call_later(2.0, lambda: stage.spawn(self.up(cold=True)))
+            self.crash()
+            asyncio.get_running_loop().call_later(
+                RESTART_AFTER_OVERLOAD_S, lambda: stage.spawn(self.start(cold=True))
+            )
             return None
-        if said == machine.TURNED_AWAY:
-            return self.end(it, "turned away", wire.answer(503, b"full\n", NOT_PROCESSED))
-        self.arm()
+        if admission == machine.TURNED_AWAY:
+            return self.respond(attempt, "turned away", wire.answer(503, b"full\n", NOT_PROCESSED))
+        self.set_timer()
 
     def told_load(self, path):
+        """Return the response to a health check (``/ping``) or a load query (``/_load``)."""
         if path == b"/ping":
             return wire.answer(503 if self.fails_checks or self.unready else 200, b"pong\n")
         if "lost_report" in self.on:
@@ -284,7 +324,8 @@
             self.stale = self.machine.report(self.now())
         return wire.answer(200, events.msgspec.json.encode(self.stale))
 
-    def arm(self):
+    def set_timer(self):
+        """Set the timer for the machine's next event."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -293,228 +334,261 @@
         at = self.machine.next_at(self.now())
         if at is not None:
             loop = asyncio.get_running_loop()
-            self.timer = loop.call_at(loop.time() + max(0, at - self.now()) / S, self.due)
+            self.timer = loop.call_at(loop.time() + max(0, at - self.now()) / S, self.on_timer)
 
-    def due(self):
+    def on_timer(self):
+        """Continue the attempts whose work is done, and set the timer again."""
         self.timer = None
         for job in self.machine.due(self.now()):
-            self.worked(job.about)
-        self.arm()
-
-    def worked(self, it):
-        """Its work here is done: the next tier is called, or it is answered."""
-        it.began = it.job.began
-        told = self.day.tiers[self.tier]
-        if it.gone_at and told.heeds_leaving:
-            self.machine.free(self.now(), it.job)
-            return self.write(it, "given up", it.gone_at)
+            self.on_work_done(job.owner)
+        self.set_timer()
+
+    def on_work_done(self, attempt):
+        """Handle the end of the work here: call the next tier, or respond."""
+        attempt.began = attempt.job.began
+        settings = self.day.tiers[self.tier]
+        # heeds_leaving: work stops when the client disconnects.
+        if attempt.disconnected_at and settings.heeds_leaving:
+            self.machine.free(self.now(), attempt.job)
+            return self.record(attempt, "given up", attempt.disconnected_at)
         last = self.tier + 1 == len(self.day.tiers)
-        if self.pool is not None and (not last or told.circle == self.day.grades[it.grade].name):
-            it.calls = told.calls
-            for number in range(it.calls):
-                call = Call(self, it, number)
+        if self.pool is not None and (
+            not last or settings.circle == self.day.grades[attempt.grade].name
+        ):
+            attempt.calls = settings.calls
+            for number in range(attempt.calls):
+                call = Call(self, attempt, number)
                 self.calls.add(call)
                 call.begin()
             return None
-        self.reply(it)
-
-    def called(self, it, good):
-        it.calls -= 1
-        it.failed = it.failed or not good
-        if it.closed:
-            return  # it ended with the process that waited; its slot was that process's
-        if not it.calls:
-            self.reply(it)
-            self.arm()
-
-    def reply(self, it):
-        day, now = self.day.tiers[self.tier], self.now()
-        self.machine.free(now, it.job)
-        own = (
-            day.fail
+        self.reply(attempt)
+
+    def on_call_ended(self, attempt, is_good):
+        """Handle the end of one call to the next tier; respond after the last one."""
+        attempt.calls -= 1
+        attempt.failed = attempt.failed or not is_good
+        if attempt.is_recorded:
+            return  # its process died: the attempt is recorded, the machine with its slot is gone
+        if not attempt.calls:
+            self.reply(attempt)
+            self.set_timer()
+
+    def reply(self, attempt):
+        """Release the slot and respond: served, error, or as an active fault requires."""
+        settings, now = self.day.tiers[self.tier], self.now()
+        self.machine.free(now, attempt.job)
+        fails_at_random = (
+            settings.fail
             and chance.share(
-                self.stage.plan.seed, "fail", self.tier, it.id, 0 if day.fail_sticks else it.seen
+                self.stage.plan.seed,
+                "fail",
+                self.tier,
+                attempt.id,
+                0 if settings.fail_sticks else attempt.delivery,
+            )
+            < settings.fail
+        )
+        if attempt.disconnected_at:
+            return self.record(attempt, "given up", attempt.disconnected_at)  # the client has left
+        if fails_at_random or attempt.failed and not settings.hide_failures:
+            return self.respond(
+                attempt, "error", wire.answer(500, b"error\n", self.chain_result_headers(attempt))
             )
-            < day.fail
+        attempt.nonce = f"{self.tier}.{self.number}.{attempt.id}.{attempt.delivery}"
+        body = attempt.nonce.encode() + b"\n"
+        if self.fault_applies("reset_after", f"{attempt.id} {attempt.delivery}"):
+            return self.respond(attempt, "reset", None)
+        if self.fault_applies("spoilt", f"{attempt.id} {attempt.delivery}"):
+            attempt.nonce = ""
+            return self.respond(attempt, "spoilt", self.make_malformed_response(body))
+        self.respond(attempt, "served", wire.answer(200, body, self.chain_result_headers(attempt)))
+
+    def chain_result_headers(self, attempt):
+        """Return the next tier's chain results as header lines, unchanged."""
+        return b"".join(
+            b"%s: %s\r\n" % (CHAIN_RESULT_HEADER, value) for value in attempt.chain_results
         )
-        if it.gone_at:
-            return self.write(it, "given up", it.gone_at)  # there is nobody to answer any more
-        if own or it.failed and not day.hide_failures:
-            return self.end(it, "error", wire.answer(500, b"error\n", self.back(it)))
-        it.nonce = f"{self.tier}.{self.number}.{it.id}.{it.seen}"
-        body = it.nonce.encode() + b"\n"
-        if self.hits("reset_after", f"{it.id} {it.seen}"):
-            return self.end(it, "reset", None)
-        if self.hits("spoilt", f"{it.id} {it.seen}"):
-            it.nonce = ""
-            return self.end(it, "spoilt", self.spoil(body))
-        self.end(it, "served", wire.answer(200, body, self.back(it)))
-
-    def back(self, it):
-        """What came back from the tier behind, passed on as it came."""
-        return b"".join(b"%s: %s\r\n" % (BACK, value) for value in it.back)
-
-    def spoil(self, body):
-        """An answer that no client may be given."""
+
+    def make_malformed_response(self, body):
+        """Return a malformed response, which a balancer must not pass on to a client."""
+        # short: body shorter than its Content-Length; noise: bytes before the status line;
+        # no_length and two_lengths: no or two Content-Length headers; large: a body of 70,000
+        # bytes; half: the connection closes in the middle.
         kinds = ("short", "noise", "no_length", "two_lengths", "large", "half")
-        self.turn += 1
-        kind = self.on["spoilt"].kind or kinds[self.turn % len(kinds)]
-        whole = wire.answer(200, body)
+        self.malformed_count += 1
+        kind = self.on["spoilt"].kind or kinds[self.malformed_count % len(kinds)]
+        valid = wire.answer(200, body)
         return {
             "short": wire.answer(200, body + b"x" * 40)[:-40],
-            "noise": b"\x00\xffnoise\r\n\r\n" + whole,
+            "noise": b"\x00\xffnoise\r\n\r\n" + valid,
             "no_length": b"HTTP/1.1 200 OK\r\n\r\n" + body,
             "two_lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n"
             + body,
             "large": wire.answer(200, b"x" * 70000),
-            "half": whole[: len(whole) // 2],
+            "half": valid[: len(valid) // 2],
         }[kind]
 
-    def end(self, it, outcome, data):
-        """Answers; None resets the connection."""
-        end = it.end
-        end.open = None
+    def respond(self, attempt, outcome, data):
+        """Send a response (None resets the connection) and record the attempt."""
+        connection = attempt.connection
+        connection.open = None
         if data is None:
-            end.abort()
-        elif not end.transport.is_closing():
-            end.transport.write(data)
-            end.idle_at = self.now()
+            connection.abort()
+        elif not connection.transport.is_closing():
+            connection.transport.write(data)
+            connection.idle_at = self.now()
             if outcome == "spoilt":
-                end.transport.close()
-        self.write(it, outcome, self.now())
-
-    def write(self, it, outcome, ended):
-        """The one row of a dispatch; a second would be judged as work that ran twice."""
-        it.closed = True
-        self.works.discard(it)
-        began = it.began or it.job.began
-        worked = int(it.job.work) if began and outcome not in ("hung", "turned away") else 0
+                connection.transport.close()
+        self.record(attempt, outcome, self.now())
+
+    def record(self, attempt, outcome, ended):
+        """Record an attempt's only event row; the auditor counts a second as a second execution."""
+        attempt.is_recorded = True
+        self.open_attempts.discard(attempt)
+        began = attempt.began or attempt.job.began
+        worked = int(attempt.job.work) if began and outcome not in ("hung", "turned away") else 0
         self.stage.book.add(
             events.Work(
                 self.tier,
                 self.number,
-                it.end.caller,
-                it.id,
-                it.grade,
-                it.first_byte,
-                it.came,
+                attempt.connection.caller,
+                attempt.id,
+                attempt.grade,
+                attempt.first_byte,
+                attempt.arrived_at,
                 ended,
                 outcome,
                 began,
                 worked,
-                it.nonce,
-                it.gone_at,
+                attempt.nonce,
+                attempt.disconnected_at,
                 self.now() if began else 0,
-                int(found[1]) if it.carried and (found := TRIES.search(it.carried)) else -1,
+                int(found[1])
+                if attempt.chain_header and (found := TRIES.search(attempt.chain_header))
+                else -1,
             )
         )
 
-    def left(self, it):
-        """The connection ended before the answer: the client gave it up, or this process died."""
-        it.end.open = None
-        it.gone_at = self.now()
+    def on_disconnect(self, attempt):
+        """Handle a connection that ended before the response: client left or process died."""
+        attempt.connection.open = None
+        attempt.disconnected_at = self.now()
         if self.down:
-            return self.write(it, "reset", it.gone_at)
-        if it.job.state is None:
-            return self.write(it, "hung", it.gone_at)
+            return self.record(attempt, "reset", attempt.disconnected_at)
+        if attempt.job.state is None:
+            return self.record(attempt, "hung", attempt.disconnected_at)
         if not self.day.tiers[self.tier].heeds_leaving:
-            it.job.given = True
+            attempt.job.abandoned = True
             return None
-        began = it.job.began
-        over = self.machine.abandon(it.gone_at, it.job)
-        for call in [call for call in self.calls if call.parent is it]:
-            call.give_up()
-        if over:
-            it.began = began
-            self.write(it, "given up", it.gone_at)
-        self.arm()
-
-    def sweep(self):
-        """Closes connections that stand idle."""
-        before = self.now() - int(self.spec.idle_close_s * S)
-        for end in [end for end in self.ends if end.open is None and end.idle_at < before]:
-            end.transport.close()
-
-    # Troubles.
-
-    async def trouble(self, trouble, on):
-        what, now = trouble.what, self.now()
-        self.happened(what, on)
+        began = attempt.job.began
+        is_over = self.machine.abandon(attempt.disconnected_at, attempt.job)
+        for call in [call for call in self.calls if call.parent is attempt]:
+            call.cancel()
+        if is_over:
+            attempt.began = began
+            self.record(attempt, "given up", attempt.disconnected_at)
+        self.set_timer()
+
+    def close_idle_connections(self):
+        """Close connections that have been idle for too long."""
+        oldest_allowed = self.now() - int(self.spec.idle_close_s * S)
+        for connection in [
+            connection
+            for connection in self.connections
+            if connection.open is None and connection.idle_at < oldest_allowed
+        ]:
+            connection.transport.close()
+
+    # Injected faults.
+
+    async def apply_fault(self, fault, on):
+        """Begin or end one fault."""
+        what, now = fault.what, self.now()
+        self.record_event(what, on)
         if on:
-            self.on[what] = trouble
+            self.on[what] = fault
         else:
             self.on.pop(what, None)
-        if what in OF_LIFECYCLES:
-            return  # its process follows the timeline of the tier
+        if what in LIFECYCLE_FAULTS:
+            return  # the tier's timeline starts and ends the process, see apply_transition
         if what == "unready":
-            # Dead for a moment, then back and not yet fit for service, as it says to probes.
+            # Refuses connections for the fault's size in seconds, then accepts them but fails
+            # health checks and rejects requests.
             if on:
-                self.refuse()
-                await asyncio.sleep(trouble.size or 0.5)
+                self.refuse_connections()
+                await asyncio.sleep(fault.size or 0.5)
                 self.unready = True
                 await self.listen()
             else:
                 self.unready = False
         elif what in ("slow", "pause"):
-            self.machine.slow(now, (0.0 if what == "pause" else trouble.size or 0.2) if on else 1.0)
-            self.arm()
+            self.machine.slow(now, (0.0 if what == "pause" else fault.size or 0.2) if on else 1.0)
+            self.set_timer()
         elif what == "crowd":
-            self.machine.move(now)
+            self.machine.advance(now)
             self.machine.crowded = on or self.machine.crowded
-            self.arm()
+            self.set_timer()
         elif what in ("refused", "unconnectable"):
             if on:
-                self.refuse()
+                self.refuse_connections()
                 if what == "unconnectable":
                     for caller in range(self.stage.callers):
-                        self.fillers += wire.stop_up(
+                        self.fillers += wire.fill_backlog(
                             self.stage.plan.upstream(self.tier, self.number, caller)
                         )
             else:
                 self.fillers = [filler.close() for filler in self.fillers][:0]
                 await self.listen()
 
-    async def follow(self, transition):
-        """Make a transition of the process's lifecycle."""
+    async def apply_transition(self, transition):
+        """Apply a transition of the process's lifecycle."""
         if transition is Transition.END:
-            self.fall()
+            self.crash()
         elif transition is Transition.START:
-            await self.up(cold=True)
+            await self.start(cold=True)
         else:
-            # Balancers hear of a drain a little later, so requests are served for the grace.
+            # Balancers learn of a drain with a delay, so requests are served for the grace period.
             self.fails_checks = transition is not Transition.SERVE
             self.draining = transition is Transition.REJECT
 
-    def refuse(self):
-        """Connections are reset and new ones refused; what it worked on goes on."""
-        self.deafen()
-        for end in list(self.ends):
-            end.abort()
+    def refuse_connections(self):
+        """Reset all connections and refuse new ones; attempts in progress continue."""
+        self.stop_listening()
+        for connection in list(self.connections):
+            connection.abort()
 
     async def close(self):
-        self.fall()
+        """Stop the process and close its connections to the next tier."""
+        self.crash()
         if self.pool is not None:
             await self.pool.close()
 
 
 class Call:
-    """A call to the next tier: a client's try, with what is left of the time."""
+    """One request to the next tier's balancer.
+
+    Its time limit is the parent attempt's remaining time, or with ``tells_time`` off the service
+    class's whole limit, in both cases less MARGIN_MS. It implements the exchange interface that
+    wire.Pool describes.
+    """
 
     def __init__(self, upstream, parent, number):
         self.upstream, self.parent, self.over, self.link = upstream, parent, False, None
-        self.id = f"{parent.id}-{parent.seen}{'abcdefgh'[number]}"
+        self.id = f"{parent.id}-{parent.delivery}{'abcdefgh'[number]}"
         self.begun = upstream.now()
-        tells = upstream.day.tiers[upstream.tier].tells_time
+        forwards_limit = upstream.day.tiers[upstream.tier].tells_time
         self.limit = (
-            parent.ends_at - self.begun
-            if tells
+            parent.deadline - self.begun
+            if forwards_limit
             else int(upstream.day.grades[parent.grade].time_limit_ms * MS)
         ) - MARGIN_MS * MS
         self.timer = None
 
     def begin(self):
+        """Send the request, or end at once if no time is left."""
         if self.limit < 2 * MS:
-            return self.done("gone", 0, b"", "no time left")
+            # The request is never sent, and finish records none with this note.
+            return self.finish("gone", 0, b"", "no time left")
         grade = self.upstream.day.grades[self.parent.grade]
         method = b"GET" if grade.effect == "idempotent" else b"POST"
         headers = [
@@ -523,9 +597,9 @@
         ]
         if grade.effect == "deduplicated":
             headers.append((b"Idempotency-Key", self.id.encode()))
-        headers += [(CHAIN, value) for value in self.carried()]
+        headers += [(CHAIN_HEADER, value) for value in self.chain_headers()]
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(self.limit / S + 0.1, self.late)
+        self.timer = loop.call_later(self.limit / S + 0.1, self.on_timeout)
         self.upstream.pool.send(
             self,
             wire.message(
@@ -533,41 +607,47 @@
             ),
         )
 
-    def carried(self):
-        """What the node passes on of its chain, by the way that it has."""
-        way, value = self.upstream.carry, self.parent.carried
-        if value is None or way == "drop":
+    def chain_headers(self):
+        """Return the chain headers to send, as the tier's ``carry`` setting says."""
+        mode, value = self.upstream.carry, self.parent.chain_header
+        if value is None or mode == "drop":
             return []
-        if way == "copy":
-            return [self.upstream.copied]  # of the first call that it ever saw
-        if way == "change":
+        if mode == "copy":
+            return [self.upstream.first_chain_header]  # of the first request with one
+        if mode == "change":
             return [re.sub(rb"left=\d+", b"left=1", re.sub(rb"tries=\d+", b"tries=9", value))]
-        return [value] * (2 if way == "twice" else 1)
+        return [value] * (2 if mode == "twice" else 1)
 
     def written(self):
-        """The connection is up."""
+        """Do nothing; wire.Pool calls it when a new connection is established."""
 
     def answered(self, status, body, headers):
-        if BACK in headers and self.upstream.carry != "drop":
-            self.parent.back.append(headers[BACK])
-        self.done("answer", status, body)
+        """Handle the response."""
+        if CHAIN_RESULT_HEADER in headers and self.upstream.carry != "drop":
+            self.parent.chain_results.append(headers[CHAIN_RESULT_HEADER])
+        self.finish("answer", status, body)
 
     def lost(self, why, unread=False):
-        self.done("lost", 0, b"", why)
+        """Handle the loss of the connection before the response; ``unread`` is not used here."""
+        self.finish("lost", 0, b"", why)
 
     def unconnected(self, why):
-        self.done("unconnected", 0, b"", why)
+        """Handle a failure to connect."""
+        self.finish("unconnected", 0, b"", why)
 
-    def late(self):
+    def on_timeout(self):
+        """Handle the end of the time limit."""
         self.upstream.pool.drop(self)
-        self.done("open", 0, b"", "no answer in time")
+        self.finish("open", 0, b"", "no answer in time")
 
-    def give_up(self):
+    def cancel(self):
+        """Cancel the call, unless it has ended."""
         if not self.over:
             self.upstream.pool.drop(self)
-            self.done("gone", 0, b"")
+            self.finish("gone", 0, b"")
 
-    def done(self, kind, status, body, note=""):
+    def finish(self, kind, status, body, note=""):
+        """End the call, record it, and notify the upstream; later calls have no effect."""
         if self.over:
             return
         self.over = True
@@ -595,5 +675,5 @@
                     note,
                 )
             )
-        good = status == 200 and f".{self.id}." in body.decode(errors="replace")
-        upstream.called(self.parent, good)
+        is_good = status == 200 and f".{self.id}." in body.decode(errors="replace")
+        upstream.on_call_ended(self.parent, is_good)
--- a/tests/lab/test_upstream.py
+++ b/tests/lab/test_upstream.py
@@ -13,7 +13,7 @@
 
 
 def make_upstream(directory):
-    """Return a stand-in of the first tier, whose calls of the next tier are not answered."""
+    """Return a stand-in of the first tier, whose calls to the next tier get no response."""
     stage = Stage(SimpleNamespace(day=make_experiment(), seed=1, upstream=None), directory, 0)
     stage.plan.seed = 1
     upstream = Upstream(stage, 0)
@@ -22,7 +22,7 @@
     return upstream
 
 
-def take_request(upstream):
+def send_request(upstream):
     """Hand a request to the stand-in; return its attempt."""
     transport = SimpleNamespace(is_closing=always(False), write=always(None))
     connection = SimpleNamespace(
@@ -32,33 +32,34 @@
         transport=transport,
         idle_at=0,
     )
+    # "look" is a service class of the experiment.
     head = SimpleNamespace(
         start=[b"GET", b"/look", b""], headers={b"x-request-id": b"a"}, number=always(400)
     )
-    upstream.take(connection, head, b"")
+    upstream.handle_request(connection, head, b"")
     return connection.open
 
 
 async def test_attempt_that_waits_for_the_next_tier_when_its_process_dies_is_recorded_once(
     tmp_path,
 ):
-    # It was recorded as reset at the death, and as given up when its call came back: that read
-    # as work that was executed twice.
+    # Regression: it was recorded as reset when the process died, and again as given up when its
+    # call ended, which the auditor took for work that ran twice.
     upstream = make_upstream(tmp_path)
-    attempt = take_request(upstream)
-    assert isinstance(attempt, Attempt) and upstream.works == {attempt}
+    attempt = send_request(upstream)
+    assert isinstance(attempt, Attempt) and upstream.open_attempts == {attempt}
     await wait_until(lambda: upstream.calls)
     call = next(iter(upstream.calls))
     assert isinstance(call, Call) and upstream.machine.held == 1
 
-    upstream.fall()
+    upstream.crash()
     # The next process has a machine of its own.
     next_machine = upstream.machine = Machine(upstream.spec, time.monotonic_ns())
-    call.done("lost", 0, b"")
-    upstream.called(attempt, False)
+    call.finish("lost", 0, b"")
+    upstream.on_call_ended(attempt, False)
     upstream.stage.book.close()
 
     rows = [row for row in events.read(tmp_path) if isinstance(row, events.Work)]
     assert [row.outcome for row in rows] == ["reset"]
     assert next_machine.held == 0
-    assert not upstream.works
+    assert not upstream.open_attempts
