--- a/pepperhook/lab/__init__.py
+++ b/pepperhook/lab/__init__.py
@@ -1,4 +1,6 @@
-"""The lab: stand-ins for all that a balancer meets, load, faults, an auditor, experiments and reports, on loopback.
+"""The project's test laboratory, on loopback.
 
-Nothing in it is imported by a balancer. Figures measured with it are those of stand-ins on one machine.
+It has stand-ins for clients, upstreams, networks and discovery services, a load generator, injected
+faults, an auditor, experiments and reports. The balancer imports nothing from it. Figures measured
+with it describe stand-ins on one machine.
 """
--- a/pepperhook/lab/balancer.py
+++ b/pepperhook/lab/balancer.py
@@ -1,4 +1,7 @@
-"""A balancer with another decision module: ``python -m pepperhook.lab.balancer MODULE KEY=NUMBER ...``."""
+"""Run a balancer with one of the baseline policies.
+
+Usage: ``python -m pepperhook.lab.balancer MODULE KEY=NUMBER ...``.
+"""
 
 import sys
 from functools import partial
@@ -9,8 +12,10 @@
 
 def main(arguments):
     name, *options = arguments
-    told = {key: float(value) for key, _, value in (option.partition("=") for option in options)}
-    return program.main(policy_factory=partial(baselines.MODULES[name], **told))
+    parameters = {
+        key: float(value) for key, _, value in (option.partition("=") for option in options)
+    }
+    return program.main(policy_factory=partial(baselines.MODULES[name], **parameters))
 
 
 if __name__ == "__main__":
--- a/pepperhook/lab/day.py
+++ b/pepperhook/lab/day.py
@@ -1,6 +1,6 @@
-"""One day played: processes of stand-ins, balancers and load brought up, troubled, taken down; then audited.
+"""Run one scenario: start stand-ins, balancers and load, inject faults, stop them, and audit.
 
-The one owner of every process is Day; it ends each by its own handle, also when it is interrupted.
+Day owns every process and ends each one by its own handle, also when the run is interrupted.
 """
 
 import json
@@ -24,26 +24,34 @@
 from pepperhook.lab.load import healthy
 
 S = 10**9
-READY_S = 30  # in which every process must be ready
-LEAD_S = 1.2  # before its upstream comes back, a balancer beside it is begun
-STOLEN = 0.05  # of all cores, taken by others on the same hardware within a second; more and the day shows them
-SHORT_MS = (
-    400  # that a process may wait for a core within a second; longer and the day shows the machine
-)
+READY_S = 30  # startup timeout of every process
+LEAD_S = 1.2  # a balancer is started this long before its upstream comes back
+# Share of all cores taken by other machines on the same hardware within one sample. With a larger
+# share the run is void, as its figures would describe the host.
+STOLEN = 0.05
+# How long a process may wait for a core within one sample. With a longer wait the run is void, as
+# its figures would describe the machine.
+SHORT_MS = 400
 ROOT = Path(__file__).resolve().parents[2]
 LINE = re.compile(r"(\w+)=(\"(?:[^\"\\]|\\.)*\"|\S+)")
 
 
 class Cores:
-    """How long processes stood ready and had no core, by the kernel's own count (/proc/PID/schedstat, its second figure).
-    Where there is none, nothing is known and nothing is void for it."""
+    """Measures how long runnable processes waited for a core.
+
+    Reads the second figure of /proc/PID/schedstat. Where the kernel has no such file, nothing is
+    measured and no run becomes void.
+    """
 
     def __init__(self):
         self.waited, self.worst_ms, self.who = {}, 0.0, None
         self.ticks, self.stolen = None, 0.0
 
     def look(self, processes):
-        """Rows of (name, process), about once a second; the worst wait since the last look is kept."""
+        """Sample the waits of ``processes``, rows of (name, process); call about once a second.
+
+        Keeps the longest wait between two samples and the name of its process.
+        """
         self.theft()
         for name, process in processes:
             try:
@@ -57,7 +65,11 @@
                 self.worst_ms, self.who = (waited - before) / 1e6, name
 
     def theft(self, path="/proc/stat"):
-        """What a virtual machine does not get shows in no process of it: against such a second being taken for the program's."""
+        """Sample the CPU time stolen from this virtual machine.
+
+        Stolen time shows in the statistics of no process, so a slow second would otherwise be
+        attributed to the program.
+        """
         try:
             with open(path, encoding="ascii") as file:
                 ticks = [int(figure) for figure in file.readline().split()[1:9]]
@@ -70,16 +82,17 @@
 
 
 class Failed(RuntimeError):
-    """The day could not be played."""
+    """The scenario could not be run."""
 
 
 class Worktrees:
-    """Checkouts of other revisions of this repository, given back at the end."""
+    """Git worktrees of other revisions of this repository, removed by ``close``."""
 
     def __init__(self):
         self.folder, self.made = None, {}
 
     def at(self, revision):
+        """Return the path of a checkout of ``revision``. Raises Failed."""
         if revision not in self.made:
             self.folder = self.folder or tempfile.mkdtemp(prefix="pepperhook-revisions-")
             path = f"{self.folder}/{len(self.made)}"
@@ -103,7 +116,7 @@
 
 
 class Balancer:
-    """One balancer process; it may be ended and begun again."""
+    """One balancer process, which can be stopped and started again."""
 
     def __init__(self, day, tier, number):
         self.day, self.tier, self.number, self.process = day, tier, number, None
@@ -111,16 +124,17 @@
         self.log = f"{day.folder}/balancer-{tier}-{number}.log"
 
     def configure(self):
+        """Write the configuration file and return its path."""
         day, plan = self.day, self.day.plan
         path = f"{day.folder}/balancer-{self.tier}-{self.number}.json"
-        told = {
+        config = {
             "seed": f"{plan.seed * 1000 + self.tier * 100 + self.number:x}",
             "limits": {"sockets": day.sockets},
             "settings": plan.settings(self.tier, self.number, day.variant.settings),
             "discovery": "{}:{}".format(*plan.discovery(self.tier, self.number, self.moved)),
         }
         with open(path, "w", encoding="utf-8") as file:
-            json.dump(told, file)
+            json.dump(config, file)
         return path
 
     def begin(self):
@@ -135,7 +149,7 @@
         environ.pop("LB_OPERATOR", None)
         if variant.operator is not None:
             environ["LB_OPERATOR"] = day.operator_file(self.tier, self.number)
-        command, where = [sys.executable, "-m", "pepperhook"], None
+        command, folder = [sys.executable, "-m", "pepperhook"], None
         if variant.crooked:
             command = [sys.executable, "-m", "pepperhook.lab.crooked", variant.crooked]
         elif variant.module != "pepperhook":
@@ -149,13 +163,13 @@
         elif variant.plant:
             command = [sys.executable, "-m", "pepperhook.lab.planted", variant.plant]
         elif variant.revision:
-            where = day.worktrees.at(variant.revision)
+            folder = day.worktrees.at(variant.revision)
         self.start_cpu_s, self.begun = 0.0, time.monotonic()
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
                 command,
                 env=environ,
-                cwd=where or ROOT,
+                cwd=folder or ROOT,
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.DEVNULL,
                 stderr=log,
@@ -163,6 +177,7 @@
             )
 
     def measure(self):
+        """Sample the CPU seconds and resident memory of the process."""
         import psutil
 
         try:
@@ -173,10 +188,12 @@
             pass
 
     def send(self, number):
+        """Send a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def end(self, number=signal.SIGKILL, within_s=10):
+        """Send a signal and wait; kill the process if it doesn't exit within ``within_s``."""
         self.send(number)
         try:
             self.process.wait(within_s)
@@ -186,6 +203,8 @@
 
 
 class Day:
+    """One run of a scenario with one variant and one seed."""
+
     def __init__(
         self,
         day,
@@ -198,7 +217,7 @@
         sockets=1024,
         script=(),
     ):
-        # Whole, as balancers of another revision are started from another folder.
+        # An absolute path, as balancers of another revision run in another working directory.
         self.day, self.variant, self.folder = day, variant, Path(folder).resolve()
         if variant.carry:
             day = self.day = replace(
@@ -215,15 +234,16 @@
             sockets,
             Cores(),
         )
-        self.script = list(script)  # rows of (seconds, work), which is given this day
+        self.script = list(script)  # rows of (seconds, callable); each callable gets this Day
 
     def operator_file(self, tier, number):
+        """Write the operator's file of one balancer and return its path."""
         import tomli_w
 
-        told = {"version": 1, **self.variant.operator}
+        document = {"version": 1, **self.variant.operator}
         for key, value in dict(enumerate(self.variant.operator_by_tier)).get(tier, {}).items():
-            told[key] = {**told.get(key, {}), **value}
-        place = {
+            document[key] = {**document.get(key, {}), **value}
+        placeholders = {
             "folder": str(self.folder),
             "tier": tier,
             "number": number,
@@ -231,11 +251,11 @@
             **{f"peer_{first}": "{}:{}".format(*self.plan.peers(0, first)) for first in range(3)},
         }
         path = self.folder / f"operator-{tier}-{number}.toml"
-        store(path, tomli_w.dumps(filled(told, place)).encode())
+        store(path, tomli_w.dumps(filled(document, placeholders)).encode())
         return str(path)
 
     def peers_file(self, tier):
-        """Who the balancers of a tier are, for those whose operator's file names this."""
+        """Write the member list of a tier, for operator's files that refer to it."""
         rows = "".join(
             '[[members]]\nname = "b{}-{}"\naddress = "{}:{}"\n'.format(
                 tier, number, *self.plan.peers(tier, number)
@@ -245,6 +265,7 @@
         store(self.folder / f"peers-{tier}.toml", f"version = 1\nepoch = 1\n{rows}".encode())
 
     def stage(self, *arguments, module="pepperhook.lab.stage"):
+        """Start a stand-in process."""
         with open(self.folder / "stands.log", "ab") as log:
             process = subprocess.Popen(
                 [
@@ -265,15 +286,16 @@
         return process
 
     def ready(self, process):
+        """Wait until a stand-in reports that it is ready. Raises Failed."""
         line = process.stdout.readline()
         if line.strip() != b"ready":
             tail = (
                 (self.folder / "stands.log").read_text(errors="replace").strip().splitlines()[-1:]
             )
-            raise Failed(f"a stand-in did not start: {' '.join(tail) or 'it said nothing'}")
+            raise Failed(f"a stand-in did not start: {' '.join(tail) or 'it printed nothing'}")
 
     def play(self):
-        """Plays the day. Returns the result, which is also in result.json; an interrupted day has one, too."""
+        """Run the scenario. Return the result and store it in result.json, also after an interrupt."""
         self.folder.mkdir(parents=True, exist_ok=True)
         for old in self.folder.glob("*.rows"):
             old.unlink()
@@ -291,14 +313,15 @@
             return self.result(interrupted)
 
     def bring_up(self, load=True):
+        """Start all processes, wait until they are ready and set the start time. Raises Failed."""
         self.plan.write(self.folder / "plan.json")
         self.book = events.Book(self.folder / "day.rows")
-        self.tell("bringing the fleet up", 0.0)
-        made = [self.stage("discovery")]
-        made += [self.stage("upstreams", tier) for tier in range(len(self.day.tiers))]
+        self.tell("starting the fleet", 0.0)
+        stand_ins = [self.stage("discovery")]
+        stand_ins += [self.stage("upstreams", tier) for tier in range(len(self.day.tiers))]
         if any(tier.network for tier in self.day.tiers):
-            made.append(self.stage("relays"))
-        for process in made:
+            stand_ins.append(self.stage("relays"))
+        for process in stand_ins:
             self.ready(process)
         for tier in range(len(self.day.tiers)):
             self.peers_file(tier)
@@ -310,7 +333,8 @@
             self.ready(self.load)
         self.healthy(self.balancers.values())
         for balancer in self.balancers.values():
-            # What its start took is no operation's: half a second that a short day would share out among few.
+            # CPU time of the startup isn't part of any request's cost. In a short run half a second
+            # of it would be divided among few requests.
             balancer.measure()
             balancer.start_cpu_s = balancer.cpu_s
         self.start = time.monotonic_ns() + S // 5
@@ -319,53 +343,58 @@
             process.stdin.flush()
 
     def healthy(self, balancers):
+        """Wait until the balancers pass their health checks. Raises Failed."""
         import asyncio
 
         ends = time.monotonic() + READY_S
         for balancer in balancers:
             address = self.plan.balancer(balancer.tier, balancer.number)
-            # Its own process must live, too: else another's answer at its address would pass for it.
+            # Its own process must be alive, too, or the answer of another process at the same
+            # address would count as its own.
             while balancer.process.poll() is not None or not asyncio.run(healthy(address)):
                 if balancer.process.poll() is not None or time.monotonic() > ends:
                     tail = Path(balancer.log).read_text(errors="replace").strip().splitlines()[-1:]
                     raise Failed(
-                        f"balancer {balancer.tier}.{balancer.number} did not get ready: {' '.join(tail)}"
+                        f"balancer {balancer.tier}.{balancer.number} did not become ready: {' '.join(tail)}"
                     )
                 time.sleep(0.02)
 
     def steps(self):
-        """What this process does over the day: rows of (seconds, order, work)."""
+        """Return the actions of this process during the run: sorted rows of (seconds, callable)."""
         rows = []
         for tier in range(1, len(self.day.tiers)):
             rows += self.lifecycles(tier)
         for trouble in self.day.troubles:
-            moments = list(experiment.moments(self.day, trouble))
+            periods = list(experiment.moments(self.day, trouble))
             if trouble.what == "kill_balancer":
-                for number, at, ends in moments:
+                for number, at, ends in periods:
                     balancer = self.balancers[trouble.tier, number]
                     rows.append((at, lambda b=balancer: self.kill(b)))
                     rows.append((ends, lambda b=balancer: self.again(b)))
             elif trouble.what in ("term_balancer", "roll_balancers"):
-                for turn, (number, at, _) in enumerate(moments):
+                for turn, (number, at, _) in enumerate(periods):
                     at += (
-                        trouble.for_ * turn / len(moments)
+                        trouble.for_ * turn / len(periods)
                         if trouble.what == "roll_balancers"
                         else 0
                     )
                     balancer = self.balancers[trouble.tier, number]
                     rows.append((at, lambda b=balancer: self.term(b)))
             elif trouble.what == "hup_balancer":
-                for number, at, _ in moments:
+                for number, at, _ in periods:
                     rows.append((at, lambda b=self.balancers[trouble.tier, number]: self.hup(b)))
             elif trouble.what == "discovery_move":
                 rows.append((trouble.at + 0.1, self.move))
         rows += [(at, lambda work=work: work(self)) for at, work in self.script]
         rows += [(at, self.sample) for at in range(1, int(self.day.seconds) + 1)]
-        # What would end behind the day does not: the load is over by then.
+        # Faults that would end after the run stay, as the load has stopped by then.
         return sorted((row for row in rows if row[0] <= self.day.seconds), key=lambda row: row[0])
 
     def lifecycles(self, tier):
-        """What becomes of a later tier's balancers, each of which dies and comes back with the upstream that calls by it."""
+        """Return the kills and starts of a later tier's balancers.
+
+        Each balancer goes down and comes back with the upstream whose calls it carries.
+        """
         rows, ended = [], {}
         for step in Timeline.of(self.day, tier - 1).steps:
             balancer = self.balancers[tier, step.number]
@@ -378,6 +407,7 @@
         return rows
 
     def along(self):
+        """Run the actions on time, then wait for the load to finish. Raises Failed."""
         for at, work in self.steps():
             while (left := self.start / S + at - time.monotonic()) > 0:
                 self.tell(
@@ -386,10 +416,10 @@
                 )
                 time.sleep(min(left, 0.25))
                 if self.load.poll() is not None:
-                    raise Failed("the load ended before the day: see stands.log")
+                    raise Failed("the load ended before the run: see stands.log")
             work()
         longest = max(grade.time_limit_ms for grade in self.day.grades) / 1000 + 4
-        self.tell("waiting for last answers", 1.0)
+        self.tell("waiting for the last responses", 1.0)
         for balancer in self.balancers.values():
             balancer.measure()
         try:
@@ -398,6 +428,7 @@
             raise Failed("the load did not end") from None
 
     def happened(self, what, balancer, on=True):
+        """Write an event row about a balancer."""
         self.book.add(
             events.Happened(time.monotonic_ns(), what, balancer.tier, balancer.number, on)
         )
@@ -407,12 +438,16 @@
         balancer.end()
 
     def again(self, balancer):
+        """Start a balancer again if it has ended."""
         if balancer.process.poll() is not None:
             balancer.begin()
             self.happened("balancer begun", balancer)
 
     def term(self, balancer):
-        """Told to leave; another begins at its address when it is gone, without holding up the time line."""
+        """Send SIGTERM and start the balancer again at its address once it has exited.
+
+        Waits in a thread, so that later actions aren't delayed.
+        """
         self.happened("balancer told to leave", balancer)
 
         def roll():
@@ -427,12 +462,14 @@
         balancer.send(signal.SIGHUP)
 
     def move(self):
+        """Make all balancers use the discovery service's second address."""
         for balancer in self.balancers.values():
             balancer.moved = 1
             balancer.configure()
             balancer.send(signal.SIGHUP)
 
     def sample(self):
+        """Sample the waits for cores and make the balancers log their counters."""
         self.cores.look(
             [
                 (f"balancer {b.tier}.{b.number}", b.process)
@@ -443,11 +480,13 @@
         )
         if self.variant.module == "pepperhook" and not self.variant.crooked:
             for balancer in self.balancers.values():
-                # Not while its interpreter starts: until it has said what to do with them, signals end a program.
+                # Not during startup: until the signal handler is installed, SIGUSR1 ends the
+                # process.
                 if time.monotonic() - balancer.begun > 1.5:
                     balancer.send(signal.SIGUSR1)
 
     def take_down(self):
+        """Stop all processes and close the files."""
         for balancer in self.balancers.values():
             balancer.send(signal.SIGTERM)
         for balancer in self.balancers.values():
@@ -470,7 +509,7 @@
             self.worktrees.close()
 
     def samples(self):
-        """What the balancers' logs told of themselves, for the report alone: the auditor reads none of it."""
+        """Write the figures in the balancers' logs as event rows; only the report uses them."""
         offset = time.time_ns() - time.monotonic_ns()
         for balancer in self.balancers.values():
             if not os.path.exists(balancer.log):
@@ -495,6 +534,7 @@
                         sample.out.append(int(pairs["out"]))
 
     def result(self, interrupted):
+        """Audit the event rows, store the result and return it."""
         rows = events.read(self.folder)
         report = audit.Auditor(self.day, rows, self.start, self.blind).judge()
         load = json.loads(path.read_text()) if (path := self.folder / "load.json").exists() else {}
@@ -508,7 +548,7 @@
             for b in self.balancers.values()
         }
         first = sum(b.cpu_s - b.start_cpu_s for b in self.balancers.values() if b.tier == 0)
-        told = {
+        result = {
             "experiment": self.day.name,
             "variant": self.variant.name,
             "seed": self.plan.seed,
@@ -526,22 +566,25 @@
             "first_tier_cpu_ms": round(first * 1000 / requests, 3),
             **msgspec.to_builtins(report),
         }
-        store(self.folder / "result.json", msgspec.json.encode(told))
-        return told
+        store(self.folder / "result.json", msgspec.json.encode(result))
+        return result
 
 
-def filled(told, place):
-    """A file's tree with the places of one balancer put into its texts."""
-    if isinstance(told, dict):
-        return {key: filled(value, place) for key, value in told.items()}
-    if isinstance(told, list):
-        return [filled(value, place) for value in told]
-    return told.format(**place) if isinstance(told, str) and "{" in told else told
+def filled(tree, placeholders):
+    """Return a file's tree with the placeholders in its strings replaced for one balancer."""
+    if isinstance(tree, dict):
+        return {key: filled(value, placeholders) for key, value in tree.items()}
+    if isinstance(tree, list):
+        return [filled(value, placeholders) for value in tree]
+    return tree.format(**placeholders) if isinstance(tree, str) and "{" in tree else tree
 
 
 @contextmanager
 def uninterrupted():
-    """Against a second Ctrl-C, or one that a terminal sends to a whole group, costing what has been played."""
+    """Ignore SIGINT, so that the results survive a second Ctrl-C.
+
+    A terminal sends the signal to the whole process group.
+    """
     if threading.current_thread() is not threading.main_thread():
         yield
         return
@@ -553,6 +596,7 @@
 
 
 def unix(text):
+    """Return the Unix time in seconds of a log line's timestamp."""
     import calendar
 
     at, _, ms = text.rstrip("Z").partition(".")
@@ -560,7 +604,7 @@
 
 
 def store(path, data):
-    """Whole or not at all, also through a crash."""
+    """Write a file atomically, also across a crash."""
     path = Path(path)
     fresh = path.with_name(f".{path.name}.{os.getpid()}")
     with open(fresh, "wb") as file:
