--- a/pepperhook/lab/experiment.py
+++ b/pepperhook/lab/experiment.py
@@ -1,4 +1,7 @@
-"""Experiments: TOML files that people write, checked, and laid out into the plan that all processes of one day share."""
+"""Experiments: TOML files with scenarios, their checks, and the plan of one run.
+
+The plan has the addresses and settings that all processes of a run share.
+"""
 
 import os
 import socket
@@ -16,7 +19,7 @@
 Above0 = Annotated[float, Meta(gt=0)]
 Chance = Annotated[float, Meta(ge=0, le=1)]
 
-# What an upstream suffers, a balancer, the list, the network between balancers and a tier.
+# Faults of upstreams, of balancers, of the discovery service, and of the network before a tier.
 OF_UPSTREAMS = (
     "crash",
     "cold",
@@ -56,17 +59,17 @@
     name: str
     effect: Literal["idempotent", "deduplicated", "at_most_once"] = "idempotent"
     time_limit_ms: Above0 = 1000.0
-    client_limit_ms: Above0 | None = None  # that clients say they wait; else the time limit
-    goal_ms: Above0 | None = None
-    earnings: From0 = 1.0
-    inner_earnings: From0 | None = None  # as tiers behind the first have them in their settings
-    inner_goal_ms: Above0 | None = None  # and their goal time, where theirs is another
-    late_earnings: From0 = 0.0
-    key_ttl_ms: From0 = 0.0
+    client_limit_ms: Above0 | None = None  # the limit that clients announce; None: the time limit
+    goal_ms: Above0 | None = None  # latency objective; None: the time limit
+    earnings: From0 = 1.0  # value of a request served within the objective
+    inner_earnings: From0 | None = None  # in the settings of later tiers; None: as in the first
+    inner_goal_ms: Above0 | None = None  # latency objective in later tiers; None: goal_ms
+    late_earnings: From0 = 0.0  # value of a request served after the objective
+    key_ttl_ms: From0 = 0.0  # for so long upstreams recognise an idempotency key
     group: Literal["all", "zone", "cell"] = "all"
-    work_ms: Above0 = 5.0  # of one core, the median
-    body_bytes: Annotated[int, Meta(ge=0, le=65536)] = 0  # of messages that have one
-    spread: From0 = 0.0  # of its logarithm (lognormal); 0: always the same
+    work_ms: Above0 = 5.0  # median time of one core
+    body_bytes: Annotated[int, Meta(ge=0, le=65536)] = 0  # of requests that have a body
+    spread: From0 = 0.0  # standard deviation of the logarithm of the work (lognormal); 0: constant
     share: Above0 = 1.0  # of the load
 
 
@@ -78,112 +81,109 @@
 
 class Tier(Struct, forbid_unknown_fields=True, kw_only=True):
     upstreams: Count = 3
-    balancers: Count = 1  # of the first tier; later tiers have one for each upstream before them
-    machine: Spec = msgspec.field(default_factory=Spec)
-    fail: Chance = 0.0  # of operations that it fails by itself, after its work
-    fail_sticks: bool = False  # one that failed once fails whenever it is tried again
-    calls: Annotated[int, Meta(ge=0, le=8)] = 1  # to the next tier for each operation
-    hide_failures: bool = False  # answers 200 though its calls failed
-    tells_time: bool = (
-        True  # its calls say what is left of the time; else they have the grade's whole limit
-    )
-    heeds_leaving: bool = (
-        True  # ends its work and calls when its client has left, as few servers do
+    balancers: Count = (
+        1  # first tier only; later tiers have one for each upstream of the tier before
     )
-    # What becomes of chain headers, upstreams in turn.
+    machine: Spec = msgspec.field(default_factory=Spec)
+    fail: Chance = 0.0  # fraction of requests that an upstream fails by itself, after the work
+    fail_sticks: bool = False  # a request that failed once fails on every attempt
+    calls: Annotated[int, Meta(ge=0, le=8)] = 1  # calls to the next tier for each request
+    hide_failures: bool = False  # responds 200 even if its calls failed
+    # Whether its calls announce the time that is left; else the service class's whole limit.
+    tells_time: bool = True
+    # Whether it ends its work and calls when its client has left, which few servers do.
+    heeds_leaving: bool = True
+    # How upstreams treat the chain headers; the entries apply to the upstreams in turn.
     carry: Annotated[list[Carry], Meta(min_length=1)] = msgspec.field(
         default_factory=lambda: ["pass"]
     )
-    circle: str | None = None  # operations of this grade call the first tier again
-    network: bool = False  # relays between it and its callers, for troubles of the network
+    circle: str | None = None  # requests of this service class call the first tier again: a loop
+    network: bool = False  # put relays between it and its callers, which network faults need
 
 
 class Load(Struct, forbid_unknown_fields=True, kw_only=True):
-    """Arrivals of the open loop, added up where they overlap."""
-
-    rate: From0  # operations a second
-    to: From0 | None = None  # a ramp: the rate at its end
-    at: From0 = 0.0  # seconds into the day
-    for_: From0 | None = msgspec.field(name="for", default=None)  # seconds; else to its end
-    burst: Annotated[float, Meta(ge=1)] = (
-        1.0  # operations that come together on the mean (geometric)
-    )
-    balancer: Annotated[int, Meta(ge=0)] | None = (
-        None  # all to this one of the first tier; else by the front
-    )
-    customer: str | None = None  # all of this one; else by shares
-    grade: str | None = None
+    """Arrivals of the open loop; overlapping ones add up."""
+
+    rate: From0  # requests per second
+    to: From0 | None = None  # rate at the end of a ramp; None: constant
+    at: From0 = 0.0  # seconds into the run
+    for_: From0 | None = msgspec.field(name="for", default=None)  # seconds; None: until its end
+    # Mean number of requests that arrive at once (geometric distribution).
+    burst: Annotated[float, Meta(ge=1)] = 1.0
+    # The balancer of the first tier that gets all requests; None: the front distributes them.
+    balancer: Annotated[int, Meta(ge=0)] | None = None
+    customer: str | None = None  # tenant of all requests; None: drawn by the tenants' shares
+    grade: str | None = None  # service class of all requests; None: drawn by the classes' shares
 
 
 class Clients(Struct, forbid_unknown_fields=True, kw_only=True):
     protocol: Literal["http/1.1", "h2"] = "http/1.1"
-    retries: Annotated[int, Meta(ge=0, le=10)] = 0  # of a failed or shed try, each a new operation
-    backoff_ms: From0 = 50.0  # doubled with each, half to one and a half of it by chance
-    duplicates: Annotated[int, Meta(ge=0, le=20)] = (
-        0  # at most as many of each operation with an effect, under one key
-    )
-    leave: Chance = (
-        0.0  # of tries whose client leaves in the middle, after a third of its time at the most
-    )
-    patience_ms: Above0 | None = None  # closes its connection after; else at the time limit
-    closed: Annotated[int, Meta(ge=0, le=10000)] = (
-        0  # clients of a closed loop, beside the open one
+    retries: Annotated[int, Meta(ge=0, le=10)] = (
+        0  # after a failure or rejection, each as a new request
     )
-    think_ms: From0 = 0.0
-    bad: dict[Literal["mute", "half", "flood", "lengths", "forged"], Count] = {}  # how many of each
+    backoff_ms: From0 = 50.0  # doubled with each retry; jitter from half to 1.5 times
+    # Most copies of a request with an effect, sent under the same idempotency key.
+    duplicates: Annotated[int, Meta(ge=0, le=20)] = 0
+    # Fraction of requests whose client leaves early, within the first third of its time limit.
+    leave: Chance = 0.0
+    # The client closes its connection after this time; None: shortly after the time limit.
+    patience_ms: Above0 | None = None
+    # Number of closed-loop clients, in addition to the open loop.
+    closed: Annotated[int, Meta(ge=0, le=10000)] = 0
+    think_ms: From0 = 0.0  # pause of a closed-loop client after a response
+    bad: dict[
+        Literal["mute", "half", "flood", "lengths", "forged"], Count
+    ] = {}  # misbehaving clients
     connections: Annotated[int, Meta(ge=1)] = 4096
 
 
 class Front(Struct, forbid_unknown_fields=True, kw_only=True):
-    """Who deals clients' connections out among the balancers of the first tier."""
+    """Distribution of clients' connections over the balancers of the first tier."""
 
-    skew: From0 = 0.0  # a balancer of rank k has 1 / (k + 1) ** skew of them; ranks go by the seed
-    notice_s: Above0 = 1.0  # for so long a balancer must be away until it is left out
+    skew: From0 = 0.0  # weight of rank k is 1 / (k + 1) ** skew; ranks depend on the seed
+    notice_s: Above0 = 1.0  # a balancer that is down for longer is left out
 
 
 class Discovery(Struct, forbid_unknown_fields=True, kw_only=True):
-    notice_s: From0 = 1.0  # until a crash or a return is listed
-    answer_ms: From0 = 1.0  # that each call takes it
-    waiting: Annotated[int, Meta(ge=0)] = (
-        0  # calls that may wait for their turn; more are answered 503; 0: any
-    )
-    # A capacity, in place of answer_ms, which binds from the day's start on; None: none.
-    calls_per_s: Above0 | None = None  # without a line
-    lines_per_s: Above0 | None = None  # of list, which cost besides; None: they cost nothing
-    timeout_s: Above0 = 2.0  # a call that has waited so long for its answer is answered 503
-    retry_after_s: Annotated[int, Meta(ge=0, le=3600)] = 0  # in each 503; 0: not there
-    longest_watch_s: Above0 | None = None  # long polls end by then, whatever they ask for
-    odd_rows: bool = False  # each answer has one more row, in a state that balancers do not know
+    notice_s: From0 = 1.0  # delay until a crash or a return is listed
+    answer_ms: From0 = 1.0  # duration of each call
+    # Limit of queued calls; further calls get a 503; 0: no limit.
+    waiting: Annotated[int, Meta(ge=0)] = 0
+    # Capacity, which replaces answer_ms and applies from the start of the run; None: no limit.
+    calls_per_s: Above0 | None = None  # of calls whose response has no list line
+    lines_per_s: Above0 | None = None  # additional cost of list lines; None: they cost nothing
+    timeout_s: Above0 = 2.0  # a call that has waited this long gets a 503
+    retry_after_s: Annotated[int, Meta(ge=0, le=3600)] = 0  # header in each 503; 0: no header
+    longest_watch_s: Above0 | None = None  # upper limit of long polls; None: as requested
+    odd_rows: bool = False  # add a row in a state that balancers don't know to each response
 
 
 class Trouble(Struct, forbid_unknown_fields=True, kw_only=True):
     what: What
-    at: From0  # seconds into the day
+    at: From0  # seconds into the run
     for_: Above0 = msgspec.field(name="for", default=5.0)
     tier: Annotated[int, Meta(ge=0)] = 0
     who: list[int] | None = None  # numbers of upstreams or balancers in the tier
-    part: Chance | None = None  # or this share of them, the first ones
-    zone: Annotated[int, Meta(ge=0)] | None = (
-        None  # only those of this zone; of the network: what crosses its border
-    )
-    over: From0 = 0.0  # they begin in even steps over so many seconds
-    size: From0 = 0.0  # speed left, chance, seconds: by what it is
-    kind: Literal[SPOILT] | None = None  # of spoilt answers; else each in turn
+    part: Chance | None = None  # or this fraction of them, by lowest numbers
+    # Only targets in this zone; for network faults: only connections that cross its border.
+    zone: Annotated[int, Meta(ge=0)] | None = None
+    over: From0 = 0.0  # the targets' faults begin in even steps over this many seconds
+    size: From0 = 0.0  # remaining speed, probability or seconds, depending on the fault
+    kind: Literal[SPOILT] | None = None  # kind of malformed response; None: each in turn
 
 
 class Variant(Struct, forbid_unknown_fields=True, kw_only=True):
     name: str
     module: str = "pepperhook"  # or a baseline of pepperhook.lab.baselines
     options: dict[str, float] = {}
-    revision: str | None = None  # of this repository, instead of the checkout
-    crooked: str | None = None  # a crooked balancer stand-in
-    settings: dict = {}  # over those of the experiment, by their platform names
-    operator: dict | None = (
-        None  # an operator's file; {folder}, {tier} and {number} in its texts are filled in
-    )
-    operator_by_tier: list[dict] = []  # what it has besides, tier by tier
-    plant: str | None = None  # a fault planted in the balancer: pepperhook.lab.planted
-    carry: list[Carry] = []  # in place of what the tiers say
+    revision: str | None = None  # git revision of the balancer; None: the checkout
+    crooked: str | None = None  # kind of faulty balancer: pepperhook.lab.crooked
+    settings: dict = {}  # override the experiment's, by their platform names
+    # Operator's file; {folder}, {tier} and {number} in its strings are replaced.
+    operator: dict | None = None
+    operator_by_tier: list[dict] = []  # additions to the operator's file, by tier
+    plant: str | None = None  # a defect injected into the balancer: pepperhook.lab.planted
+    carry: list[Carry] = []  # replaces the tiers' carry
 
 
 class Experiment(Struct, forbid_unknown_fields=True, kw_only=True):
@@ -191,13 +191,12 @@
     name: str
     seconds: Above0 = 20.0
     seed: Annotated[int, Meta(ge=0)] = 1
-    repeats: Count = 1  # seeds from ``seed`` up
-    cold: bool = False  # whether upstreams are cold at the start
+    repeats: Count = 1  # runs per variant, with seeds from ``seed`` up
+    cold: bool = False  # upstreams are cold at the start
     max_dispatches: Count = 4
-    zones: Annotated[int, Meta(ge=1, le=8)] = (
-        1  # upstreams and balancers are dealt out among them in turn
-    )
-    safety: dict[str, float] = {}  # under the platform's names
+    # Upstreams and balancers are assigned to the zones in turn.
+    zones: Annotated[int, Meta(ge=1, le=8)] = 1
+    safety: dict[str, float] = {}  # overrides, under the platform's names
     permissions: dict = {}
     grades: Annotated[list[Grade], Meta(min_length=1)]
     customers: list[Customer] = []
@@ -211,7 +210,7 @@
 
 
 def read(path: os.PathLike[str] | str) -> Experiment:
-    """The experiment in the file at ``path``. Raises tomlfile.TomlFileError."""
+    """Return the experiment in the file at ``path``. Raises tomlfile.TomlFileError."""
     day = tomlfile.read(path, Experiment)
     with open(path, encoding="utf-8") as file:
         text = file.read()
@@ -220,7 +219,10 @@
 
 
 def check(day, path="-", text=""):
-    """What the schema can't say: names that refer to others, and places that are there."""
+    """Check what the schema can't express: references between names, and numbers in range.
+
+    Raises tomlfile.TomlFileError.
+    """
 
     def wrong(problem, *steps):
         raise tomlfile.TomlFileError(tomlfile.format_problem(path, text, list(steps), problem))
@@ -267,8 +269,8 @@
             if trouble.what in OF_BALANCERS
             else day.tiers[trouble.tier].upstreams
         )
-        for place in trouble.who or ():
-            if not 0 <= place < count:
+        for target in trouble.who or ():
+            if not 0 <= target < count:
                 wrong(f"there are {count} of them, from 0", "troubles", at, "who")
     check_discovery(day, wrong)
     from pepperhook.lab import baselines, crooked
@@ -286,7 +288,7 @@
 
 
 def check_discovery(day, wrong):
-    """The discovery service's table and faults; ``wrong`` reports a problem at a key."""
+    """Check the discovery service's table and faults; ``wrong`` reports a problem at a key."""
     if day.discovery.lines_per_s is not None and day.discovery.calls_per_s is None:
         wrong("needs calls_per_s beside it", "discovery", "lines_per_s")
     for at, trouble in enumerate(day.troubles):
@@ -295,12 +297,12 @@
 
 
 def callers(day: Experiment, tier: int) -> int:
-    """How many balancers stand before a tier."""
+    """Return the number of balancers that send to a tier."""
     return day.tiers[0].balancers if tier == 0 else day.tiers[tier - 1].upstreams
 
 
 def targets(day, trouble):
-    """The numbers in its tier of those that a trouble is about."""
+    """Return the numbers, within its tier, of a fault's targets."""
     count = (
         callers(day, trouble.tier)
         if trouble.what in OF_BALANCERS
@@ -317,7 +319,7 @@
 
 
 def moments(day, trouble):
-    """When it begins and ends for each that it is about: rows of (number, seconds, seconds)."""
+    """Yield the period of a fault for each of its targets: (number, begin, end), in seconds."""
     chosen = targets(day, trouble)
     for turn, number in enumerate(chosen):
         at = trouble.at + trouble.over * turn / len(chosen)
@@ -325,40 +327,50 @@
 
 
 def zone(day, number):
-    """Of an upstream or a balancer, by its number in its tier; a later tier's balancer stands beside its upstream."""
+    """Return the zone of an upstream or balancer with this number in its tier.
+
+    A later tier's balancer is in the zone of the upstream that calls through it.
+    """
     return "abcdefgh"[number % day.zones]
 
 
 class Plan:
-    """Addresses and settings of one day. Each caller reaches each upstream at a port of its own, so that a stand-in
-    knows who sent; all addresses are in 127.0.0.0/8."""
+    """Addresses and settings of one run, all in 127.0.0.0/8.
+
+    Each caller reaches each upstream at a separate port, so that a stand-in can identify the caller.
+    """
 
     def __init__(self, day, seed, block):
         self.day, self.seed, self.block = day, seed, block
 
     def upstream(self, tier, number, caller):
+        """Return the address at which an upstream listens for one caller."""
         return f"127.{self.block}.{10 + tier}.{1 + number}", 7000 + caller
 
     def relay(self, tier, number, caller):
+        """Return the address of the relay before an upstream, for one caller."""
         return f"127.{self.block}.{50 + tier}.{1 + number}", 7000 + caller
 
     def dial(self, tier, number, caller):
+        """Return the address that a caller connects to: the relay's if the tier has relays."""
         return (self.relay if self.day.tiers[tier].network else self.upstream)(tier, number, caller)
 
     def balancer(self, tier, number):
+        """Return the address at which a balancer takes requests."""
         return f"127.{self.block}.{100 + tier}.{1 + number}", 7070
 
     def peers(self, tier, number):
-        """Where the other balancers of its tier reach one."""
+        """Return the address at which the other balancers of its tier reach a balancer."""
         return f"127.{self.block}.{150 + tier}.{1 + number}", 7171
 
     def discovery(self, tier, caller, moved=0):
+        """Return the discovery service's address for a balancer; ``moved`` 1: after its move."""
         return f"127.{self.block}.{200 + moved}.{1 + tier}", 8000 + caller
 
     def settings(self, tier, caller, over=None):
-        """The deployment's settings, under the platform's names."""
+        """Return the deployment's settings, under the platform's names, with ``over`` applied."""
         day = self.day
-        told = {
+        settings = {
             "discovery": "ask",
             "me": caller,
             "groupSize": callers(day, tier),
@@ -413,35 +425,43 @@
             ],
         }
         for key, value in (over or {}).items():
-            told[key] = (
-                {**told[key], **value}
-                if isinstance(value, dict) and isinstance(told.get(key), dict)
+            settings[key] = (
+                {**settings[key], **value}
+                if isinstance(value, dict) and isinstance(settings.get(key), dict)
                 else value
             )
-        return told
+        return settings
 
     def write(self, path):
-        told = {"day": msgspec.to_builtins(self.day), "seed": self.seed, "block": self.block}
+        """Write the plan to a file, as JSON."""
+        document = {"day": msgspec.to_builtins(self.day), "seed": self.seed, "block": self.block}
         with open(path, "wb") as file:
-            file.write(msgspec.json.encode(told))
+            file.write(msgspec.json.encode(document))
 
     @staticmethod
     def read(path):
+        """Return the plan in a file."""
         with open(path, "rb") as file:
-            told = msgspec.json.decode(file.read())
-        return Plan(msgspec.convert(told["day"], Experiment), told["seed"], told["block"])
+            document = msgspec.json.decode(file.read())
+        return Plan(
+            msgspec.convert(document["day"], Experiment), document["seed"], document["block"]
+        )
 
 
 def free_block():
-    """A part of 127.0.0.0/8 that no other day on this machine uses, and the socket that holds it until it is closed."""
-    for at in range(200):
-        block = 20 + (os.getpid() + at) % 200
-        # Not create_server: it sets SO_REUSEADDR, under which two days that began together were both given one part.
-        held = socket.socket()
+    """Return a part of 127.0.0.0/8 that no other run on this machine uses, and its lock.
+
+    The lock is a listening socket; closing it frees the part. Raises OSError if no part is free.
+    """
+    for offset in range(200):
+        block = 20 + (os.getpid() + offset) % 200
+        # Not create_server: it sets SO_REUSEADDR, with which two runs that started together both
+        # got the same part.
+        lock = socket.socket()
         try:
-            held.bind((f"127.{block}.255.1", 7999))
-            held.listen(1)
-            return block, held
+            lock.bind((f"127.{block}.255.1", 7999))
+            lock.listen(1)
+            return block, lock
         except OSError:
-            held.close()
+            lock.close()
     raise OSError("no free part of 127.0.0.0/8 was found")
--- a/pepperhook/lab/load.py
+++ b/pepperhook/lab/load.py
@@ -1,8 +1,10 @@
-"""Clients: ``python -m pepperhook.lab.load PLAN FOLDER``. Open loop from a seeded arrival process, closed loop, and bad ones.
+"""Load generator: ``python -m pepperhook.lab.load PLAN FOLDER``.
 
-Latency counts from the moment at which an operation was to be sent, whenever it could be: a load that waits for a slow
-balancer before it sends the next would leave out what its users felt (coordinated omission, as Gil Tene's HdrHistogram pages
-have it). The load measures its own lateness, and says when it was the bottleneck.
+It runs an open loop from a seeded arrival process, closed-loop clients and misbehaving clients.
+Latency counts from the intended send time. A generator that waits for a slow balancer before it
+sends the next request would leave out the delay that users see (coordinated omission, described by
+Gil Tene on the HdrHistogram pages). The generator measures its own lateness and marks a run as void
+when it was the bottleneck itself.
 """
 
 import asyncio
@@ -18,27 +20,30 @@
 from pepperhook.lab.experiment import Plan
 
 MS, S = 10**6, 10**9
-LATE_NS = 20 * MS  # a load whose 99th percentile of lateness is over this was the bottleneck
-AFTER_S = 1.0  # beyond the longest time limit, for last answers
-SLACK_NS = 50 * MS  # past its limit an answer may still come on a busy machine; later it is late
+LATE_NS = 20 * MS  # a 99th percentile of the generator's lateness above this makes a run void
+AFTER_S = 1.0  # wait for the last responses, beyond the longest time limit
+SLACK_NS = 50 * MS  # tolerance past the time limit, as responses may be late on a busy machine
 FLUSH_S = 0.25
-HEALTH_S = 0.5  # between the front's looks
+HEALTH_S = 0.5  # interval of the front's health checks
 
 
 def arrivals(day, seed):
-    """(times in ns, grades, customers, balancers or -1), sorted, of the open loop: a Poisson process, thinned where it ramps; bursts
-    bring a geometric number at once."""
+    """Return the open loop's arrivals as sorted arrays: (ns, grade, customer, balancer).
+
+    Customer and balancer are -1 where none is given. Arrivals are a Poisson process, thinned on
+    ramps; the number of requests in a burst is geometrically distributed.
+    """
     parts = []
-    for at, load in enumerate(day.load):
-        rng = numpy.random.default_rng([seed, at])
+    for index, load in enumerate(day.load):
+        rng = numpy.random.default_rng([seed, index])
         ends = day.seconds if load.for_ is None else min(day.seconds, load.at + load.for_)
-        span, most = ends - load.at, max(load.rate, load.to or 0.0)
-        if span <= 0 or not most:
+        duration, peak_rate = ends - load.at, max(load.rate, load.to or 0.0)
+        if duration <= 0 or not peak_rate:
             continue
-        times = numpy.sort(rng.uniform(0, span, rng.poisson(most / load.burst * span)))
+        times = numpy.sort(rng.uniform(0, duration, rng.poisson(peak_rate / load.burst * duration)))
         if load.to is not None:
-            rate = load.rate + (load.to - load.rate) * times / span
-            times = times[rng.uniform(0, most, len(times)) < rate]
+            rate = load.rate + (load.to - load.rate) * times / duration
+            times = times[rng.uniform(0, peak_rate, len(times)) < rate]
         if load.burst > 1:
             times = numpy.repeat(times, rng.geometric(1 / load.burst, len(times)))
         names = [g.name for g in day.grades], [c.name for c in day.customers]
@@ -63,12 +68,16 @@
 
 
 def shares(rows):
+    """Return the rows' shares, scaled to a sum of one."""
     weights = numpy.array([row.share for row in rows])
     return weights / weights.sum()
 
 
 class Front:
-    """Deals connections among the balancers of the first tier, in turn or unevenly; notices deaths and returns late."""
+    """Distributes connections over the first tier's balancers, round robin or skewed.
+
+    It notices only with a delay that a balancer went down or came back.
+    """
 
     def __init__(self, plan):
         self.seed, self.told = plan.seed, plan.day.front
@@ -85,6 +94,7 @@
         }
 
     def deal(self):
+        """Return the address for the next connection; None if no balancer is alive."""
         if not self.alive:
             return None
         self.turn += 1
@@ -100,6 +110,7 @@
         return address
 
     async def watch(self):
+        """Check the health of all balancers, until cancelled."""
         while True:
             for address in self.addresses:
                 if await healthy(address):
@@ -115,6 +126,7 @@
 
 
 async def healthy(address):
+    """Return whether a balancer passes its health check within a second."""
     try:
         async with asyncio.timeout(1):
             reader, writer = await asyncio.open_connection(*address)
@@ -128,7 +140,7 @@
 
 
 class Exchange:
-    """One try: from the moment it was to be sent to its one row in the book."""
+    """One request attempt of a client, from its intended send time to its event row."""
 
     __slots__ = (
         "load",
@@ -154,7 +166,7 @@
         "behind",
     )
 
-    data: bytes  # as it is sent, for once more on a new connection
+    data: bytes  # the message as sent, kept for sending it again on a new connection
 
     def __init__(self, load, identity, first, number, grade, customer, intended, to=-1):
         self.load, self.id, self.first, self.number, self.grade = (
@@ -173,9 +185,10 @@
             False,
             False,
         )
-        self.behind = 0  # copies that are sent in the very turn in which this one ends
+        self.behind = 0  # copies to send in the same event loop turn in which this one ends
 
     def begin(self):
+        """Send the request and start its timer."""
         load = self.load
         load.open += 1
         name, method = load.names[self.grade]
@@ -195,17 +208,18 @@
         patience = load.patience if load.patience is not None else self.limit + 2 * SLACK_NS
         leave = load.day.clients.leave
         if leave and (draw := chance.share(load.plan.seed, "leave", self.id)) < leave:
-            # By its name, and so the same whatever it speaks.
+            # Drawn by the request's id, so it is the same for HTTP/1.1 and HTTP/2.
             self.gave_up = True
             patience = self.limit * draw / leave / 3
         self.timer = load.loop.call_later(patience / S, self.late)
         self.pool.ask(self, method, name, headers, load.bodies[self.grade])
 
     def written(self):
-        # A client's time counts from its sending; one that had to connect first sends only now.
+        """Set the send time: the client's time limit counts from sending, after connecting."""
         self.sent = time.monotonic_ns()
 
     def answered(self, status, body, headers):
+        """Record a response; retry one that isn't 200."""
         self.done("answer", status, body.decode(errors="replace").strip())
         load = self.load
         if status != 200:
@@ -213,8 +227,10 @@
             load.failed(self, float(after) if after else 0.0)
 
     def lost(self, why, unread=False):
+        """Record a connection that broke; ``unread``: before any byte of the response."""
         if unread and not self.fresh and not self.again:
-            # It crossed the closing of a kept connection: once more on a new one.
+            # The balancer closed the kept connection while the request was sent: resend it once on
+            # a new connection.
             self.again = True
             self.pool.idle.clear()
             self.pool.send(self, self.data)
@@ -222,21 +238,25 @@
         self.done("lost", 0, "", why)
         load = self.load
         if load.day.clients.duplicates and load.has_effect[self.grade] and self.number < 200:
-            # As a terminal does whose balancer died; once at once, and once when that may have begun again.
+            # Like a terminal whose balancer died: send a copy at once, and another when the
+            # balancer may be running again.
             for wait in 0.05, 2.2 + chance.share(load.plan.seed, "lost", self.id):
                 load.loop.call_later(wait, load.copy, self, 200 + 2 * self.number + int(wait))
         load.failed(self, 0.0)
 
     def unconnected(self, why):
+        """Record that no connection could be opened."""
         self.done("unconnected", 0, "", why)
         self.load.failed(self, 0.0)
 
     def late(self):
+        """Record that the client's patience or time limit ran out, and close the connection."""
         self.pool.drop(self)
         self.done("gone" if self.gave_up or self.load.patience is not None else "open", 0, "")
         self.load.failed(self, 0.0)
 
     def done(self, kind, status, body, note=""):
+        """Write the attempt's event row, once, and send the copies due at its end."""
         if self.over:
             return
         self.over = True
@@ -272,6 +292,8 @@
 
 
 class Load:
+    """The clients of one run."""
+
     def __init__(self, plan, folder, where=None):
         self.plan, self.day, self.folder, self.loop = (
             plan,
@@ -302,32 +324,34 @@
             for g in grades
         ]
         self.customers = [c.name.encode() for c in plan.day.customers]
-        told = plan.day.clients
-        self.patience = None if told.patience_ms is None else int(told.patience_ms * MS)
+        clients = plan.day.clients
+        self.patience = None if clients.patience_ms is None else int(clients.patience_ms * MS)
         self.latency, self.served, self.lateness = (HdrHistogram(1, 60 * 10**6, 3) for _ in "abc")
         self.open, self.count, self.tasks, self.ends = 0, 0, set(), None
 
     def unasked(self, exchange, data):
+        """Record bytes that no request asked for."""
         self.book.add(
             events.Extra(0, time.monotonic_ns(), exchange.id if exchange else "", len(data))
         )
 
     def spawn(self, work):
+        """Run a coroutine as a task that ``close`` cancels."""
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def failed(self, exchange, after_s):
-        """Clients try again by themselves, each a new operation."""
-        told = self.day.clients
+        """Schedule a client's retry, which is a new request to the balancer."""
+        clients = self.day.clients
         if (
-            exchange.number >= told.retries
+            exchange.number >= clients.retries
             or exchange.future is not None
             or time.monotonic_ns() > self.ends
         ):
             return
         wait = (
-            told.backoff_ms
+            clients.backoff_ms
             / 1000
             * 2**exchange.number
             * (0.5 + chance.share(self.plan.seed, "back", exchange.id))
@@ -335,6 +359,7 @@
         self.loop.call_later(max(wait, after_s), self.again, exchange)
 
     def again(self, exchange):
+        """Send the next retry."""
         number = exchange.number + 1
         Exchange(
             self,
@@ -348,31 +373,36 @@
         ).begin()
 
     def duplicate(self, exchange):
-        """Copies of a first try, with ids of their own and its key, at the worst moments: with it, while it runs, in the turn
-        in which it ends, at its time limit, and so late that a balancer that was killed has begun again."""
+        """Schedule copies of a first attempt, with their own ids and its idempotency key.
 
-        def draw(*what):
-            return chance.share(self.plan.seed, "copy", exchange.id, *what)
+        They are sent at the most difficult moments: together with it, while it runs, in the event
+        loop turn in which it ends, at its time limit, and so late that a killed balancer is running
+        again.
+        """
+
+        def draw(*names):
+            return chance.share(self.plan.seed, "copy", exchange.id, *names)
 
         limit = exchange.limit / S
         for number in range(int(draw() * (self.day.clients.duplicates + 1))):
-            kind, where = int(draw(number) * 6), draw(number, "at")
+            kind, position = int(draw(number) * 6), draw(number, "at")
             if kind == 2:
                 exchange.behind += 1
                 continue
             wait = (
-                where * 0.003,
-                where * 0.1,
+                position * 0.003,
+                position * 0.1,
                 None,
-                limit + (where - 0.5) * 0.06,
-                where * limit,
-                1.5 + where * 2.0,
+                limit + (position - 0.5) * 0.06,
+                position * limit,
+                1.5 + position * 2.0,
             )[kind]
             self.loop.call_later(wait, self.copy, exchange, number + 1)
 
     def copy(self, exchange, number):
+        """Send a copy of a request under its idempotency key."""
         if time.monotonic_ns() < self.ends + 2 * S:
-            # The number keeps it from being tried again by itself: its copies are that.
+            # A number of 100 or more is above any limit of retries: a copy is never retried.
             Exchange(
                 self,
                 f"{exchange.first}k{number}",
@@ -385,6 +415,7 @@
             ).begin()
 
     async def play(self, start):
+        """Send all requests of the run, then wait for the last responses."""
         self.ends = start + int(self.day.seconds * S)
         self.spawn(self.front.watch())
         self.spawn(self.write())
@@ -411,13 +442,13 @@
                     start + times[at],
                     to[at],
                 ).begin()
-                # Its own lateness, told apart from the balancer's.
+                # The generator's own lateness, kept apart from the balancer's latency.
                 self.lateness.record_value(
                     max(1, (time.monotonic_ns() - start - times[at]) // 1000)
                 )
                 at += 1
             if at < most:
-                # Not to sleep for too little, which only keeps the loop from reading answers.
+                # Very short sleeps would only keep the event loop from reading responses.
                 await asyncio.sleep(max(0.0005, (times[at] - (time.monotonic_ns() - start)) / S))
         self.count = at
         await asyncio.sleep(max(0.0, (self.ends - time.monotonic_ns()) / S))
@@ -429,18 +460,21 @@
         stop = time.monotonic() + longest
         quiet = time.monotonic() + (
             2.0 if self.day.clients.duplicates else 0.0
-        )  # copies that are still to come
+        )  # copies are still scheduled
         while (self.open or time.monotonic() < quiet) and time.monotonic() < stop:
             await asyncio.sleep(0.02)
 
     async def write(self):
-        # For whoever looks on while the day goes; the book itself writes only when it has many rows.
+        """Flush the event rows regularly, for live displays.
+
+        Otherwise they are written only when many have come together.
+        """
         while True:
             await asyncio.sleep(FLUSH_S)
             self.book.flush()
 
     async def closed(self, start, number):
-        """A client that sends its next when it has the answer, after thinking."""
+        """Run a closed-loop client: it sends its next request after a response and a think time."""
         await asyncio.sleep(max(0, start - time.monotonic_ns()) / S)
         turn = 0
         while time.monotonic_ns() < self.ends:
@@ -463,7 +497,7 @@
             await asyncio.sleep(self.day.clients.think_ms / 1000)
 
     async def bad(self, start, kind, number):
-        """One that misbehaves all day; what it sends is no operation of the day's and is not audited as one."""
+        """Run a misbehaving client; its messages aren't requests of the run and aren't audited."""
         await asyncio.sleep(max(0, start - time.monotonic_ns()) / S)
         name, method = self.names[0]
         turn = 0
@@ -472,7 +506,7 @@
             identity = f"bad-{kind}-{number}-{turn}".encode()
             headers = [(b"X-Request-ID", identity), (b"X-Timeout-Ms", b"500")]
             good = wire.message(method, name, headers, b"{}" if method == b"POST" else b"")
-            said, wait = {
+            data, wait = {
                 "mute": (good * 20, 2.0),
                 "half": (good[: len(good) // 2], 2.0),
                 "flood": (good * 200, 0.05),
@@ -485,8 +519,8 @@
                 "forged": (good.replace(identity, f"{self.plan.seed:x}.{turn:x}".encode()), 0.05),
             }[kind]
             if kind == "forged":
-                # An id that a real client uses: what it may not do is to keep the real one from its answer.
-                said = said.replace(b"X-Request-ID", b"X-Request-ID: forged\r\nX-Request-ID")
+                # It uses the id of a real client's request, which must still get its response.
+                data = data.replace(b"X-Request-ID", b"X-Request-ID: forged\r\nX-Request-ID")
             with suppress(OSError, TimeoutError):
                 async with asyncio.timeout(5):
                     address = self.front.deal()
@@ -495,7 +529,7 @@
                         continue
                     reader, writer = await asyncio.open_connection(*address)
                     try:
-                        writer.write(said)
+                        writer.write(data)
                         await asyncio.sleep(wait)
                         if kind not in ("mute", "half"):
                             await asyncio.wait_for(reader.read(65536), 1)
@@ -503,6 +537,7 @@
                         writer.transport.abort()
 
     async def close(self):
+        """Cancel all tasks and close the connections and the file."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -511,6 +546,8 @@
         self.book.close()
 
     def summary(self):
+        """Return the counts and latency quantiles in ms; ``void`` if the generator was late."""
+
         def points(histogram):
             return {
                 f"p{p:g}": histogram.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)
@@ -528,12 +565,13 @@
 
 
 async def run(plan, folder, begin, where=None):
+    """Run the load from the common start until it is done or stdin closes; write load.json."""
     load = Load(plan, folder, where)
     start, ended = await begin()
-    work = asyncio.ensure_future(load.play(start))
-    await asyncio.wait([work, ended], return_when=asyncio.FIRST_COMPLETED)
-    work.cancel()
-    await asyncio.gather(work, return_exceptions=True)
+    playing = asyncio.ensure_future(load.play(start))
+    await asyncio.wait([playing, ended], return_when=asyncio.FIRST_COMPLETED)
+    playing.cancel()
+    await asyncio.gather(playing, return_exceptions=True)
     await load.close()
     with open(f"{folder}/load.json", "w", encoding="utf-8") as file:
         json.dump(load.summary(), file)
