--- a/pepperhook/lab/baselines.py
+++ b/pepperhook/lab/baselines.py
@@ -1,14 +1,16 @@
-"""Decision modules of the lab's own, with the interface of pepperhook/policy_interface.py: what engineers use in its place.
+"""Baseline policies to compare with, built on pepperhook/policy_interface.py.
 
-They keep rules 1 to 3, so that a comparison is one of decisions and not of broken rules; rule 4 is not theirs to know.
-Each chooses among all that are ready, and tries again as its policy says:
+They are common alternatives to the balancer's own policy. They keep rules 1 to 3, so that a
+comparison shows the effect of decisions and not of broken rules; they don't know rule 4. Each of
+them chooses among all ready upstreams:
 
-    random, round-robin, least-out       one try, chosen so
-    two-choices                          one try, the less busy of two (Mitzenmacher 2001)
+    random, round-robin, least-out       one attempt
+    two-choices                          one attempt, at the less busy of two (Mitzenmacher 2001)
     retries                              two choices; n immediate retries
     backoff                              n retries, waits doubled from base_ms, full jitter
-    budget                               retries while a fifth of what comes allows it (a token bucket, as proxies have it)
-    breaker                              n retries; an upstream that failed five times in a row rests
+    budget                               retries up to a fifth of the requests (token bucket,
+                                         as in common proxies)
+    breaker                              n retries; circuit breaker after five failures in a row
 """
 
 from pepperhook.actions import FailRequest, RejectRequest, StartAttempt, WatchEndpoints
@@ -18,23 +20,29 @@
 MS, S = 10**6, 10**9
 
 
-WATCH_WAIT = 2 * 10**9  # of a poll of the endpoint list, in nanoseconds
+WATCH_WAIT = 2 * 10**9  # how long an endpoint list poll may wait for a change, in ns
 
 
 class Plain(Policy):
-    """Books, answers and choice; ``again`` says after which wait it is tried once more, None for no more."""
+    """Base of the baselines: two choices, with up to ``retries`` immediate retries.
+
+    Subclasses override ``choose``, ``retry_wait``, ``is_available`` and ``note_outcome``.
+    """
 
     def __init__(self, settings, seed, now, retries=0):
         super().__init__(settings, seed, now)
-        self.most, self.listed, self.turn = int(retries), [], 0
+        self.max_retries, self.listed, self.turn = int(retries), [], 0
         self.watching = False
-        self.call_at(now, self.ask, None)
+        self.call_at(now, self.watch_endpoints, None)
 
-    # Which.
+    # Choice of the upstream.
 
     def usable(self, now, request):
+        """Return the upstreams for the next attempt, preferring those not tried yet."""
         tried = {d.upstream for d in request.attempts}
-        ready = [u for u in self.listed if u.state == UpstreamState.READY and self.fit(now, u)]
+        ready = [
+            u for u in self.listed if u.state == UpstreamState.READY and self.is_available(now, u)
+        ]
         if (
             request.service_class.effect == Effect.KEYED
             and request.service_class.repeat_group != "all"
@@ -51,19 +59,22 @@
             ]
         return [u for u in ready if u not in tried] or ready
 
-    def fit(self, now, upstream):
+    def is_available(self, now, upstream):
         return True
 
     def choose(self, usable):
+        """Return one of the usable upstreams."""
         pair = [usable[int(self.random() * len(usable))] for _ in range(2)]
         return min(pair, key=lambda u: len(u.in_flight))
 
-    # Whether again.
+    # Retries.
 
-    def again(self, now, request):
-        return 0 if len(request.attempts) <= self.most else None
+    def retry_wait(self, now, request):
+        """Return the nanoseconds to wait before a retry; None for no retry."""
+        return 0 if len(request.attempts) <= self.max_retries else None
 
-    def repeatable(self, now, request):
+    def may_retry(self, now, request):
+        """Return whether the effect of the request allows another attempt."""
         doubtful = [d for d in request.attempts if d.may_have_executed]
         effect = request.service_class.effect
         return (
@@ -76,15 +87,17 @@
         )
 
     def send(self, now, request):
+        """Start an attempt, or end the request if none is possible."""
         if request.finished:
             return None
         usable = self.usable(now, request)
-        if not usable or now >= request.deadline or not self.repeatable(now, request):
+        if not usable or now >= request.deadline or not self.may_retry(now, request):
             return self.end(now, request)
         attempt = request.start_attempt(self.choose(usable), now)
         self.actions.append(StartAttempt(attempt, request.deadline - now))
 
     def end(self, now, request):
+        """Reject the request if nothing can have been executed; fail it otherwise."""
         if not request.finished:
             request.finished = True
             harmless = request.service_class.effect == Effect.SAFE or not any(
@@ -93,16 +106,18 @@
             is_rejected = harmless and not request.open_attempts
             self.actions.append(RejectRequest(request, 0) if is_rejected else FailRequest(request))
 
-    def due(self, now, request):
+    def time_out(self, now, request):
+        """End the request shortly before its deadline if no attempt is open."""
         if not request.open_attempts:
             self.end(now, request)
 
-    def ask(self, now, _):
+    def watch_endpoints(self, now, _):
+        """Start a poll of the endpoint list if none is running."""
         if not self.watching:
             self.watching = True
             self.actions.append(WatchEndpoints(WATCH_WAIT))
 
-    # What happens.
+    # Events.
 
     def on_endpoints_changed(self, now, whole, updates):
         for upstream in [u for u in self.listed if whole]:
@@ -112,30 +127,30 @@
             upstream.started_at = started_at
             if upstream not in self.listed:
                 self.listed.append(upstream)
-        there = (u for u in self.listed if u.state != UpstreamState.GONE)
-        self.listed = sorted(there, key=lambda u: u.address)
+        present = (u for u in self.listed if u.state != UpstreamState.GONE)
+        self.listed = sorted(present, key=lambda u: u.address)
 
     def on_endpoint_service_moved(self, now):
         self.watching = False
-        self.ask(now, None)
+        self.watch_endpoints(now, None)
 
     def on_endpoint_poll_failed(self, now, failure, retry_after_ns):
         self.watching = False
-        self.call_at(now + int((0.2 + self.random()) * S), self.ask, None)
+        self.call_at(now + int((0.2 + self.random()) * S), self.watch_endpoints, None)
 
     def on_request(self, now, request):
         request.accepted_at = now
         request.objective_at = min(now + request.service_class.objective_ns, request.deadline)
-        self.call_at(max(now, request.deadline - 2 * MS), self.due, request)
+        self.call_at(max(now, request.deadline - 2 * MS), self.time_out, request)
         self.send(now, request)
 
     def on_attempt_ended(self, now, attempt):
         request = attempt.request
         attempt.close()
-        self.heed(now, attempt)
+        self.note_outcome(now, attempt)
         if request.finished or request.open_attempts:
             return
-        wait = self.again(now, request) if attempt.outcome != Outcome.SERVED else None
+        wait = self.retry_wait(now, request) if attempt.outcome != Outcome.SERVED else None
         if wait is None or now + wait >= request.deadline:
             self.end(now, request)
         elif wait:
@@ -143,22 +158,28 @@
         else:
             self.send(now, request)
 
-    def heed(self, now, attempt):
-        """What its end tells of the upstream."""
+    def note_outcome(self, now, attempt):
+        """Update the state of an upstream after an attempt."""
 
 
 class Random(Plain):
+    """A ready upstream at random."""
+
     def choose(self, usable):
         return usable[int(self.random() * len(usable))]
 
 
 class RoundRobin(Plain):
+    """The ready upstreams in turn."""
+
     def choose(self, usable):
         self.turn += 1
         return usable[self.turn % len(usable)]
 
 
 class LeastOut(Plain):
+    """One of the upstreams with the fewest attempts in flight."""
+
     def choose(self, usable):
         least = min(len(u.in_flight) for u in usable)
         usable = [u for u in usable if len(u.in_flight) == least]
@@ -166,64 +187,78 @@
 
 
 class Retries(Plain):
+    """Two choices and immediate retries."""
+
     def __init__(self, settings, seed, now, retries=3):
         super().__init__(settings, seed, now, retries)
 
 
 class Backoff(Retries):
-    """The wait before the k-th retry is even from 0 to base_ms * 2^(k-1): full jitter (Brooker 2015)."""
+    """Retries after a wait drawn evenly from 0 to base_ms * 2^(k-1): full jitter (Brooker 2015)."""
 
     def __init__(self, settings, seed, now, retries=3, base_ms=20.0):
         super().__init__(settings, seed, now, retries)
-        self.base = int(base_ms * MS)
+        self.base_ns = int(base_ms * MS)
 
-    def again(self, now, request):
+    def retry_wait(self, now, request):
         made = len(request.attempts)
-        return None if made > self.most else int(self.random() * self.base * 2 ** (made - 1)) + 1
+        return (
+            None
+            if made > self.max_retries
+            else int(self.random() * self.base_ns * 2 ** (made - 1)) + 1
+        )
 
 
 class Budgeted(Retries):
-    """Each operation pays a ``share`` of a token into a bucket, each retry takes one."""
+    """Retry budget: each request adds ``share`` of a token to a bucket, each retry takes one."""
 
     def __init__(self, settings, seed, now, retries=3, share=0.2, most=100.0):
         super().__init__(settings, seed, now, retries)
-        self.share, self.bound, self.tokens = share, most, 10.0
+        self.share, self.max_tokens, self.tokens = share, most, 10.0
 
-    def again(self, now, request):
-        if len(request.attempts) > self.most or self.tokens < 1:
+    def retry_wait(self, now, request):
+        if len(request.attempts) > self.max_retries or self.tokens < 1:
             return None
         self.tokens -= 1
         return 0
 
     def send(self, now, request):
         if not request.attempts:
-            self.tokens = min(self.bound, self.tokens + self.share)
+            self.tokens = min(self.max_tokens, self.tokens + self.share)
         super().send(now, request)
 
 
 class Breaker(Retries):
-    """After ``failures`` in a row an upstream gets nothing for rest_ms, then one at a time until it succeeds."""
+    """Circuit breaker: after ``failures`` in a row an upstream gets no attempt for rest_ms.
+
+    Then it gets one at a time until one succeeds.
+    """
 
     def __init__(self, settings, seed, now, retries=3, failures=5, rest_ms=1000.0):
         super().__init__(settings, seed, now, retries)
-        self.failures, self.rest, self.row, self.open_until = failures, int(rest_ms * MS), {}, {}
+        self.failures, self.rest_ns, self.failures_in_row, self.open_until = (
+            failures,
+            int(rest_ms * MS),
+            {},
+            {},
+        )
 
-    def fit(self, now, upstream):
+    def is_available(self, now, upstream):
         until = self.open_until.get(upstream)
         return until is None or now >= until and not upstream.in_flight
 
-    def heed(self, now, attempt):
+    def note_outcome(self, now, attempt):
         upstream = attempt.upstream
         if attempt.outcome == Outcome.SERVED:
-            self.row.pop(upstream, None)
+            self.failures_in_row.pop(upstream, None)
             self.open_until.pop(upstream, None)
         else:
-            self.row[upstream] = self.row.get(upstream, 0) + 1
-            if self.row[upstream] >= self.failures:
-                self.open_until[upstream] = now + self.rest
+            self.failures_in_row[upstream] = self.failures_in_row.get(upstream, 0) + 1
+            if self.failures_in_row[upstream] >= self.failures:
+                self.open_until[upstream] = now + self.rest_ns
 
     def usable(self, now, request):
-        # All open: better one of them than none, as breakers in proxies do.
+        # If all breakers are open, ignore them, as proxies do.
         return super().usable(now, request) or [
             u for u in self.listed if u.state == UpstreamState.READY
         ]
--- a/pepperhook/lab/chance.py
+++ b/pepperhook/lab/chance.py
@@ -1,4 +1,7 @@
-"""Chance by name: what happens to an operation does not depend on when it comes, so that a seed gives one day."""
+"""Random numbers derived from names.
+
+What happens to a request doesn't depend on when it arrives, so that a seed reproduces a run.
+"""
 
 from math import exp
 from statistics import NormalDist
@@ -8,13 +11,14 @@
 
 
 def share(*names):
-    """Evenly from 0 to 1, always the same for the same names."""
-    # Twice, through digits: one CRC is linear, so near names would give chances that go together.
+    """Return a number evenly distributed over [0, 1), always the same for the same names."""
+    # A CRC is linear, so similar names would give correlated numbers. Hash the digits of the first
+    # CRC again to avoid that.
     return crc32(b"%d" % crc32(" ".join(map(str, names)).encode())) / 2**32
 
 
 def work_ns(seed, identity, grade):
-    """The work of one operation: the grade's median, spread lognormally."""
+    """Return the work of one request in ns: lognormal around the service class's median."""
     median = grade.work_ms * 1e6
     if not grade.spread:
         return int(median)
--- a/pepperhook/lab/controlload.py
+++ b/pepperhook/lab/controlload.py
@@ -1,6 +1,10 @@
-"""The control service under many members: stand-ins in one process, each with a stream and beats as a balancer's, and the service as its own
-process. Told are the time until all that join at once are known and have the version, until a new version is at all of them, and what the
-service takes for it. The stand-ins share one core, so times are also theirs."""
+"""Measure the control service with many members.
+
+The members are stand-ins in one process, each with a stream and heartbeats like a balancer's; the
+service runs in its own process. Measured are the time until all members that join at once are in
+the member list, the time until a new version has reached all of them, and the processor time and
+memory of the service. The stand-ins share one core, so the times include their own work.
+"""
 
 import asyncio
 import json
@@ -19,9 +23,9 @@
 
 SECRET = "the secret of this measurement"
 KEYS = KeyRing([("k1", SECRET)])
-LEASE_S, BEAT_S, WITHIN_S = 10.0, 2.0, 120.0
-UPSTREAMS = 300  # that each member tells of
-GRADES = 30  # in the document
+LEASE_S, HEARTBEAT_S, TIMEOUT_S = 10.0, 2.0, 120.0
+UPSTREAMS = 300  # reported by each member
+GRADES = 30  # service classes in the document
 SERVE = "import sys\nfrom pepperhook.cli import main\nmain(sys.argv[1:])"
 
 
@@ -30,7 +34,7 @@
 
 
 class Member:
-    """A stand-in for one balancer's end: takes what comes, says what it runs."""
+    """Stand-in for one balancer: it applies every version and reports which one it runs."""
 
     def __init__(self, fleet, number):
         self.fleet, self.name, self.running, self.at, self.views, self.known = (
@@ -41,9 +45,10 @@
             0,
             {},
         )
-        self.mark = 0  # of the upstreams that the service knows by this member
+        self.mark = 0  # checksum of the upstreams that the service has from this member
 
     async def follow(self):
+        """Read the control stream, reconnecting when it breaks, until cancelled."""
         have = 0
         while True:
             try:
@@ -51,32 +56,34 @@
                 reader = frames.FrameReader(self.known.get)
                 async with self.fleet.session.get(
                     self.fleet.url + path, headers=sign_request(KEYS, "GET", path)
-                ) as answer:
-                    async for data in answer.content.iter_any():
-                        for told in reader.feed(data):
-                            if isinstance(told, Version):
-                                self.running = have = told.number
-                                self.known = {told.number: told}
-                                self.at[told.number] = time.monotonic()
-                                await self.beat()
-                            elif isinstance(told, frames.MembershipView):
+                ) as response:
+                    async for data in response.content.iter_any():
+                        for message in reader.feed(data):
+                            if isinstance(message, Version):
+                                self.running = have = message.number
+                                self.known = {message.number: message}
+                                self.at[message.number] = time.monotonic()
+                                await self.send_heartbeat()
+                            elif isinstance(message, frames.MembershipView):
                                 self.views += 1
-                                self.fleet.seen[self.name] = len(told.members)
+                                self.fleet.members_seen[self.name] = len(message.members)
             except (aiohttp.ClientError, OSError, TimeoutError, frames.StreamError):
                 self.fleet.broken += 1
                 await asyncio.sleep(0.2 + 0.001 * (hash_of(self.name) % 500))
 
-    async def beats(self):
-        await asyncio.sleep(BEAT_S * (hash_of(self.name) % 1000) / 1000)
+    async def send_heartbeats(self):
+        """Send regular heartbeats, from a point that depends on the name, until cancelled."""
+        await asyncio.sleep(HEARTBEAT_S * (hash_of(self.name) % 1000) / 1000)
         while True:
             try:
-                await self.beat()
+                await self.send_heartbeat()
             except (aiohttp.ClientError, OSError, TimeoutError):
                 self.fleet.broken += 1
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(HEARTBEAT_S)
 
-    async def beat(self):
-        told = {
+    async def send_heartbeat(self):
+        """Send one heartbeat, with the upstreams if the service doesn't have them yet."""
+        heartbeat = {
             "name": self.name,
             "tier": 0,
             "running": self.running,
@@ -87,51 +94,57 @@
             "upstreams_mark": self.fleet.mark,
         }
         if self.mark != self.fleet.mark:
-            told["upstreams"] = self.fleet.upstreams
-        body = json.dumps(told).encode()
+            heartbeat["upstreams"] = self.fleet.upstreams
+        body = json.dumps(heartbeat).encode()
         async with self.fleet.session.post(
             self.fleet.url + "/v1/beat",
             data=body,
             headers=sign_request(KEYS, "POST", "/v1/beat", body),
-        ) as answer:
-            self.mark = (await answer.json()).get("upstreams_mark", 0)
+        ) as response:
+            self.mark = (await response.json()).get("upstreams_mark", 0)
 
 
 def hash_of(name) -> int:
+    """Return the CRC-32 of a string."""
     from zlib import crc32
 
     return crc32(name.encode())
 
 
 class Fleet:
+    """All stand-ins of one measurement."""
+
     def __init__(self, count, folder, address):
         self.folder, self.address, self.url = Path(folder), address, f"http://{address}"
         self.members = [Member(self, number) for number in range(count)]
-        self.seen: dict[str, int] = {}
+        self.members_seen: dict[str, int] = {}
         self.broken, self.tasks = 0, []
         self.upstreams = [f"t0-{number:03}" for number in range(UPSTREAMS)]
         self.mark = hash_of("\n".join(self.upstreams))
 
-    async def ask(self, method, path, told=None):
-        body = b"" if told is None else json.dumps(told).encode()
+    async def call(self, method, path, document=None):
+        """Send a signed request; return the status and the decoded body."""
+        body = b"" if document is None else json.dumps(document).encode()
         async with self.session.request(
             method, self.url + path, data=body, headers=sign_request(KEYS, method, path, body)
-        ) as answer:
-            return answer.status, await answer.json()
+        ) as response:
+            return response.status, await response.json()
 
-    async def until(self, true):
-        ends = time.monotonic() + WITHIN_S
-        while not true():
+    async def wait_until(self, condition):
+        """Wait until ``condition()`` is true. Raises Failed after TIMEOUT_S."""
+        ends = time.monotonic() + TIMEOUT_S
+        while not condition():
             if time.monotonic() > ends:
-                raise Failed(f"not within {WITHIN_S:g} s with {len(self.members)} members")
+                raise Failed(f"timed out after {TIMEOUT_S:g} s with {len(self.members)} members")
             await asyncio.sleep(0.01)
 
     async def propose(self, goal, parent):
+        """Add a version with this latency objective in ms; return its number. Raises Failed."""
         document = {
             "version": 1,
             "grades": {f"g{number}": {"goal_ms": goal} for number in range(GRADES)},
         }
-        status, answer = await self.ask(
+        status, answer = await self.call(
             "POST",
             "/v1/versions",
             {
@@ -143,29 +156,31 @@
             },
         )
         if status != 200:
-            raise Failed(f"a version was refused: {answer}")
+            raise Failed(f"the service rejected a version: {answer}")
         return answer["number"]
 
-    async def roll(self, number):
+    async def roll_out(self, number):
+        """Roll a version out to all; return each member's seconds, sorted. Raises Failed."""
         begun = time.monotonic()
-        status, answer = await self.ask(
+        status, answer = await self.call(
             "POST",
             "/v1/rollout",
             {"version": number, "steps": [{"share": 1.0, "seconds": 0.0}], "patience_s": 600},
         )
         if status != 200:
-            raise Failed(f"a rollout was refused: {answer}")
-        await self.until(lambda: all(number in member.at for member in self.members))
+            raise Failed(f"the service rejected a rollout: {answer}")
+        await self.wait_until(lambda: all(number in member.at for member in self.members))
         return sorted(member.at[number] - begun for member in self.members)
 
     async def measure(self, process):
+        """Return the figures of the service running in ``process``. Raises Failed."""
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(
             connector=connector, timeout=aiohttp.ClientTimeout(total=None)
         ) as self.session:
             for _ in range(200):
                 try:
-                    await self.ask("GET", "/v1/rollout")
+                    await self.call("GET", "/v1/rollout")
                     break
                 except aiohttp.ClientError:
                     await asyncio.sleep(0.05)
@@ -173,24 +188,24 @@
             for member in self.members:
                 self.tasks += [
                     asyncio.create_task(member.follow()),
-                    asyncio.create_task(member.beats()),
+                    asyncio.create_task(member.send_heartbeats()),
                 ]
             try:
-                await self.until(
+                await self.wait_until(
                     lambda: (
-                        len(self.seen) == len(self.members)
-                        and min(self.seen.values()) == len(self.members)
+                        len(self.members_seen) == len(self.members)
+                        and min(self.members_seen.values()) == len(self.members)
                     )
                 )
-                joined, used = time.monotonic() - begun, spent(process, before)
+                joined, joining_cpu_s = time.monotonic() - begun, spent(process, before)
                 views = sum(member.views for member in self.members)
                 first = await self.propose(100.0, 0)
-                took = await self.roll(first)
-                await self.ask("POST", "/v1/rollout/back", {"why": "measured"})
+                times = await self.roll_out(first)
+                await self.call("POST", "/v1/rollout/back", {"why": "measured"})
                 await asyncio.sleep(1.0)
-                quiet, since = process.cpu_times(), time.monotonic()
+                before_rest, since = process.cpu_times(), time.monotonic()
                 await asyncio.sleep(5.0)
-                idle = spent(process, quiet) / (time.monotonic() - since)
+                rest_share = spent(process, before_rest) / (time.monotonic() - since)
             finally:
                 for task in self.tasks:
                     task.cancel()
@@ -198,32 +213,33 @@
         return {
             "members": len(self.members),
             "joined_s": round(joined, 2),
-            "core_s_while_joining": round(used, 2),
+            "core_s_while_joining": round(joining_cpu_s, 2),
             "views_a_member": round(views / len(self.members), 1),
-            "version_at_half_s": round(took[len(took) // 2], 3),
-            "version_at_all_s": round(took[-1], 3),
-            "core_share_at_rest": round(idle, 3),
+            "version_at_half_s": round(times[len(times) // 2], 3),
+            "version_at_all_s": round(times[-1], 3),
+            "core_share_at_rest": round(rest_share, 3),
             "resident_mb": round(process.memory_info().rss / 2**20, 1),
             "broken_streams": self.broken,
         }
 
 
 def spent(process, before) -> float:
+    """Return the CPU seconds of a process since ``before``."""
     now = process.cpu_times()
     return now.user + now.system - before.user - before.system
 
 
 def measure(counts, folder, port, tell=lambda *_: None) -> list[dict]:
-    """A row for each number of members. Raises Failed."""
+    """Return a row of figures for each number of members. Raises Failed."""
     import psutil
 
     rows = []
     for at, count in enumerate(counts):
         tell(f"{count} members", at / len(counts))
-        place = Path(folder) / str(count)
-        place.mkdir(parents=True)
-        (place / "keys").write_text(f"k1 {SECRET}\n")
-        with open(place / "log", "wb") as log:
+        run_folder = Path(folder) / str(count)
+        run_folder.mkdir(parents=True)
+        (run_folder / "keys").write_text(f"k1 {SECRET}\n")
+        with open(run_folder / "log", "wb") as log:
             process = subprocess.Popen(
                 [
                     sys.executable,
@@ -234,9 +250,9 @@
                     "--listen",
                     f"127.0.0.1:{port}",
                     "--store",
-                    str(place / "store"),
+                    str(run_folder / "store"),
                     "--keys",
-                    str(place / "keys"),
+                    str(run_folder / "keys"),
                     "--lease",
                     f"{LEASE_S:g}",
                 ],
@@ -247,7 +263,9 @@
         try:
             rows.append(
                 asyncio.run(
-                    Fleet(count, place, f"127.0.0.1:{port}").measure(psutil.Process(process.pid))
+                    Fleet(count, run_folder, f"127.0.0.1:{port}").measure(
+                        psutil.Process(process.pid)
+                    )
                 )
             )
         finally:
--- a/pepperhook/lab/demo.py
+++ b/pepperhook/lab/demo.py
@@ -1,4 +1,7 @@
-"""``pepperhook demo``: the day of days/demo.toml, shown live from what the stand-ins write, and a report at its end."""
+"""``pepperhook demo``: run days/demo.toml with a live display, and write a report.
+
+The display shows the event rows that the stand-ins write.
+"""
 
 import time
 from collections import Counter, deque
@@ -18,12 +21,13 @@
 
 
 class Tail:
-    """What has come to files since the last look, whole lines only."""
+    """Reads the complete lines that were added to the event files since the last call."""
 
     def __init__(self, folder):
         self.folder, self.places, self.decoder = folder, {}, msgspec.json.Decoder(events.Event)
 
     def new(self):
+        """Yield the new event rows."""
         for path in self.folder.glob("*.rows"):
             with open(path, "rb") as file:
                 file.seek(self.places.get(path, 0))
@@ -34,8 +38,8 @@
                 yield self.decoder.decode(line)
 
 
-class Shown(Day):
-    """A day that shows itself twice a second."""
+class LiveRun(Day):
+    """A run with a live display."""
 
     live = None
 
@@ -43,7 +47,8 @@
         super().bring_up(load)
         self.tail, self.tries, self.works, self.on = Tail(self.folder), deque(), Counter(), []
 
-    def look(self):
+    def make_table(self):
+        """Return the table of the last two seconds."""
         now = time.monotonic_ns()
         for row in self.tail.new():
             if isinstance(row, events.Try) and not row.tier:
@@ -53,35 +58,37 @@
         while self.tries and self.tries[0].ended < now - 2 * S:
             self.tries.popleft()
         at = (now - self.start) / S
-        counts = Counter(audit.outcome(one) for one in self.tries)
+        counts = Counter(audit.outcome(attempt) for attempt in self.tries)
         table = Table(
             title=f"pepperhook demo, second {max(0, at):.0f} of {self.day.seconds:.0f}",
             title_justify="left",
         )
-        for name in ("what", "now"):
+        for name in ("figure", "now"):
             table.add_column(name)
         table.add_row(
-            "operations a second",
+            "requests per second",
             "  ".join(f"{name} {counts[name] / 2:.0f}" for name in matrix.OUTCOMES),
         )
-        rush = any(load.at and load.at <= at < load.at + (load.for_ or 0) for load in self.day.load)
-        troubles = [
+        in_burst = any(
+            load.at and load.at <= at < load.at + (load.for_ or 0) for load in self.day.load
+        )
+        faults = [
             f"{t.what} of upstream {t.tier}.{t.who[0] if t.who else 'all'}"
             for t in self.day.troubles
             if t.at <= at < t.at + t.for_
-        ] + (["a burst of load"] if rush else [])
-        table.add_row("troubles", ", ".join(troubles) or "none")
+        ] + (["a burst of load"] if in_burst else [])
+        table.add_row("faults", ", ".join(faults) or "none")
         table.add_row(
-            "dispatches so far by tier",
+            "attempts so far by tier",
             "  ".join(f"{t}: {self.works[t]}" for t in range(len(self.day.tiers))),
         )
-        for name, text in self.believed():
+        for name, text in self.balancer_rows():
             table.add_row(name, text)
         return table
 
-    def believed(self):
-        """What the first balancer's log said last."""
-        told = {}
+    def balancer_rows(self):
+        """Return the figures that the first balancer logged last: rows of (name, text)."""
+        texts = {}
         with open(self.balancers[0, 0].log, encoding="utf-8", errors="replace") as file:
             file.seek(max(0, file.seek(0, 2) - 4000))
             from pepperhook.lab.day import LINE
@@ -89,27 +96,28 @@
             for line in file.read().splitlines()[1:]:
                 pairs = dict(LINE.findall(line))
                 if pairs.get("event") == "budget":
-                    told["retry budget"] = (
+                    texts["retry budget"] = (
                         f"B {pairs['B']}  f {pairs['f']}  waiting {pairs['waiting']}"
                     )
                 elif pairs.get("event") == "upstream":
-                    told[f"upstream {pairs['host']}"] = (
+                    texts[f"upstream {pairs['host']}"] = (
                         f"{pairs['state']}{' dark' if pairs['dark'] == 'True' else ''}"
                         f"{'' if pairs['warm'] == 'True' else ' cold'}  weight {pairs['weight']}  out {pairs['out']}"
                     )
-        return sorted(told.items(), key=lambda row: (row[0] != "retry budget", row[0]))
+        return sorted(texts.items(), key=lambda row: (row[0] != "retry budget", row[0]))
 
     def along(self):
         self.tell = self.show
         super().along()
 
     def show(self, what, share):
+        """Update the live display, if there is one."""
         if self.live is not None and share < 1:
-            self.live.update(self.look())
+            self.live.update(self.make_table())
 
 
 def run(seconds, folder):
-    """Plays the demo; the path of its report."""
+    """Run the demo, scaled to ``seconds``, and return the path of its report."""
     day = experiment.read(DAY)
     scale = seconds / day.seconds
     day = replace(
@@ -122,21 +130,22 @@
     )
     variant = day.variants[0]
     folder.mkdir(parents=True, exist_ok=True)
-    stand = Shown(day, variant, day.seed, folder / f"{variant.name}-{day.seed}")
+    demo = LiveRun(day, variant, day.seed, folder / f"{variant.name}-{day.seed}")
     console = Console(stderr=True)
     console.print(
-        "Bringing up three tiers, a balancer for each caller, a list and clients, all on 127.0.0.0/8 ..."
+        "Starting three tiers, a balancer for each caller, a discovery service and clients, all on "
+        "127.0.0.0/8 ..."
     )
     with Live(console=console, refresh_per_second=4, transient=not console.is_terminal) as live:
-        stand.live = live if console.is_terminal else None
-        result = stand.play()
+        demo.live = live if console.is_terminal else None
+        result = demo.play()
     store(folder / "experiment.json", msgspec.json.encode(day))
     summary = matrix.summary(day, [result])
     report.write(folder, day, [result], summary)
     figures = result["figures"]
     console.print(
-        f"{figures['wishes']} operations, {figures['served']:.1%} served, {figures['goodput']:.1%} of what "
-        f"they were worth, {figures['shed']:.1%} shed; rules broken: "
+        f"{figures['wishes']} requests, {figures['served']:.1%} served, {figures['goodput']:.1%} of "
+        f"their value, {figures['shed']:.1%} rejected; rules broken: "
         f"{', '.join(f['name'] for f in result['findings']) or 'none'}."
     )
     return folder / "report.html"
--- a/pepperhook/lab/explore.py
+++ b/pepperhook/lab/explore.py
@@ -1,7 +1,9 @@
-"""All that can happen to a small rollout, tried out: the control service's own code, three members, one crash, one lost message.
+"""Model checker for rollouts.
 
-A state is plain data; each action makes the next one by way of a service that is put together from it, acts, and is taken apart again. Breadth
-first, so that the way to a broken rule is the shortest there is.
+It explores every order of events of a small rollout with the control service's own code, three
+members, one crash and one lost message. A state is plain data. For each action, a service is built
+from the state, performs the action, and is converted back to a state. The search is breadth first,
+so that the reported path to a broken rule is a shortest one.
 """
 
 import logging
@@ -20,13 +22,13 @@
 
 S = 10**9
 KEYS = KeyRing([("k1", "a secret of this exploration")])
-TOLD = 300  # operations that a member tells at once: enough for a verdict of its side
-BEFORE, AFTER = 1, 2  # the versions that a rollout goes from and to
+REPORTED_REQUESTS = 300  # in one heartbeat: enough for a verdict about the member's version
+BEFORE, AFTER = 1, 2  # version numbers before and after the rollout
 QUIET = logging.Logger("pepperhook.explore", logging.CRITICAL)
 
 
 class Disk:
-    """The store's part that a rollout uses, as plain data: what is put is kept, whatever becomes of the service."""
+    """Stand-in for the store, with the methods a rollout uses; its data survives a crash."""
 
     def __init__(self, kept, newest):
         self.kept, self.last = kept, newest
@@ -34,8 +36,8 @@
     def newest_rollout(self):
         return None if self.kept is None else msgspec.json.decode(self.kept, type=Rollout)
 
-    def save_rollout(self, it):
-        self.kept = msgspec.json.encode(it)
+    def save_rollout(self, changed):
+        self.kept = msgspec.json.encode(changed)
 
     def newest_version(self):
         return version(self.last)
@@ -43,17 +45,18 @@
     def version(self, number):
         return version(number) if number <= self.last else None
 
-    def add_version(self, made):
-        self.last = made.number
+    def add_version(self, added):
+        self.last = added.number
 
     def members(self):
         return {}
 
     def save_members(self, rows):
-        """Whom it knew is given by the explorer: their leases outlive a short absence."""
+        """Do nothing: the explorer restores the members, whose leases outlast a short outage."""
 
 
 def version(number):
+    """Return a signed version with an empty document."""
     return sign_version(
         Version(
             number=number,
@@ -68,50 +71,55 @@
 
 
 class Member(Struct, frozen=True):
+    """State of one member."""
+
     running: int = BEFORE
     refused: bool = False
-    word: int = BEFORE  # what the service last heard that it runs
-    coming: int = 0  # a version on its way to it; 0: none
-    told: tuple[int, int] = (0, 0)  # operations good and bad that it has told of
+    word: int = BEFORE  # the version that it last reported to the service
+    coming: int = 0  # a version that was sent but not received; 0: none
+    told: tuple[int, int] = (0, 0)  # reported counts of succeeded and failed requests
 
 
 class State(Struct, frozen=True):
-    kept: bytes
-    newest: int
-    rollout: bytes | None  # as the service has it in memory; None: it is down
+    """State of the service, its store and all members."""
+
+    kept: bytes  # the stored rollout
+    newest: int  # number of the newest stored version
+    rollout: bytes | None  # in the service's memory; None: the service is down
     members: tuple[Member, ...]
-    time: int = 0
-    crashes: int = 1
-    losses: int = 1
+    time: int = 0  # in seconds
+    crashes: int = 1  # crashes that may still happen
+    losses: int = 1  # messages that may still be lost
 
 
 class Case(Struct, frozen=True):
-    """What is explored: who refuses, whose operations go wrong by the new version, for how long."""
+    """Assumptions of one exploration."""
 
     name: str
-    refuses: frozenset[int] = frozenset()
-    worse: bool = False
-    steps: tuple[tuple[float, float], ...] = ((0.3, 1.0), (1.0, 0.0))
+    refuses: frozenset[int] = frozenset()  # members that reject the new version
+    worse: bool = False  # half of all requests fail under the new version
+    steps: tuple[tuple[float, float], ...] = ((0.3, 1.0), (1.0, 0.0))  # (share, seconds)
     patience_s: float = 2.0
-    turns: int = 5
+    turns: int = 5  # seconds until the end
 
 
 class Broken(Struct):
-    """A rule that does not hold, and the shortest way there."""
+    """A broken rule, and a shortest sequence of actions that breaks it."""
 
     rule: str
     way: list[str]
 
 
 class Explorer:
-    """``make``: the service; a plant gives another."""
+    """Generates the states of a case; ``make`` builds the service, e.g. one with a defect."""
 
     def __init__(self, case: Case, make: Callable = ControlService):
         self.case, self.make = case, make
         self.names = ["a", "b", "c"]
 
     def start(self) -> State:
-        it = Rollout(
+        """Return the state in which the rollout has just begun."""
+        initial = Rollout(
             number=1,
             version=AFTER,
             previous_version=BEFORE,
@@ -119,13 +127,14 @@
             patience_s=self.case.patience_s,
             author="",
         )
-        it.admit(self.names)
-        data = msgspec.json.encode(it)
+        initial.admit(self.names)
+        data = msgspec.json.encode(initial)
         return State(data, AFTER, data, tuple(Member() for _ in self.names))
 
     def service(self, state: State, time: int):
+        """Build a service and its store from a state."""
         disk = Disk(state.kept, state.newest)
-        made = self.make(
+        service = self.make(
             disk,
             KEYS,
             log=QUIET,
@@ -134,43 +143,44 @@
             lease_ns=10**6 * S,
         )
         if state.rollout is not None:
-            made.rollouts.current = msgspec.json.decode(state.rollout, type=Rollout)
+            service.rollouts.current = msgspec.json.decode(state.rollout, type=Rollout)
         for name, member in zip(self.names, state.members):
-            row = made.registry.renew_lease(time * S, name, 0)
+            row = service.registry.renew_lease(time * S, name, 0)
             row.running_version = member.word
             row.succeeded, row.failed = member.told
             row.recent_heartbeats = 0.0
-        return made, disk
+        return service, disk
 
-    def after(self, state: State, made, disk, **more) -> State:
+    def after(self, state: State, service, disk, **more) -> State:
+        """Return the state of the service and its store after an action."""
         return msgspec.structs.replace(
             state,
             kept=disk.kept,
             newest=disk.last,
-            rollout=msgspec.json.encode(made.rollouts.current),
+            rollout=msgspec.json.encode(service.rollouts.current),
             **more,
         )
 
     def next(self, state: State) -> Iterator[tuple[str, State]]:
-        """All that may happen now."""
+        """Yield every action that is possible now, with the state after it."""
         replace = msgspec.structs.replace
         if state.rollout is None:
             back = replace(state, rollout=state.kept)
-            made, disk = self.service(replace(state, rollout=None), state.time)
-            yield "the service comes back", self.after(back, made, disk)
+            service, disk = self.service(replace(state, rollout=None), state.time)
+            yield "the service restarts", self.after(back, service, disk)
             for number, member in enumerate(state.members):
                 yield from self.received(state, number, member)
             return
         if state.time < self.case.turns:
-            made, disk = self.service(state, state.time + 1)
-            made.tick()
-            yield "a second passes", self.after(state, made, disk, time=state.time + 1)
+            service, disk = self.service(state, state.time + 1)
+            service.tick()
+            yield "a second passes", self.after(state, service, disk, time=state.time + 1)
         if state.crashes:
             yield "the service is killed", replace(state, rollout=None, crashes=state.crashes - 1)
-        made, disk = self.service(state, state.time)
+        service, disk = self.service(state, state.time)
         for number, member in enumerate(state.members):
             name = self.names[number]
-            wanted = made.desired_version(name)
+            wanted = service.desired_version(name)
             if (
                 wanted != member.running
                 and not member.coming
@@ -178,21 +188,24 @@
             ):
                 yield f"{wanted} is sent to {name}", self.changed(state, number, coming=wanted)
             yield from self.received(state, number, member)
-            yield from self.words(state, number, member)
+            yield from self.heartbeats(state, number, member)
 
     def received(self, state, number, member):
-        """A version on its way comes, or is lost. A balancer takes no number that is not above its own."""
+        """Yield the arrival and the loss of a version that was sent.
+
+        A balancer applies only versions with a higher number than its own.
+        """
         if not member.coming:
             return
         name = self.names[number]
         if member.coming == AFTER and number in self.case.refuses:
             yield (
-                f"{name} refuses {member.coming}",
+                f"{name} rejects {member.coming}",
                 self.changed(state, number, coming=0, refused=True),
             )
         else:
             yield (
-                f"{name} takes {member.coming}",
+                f"{name} applies {member.coming}",
                 self.changed(state, number, coming=0, running=max(member.running, member.coming)),
             )
         if state.losses:
@@ -203,115 +216,134 @@
                 ),
             )
 
-    def words(self, state, number, member):
-        """A member's word on itself. More operations are told only while they can change a verdict, or there would be no end of states."""
-        it = msgspec.json.decode(state.rollout, type=Rollout)
-        side = it.updated if member.running == it.version else it.baseline
+    def heartbeats(self, state, number, member):
+        """Yield a member's heartbeat.
+
+        The request counts grow only while they can change a verdict; otherwise the number of states
+        would be infinite.
+        """
+        current = msgspec.json.decode(state.rollout, type=Rollout)
+        side = current.updated if member.running == current.version else current.baseline
         good, bad = member.told
-        if side.total < rollout.MIN_REQUESTS and it.state == RolloutState.RUNNING:
+        if side.total < rollout.MIN_REQUESTS and current.state == RolloutState.RUNNING:
             worse = self.case.worse and member.running == AFTER
-            good, bad = (good + TOLD // 2, bad + TOLD // 2) if worse else (good + TOLD, bad)
+            good, bad = (
+                (good + REPORTED_REQUESTS // 2, bad + REPORTED_REQUESTS // 2)
+                if worse
+                else (good + REPORTED_REQUESTS, bad)
+            )
         if (member.word, member.told) == (member.running, (good, bad)) and not (
-            member.refused and self.names[number] not in it.rejections
+            member.refused and self.names[number] not in current.rejections
         ):
             return
-        made, disk = self.service(state, state.time)
-        made.receive_heartbeat(
+        service, disk = self.service(state, state.time)
+        service.receive_heartbeat(
             Heartbeat(
                 name=self.names[number],
                 tier=0,
                 running_version=member.running,
                 succeeded=good,
                 failed=bad,
-                rejection=Rejection(AFTER, "it does not fit") if member.refused else None,
+                rejection=Rejection(AFTER, "incompatible") if member.refused else None,
             )
         )
-        after = self.after(state, made, disk)
+        after = self.after(state, service, disk)
         yield (
-            f"{self.names[number]} says that it runs {member.running}",
+            f"{self.names[number]} reports that it runs {member.running}",
             self.changed(after, number, word=member.running, told=(good, bad)),
         )
 
     @staticmethod
     def changed(state, number, **more):
+        """Return the state with some fields of one member replaced."""
         members = list(state.members)
         members[number] = msgspec.structs.replace(members[number], **more)
         return msgspec.structs.replace(state, members=tuple(members))
 
-    # What must hold.
+    # Invariants.
 
     def rules(self, before: State | None, state: State) -> Iterator[str]:
-        kept = msgspec.json.decode(state.kept, type=Rollout)
+        """Yield the rules that the state, or the transition to it, breaks."""
+        stored = msgspec.json.decode(state.kept, type=Rollout)
         inside = [
             self.names[number]
             for number, member in enumerate(state.members)
             if member.running == AFTER or member.coming == AFTER
         ]
-        if kept.state != RolloutState.COMPLETED and not set(inside) <= set(kept.admitted):
-            yield "whoever has the version, or it is on its way, is written down as one that is in"
+        if stored.state != RolloutState.COMPLETED and not set(inside) <= set(stored.admitted):
+            yield "a member that has or was sent the version is written down as one that is in"
         if state.rollout is not None and state.rollout != state.kept:
-            mine = msgspec.json.decode(state.rollout, type=Rollout)
-            if (mine.state, mine.step, mine.admitted, mine.rollback_version) != (
-                kept.state,
-                kept.step,
-                kept.admitted,
-                kept.rollback_version,
+            in_memory = msgspec.json.decode(state.rollout, type=Rollout)
+            if (
+                in_memory.state,
+                in_memory.step,
+                in_memory.admitted,
+                in_memory.rollback_version,
+            ) != (
+                stored.state,
+                stored.step,
+                stored.admitted,
+                stored.rollback_version,
             ):
-                yield "nothing that members are told by is in memory alone"
-        if kept.state == RolloutState.COMPLETED and any(
+                yield "no state that members are notified of is in memory alone"
+        if stored.state == RolloutState.COMPLETED and any(
             member.word != AFTER for member in state.members
         ):
-            yield "it is done when all have said that they run the version"
-        if self.case.worse and kept.state == RolloutState.COMPLETED:
-            yield "a version that is surely worse is not rolled out"
+            yield "a rollout completes only when all members have reported the version"
+        if self.case.worse and stored.state == RolloutState.COMPLETED:
+            yield "a version that is clearly worse is not rolled out"
         if before is None:
             return
-        was = msgspec.json.decode(before.kept, type=Rollout)
+        stored_before = msgspec.json.decode(before.kept, type=Rollout)
         if (
-            was.state in (RolloutState.COMPLETED, RolloutState.ROLLED_BACK)
-            and was.state != kept.state
-        ):
-            yield "what is done or gone back stays so"
-        if was.state == kept.state == RolloutState.RUNNING and not set(was.admitted) <= set(
-            kept.admitted
+            stored_before.state in (RolloutState.COMPLETED, RolloutState.ROLLED_BACK)
+            and stored_before.state != stored.state
         ):
-            yield "who is in stays in"
-        if was.state == kept.state == RolloutState.PAUSED and set(kept.admitted) != set(
-            was.admitted
-        ):
-            yield "nobody comes in while it is held"
-        if kept.step < was.step:
-            yield "steps are not taken back"
+            yield "a completed or rolled back rollout stays so"
+        if stored_before.state == stored.state == RolloutState.RUNNING and not set(
+            stored_before.admitted
+        ) <= set(stored.admitted):
+            yield "an admitted member stays admitted"
+        if stored_before.state == stored.state == RolloutState.PAUSED and set(
+            stored.admitted
+        ) != set(stored_before.admitted):
+            yield "no member is admitted while the rollout is paused"
+        if stored.step < stored_before.step:
+            yield "the step never decreases"
         for member, now in zip(before.members, state.members):
             if now.running < member.running:
-                yield "a member's number never falls"
+                yield "a member's version number never decreases"
 
 
 def explore(explorer: Explorer, most: int = 200_000) -> tuple[int, Broken | None]:
-    """How many states there are, and the first rule that does not hold. Raises RuntimeError where there are more than ``most``."""
+    """Return the number of states and the first broken rule, if any.
+
+    Raises RuntimeError if there are more than ``most`` states.
+    """
     start = explorer.start()
     for rule in explorer.rules(None, start):
         return 1, Broken(rule, [])
-    came: dict[State, tuple[State, str] | None] = {start: None}
-    line = [start]
-    for state in line:
-        for what, after in explorer.next(state):
-            if after in came:
+    reached_by: dict[State, tuple[State, str] | None] = {start: None}
+    queue = [start]
+    for state in queue:
+        for action, after in explorer.next(state):
+            if after in reached_by:
                 continue
-            came[after] = state, what
+            reached_by[after] = state, action
             for rule in explorer.rules(state, after):
-                return len(came), Broken(rule, way(came, after))
-            if len(came) > most:
+                return len(reached_by), Broken(rule, path_to(reached_by, after))
+            if len(reached_by) > most:
                 raise RuntimeError(f"more than {most} states")
-            line.append(after)
-    return len(came), None
+            queue.append(after)
+    return len(reached_by), None
 
 
-def way(came, state) -> list[str]:
+def path_to(reached_by, state) -> list[str]:
+    """Return the actions from the start to a state."""
     steps = []
-    while came[state] is not None:
-        state, what = came[state]
-        steps.append(what)
+    while reached_by[state] is not None:
+        state, action = reached_by[state]
+        steps.append(action)
     return steps[::-1]
 
 
--- a/pepperhook/lab/h2memory.py
+++ b/pepperhook/lab/h2memory.py
@@ -1,4 +1,7 @@
-"""Memory of a balancer that holds a thousand half messages: on as many HTTP/1.1 connections, and as streams of ten."""
+"""Measure a balancer's memory with a thousand incomplete requests.
+
+They are sent over a thousand HTTP/1.1 connections, and as streams of ten HTTP/2 connections.
+"""
 
 import asyncio
 import time
@@ -10,30 +13,32 @@
 
 from pepperhook.lab.day import Day
 
-COUNT, EACH = 1000, 100
-HOLD_S = 0.8  # well within the two seconds after which half a message is given up
+COUNT, EACH = 1000, 100  # requests, and streams per HTTP/2 connection
+HOLD_S = 0.8  # well below the 2 s after which the balancer drops an incomplete request
 
 
 async def plain(address):
-    made = []
+    """Open the HTTP/1.1 connections and send the requests; return the writers."""
+    writers = []
     for number in range(COUNT):
         _, writer = await asyncio.open_connection(*address)
         writer.write(
             b"POST /sale HTTP/1.1\r\nHost: x\r\nX-Request-ID: m%d\r\nContent-Length: 10\r\n\r\nhalf"
             % number
         )
-        made.append(writer)
-    return made
+        writers.append(writer)
+    return writers
 
 
 async def streams(address):
-    made = []
+    """Open the HTTP/2 connections and send the requests; return the writers."""
+    writers = []
     for number in range(COUNT // EACH):
         _, writer = await asyncio.open_connection(*address)
-        wire = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
-        wire.initiate_connection()
+        connection = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
+        connection.initiate_connection()
         for stream in range(EACH):
-            wire.send_headers(
+            connection.send_headers(
                 2 * stream + 1,
                 [
                     (":method", "POST"),
@@ -43,41 +48,44 @@
                     ("x-request-id", f"s{number}-{stream}"),
                 ],
             )
-            wire.send_data(2 * stream + 1, b"half")
-        writer.write(wire.data_to_send())
-        made.append(writer)
-    return made
+            connection.send_data(2 * stream + 1, b"half")
+        writer.write(connection.data_to_send())
+        writers.append(writer)
+    return writers
 
 
-async def held(open_all, address, process):
+async def memory_per_request(open_all, address, process):
+    """Return the growth of resident memory in KB per request."""
     before = process.memory_info().rss
-    made = await open_all(address)
+    writers = await open_all(address)
     await asyncio.sleep(HOLD_S)
     after = process.memory_info().rss
-    for writer in made:
+    for writer in writers:
         writer.transport.abort()
     return round((after - before) / 1024 / COUNT, 2)
 
 
 def measure(day, variant, seed, folder):
-    """KB of resident memory each, of a fresh process for either."""
-    told = {}
+    """Return the KB of memory per connection and per stream, each of a new balancer process."""
+    figures = {}
     for name, open_all in ("connection", plain), ("stream", streams):
-        stand = Day(
+        run = Day(
             replace(day, seconds=1.0, troubles=[]),
             variant,
             seed,
             folder / f"memory-{name}",
             sockets=4096,
         )
-        stand.folder.mkdir(parents=True, exist_ok=True)
+        run.folder.mkdir(parents=True, exist_ok=True)
         try:
-            stand.bring_up(load=False)
-            balancer = stand.balancers[0, 0]
+            run.bring_up(load=False)
+            balancer = run.balancers[0, 0]
             time.sleep(0.5)
-            told[f"kb_a_{name}"] = asyncio.run(
-                held(open_all, stand.plan.balancer(0, 0), psutil.Process(balancer.process.pid))
+            figures[f"kb_a_{name}"] = asyncio.run(
+                memory_per_request(
+                    open_all, run.plan.balancer(0, 0), psutil.Process(balancer.process.pid)
+                )
             )
         finally:
-            stand.take_down()
-    return told
+            run.take_down()
+    return figures
--- a/pepperhook/lab/journals.py
+++ b/pepperhook/lab/journals.py
@@ -1,7 +1,9 @@
-"""What keeping keys costs: memory an entry, two journals beside each other, and how long they take to be read again.
+"""Measure the cost of storing idempotency keys.
 
-The journal in use is ``pepperhook.idempotency.journal``; the other is what was weighed against it, sqlite3 of the standard library in
-WAL mode, with the same groups in a thread of its own. Both sync each group to the disk that the folder is on.
+It compares two journals by their write speed, the time of a recovery and the memory per entry. The
+journal in use is ``pepperhook.idempotency.journal``. The alternative that was considered is sqlite3
+of the standard library in WAL mode, with the same groups of records in its own thread. Both sync
+each group to the disk that the folder is on.
 """
 
 import asyncio
@@ -15,38 +17,43 @@
 from pepperhook.idempotency.journal.record import Record, RecordKind
 from pepperhook.idempotency.journal.writer import Journal, PendingRecord
 
-WAITING = 64  # records that wait at a time: as many operations under way
+WAITING = 64  # concurrent requests, each waiting for a record
 BODY = b"0.3.29.1c7.1\n" * 8
 
 
 class Sqlite(Journal):
-    """The other one, by the same thread and groups: a table by key, a transaction a group, synced each (synchronous=FULL)."""
+    """The alternative: a table by key, written by the same thread in the same groups.
+
+    Each group is a transaction and synced to disk (synchronous=FULL).
+    """
 
     def __init__(self, path):
         super().__init__(path, 0, lambda *_, **__: None)
-        self.base = sqlite3.connect(path, check_same_thread=False, isolation_level=None)
-        self.base.execute("pragma journal_mode=wal")
-        self.base.execute("pragma synchronous=full")
-        self.base.execute(
+        self.database = sqlite3.connect(path, check_same_thread=False, isolation_level=None)
+        self.database.execute("pragma journal_mode=wal")
+        self.database.execute("pragma synchronous=full")
+        self.database.execute(
             "create table if not exists keys (key blob primary key, kind int, print blob, grade text, "
             "customer text, at int, body blob, type text) without rowid"
         )
 
     def persist(self, records):
-        self.base.execute("begin immediate")
-        self.base.executemany(
+        """Write a group of records in one transaction."""
+        self.database.execute("begin immediate")
+        self.database.executemany(
             "insert or replace into keys values (?, ?, ?, ?, ?, ?, ?, ?)",
             [row_of(record) for record in records],
         )
-        self.base.execute("commit")
+        self.database.execute("commit")
 
     def close(self):
+        """Stop the thread and close the database."""
         super().close()
-        self.base.close()
+        self.database.close()
 
 
 def row_of(record):
-    """A record as the table has it."""
+    """Return a record as a row of the table."""
     return (
         record.key,
         int(record.kind),
@@ -60,74 +67,79 @@
 
 
 def records(count, begin=0):
-    """As they come: begun, and some tens later ended."""
+    """Yield a STARTED and a COMPLETED record for each of ``count`` keys."""
     for number in range(begin, begin + count):
         key = number.to_bytes(16, "big")
         yield Record(RecordKind.STARTED, key, key, "sale", "acme", number)
         yield Record(RecordKind.COMPLETED, key, key, "sale", "acme", number, BODY, "text/plain")
 
 
-async def spans(it, count):
-    """Seconds that each of ``count`` operations waited for its first record, WAITING of them at a time."""
+async def append_all(journal, count):
+    """Append the records of ``count`` requests, WAITING of them at a time.
+
+    Return the seconds in total, and those that each request waited for its first record.
+    """
     loop, waits = asyncio.get_running_loop(), []
-    it.start(loop)
+    journal.start(loop)
 
-    async def one(numbers):
+    async def append(numbers):
         for number in numbers:
             begun, ended = records(1, number)
             at = time.perf_counter()
-            await it.append_durably(begun)
+            await journal.append_durably(begun)
             waits.append(time.perf_counter() - at)
-            it.append(ended)
+            journal.append(ended)
 
     begin = time.perf_counter()
-    await asyncio.gather(*(one(range(at, count, WAITING)) for at in range(WAITING)))
-    took = time.perf_counter() - begin
-    await loop.run_in_executor(None, it.close)
-    return took, waits
+    await asyncio.gather(*(append(range(at, count, WAITING)) for at in range(WAITING)))
+    total_s = time.perf_counter() - begin
+    await loop.run_in_executor(None, journal.close)
+    return total_s, waits
 
 
 def write(make, count):
-    cpu, (took, waits) = time.process_time(), (0, [])
-    it = make()
-    took, waits = asyncio.run(spans(it, count))
+    """Return the speed, CPU time and waits of writing the records of ``count`` requests."""
+    cpu, (total_s, waits) = time.process_time(), (0, [])
+    journal = make()
+    total_s, waits = asyncio.run(append_all(journal, count))
     waits.sort()
     return {
-        "operations_per_s": round(count / took),
+        "operations_per_s": round(count / total_s),
         "core_us": round((time.process_time() - cpu) / count * 1e6, 1),
         "wait_p50_ms": round(statistics.median(waits) * 1000, 2),
         "wait_p99_ms": round(waits[int(len(waits) * 0.99)] * 1000, 2),
-        "groups": it.statistics.groups,
+        "groups": journal.statistics.groups,
     }
 
 
 def own(folder):
-    it = Journal(folder, 10**15, lambda *_, **__: None)
-    it.open()
-    return it
+    """Return an open journal of the kind in use."""
+    journal = Journal(folder, 10**15, lambda *_, **__: None)
+    journal.open()
+    return journal
 
 
 def fill(folder, count):
-    """A log and a table with ``count`` entries each, written without waiting for the disk."""
-    it = own(folder / "own")
-    it.segments.sync = lambda descriptor: None
+    """Write a journal and a table with ``count`` entries each, without syncing to disk."""
+    journal = own(folder / "own")
+    journal.segments.sync = lambda descriptor: None
     rows = []
     for record in records(count):
         rows.append(PendingRecord(record, None, 0.0))
         if len(rows) >= 64:
-            it.write_group(rows)
+            journal.write_group(rows)
             rows = []
     if rows:
-        it.write_group(rows)
-    it.close()
-    other = Sqlite(folder / "other.db")
-    other.base.execute("begin")
-    other.base.executemany(
+        journal.write_group(rows)
+    journal.close()
+    sqlite = Sqlite(folder / "other.db")
+    sqlite.database.execute("begin")
+    sqlite.database.executemany(
         "insert or replace into keys values (?, ?, ?, ?, ?, ?, ?, ?)",
         (row_of(record) for record in records(count)),
     )
-    other.base.execute("commit")
-    other.close()
+    sqlite.database.execute("commit")
+    sqlite.close()
 
 
 READ = """
@@ -151,7 +163,7 @@
 if which == "own":
     recovery = recover(folder / "own", 0)
 else:
-    rows = Sqlite(folder / "other.db").base.execute("select * from keys")
+    rows = Sqlite(folder / "other.db").database.execute("select * from keys")
     records = {row[0]: Record(row[1], row[0], *row[2:]) for row in rows}
     recovery = Recovery(records, 0, False, 0.0)
     del records
@@ -172,20 +184,27 @@
 
 
 def read(folder, which):
-    """Entries, seconds from the files to a store that is full, and bytes of memory an entry with a body of a hundred bytes."""
-    said = subprocess.run(
+    """Measure a recovery in a new process.
+
+    Return the number of entries, the seconds until the store is restored, and the bytes of memory
+    per entry with a response body of about a hundred bytes.
+    """
+    output = subprocess.run(
         [sys.executable, "-c", READ, str(folder), which], capture_output=True, text=True, check=True
     ).stdout
-    count, seconds, size = said.split()
+    count, seconds, entry_bytes = output.split()
     return {
         "entries": int(count),
         "seconds": round(float(seconds), 3),
-        "bytes_an_entry": round(float(size)),
+        "bytes_an_entry": round(float(entry_bytes)),
     }
 
 
 def measure(folder, tell, counts=(10_000, 100_000, 1_000_000), requests=20_000, rounds=3):
-    """Writing in turn, so that a disk that slows down slows both; then reading by the number of entries."""
+    """Measure writing, then recovery by the number of entries.
+
+    The journals alternate in writing, so that a disk that slows down affects both.
+    """
     writing = {"own": [], "sqlite": []}
     for turn in range(rounds):
         tell(f"writing, round {turn + 1} of {rounds}", turn / rounds / 2)
@@ -197,7 +216,7 @@
             writing[name].append(write(make, requests))
             gc.collect()
     reading = []
-    told = {
+    figures = {
         "writing": {
             name: {key: statistics.median(row[key] for row in rows) for key in rows[0]}
             for name, rows in writing.items()
@@ -206,9 +225,9 @@
     }
     for at, count in enumerate(counts):
         tell(f"reading {count:,} entries", 0.5 + at / len(counts) / 2)
-        place = folder / str(count)
-        place.mkdir()
-        fill(place, count)
+        count_folder = folder / str(count)
+        count_folder.mkdir()
+        fill(count_folder, count)
         for which in "own", "sqlite":
-            reading.append({"journal": which, **read(place, which)})
-    return told
+            reading.append({"journal": which, **read(count_folder, which)})
+    return figures
--- a/pepperhook/lab/matrix.py
+++ b/pepperhook/lab/matrix.py
@@ -1,4 +1,7 @@
-"""Variants by seeds: played in turn, so that a machine that slows down slows all alike, and compared pair by pair."""
+"""Run every variant of an experiment with every seed, and compare variants in pairs of equal seed.
+
+Variants alternate, so that a machine that slows down affects all of them alike.
+"""
 
 import json
 import shutil
@@ -9,36 +12,44 @@
 from pepperhook.lab import experiment
 from pepperhook.lab.day import Day, Worktrees, store
 
-BLOCK_S = 5  # seconds that are drawn together: what happens in one goes on in the next
-DRAWS = 2000
+BLOCK_S = 5  # seconds drawn together by the bootstrap, as consecutive seconds are correlated
+DRAWS = 2000  # bootstrap resamples
 FIGURES = ("goodput", "served", "shed", "failed", "lost", "worst_ten_seconds")
 OUTCOMES = ("served", "shed", "failed", "gone", "lost")
 
 
 def play(day, folder, seed, repeats, only, tell):
-    """Results of all days played to their end. Each is on disk as soon as it is there; an interrupt ends the rest."""
+    """Run the experiment and return the results.
+
+    Each result is stored as soon as its run is over; an interrupt skips the remaining runs.
+    """
     variants = [v for v in day.variants if not only or v.name in only]
     folder.mkdir(parents=True, exist_ok=True)
     store(folder / "experiment.json", msgspec.json.encode(day))
     worktrees, results, count = Worktrees(), [], repeats * len(variants)
     try:
-        for turn in range(repeats):
-            # Turned round each time, against one always coming first.
-            order = variants[turn % len(variants) :] + variants[: turn % len(variants)]
+        for round_number in range(repeats):
+            # Rotated in each round, so that no variant always runs first.
+            order = (
+                variants[round_number % len(variants) :] + variants[: round_number % len(variants)]
+            )
             for variant in order:
-                at, name = len(results) / count, f"{variant.name}, seed {seed + turn}"
-                stand = Day(
+                done_share, label = (
+                    len(results) / count,
+                    f"{variant.name}, seed {seed + round_number}",
+                )
+                run = Day(
                     day,
                     variant,
-                    seed + turn,
-                    folder / f"{variant.name}-{seed + turn}",
+                    seed + round_number,
+                    folder / f"{variant.name}-{seed + round_number}",
                     worktrees,
-                    lambda what, share, at=at, name=name: tell(
-                        f"{name}: {what}", at + share / count
+                    lambda what, share, done_share=done_share, label=label: tell(
+                        f"{label}: {what}", done_share + share / count
                     ),
                 )
-                results.append(stand.play())
-                for rows in stand.folder.glob("*.rows"):
+                results.append(run.play())
+                for rows in run.folder.glob("*.rows"):
                     rows.unlink() if repeats * len(variants) > 12 else None
                 if results[-1]["interrupted"]:
                     return results
@@ -46,15 +57,15 @@
         pass
     finally:
         worktrees.close()
-        for left in folder.iterdir():
-            # What was begun and has no result is of no use to a report.
-            if left.is_dir() and not (left / "result.json").exists():
-                shutil.rmtree(left)
+        for path in folder.iterdir():
+            # A run without a result is of no use to a report.
+            if path.is_dir() and not (path / "result.json").exists():
+                shutil.rmtree(path)
     return results
 
 
 def read(folder):
-    """The experiment and the results of a folder. Raises OSError or ValueError."""
+    """Return the experiment and the results in a folder. Raises OSError or ValueError."""
     day = msgspec.json.decode((folder / "experiment.json").read_bytes(), type=experiment.Experiment)
     paths = sorted(folder.glob("*/result.json"))
     if not paths:
@@ -63,42 +74,50 @@
 
 
 def usable(results):
+    """Return the results that are neither void nor interrupted."""
     return [result for result in results if not result["void"] and not result["interrupted"]]
 
 
 def blocks(result):
-    """Earned and possible of each block of seconds."""
+    """Return the earned and the possible value of each block of seconds."""
     earned, possible = (numpy.array(result["seconds"][name]) for name in ("earned", "possible"))
-    cut = range(0, len(earned), BLOCK_S)
+    starts = range(0, len(earned), BLOCK_S)
     return (
-        numpy.array([part[at : at + BLOCK_S].sum() for at in cut]) for part in (earned, possible)
+        numpy.array([values[at : at + BLOCK_S].sum() for at in starts])
+        for values in (earned, possible)
     )
 
 
 def interval(base, other):
-    """The difference of goodput, other less base, with a 95% interval: a paired bootstrap over seeds' blocks of seconds
-    (moving-block idea of Kuensch 1989, with blocks that don't overlap)."""
+    """Return the difference in goodput, other minus base, and its 95% interval (low, high).
+
+    It is a paired bootstrap over blocks of seconds of all seeds: the block bootstrap of Kuensch
+    (1989), with blocks that don't overlap.
+    """
     seeds = sorted(base.keys() & other.keys())
     rows = []
     for seed in seeds:
         (earned, possible), (earned2, possible2) = blocks(base[seed]), blocks(other[seed])
-        most = min(len(possible), len(possible2))
-        rows += list(zip(earned[:most], possible[:most], earned2[:most], possible2[:most]))
+        length = min(len(possible), len(possible2))
+        rows += list(zip(earned[:length], possible[:length], earned2[:length], possible2[:length]))
     table = numpy.array(rows)
     rng = numpy.random.default_rng(1)
     draws = table[rng.integers(0, len(table), (DRAWS, len(table)))].sum(axis=1)
     difference = draws[:, 2] / numpy.maximum(1e-9, draws[:, 3]) - draws[:, 0] / numpy.maximum(
         1e-9, draws[:, 1]
     )
-    whole = table.sum(axis=0)
+    sums = table.sum(axis=0)
     return (
-        whole[2] / max(1e-9, whole[3]) - whole[0] / max(1e-9, whole[1]),
+        sums[2] / max(1e-9, sums[3]) - sums[0] / max(1e-9, sums[1]),
         *(float(x) for x in numpy.percentile(difference, [2.5, 97.5])),
     )
 
 
 def plain_interval(base, other, key):
-    """The mean difference of a figure over seeds, bootstrapped over these; of one seed there is no interval."""
+    """Return the mean difference of a figure and its 95% interval, bootstrapped over the seeds.
+
+    With a single seed the interval is infinite.
+    """
     pairs = [
         (base[s]["figures"].get(key), other[s]["figures"].get(key))
         for s in sorted(base.keys() & other.keys())
@@ -114,61 +133,66 @@
 
 
 def by_variant(results):
-    named = {}
-    # One that was interrupted stands for its variant only where nothing else does.
+    """Return the usable results as {variant: {seed: result}}.
+
+    Interrupted runs are used only for a variant that has no complete one.
+    """
+    by_name = {}
     for result in [r for r in results if r["interrupted"] and not r["void"]] + usable(results):
-        named.setdefault(result["variant"], {})[result["seed"]] = result
-    for runs in named.values():
+        by_name.setdefault(result["variant"], {})[result["seed"]] = result
+    for runs in by_name.values():
         if any(not result["interrupted"] for result in runs.values()):
             for seed in [seed for seed, result in runs.items() if result["interrupted"]]:
                 del runs[seed]
-    return named
+    return by_name
 
 
 def mean(results, key):
+    """Return the mean of a figure over the results that have it; None if there are none."""
     known = [r["figures"][key] for r in results if r["figures"].get(key) is not None]
     return round(float(numpy.mean(known)), 4) if known else None
 
 
 def compare(results, base, other):
-    named = by_variant(results)
-    if base not in named or other not in named:
+    """Return the differences of all figures between two variants, with 95% intervals."""
+    by_name = by_variant(results)
+    if base not in by_name or other not in by_name:
         return {"base": base, "other": other, "seeds": [], "figures": {}}
     figures = {}
     for key in FIGURES:
-        middle, low, high = (
-            interval(named[base], named[other])
+        difference, low, high = (
+            interval(by_name[base], by_name[other])
             if key == "goodput"
-            else plain_interval(named[base], named[other], key)
+            else plain_interval(by_name[base], by_name[other], key)
         )
         figures[key] = {
-            "base": mean(named[base].values(), key),
-            "other": mean(named[other].values(), key),
-            "difference": round(middle, 4),
+            "base": mean(by_name[base].values(), key),
+            "other": mean(by_name[other].values(), key),
+            "difference": round(difference, 4),
             "low": round(low, 4),
             "high": round(high, 4),
         }
     return {
         "base": base,
         "other": other,
-        "seeds": sorted(named[base].keys() & named[other].keys()),
+        "seeds": sorted(by_name[base].keys() & by_name[other].keys()),
         "figures": figures,
     }
 
 
 def summary(day, results):
-    """What a program may read of an experiment: a row a variant, with intervals against the first."""
-    named, rows, first = by_variant(results), [], None
+    """Return a machine-readable summary: a row per variant, compared with the first one."""
+    by_name, rows, first = by_variant(results), [], None
     for variant in day.variants:
-        mine = named.get(variant.name)
-        if not mine:
+        by_seed = by_name.get(variant.name)
+        if not by_seed:
             continue
         first = first or variant.name
         findings = {}
-        for result in mine.values():
+        for result in by_seed.values():
             for finding in result["findings"]:
                 findings[finding["name"]] = findings.get(finding["name"], 0) + finding["count"]
-        runs = list(mine.values())
+        runs = list(by_seed.values())
         amplification = {
             str(t): round(
                 float(numpy.mean([r["figures"]["amplification"][str(t)] or 0 for r in runs])), 4
@@ -178,7 +202,7 @@
         rows.append(
             {
                 "variant": variant.name,
-                "seeds": sorted(mine),
+                "seeds": sorted(by_seed),
                 **{key: mean(runs, key) for key in FIGURES},
                 "wasted_work_s": round(
                     float(numpy.mean([r["figures"]["wasted_work_s"] for r in runs])), 3
--- a/pepperhook/lab/null.py
+++ b/pepperhook/lab/null.py
@@ -1,4 +1,4 @@
-"""The lab's own bound: one load process against a responder that does nothing, in a process of its own."""
+"""Measure the limit of the lab itself: a load process against a responder that does no work."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 
 
 class Null(asyncio.Protocol):
-    """Answers each message at once."""
+    """Responds to each message immediately."""
 
     def connection_made(self, transport):
         self.transport, self.messages = transport, wire.Messages()
@@ -29,6 +29,7 @@
 
 
 async def serve(host, port):
+    """Run the responder until stdin closes."""
     from pepperhook.lab.stage import begin
 
     server = await asyncio.get_running_loop().create_server(Null, host, port)
@@ -38,7 +39,7 @@
 
 
 def measure(rate, seconds):
-    """Operations a second that were answered, latencies from the intended sending, and the load's own lateness."""
+    """Return the responses per second, the latencies and the load generator's own lateness."""
     folder = Path(tempfile.mkdtemp(prefix="pepperhook-null-"))
     day = Experiment(
         version=1,
@@ -48,34 +49,34 @@
         tiers=[Tier()],
         load=[Load(rate=float(rate))],
     )
-    stand = Day(day, Variant(name="null"), 1, folder)
-    address = stand.plan.balancer(0, 0)
+    run = Day(day, Variant(name="null"), 1, folder)
+    address = run.plan.balancer(0, 0)
     try:
-        stand.plan.write(folder / "plan.json")
-        responder = stand.stage(address[0], address[1], module="pepperhook.lab.null")
-        stand.ready(responder)
-        load = stand.load = stand.stage(address[0], address[1], module="pepperhook.lab.load")
-        stand.ready(load)
+        run.plan.write(folder / "plan.json")
+        responder = run.stage(address[0], address[1], module="pepperhook.lab.null")
+        run.ready(responder)
+        load = run.load = run.stage(address[0], address[1], module="pepperhook.lab.load")
+        run.ready(load)
         start = time.monotonic_ns() + 10**8
-        for process in stand.stages:
+        for process in run.stages:
             process.stdin.write(b"%d\n" % start)
             process.stdin.flush()
         load.wait(seconds + 30)
     finally:
-        for process in stand.stages:
+        for process in run.stages:
             process.stdin.close()
             try:
                 process.wait(5)
             except subprocess.TimeoutExpired:
                 process.kill()
-        stand.held.close()
-    told = json.loads((folder / "load.json").read_text())
+        run.held.close()
+    summary = json.loads((folder / "load.json").read_text())
     return {
         "asked_per_s": rate,
-        "answered_per_s": round(told["served"] / seconds),
-        "void": told["void"],
-        "latency_ms": told["latency_ms"],
-        "own_lateness_ms": told["own_lateness_ms"],
+        "answered_per_s": round(summary["served"] / seconds),
+        "void": summary["void"],
+        "latency_ms": summary["latency_ms"],
+        "own_lateness_ms": summary["own_lateness_ms"],
     }
 
 
--- a/pepperhook/lab/speed.py
+++ b/pepperhook/lab/speed.py
@@ -1,8 +1,10 @@
-"""What one core of a balancer can do, for the four pairings of HTTP/1.1 and HTTP/2, paired in one run.
+"""Measure the throughput and latency of a balancer on one core.
 
-Each round plays every pairing twice, in an order turned round each time: with clients of a closed loop that keep it busy
-(operations a second a core), and with an open loop at half of what that gave (latency, counted from the intended sending).
-The first is believed only where the balancer was the bottleneck, the second only where the load was not.
+It compares the four pairings of HTTP/1.1 and HTTP/2 for clients and upstreams. Each round runs every
+pairing twice, in an order that rotates: with closed-loop clients that saturate the balancer
+(requests per second and core), and with an open loop at half of that rate (latency, counted from
+the intended send time). The first counts only if the balancer was the bottleneck, the second only if
+the load generator was not.
 """
 
 import statistics
@@ -19,12 +21,13 @@
     "2-1": ("h2", "http/1.1"),
     "2-2": ("h2", "h2"),
 }
-BUSY = 0.9  # of a core that the balancer must have used, or something else held it up
+BUSY = 0.9  # share of a core below which something other than the balancer was the bottleneck
 CLIENTS, UPSTREAMS = 48, 6
 WORK_MS = 0.5
 
 
 def day(seconds, **more):
+    """Return the experiment, without its load."""
     machine = Spec(cores=64.0, slots=1000, queue=1000)
     return Experiment(
         version=1,
@@ -36,30 +39,34 @@
     )
 
 
-def one(told, pairing, seed, folder):
+def run_pairing(experiment, pairing, seed, folder):
+    """Return the result of a run and the cores that the balancer used. Raises Failed."""
     clients, upstreams = PAIRINGS[pairing]
-    told = replace(told, clients=replace(told.clients, protocol=clients))
+    experiment = replace(experiment, clients=replace(experiment.clients, protocol=clients))
     operator = None if pairing == "1-1" else {"h2": {"upstreams": upstreams}}
-    result = Day(told, Variant(name=pairing, operator=operator), seed, folder).play()
+    result = Day(experiment, Variant(name=pairing, operator=operator), seed, folder).play()
     if result["interrupted"]:
         raise KeyboardInterrupt
     if result["findings"]:
         raise Failed(f"{pairing}: {result['findings'][0]['name']}")
     cpu = sum(row["cpu_s"] - row["start_cpu_s"] for row in result["costs"].values())
-    return result, cpu / told.seconds
+    return result, cpu / experiment.seconds
 
 
 def measure(rounds, seconds, seed, folder, tell):
-    """Rows by pairing: medians over the rounds, and of the ratios to 1-1 within each round. Raises Failed."""
+    """Return the figures by pairing: medians over the rounds, and the ratios to 1-1 in each round.
+
+    Raises Failed.
+    """
     names, rows = list(PAIRINGS), {name: [] for name in PAIRINGS}
-    for turn in range(rounds):
-        for at, name in enumerate(names[turn % 4 :] + names[: turn % 4]):
-            tell(f"round {turn + 1} of {rounds}: {name}", (turn + at / 4) / rounds)
-            full, busy = one(
+    for round_number in range(rounds):
+        for at, name in enumerate(names[round_number % 4 :] + names[: round_number % 4]):
+            tell(f"round {round_number + 1} of {rounds}: {name}", (round_number + at / 4) / rounds)
+            full, busy = run_pairing(
                 day(seconds, clients=Clients(closed=CLIENTS)),
                 name,
-                seed + turn,
-                folder / f"{name}-{turn}-full",
+                seed + round_number,
+                folder / f"{name}-{round_number}-full",
             )
             if busy < BUSY:
                 raise Failed(
@@ -67,11 +74,11 @@
                 )
             figures = full["figures"]
             rate = figures["wishes"] * figures["served"] / seconds / busy
-            half, share = one(
+            half, share = run_pairing(
                 day(seconds, load=[Load(rate=rate / 2)]),
                 name,
-                seed + turn,
-                folder / f"{name}-{turn}-half",
+                seed + round_number,
+                folder / f"{name}-{round_number}-half",
             )
             if half["void"]:
                 raise Failed(f"{name}: the load was late at {rate / 2:.0f} a second")
@@ -89,10 +96,12 @@
                     "rss_mb": max(r["rss_mb"] for r in full["costs"].values()),
                 }
             )
-    told = {}
-    for name, mine in rows.items():
-        told[name] = {key: round(statistics.median(row[key] for row in mine), 4) for key in mine[0]}
+    figures_by_name = {}
+    for name, own_rows in rows.items():
+        figures_by_name[name] = {
+            key: round(statistics.median(row[key] for row in own_rows), 4) for key in own_rows[0]
+        }
         for key in "core_ms", "half_core_ms":
-            ratios = [row[key] / base[key] for row, base in zip(mine, rows["1-1"])]
-            told[name][f"{key}_ratios"] = [round(ratio, 3) for ratio in sorted(ratios)]
-    return {"rounds": rounds, "seconds": seconds, "clients": CLIENTS, "pairings": told}
+            ratios = [row[key] / base[key] for row, base in zip(own_rows, rows["1-1"])]
+            figures_by_name[name][f"{key}_ratios"] = [round(ratio, 3) for ratio in sorted(ratios)]
+    return {"rounds": rounds, "seconds": seconds, "clients": CLIENTS, "pairings": figures_by_name}
--- a/pepperhook/lab/tracecost.py
+++ b/pepperhook/lab/tracecost.py
@@ -1,9 +1,9 @@
-"""What tracing costs the decisions.
+"""Measure the cost that tracing adds to the policy's decisions.
 
-The calls of a capture are played again with tracing off, sampled and whole, and by another
-revision, in turn. Time is the processor's, of the calls to the policy alone, so it is the
-decisions' part of a request. ``python -m pepperhook.lab.tracecost CAPTURE`` prints one run with
-tracing off as JSON; that is how a revision is measured, in a process of its own.
+It replays the calls of a capture with tracing off, sampled and complete, and with another revision,
+in turn. It measures CPU time spent in calls to the policy, which is the decisions' part of a
+request. ``python -m pepperhook.lab.tracecost CAPTURE`` prints one run with tracing off as JSON; a
+revision is measured that way, in a process of its own.
 """
 
 import gc
@@ -28,7 +28,7 @@
 NS_PER_S = 1e9
 US_PER_S = 1e6
 ROOT = Path(__file__).resolve().parents[2]
-WAYS: dict[str, float | None] = {"off": None, "sampled, 1%": 0.01, "whole": 1.0}
+MODES: dict[str, float | None] = {"off": None, "sampled, 1%": 0.01, "whole": 1.0}
 
 Record = list[Any]
 Tell = Callable[[str, float], None]
@@ -37,14 +37,14 @@
 class Run(NamedTuple):
     """One replay of a capture."""
 
-    seconds: float  # of the processor, in calls of the policy
+    seconds: float  # CPU time in calls to the policy
     requests: int
     traced_bytes: int = 0
     traces: int = 0
 
 
 def play(records: Sequence[Record], sampled_fraction: float | None = None) -> Run:
-    """Replay the records; nobody traces where ``sampled_fraction`` is None."""
+    """Replay the records, without tracing if ``sampled_fraction`` is None."""
     driver, traces = Driver(Balancer), []
     spent_ns = requests = 0
     clock = time.process_time_ns
@@ -92,20 +92,20 @@
 def measure(
     path: str | Path, revision: str | None = None, rounds: int = 7, tell: Tell = lambda *_: None
 ) -> dict[str, Any]:
-    """Return microseconds a request in each way, and the bytes of a trace before compression."""
+    """Return the microseconds per request in each mode, and a trace's bytes before compression."""
     records = read(path)
     build = None if revision is None else RevisionBuild(revision, ROOT)
-    names = [*([] if build is None else [f"revision {revision}"]), *WAYS]
+    names = [*([] if build is None else [f"revision {revision}"]), *MODES]
     runs: dict[str, list[Run]] = {name: [] for name in names}
     for turn in range(rounds):
         first = turn % len(names)
         for name in names[first:] + names[:first]:
             tell(name, turn / rounds)
             gc.collect()
-            if build is not None and name not in WAYS:
+            if build is not None and name not in MODES:
                 runs[name].append(play_revision(build, path))
             else:
-                runs[name].append(play(records, WAYS[name]))
+                runs[name].append(play(records, MODES[name]))
     return {
         "file": str(path),
         "operations": runs["off"][0].requests,
@@ -120,6 +120,7 @@
 
 
 def _times(runs: Sequence[Run]) -> dict[str, float]:
+    """Return the least and the median of the microseconds per request."""
     times = [run.seconds * US_PER_S / max(1, run.requests) for run in runs]
     return {"least": round(min(times), 2), "median": round(median(times), 2)}
 
--- a/pepperhook/lab/tracesize.py
+++ b/pepperhook/lab/tracesize.py
@@ -1,5 +1,8 @@
-"""What a summary of a large trace takes: a trace of so many megabytes is made from a seed, and summed up by the command line in a
-process of its own, whose largest memory the kernel tells (Linux)."""
+"""Measure the time and peak memory of summarizing a large trace.
+
+A trace of the given size is generated from a seed, and the command line summarizes it in a process
+of its own. The kernel reports that process's peak memory (Linux only).
+"""
 
 import json
 import subprocess
@@ -19,7 +22,8 @@
 )
 CUSTOMERS = 1_000_000
 UPSTREAMS = 300
-# The largest memory as the kernel has it of this program alone: rusage would count what its parent had when it was begun, too.
+# VmHWM is the peak memory of this program alone. The peak in rusage would include the memory that
+# its parent had when the process was started.
 SUMMARY = """
 import re, sys
 from pepperhook.cli import main
@@ -29,70 +33,81 @@
 
 
 def make(path, megabytes: float, seed: int, tell=lambda *_: None) -> int:
-    """Writes a trace of about so many megabytes; how many lives it has. Ids are as random as clients' are, customers a million."""
-    chance, lives, taken = Random(seed), 0, 10**18
+    """Write a trace of about this size and return its number of request traces.
+
+    Ids are random like those of real clients; there are a million tenants.
+    """
+    chance, traces, accepted_ns = Random(seed), 0, 10**18
     writer = ContainerWriter(
         Path(path),
         FileMetadata("trace", records.CONTENT_VERSION, "b0-0", 0, 10**18, 10**18, {"share": 1.0}),
     )
     names = [f"t0-{number:03}" for number in range(UPSTREAMS)]
-    most = int(megabytes * 1e6)
-    while writer.size < most:
+    max_bytes = int(megabytes * 1e6)
+    while writer.size < max_bytes:
         for _ in range(2000):
-            taken += chance.randrange(1000, 300_000)
-            final, one, other = (
-                FINALS[lives % len(FINALS)],
+            accepted_ns += chance.randrange(1000, 300_000)
+            final, first, second = (
+                FINALS[traces % len(FINALS)],
                 names[chance.randrange(UPSTREAMS)],
                 names[chance.randrange(UPSTREAMS)],
             )
-            took = 1000 + int(chance.expovariate(1 / 20_000))
-            drawn = records.Selection(
+            duration_us = 1000 + int(chance.expovariate(1 / 20_000))
+            selection = records.Selection(
                 "slice",
                 8,
-                1 + lives % 8,
+                1 + traces % 8,
                 [
-                    (one, chance.random(), chance.random() * 5, chance.random()),
-                    (other, chance.random(), chance.random() * 5, chance.random()),
+                    (first, chance.random(), chance.random() * 5, chance.random()),
+                    (second, chance.random(), chance.random() * 5, chance.random()),
                 ],
             )
-            again = (
+            retry = (
                 None
                 if final == records.RequestOutcome.SERVED
                 else records.RetryDecision(
                     "chance", chance.random(), 0.2, chance.random() / 5, chance.random()
                 )
             )
-            life = records.RequestTrace(
+            trace = records.RequestTrace(
                 f"{chance.getrandbits(128):032x}",
                 "",
-                GRADES[lives % 3],
+                GRADES[traces % 3],
                 f"c{chance.randrange(CUSTOMERS)}",
-                taken,
+                accepted_ns,
                 2_000_000,
                 1_000_000,
                 chance.random(),
                 final,
-                took,
-                final == records.RequestOutcome.SERVED and lives % 50 == 0,
-                "" if again is None else "not again: chance",
+                duration_us,
+                final == records.RequestOutcome.SERVED and traces % 50 == 0,
+                "" if retry is None else "not again: chance",
                 [],
                 [
                     records.AttemptTrace(
-                        one, 200, took, "fulfilled" if again is None else "error", drawn, again
+                        first,
+                        200,
+                        duration_us,
+                        "fulfilled" if retry is None else "error",
+                        selection,
+                        retry,
                     )
                 ],
             )
-            writer.append(records.encode(life), taken, records.index_keys(life))
-            lives += 1
-        tell("writing", min(1.0, writer.size / most))
+            writer.append(records.encode(trace), accepted_ns, records.index_keys(trace))
+            traces += 1
+        tell("writing", min(1.0, writer.size / max_bytes))
     writer.close()
-    return lives
+    return traces
 
 
 def measure(megabytes: float, seed: int, folder, tell=lambda *_: None) -> dict:
-    """Raises OSError where the disk has no room, RuntimeError where the summary did not end well."""
+    """Return the figures of one summary.
+
+    Raises OSError if the disk is full, RuntimeError if the summary failed.
+    """
     path = Path(folder) / "large.trc"
-    lives = make(path, megabytes, seed, tell)
+    traces = make(path, megabytes, seed, tell)
     tell("summing up", 0.5)
     begun = time.monotonic()
     done = subprocess.run(
@@ -102,12 +117,12 @@
         raise RuntimeError(
             f"the summary ended with {done.returncode}: {done.stderr.strip().splitlines()[-1:]}"
         )
-    told, size = json.loads(done.stdout), path.stat().st_size
+    summary, size = json.loads(done.stdout), path.stat().st_size
     return {
         "megabytes": round(size / 1e6, 1),
-        "lives": lives,
-        "summed": told["lives"],
-        "bytes_a_life": round(size / lives, 1),
+        "lives": traces,
+        "summed": summary["lives"],
+        "bytes_a_life": round(size / traces, 1),
         "peak_mb": round(int(done.stderr.split()[-1]) / 1024, 1),
         "seconds": round(time.monotonic() - begun, 1),
     }
