--- a/pepperhook/lab/day.py
+++ b/pepperhook/lab/day.py
@@ -28,10 +28,10 @@
 LEAD_S = 1.2  # a balancer is started this long before its upstream comes back
 # Share of all cores taken by other machines on the same hardware within one sample. With a larger
 # share the run is void, as its figures would describe the host.
-STOLEN = 0.05
+MAX_STOLEN = 0.05
 # How long a process may wait for a core within one sample. With a longer wait the run is void, as
 # its figures would describe the machine.
-SHORT_MS = 400
+MAX_CORE_WAIT_MS = 400
 ROOT = Path(__file__).resolve().parents[2]
 LINE = re.compile(r"(\w+)=(\"(?:[^\"\\]|\\.)*\"|\S+)")
 
@@ -47,12 +47,12 @@
         self.waited, self.worst_ms, self.who = {}, 0.0, None
         self.ticks, self.stolen = None, 0.0
 
-    def look(self, processes):
+    def sample(self, processes):
         """Sample the waits of ``processes``, rows of (name, process); call about once a second.
 
         Keeps the longest wait between two samples and the name of its process.
         """
-        self.theft()
+        self.sample_stolen()
         for name, process in processes:
             try:
                 with open(f"/proc/{process.pid}/schedstat", encoding="ascii") as file:
@@ -64,7 +64,7 @@
             if before is not None and (waited - before) / 1e6 > self.worst_ms:
                 self.worst_ms, self.who = (waited - before) / 1e6, name
 
-    def theft(self, path="/proc/stat"):
+    def sample_stolen(self, path="/proc/stat"):
         """Sample the CPU time stolen from this virtual machine.
 
         Stolen time shows in the statistics of no process, so a slow second would otherwise be
@@ -470,7 +470,7 @@
 
     def sample(self):
         """Sample the waits for cores and make the balancers log their counters."""
-        self.cores.look(
+        self.cores.sample(
             [
                 (f"balancer {b.tier}.{b.number}", b.process)
                 for b in self.balancers.values()
@@ -556,7 +556,7 @@
             "interrupted": interrupted,
             "load": load,
             "void": bool(load.get("void"))
-            or (self.cores.worst_ms > SHORT_MS or self.cores.stolen > STOLEN),
+            or (self.cores.worst_ms > MAX_CORE_WAIT_MS or self.cores.stolen > MAX_STOLEN),
             "core_wait": {
                 "worst_ms": round(self.cores.worst_ms),
                 "who": self.cores.who,
--- a/pepperhook/lab/load.py
+++ b/pepperhook/lab/load.py
@@ -80,25 +80,25 @@
     """
 
     def __init__(self, plan):
-        self.seed, self.told = plan.seed, plan.day.front
+        self.seed, self.config = plan.seed, plan.day.front
         self.addresses = [plan.balancer(0, number) for number in range(plan.day.tiers[0].balancers)]
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
         self.alive = list(self.addresses)
-        self.well_at = dict.fromkeys(self.addresses, time.monotonic())
+        self.last_healthy_at = dict.fromkeys(self.addresses, time.monotonic())
         self.turn = 0
         ranked = sorted(
             self.addresses, key=lambda address: chance.share(plan.seed, "rank", address)
         )
         self.weights = {
-            address: (rank + 1) ** -self.told.skew for rank, address in enumerate(ranked)
+            address: (rank + 1) ** -self.config.skew for rank, address in enumerate(ranked)
         }
 
-    def deal(self):
+    def next_address(self):
         """Return the address for the next connection; None if no balancer is alive."""
         if not self.alive:
             return None
         self.turn += 1
-        if not self.told.skew:
+        if not self.config.skew:
             return self.alive[self.turn % len(self.alive)]
         drawn = chance.share(self.seed, "deal", self.turn) * sum(
             self.weights[address] for address in self.alive
@@ -114,11 +114,11 @@
         while True:
             for address in self.addresses:
                 if await healthy(address):
-                    self.well_at[address] = time.monotonic()
+                    self.last_healthy_at[address] = time.monotonic()
                     if address not in self.alive:
                         self.alive.append(address)
                 elif (
-                    time.monotonic() - self.well_at[address] > self.told.notice_s
+                    time.monotonic() - self.last_healthy_at[address] > self.config.notice_s
                     and address in self.alive
                 ):
                     self.alive.remove(address)
@@ -157,13 +157,13 @@
         "over",
         "timer",
         "data",
-        "again",
-        "gave_up",
+        "resent",
+        "leaves_early",
         "future",
         "stream",
         "to",
         "pool",
-        "behind",
+        "copies_at_end",
     )
 
     data: bytes  # the message as sent, kept for sending it again on a new connection
@@ -178,14 +178,14 @@
         )
         self.customer, self.intended, self.sent, self.future = customer, intended, 0, None
         self.limit, self.to, self.pool = load.limits[grade], to, load.pools[to]
-        self.link, self.fresh, self.over, self.again, self.gave_up = (
+        self.link, self.fresh, self.over, self.resent, self.leaves_early = (
             None,
             False,
             False,
             False,
             False,
         )
-        self.behind = 0  # copies to send in the same event loop turn in which this one ends
+        self.copies_at_end = 0  # copies to send in the same event loop turn in which this one ends
 
     def begin(self):
         """Send the request and start its timer."""
@@ -209,7 +209,7 @@
         leave = load.day.clients.leave
         if leave and (draw := chance.share(load.plan.seed, "leave", self.id)) < leave:
             # Drawn by the request's id, so it is the same for HTTP/1.1 and HTTP/2.
-            self.gave_up = True
+            self.leaves_early = True
             patience = self.limit * draw / leave / 3
         self.timer = load.loop.call_later(patience / S, self.late)
         self.pool.ask(self, method, name, headers, load.bodies[self.grade])
@@ -228,10 +228,10 @@
 
     def lost(self, why, unread=False):
         """Record a connection that broke; ``unread``: before any byte of the response."""
-        if unread and not self.fresh and not self.again:
+        if unread and not self.fresh and not self.resent:
             # The balancer closed the kept connection while the request was sent: resend it once on
             # a new connection.
-            self.again = True
+            self.resent = True
             self.pool.idle.clear()
             self.pool.send(self, self.data)
             return
@@ -252,7 +252,7 @@
     def late(self):
         """Record that the client's patience or time limit ran out, and close the connection."""
         self.pool.drop(self)
-        self.done("gone" if self.gave_up or self.load.patience is not None else "open", 0, "")
+        self.done("gone" if self.leaves_early or self.load.patience is not None else "open", 0, "")
         self.load.failed(self, 0.0)
 
     def done(self, kind, status, body, note=""):
@@ -287,7 +287,7 @@
             load.served.record_value(max(1, min(60 * 10**6, (now - self.intended) // 1000)))
         if self.future is not None and not self.future.done():
             self.future.set_result(status)
-        for turn in range(self.behind):
+        for turn in range(self.copies_at_end):
             load.copy(self, 50 + turn)
 
 
@@ -306,7 +306,7 @@
         make = wire.Pool
         if plan.day.clients.protocol == "h2":
             from pepperhook.lab.wire2 import Pool2 as make
-        self.pools = {-1: make(where or self.front.deal, self.unasked, self.unasked)}
+        self.pools = {-1: make(where or self.front.next_address, self.unasked, self.unasked)}
         for number, address in enumerate(self.front.addresses):
             self.pools[number] = make(lambda address=address: address, self.unasked, self.unasked)
         grades = plan.day.grades
@@ -387,7 +387,7 @@
         for number in range(int(draw() * (self.day.clients.duplicates + 1))):
             kind, position = int(draw(number) * 6), draw(number, "at")
             if kind == 2:
-                exchange.behind += 1
+                exchange.copies_at_end += 1
                 continue
             wait = (
                 position * 0.003,
@@ -523,7 +523,7 @@
                 data = data.replace(b"X-Request-ID", b"X-Request-ID: forged\r\nX-Request-ID")
             with suppress(OSError, TimeoutError):
                 async with asyncio.timeout(5):
-                    address = self.front.deal()
+                    address = self.front.next_address()
                     if address is None:
                         await asyncio.sleep(0.2)
                         continue
--- a/tests/lab/experiments.py
+++ b/tests/lab/experiments.py
@@ -16,6 +16,6 @@
 def make_zoned_experiment(more=""):
     """Return a checked experiment with two zones, and ``more`` at the end of its file."""
     text = ZONED_EXPERIMENT + more
-    made = read_experiment(text)
-    experiment.check(made, text=text)
-    return made
+    parsed = read_experiment(text)
+    experiment.check(parsed, text=text)
+    return parsed
--- a/tests/lab/test_cores.py
+++ b/tests/lab/test_cores.py
@@ -1,17 +1,17 @@
-"""Whether the processes of a run got the processor time that they wanted."""
+"""Measuring how long the processes of a run waited for a core."""
 
 import builtins
 import io
 from types import SimpleNamespace
 
-from pepperhook.lab.day import STOLEN, Cores
+from pepperhook.lab.day import MAX_STOLEN, Cores
 
 PID = 7
 NO_PID = 2**22 + 1
 
 
 class ScheduleStatistics:
-    """Stands in for the kernel's file of a process: nanoseconds waited for a core."""
+    """Stand-in for /proc/PID/schedstat: nanoseconds that a process waited for a core."""
 
     def __init__(self, monkeypatch):
         self.waited_ns = 0
@@ -33,18 +33,19 @@
 
     for waited_ns in (900_000_000, 1_350_000_000, 1_400_000_000):
         statistics.waited_ns = waited_ns
-        cores.look(processes)
+        cores.sample(processes)
 
-    # What it waited before the first sample, while all processes started, does not count.
+    # Waits before the first sample don't count: all processes are starting then.
     assert (cores.worst_ms, cores.who) == (450.0, "balancer 0.0")
 
 
-def test_second_in_which_the_machine_lost_cores_is_noticed(tmp_path):
-    # A run on which a virtual machine got a fifth less was taken for a verdict on the program.
+def test_largest_share_of_stolen_time_between_two_samples_is_kept(tmp_path):
+    # Guards against blaming the program for a run in which the virtual machine lost a fifth of
+    # its cores.
     cores, statistics = Cores(), tmp_path / "stat"
 
     for idle, stolen in ((1000, 5), (1490, 15), (1905, 100)):
         statistics.write_text(f"cpu  0 0 0 {idle} 0 0 0 {stolen} 0 0\n")
-        cores.theft(str(statistics))
+        cores.sample_stolen(str(statistics))
 
-    assert cores.stolen == 85 / 500 > STOLEN
+    assert cores.stolen == 85 / 500 > MAX_STOLEN
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -16,7 +16,7 @@
 def test_requests_are_distributed_by_the_skew():
     front = make_front()
 
-    counts = Counter(front.deal() for _ in range(4000))
+    counts = Counter(front.next_address() for _ in range(4000))
 
     # 1, 1/2, 1/3 and 1/4 of 25/12; within five standard deviations.
     shares = sorted((count / 4000 for count in counts.values()), reverse=True)
@@ -25,11 +25,11 @@
 
 def test_requests_are_distributed_only_to_balancers_that_are_alive():
     front = make_front()
-    counts = Counter(front.deal() for _ in range(4000))
+    counts = Counter(front.next_address() for _ in range(4000))
     assert len(counts) > 1
 
     front.alive = front.alive[:1]
-    assert {front.deal() for _ in range(20)} == {front.alive[0]}
+    assert {front.next_address() for _ in range(20)} == {front.alive[0]}
 
     front.alive = []
-    assert front.deal() is None
+    assert front.next_address() is None
--- a/tests/lab/test_zones.py
+++ b/tests/lab/test_zones.py
@@ -1,4 +1,4 @@
-"""Zones of an experiment: who is in which, and which faults and borders that concerns."""
+"""Zones of an experiment: their members, and the faults that concern a zone or its border."""
 
 import pytest
 
@@ -40,7 +40,7 @@
     return Plan(zoned, 1, 30)
 
 
-def test_fault_of_a_zone_hits_only_what_is_in_that_zone(zoned):
+def test_fault_of_a_zone_affects_only_upstreams_and_balancers_in_that_zone(zoned):
     targets = [experiment.targets(zoned, fault) for fault in zoned.troubles]
 
     assert targets == [[1, 3], [0, 1, 2, 3], [0, 2]]
@@ -57,7 +57,7 @@
     ]
 
 
-def test_balancers_are_dealt_out_to_zones_in_turn(plan):
+def test_balancers_are_assigned_to_zones_in_turn(plan):
     assert [plan.settings(1, number)["locality"] for number in range(4)] == [0, 1, 0, 1]
     assert plan.settings(0, 0)["azs"] == ["a", "b"]
 
@@ -72,7 +72,7 @@
     assert [row["site"] for row in rows] == ["a", "b", "a", "b"]
 
 
-def test_released_upstream_drains_is_gone_and_comes_back_under_another_id(plan):
+def test_released_upstream_drains_leaves_and_returns_under_another_id(plan):
     listings = [row for row in Timeline.of(plan.day, 0).listings if row.number == 0]
 
     assert [(row.at, row.number, row.host, row.state) for row in listings] == [
