--- a/pepperhook/lab/day.py
+++ b/pepperhook/lab/day.py
@@ -223,8 +223,9 @@
             day = self.day = replace(
                 day, tiers=[replace(tier, carry=list(variant.carry)) for tier in day.tiers]
             )
-        block, self.held = experiment.free_block()
+        block, self.held = experiment.free_block()  # ``held`` locks the block
         self.plan = experiment.Plan(day, seed, block)
+        # ``own``: close the worktrees at the end.
         self.worktrees, self.own = worktrees or Worktrees(), worktrees is None
         self.tell, self.stages, self.balancers, self.start = tell or (lambda *_: None), [], {}, 0
         self.book, self.load, self.blind, self.sockets, self.cores = (
@@ -295,7 +296,10 @@
             raise Failed(f"a stand-in did not start: {' '.join(tail) or 'it printed nothing'}")
 
     def play(self):
-        """Run the scenario. Return the result and store it in result.json, also after an interrupt."""
+        """Run the scenario, store the result in result.json and return it.
+
+        An interrupted run has a result, too.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
         for old in self.folder.glob("*.rows"):
             old.unlink()
@@ -355,7 +359,8 @@
                 if balancer.process.poll() is not None or time.monotonic() > ends:
                     tail = Path(balancer.log).read_text(errors="replace").strip().splitlines()[-1:]
                     raise Failed(
-                        f"balancer {balancer.tier}.{balancer.number} did not become ready: {' '.join(tail)}"
+                        f"balancer {balancer.tier}.{balancer.number} did not become ready: "
+                        f"{' '.join(tail)}"
                     )
                 time.sleep(0.02)
 
--- a/pepperhook/lab/demo.py
+++ b/pepperhook/lab/demo.py
@@ -144,8 +144,8 @@
     report.write(folder, day, [result], summary)
     figures = result["figures"]
     console.print(
-        f"{figures['wishes']} requests, {figures['served']:.1%} served, {figures['goodput']:.1%} of "
-        f"their value, {figures['shed']:.1%} rejected; rules broken: "
+        f"{figures['wishes']} requests, {figures['served']:.1%} served, "
+        f"{figures['goodput']:.1%} of their value, {figures['shed']:.1%} rejected; rules broken: "
         f"{', '.join(f['name'] for f in result['findings']) or 'none'}."
     )
     return folder / "report.html"
--- a/pepperhook/lab/experiment.py
+++ b/pepperhook/lab/experiment.py
@@ -337,7 +337,7 @@
 class Plan:
     """Addresses and settings of one run, all in 127.0.0.0/8.
 
-    Each caller reaches each upstream at a separate port, so that a stand-in can identify the caller.
+    Each caller reaches each upstream at a separate port, so that a stand-in can identify it.
     """
 
     def __init__(self, day, seed, block):
--- a/pepperhook/lab/speed.py
+++ b/pepperhook/lab/speed.py
@@ -1,10 +1,10 @@
 """Measure the throughput and latency of a balancer on one core.
 
-It compares the four pairings of HTTP/1.1 and HTTP/2 for clients and upstreams. Each round runs every
-pairing twice, in an order that rotates: with closed-loop clients that saturate the balancer
+It compares the four pairings of HTTP/1.1 and HTTP/2 for clients and upstreams. Each round runs
+every pairing twice, in an order that rotates: with closed-loop clients that saturate the balancer
 (requests per second and core), and with an open loop at half of that rate (latency, counted from
-the intended send time). The first counts only if the balancer was the bottleneck, the second only if
-the load generator was not.
+the intended send time). The first counts only if the balancer was the bottleneck, the second only
+if the load generator was not.
 """
 
 import statistics
@@ -21,9 +21,9 @@
     "2-1": ("h2", "http/1.1"),
     "2-2": ("h2", "h2"),
 }
-BUSY = 0.9  # share of a core below which something other than the balancer was the bottleneck
+BUSY = 0.9  # the balancer was the bottleneck if it used at least this share of a core
 CLIENTS, UPSTREAMS = 48, 6
-WORK_MS = 0.5
+WORK_MS = 0.5  # of each request, at an upstream
 
 
 def day(seconds, **more):
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -1,4 +1,7 @@
-"""Days on real processes: troubles really happen, and what is played is what is told. Two days with many of them."""
+"""Scenarios on real processes: injected faults take effect and are recorded as they happened.
+
+Two scenarios with many faults.
+"""
 
 import asyncio
 import json
@@ -44,7 +47,7 @@
 [discovery]
 notice_s = 0.3
 """
-TROUBLES = (
+UPSTREAM_FAULTS = (
     ("crash", 0),
     ("hang", 1),
     ("errors", 2),
@@ -57,7 +60,7 @@
     ("net_silence", 9),
     ("replaced", 10),
 )
-OTHERS = """[[troubles]]
+OTHER_FAULTS = """[[troubles]]
 what = "kill_balancer"
 at = 4.2
 for = 0.5
@@ -75,12 +78,13 @@
 
 @pytest.fixture(scope="module")
 def played(tmp_path_factory):
+    """Run the first scenario; return the experiment, the result and the event rows."""
     text = (
         DAY
-        + OTHERS
+        + OTHER_FAULTS
         + "".join(
             f'[[troubles]]\nwhat = "{what}"\nat = 1.5\nfor = 2\nwho = [{who}]\n'
-            for what, who in TROUBLES
+            for what, who in UPSTREAM_FAULTS
         )
     )
     day = tomlfile.decode(text, Experiment)
@@ -89,32 +93,35 @@
     return day, Day(day, Variant(name="pepperhook"), 9, folder).play(), events.read(folder)
 
 
-def test_no_rule_is_broken_through_all_of_them(played):
+def test_no_rule_is_broken_under_all_faults(played):
     _, result, _ = played
     assert result["findings"] == [] and not result["interrupted"]
-    # Eleven of twelve upstreams are troubled at once for a third of the day, and one of two balancers dies.
+    # Eleven of twelve upstreams are faulty at once for a third of the run, and one of two balancers
+    # is killed.
     assert result["figures"]["wishes"] > 900 and 0.3 < result["figures"]["served"] < 1
 
 
-def test_each_trouble_began_ended_and_left_its_mark(played):
+def test_each_fault_begins_ends_and_has_an_effect(played):
     day, _, rows = played
-    seen = {(row.what, row.on) for row in rows if isinstance(row, events.Happened)}
+    recorded = {(row.what, row.on) for row in rows if isinstance(row, events.Happened)}
     for what in {trouble.what for trouble in day.troubles} - {"kill_balancer", "discovery_move"}:
-        assert (what, True) in seen and (what, False) in seen, what
-    assert ("balancer killed", True) in seen and ("discovery_move", True) in seen
+        assert (what, True) in recorded and (what, False) in recorded, what
+    assert ("balancer killed", True) in recorded and ("discovery_move", True) in recorded
     works = [row for row in rows if isinstance(row, events.Work)]
     marks = {(row.upstream, row.outcome) for row in works}
     assert {(1, "hung"), (2, "error"), (4, "reset"), (7, "spoilt")} <= marks
     start = min(row.intended for row in rows if isinstance(row, events.Try))
-    # What is down, or can't be reached, gets nothing; the list's words go to both balancers.
+    # Upstreams that are down or unreachable get nothing; both balancers get the list's changes.
     for upstream in (0, 5, 6, 9, 10):
         assert not [
             row
             for row in works
             if row.upstream == upstream and 1.7e9 < row.first_byte - start < 3.3e9
         ], upstream
-    told = {(row.caller, row.upstream, row.state) for row in rows if isinstance(row, events.Told)}
-    assert {(0, 0, "gone"), (1, 0, "gone"), (0, 0, "ready"), (1, 10, "gone")} <= told
+    notified = {
+        (row.caller, row.upstream, row.state) for row in rows if isinstance(row, events.Told)
+    }
+    assert {(0, 0, "gone"), (1, 0, "gone"), (0, 0, "ready"), (1, 10, "gone")} <= notified
 
 
 def test_bad_clients_reach_no_upstream(played):
@@ -138,8 +145,9 @@
     .replace("bad = {", "bad = {}  # ")
     .replace("machine = { cores = 1,", "machine = { cores = 1, crowd_speed = 0.2,")
 )
-# (what, upstreams or balancers, from, for, size): the list can't tell of the drain while it is out, nor at once when it lags.
-LATER = (
+# (what, upstreams or balancers, from, for, size). The discovery service can't report a drain during
+# its outage, and reports it late while it lags.
+SECOND_FAULTS = (
     ("drain", [0], 1.0, 2.0, 0),
     ("crowd", [1], 1.0, 2.0, 0),
     ("net_delay", [2], 1.0, 2.5, 0.06),
@@ -157,10 +165,11 @@
 
 @pytest.fixture(scope="module")
 def second(tmp_path_factory):
+    """Run the second scenario; return the experiment, the result, the event rows and the folder."""
     text = SECOND + "".join(
         f'[[troubles]]\nwhat = "{what}"\nat = {at}\nfor = {long}\nsize = {size}\n'
         + (f"who = {who}\n" if who else "")
-        for what, who, at, long, size in LATER
+        for what, who, at, long, size in SECOND_FAULTS
     )
     day = tomlfile.decode(text, Experiment)
     experiment.check(day, text=text)
@@ -170,42 +179,43 @@
 
 
 def since_start(result, at):
+    """Return the seconds from the start of the run to ``at``."""
     return (at - result["start"]) / S
 
 
-def test_the_second_day_breaks_no_rule_either(second):
+def test_second_scenario_breaks_no_rule(second):
     _, result, _, _ = second
     assert (
         result["findings"] == [] and not result["interrupted"] and result["figures"]["served"] > 0.8
     )
 
 
-def test_what_is_told_to_drain_gets_nothing_after_the_grace_until_it_is_ready_again(second):
+def test_draining_upstream_gets_nothing_after_the_grace_until_it_is_ready_again(second):
     _, result, rows, _ = second
-    told = {}
+    notified_at = {}
     for row in rows:
         if isinstance(row, events.Told) and row.upstream == 0:
-            told.setdefault((row.caller, row.state), []).append(row.at)
-    before, behind = [], []
+            notified_at.setdefault((row.caller, row.state), []).append(row.at)
+    before, after = [], []
     for caller in 0, 1:
-        came = [
+        received = [
             row.first_byte
             for row in rows
             if isinstance(row, events.Work) and (row.upstream, row.caller) == (0, caller)
         ]
-        drained = told[caller, "draining"][0]
-        ready = min(at for at in told[caller, "ready"] if at > drained)
-        # Told at 1 s and at 3 s; before and behind that it has its share, between them nothing after the grace, with as much
-        # more as the auditor gives a busy machine.
+        drained = notified_at[caller, "draining"][0]
+        ready = min(at for at in notified_at[caller, "ready"] if at > drained)
+        # Listed as draining at 1 s and as ready at 3 s. Before and after it gets its share; between
+        # them nothing after the grace, plus the tolerance that the auditor gives a busy machine.
         assert 0.9 < since_start(result, drained) < 2.5 < since_start(result, ready)
-        # One of the two may have it outside of its slice.
-        before += [at for at in came if at < drained]
-        behind += [at for at in came if at > ready]
-        assert not [at for at in came if drained + 0.45 * S < at < ready]
-    assert before and behind
+        # The upstream may be outside the subset of one of the two balancers.
+        before += [at for at in received if at < drained]
+        after += [at for at in received if at > ready]
+        assert not [at for at in received if drained + 0.45 * S < at < ready]
+    assert before and after
 
 
-def test_crowding_and_the_network_slow_or_cut_what_they_are_about_and_nothing_else(second):
+def test_crowding_and_network_faults_affect_only_their_targets(second):
     _, result, rows, _ = second
     works = [row for row in rows if isinstance(row, events.Work)]
     tries = {row.id: row for row in rows if isinstance(row, events.Try)}
@@ -213,7 +223,8 @@
     def within(row, begin=1.1, end=2.9):
         return begin < since_start(result, row.first_byte) < end
 
-    # The work of 2 ms takes a crowded one 10 ms at the least, as its speed is a fifth until it has idled for a second.
+    # Work of 2 ms takes a crowded upstream at least 10 ms, as it runs at a fifth of its speed until
+    # it has been idle for a second.
     crowded = [
         row.ended - row.came
         for row in works
@@ -223,7 +234,7 @@
         row.ended - row.came for row in works if row.upstream == 7 and row.outcome == "served"
     )
     assert crowded and min(crowded) >= 9.9e6 and others[len(others) // 2] < 9e6
-    # A relay's delay is added both ways.
+    # A relay adds its delay in both directions.
     delayed = [
         tries[row.id]
         for row in works
@@ -231,16 +242,18 @@
     ]
     delayed = [row for row in delayed if row.body.startswith("0.2.")]
     assert delayed and min(row.ended - row.sent for row in delayed) >= 120e6
-    # Deaf: nothing comes there; mute: it comes, is worked on, and no answer gets back.
+    # Deaf: no request arrives. Mute: requests arrive and are processed, but no response gets back.
     assert not [row for row in works if row.upstream == 3 and within(row)]
-    # What was sent in its first moments counts as out, and keeps more away: one of two, from the very beginning, or there may be none.
+    # Requests sent in the first moments stay in flight and keep further ones away. So look at two
+    # upstreams, from the very beginning of the fault; otherwise there may be no request.
     mute = [row for row in works if row.upstream in (4, 6) and within(row, begin=1.0, end=3.3)]
     assert mute and not [
         row
         for row in mute
         if within(row, end=3.3) and tries[row.id].status == 200 and tries[row.id].body == row.nonce
     ]
-    # Behind it they come back, though not all within these seconds: what was judged is tried now and then.
+    # Afterwards they get requests again, though not all within these seconds: ejected upstreams are
+    # tried only now and then.
     assert (
         len(
             {row.upstream for row in works if since_start(result, row.first_byte) > 4.0}
@@ -250,12 +263,12 @@
     )
 
 
-def test_the_list_says_nothing_while_it_is_out_and_late_while_it_lags(second):
+def test_discovery_service_is_silent_during_an_outage_and_late_during_a_lag(second):
     _, result, rows, _ = second
-    told = [row for row in rows if isinstance(row, events.Told)]
-    assert not [row for row in told if 3.45 < since_start(result, row.at) < 4.55]
+    notifications = [row for row in rows if isinstance(row, events.Told)]
+    assert not [row for row in notifications if 3.45 < since_start(result, row.at) < 4.55]
     first = {}
-    for row in told:
+    for row in notifications:
         if row.state == "draining":
             first.setdefault(row.upstream, since_start(result, row.at))
     assert first[5] > 4.6 and first[6] > 5.2 + 1.2 - 0.05
@@ -267,13 +280,14 @@
     assert listed and listed[0] > 6.35
 
 
-def test_balancers_are_told_to_read_again_to_leave_and_are_rolled_one_by_one(second):
+def test_balancers_reload_leave_and_are_rolled_one_after_another(second):
     _, result, rows, folder = second
     happened = [(row.what, row.who) for row in rows if isinstance(row, events.Happened)]
     assert ("balancer told to read again", 0) in happened
     logs = [(folder / f"balancer-0-{number}.log").read_text() for number in (0, 1)]
     assert "event=reloaded" in logs[0]
-    # The second was told to leave and rolled, the first rolled: each is gone before the next takes its address.
+    # The second balancer is asked to leave and is rolled, the first is only rolled. Each has exited
+    # before its successor takes over its address.
     left = [happened.count(("balancer told to leave", number)) for number in (0, 1)]
     assert left == [1, 2] == [happened.count(("balancer begun", number)) for number in (0, 1)]
     assert [log.count("event=started") for log in logs] == [2, 3]
@@ -285,45 +299,45 @@
     assert rolled[1] - rolled[0] >= 0.7 * S
 
 
-def test_clients_of_the_closed_loop_wait_for_their_answer_and_think(second):
+def test_closed_loop_clients_wait_for_the_response_and_the_think_time(second):
     _, result, rows, _ = second
-    mine = {}
+    by_client = {}
     for row in rows:
         if isinstance(row, events.Try) and "c" in row.id.split(".")[0]:
-            mine.setdefault(row.id.split(".")[0], []).append(row)
-    assert len(mine) == 3
-    for tries in mine.values():
+            by_client.setdefault(row.id.split(".")[0], []).append(row)
+    assert len(by_client) == 3
+    for tries in by_client.values():
         tries.sort(key=lambda row: row.intended)
         assert len(tries) > 10 and all(
             after.intended - before.ended >= 39e6 for before, after in zip(tries, tries[1:])
         )
 
 
-def test_load_reports_go_stale_and_are_lost(tmp_path):
+def test_load_reports_can_be_stale_or_lost(tmp_path):
     stage = Stage(SimpleNamespace(day=tomlfile.decode(DAY, Experiment)), tmp_path, 0)
     upstream = Upstream(stage, 0)
     upstream.machine = Machine(upstream.spec, time.monotonic_ns())
 
-    def told():
+    def poll():
         head, _, body = upstream.told_load(b"/_load").partition(b"\r\n\r\n")
         return int(head.split()[1]), json.loads(body)["outstanding"] if body else None
 
-    assert told() == (200, 0)
+    assert poll() == (200, 0)
     upstream.on["stale_report"] = Trouble(what="stale_report", at=0)
     upstream.machine.arrive(time.monotonic_ns(), Job(S, None))
-    assert told() == (200, 0)
+    assert poll() == (200, 0)
     del upstream.on["stale_report"]
-    assert told() == (200, 1)
+    assert poll() == (200, 1)
     upstream.on["lost_report"] = Trouble(what="lost_report", at=0)
-    assert told() == (503, None)
+    assert poll() == (503, None)
     del upstream.on["lost_report"]
-    assert told() == (200, 1)
+    assert poll() == (200, 1)
     stage.book.close()
 
 
 @loopback
-async def test_a_cut_resets_what_is_open_and_new_connections_come_up():
-    """Nothing of it shows in a day's rows where no operation happens to be out."""
+async def test_network_cut_resets_open_connections_and_allows_new_ones():
+    # The event rows of a run show nothing of a cut that happens while no request is in flight.
 
     async def echo(reader, writer):
         with suppress(ConnectionError):
@@ -338,19 +352,19 @@
         lambda: Side(relay, "on"), "127.0.0.1", 0
     )
 
-    async def ask():
+    async def exchange_byte():
         reader, writer = await asyncio.open_connection(*front.sockets[0].getsockname()[:2])
         writer.write(b"x")
         return reader, writer, await reader.read(1)
 
-    reader, writer, got = await ask()
-    assert got == b"x"
+    reader, writer, answer = await exchange_byte()
+    assert answer == b"x"
     Network.set(relay, Trouble(what="net_cut", at=0), True)
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
         await reader.readexactly(1)
     writer.close()
-    reader, writer, got = await ask()
-    assert got == b"x"
+    reader, writer, answer = await exchange_byte()
+    assert answer == b"x"
     writer.close()
     relay.cut()
     front.close()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab: what it decides without sockets, and that the auditor can fail."""
+"""Parts of the lab that need no sockets, and the auditor's ability to find faults."""
 
 import random
 import subprocess
@@ -51,16 +51,17 @@
 
 
 def day(more=""):
-    told = tomlfile.decode(DAY + more, Experiment)
-    experiment.check(told, text=DAY + more)
-    return told
+    """Return the checked experiment, with ``more`` at the end of its file."""
+    parsed = tomlfile.decode(DAY + more, Experiment)
+    experiment.check(parsed, text=DAY + more)
+    return parsed
 
 
-# The machine.
+# The model of an upstream's machine.
 
 
 def run(box, ends, step=MS):
-    """Drives a machine by its own wake-ups; jobs by the time at which they were done."""
+    """Advance a machine by its own wake-ups; return {job: time at which it was done}, in ns."""
     done, now = {}, box.at
     while now < ends:
         at = box.next_at(now)
@@ -71,7 +72,7 @@
     return done
 
 
-def test_cores_are_shared_evenly_and_no_job_gets_more_than_one():
+def test_jobs_share_cores_evenly_and_none_gets_more_than_one():
     box, jobs = Machine(Spec(cores=2, connect_work_ms=0), 0), [Job(10 * MS, n) for n in range(4)]
     for job in jobs:
         assert box.arrive(0, job) == machine.TAKEN
@@ -83,7 +84,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_work_is_lost_or_made_and_slots_hold(seed):
+def test_all_accepted_work_is_done_and_limits_of_slots_and_queue_hold(seed):
     chance = random.Random(seed)
     spec = Spec(
         cores=chance.choice([1, 2, 3.5]),
@@ -92,32 +93,36 @@
         cancel_stops=chance.random() < 0.5,
         crowd_at=chance.choice([0, 4]),
     )
-    box, now, taken, over, away = Machine(spec, 0), 0, [], set(), 0
+    box, now, taken, finished, turned_away = Machine(spec, 0), 0, [], set(), 0
     for _ in range(400):
         now += chance.randrange(0, 6 * MS)
         for job in box.due(now):
-            assert job.state == "done" and job not in over
-            over.add(job)
+            assert job.state == "done" and job not in finished
+            finished.add(job)
             box.free(now, job)
         if chance.random() < 0.6:
             job = Job(chance.randrange(MS, 20 * MS), None)
-            said = box.arrive(now, job)
-            away += said == machine.TURNED_AWAY
-            if said != machine.TURNED_AWAY:
+            answer = box.arrive(now, job)
+            turned_away += answer == machine.TURNED_AWAY
+            if answer != machine.TURNED_AWAY:
                 taken.append(job)
         elif taken and chance.random() < 0.3:
             job = chance.choice(taken)
-            if job not in over and job.state in ("working", "waiting") and box.abandon(now, job):
-                over.add(job)
+            if (
+                job not in finished
+                and job.state in ("working", "waiting")
+                and box.abandon(now, job)
+            ):
+                finished.add(job)
         assert box.held <= spec.slots and len(box.waiting) <= spec.queue
         assert box.working == sum(job.state == "working" for job in taken) <= box.held
-        # The cores can't have done more than there was time for.
+        # The cores can't have done more work than the elapsed time allows.
         assert box.done_work <= spec.cores * spec.speed * now + 1000
-    over |= set(run(box, now + 100 * S))
-    assert over == set(taken) and not box.held and not box.waiting
+    finished |= set(run(box, now + 100 * S))
+    assert finished == set(taken) and not box.held and not box.waiting
 
 
-def test_a_cold_one_warms_and_falls_over_when_pushed():
+def test_cold_machine_warms_up_and_fails_when_overloaded():
     spec = Spec(cores=1, start_capacity=0.2, warm_s=2, fall_multiple=2, fall_s=1)
     box = Machine(spec, 0, cold=True)
     assert (
@@ -138,7 +143,7 @@
     assert not warm.fell
 
 
-def test_a_crowded_one_stays_slow_until_it_has_idled():
+def test_crowded_machine_stays_slow_until_it_has_been_idle():
     box = Machine(Spec(cores=1, crowd_at=3, crowd_speed=0.5, crowd_rest_s=1), 0)
     for n in range(3):
         box.arrive(0, Job(10 * MS, n))
@@ -150,7 +155,7 @@
     assert run(box, 4 * S)[late] - 3 * S == pytest.approx(10 * MS, rel=0.01)
 
 
-def test_one_that_stands_still_goes_on_where_it_was():
+def test_paused_machine_resumes_its_work():
     box, job = Machine(Spec(cores=1), 0), Job(10 * MS, 0)
     box.arrive(0, job)
     box.slow(5 * MS, 0.0)
@@ -161,7 +166,7 @@
 
 # Experiments.
 
-FAULTS = [
+ERRORS = [
     ("secconds = 4", "line 1: secconds: is not known; 'seconds' is the nearest that is"),
     ("version = 2", "line 1: version: invalid enum value 2"),
     ("a = 1\nb = \n", "line 2"),
@@ -192,57 +197,65 @@
 ]
 
 
-@pytest.mark.parametrize("text, told", FAULTS)
-def test_faults_of_an_experiment_name_line_and_key(tmp_path, text, told):
+@pytest.mark.parametrize("text, message", ERRORS)
+def test_errors_in_an_experiment_name_line_and_key(tmp_path, text, message):
     path = tmp_path / "day.toml"
     path.write_text(text)
     with pytest.raises(tomlfile.TomlFileError) as problem:
         experiment.read(path)
     assert (
-        told in str(problem.value)
+        message in str(problem.value)
         and str(path) in str(problem.value)
         and "\n" not in str(problem.value)
     )
 
 
-def test_a_plan_goes_through_its_file_and_addresses_are_loopback_and_differ(tmp_path):
+def test_plan_survives_its_file_and_has_distinct_loopback_addresses(tmp_path):
     plan = Plan(day(), 5, 33)
     plan.write(tmp_path / "plan.json")
-    again = Plan.read(tmp_path / "plan.json")
-    assert msgspec.to_builtins(again.day) == msgspec.to_builtins(plan.day) and (
-        again.seed,
-        again.block,
+    restored = Plan.read(tmp_path / "plan.json")
+    assert msgspec.to_builtins(restored.day) == msgspec.to_builtins(plan.day) and (
+        restored.seed,
+        restored.block,
     ) == (5, 33)
-    places = [
+    addresses = [
         plan.dial(tier, n, c)
         for tier, count, callers in ((0, 4, 1), (1, 2, 4))
         for n in range(count)
         for c in range(callers)
     ]
-    places += [plan.balancer(1, n) for n in range(4)] + [
+    addresses += [plan.balancer(1, n) for n in range(4)] + [
         plan.discovery(t, c) for t in range(2) for c in range(4)
     ]
-    assert len(set(places)) == len(places) and all(host.startswith("127.") for host, _ in places)
+    assert len(set(addresses)) == len(addresses) and all(
+        host.startswith("127.") for host, _ in addresses
+    )
 
 
-def test_arrivals_are_the_seeds_and_have_the_rate_asked_for():
-    told = day(
+def test_arrivals_depend_on_the_seed_and_have_the_requested_rate():
+    experiment_with_ramp = day(
         '[[load]]\nrate = 0\nto = 400\n[[load]]\nrate = 50\nat = 2\nfor = 1\nburst = 5\ncustomer = "ann"\n'
     )
-    times, grades, customers, _ = load.arrivals(told, 3)
+    times, grades, customers, _ = load.arrivals(experiment_with_ramp, 3)
     assert all(
         (part == other).all()
-        for part, other in zip((times, grades, customers), load.arrivals(told, 3)[:3])
+        for part, other in zip(
+            (times, grades, customers), load.arrivals(experiment_with_ramp, 3)[:3]
+        )
+    )
+    assert (
+        len(times) != len(load.arrivals(experiment_with_ramp, 4)[0])
+        and (times[1:] >= times[:-1]).all()
     )
-    assert len(times) != len(load.arrivals(told, 4)[0]) and (times[1:] >= times[:-1]).all()
-    # 400 steady, 800 on the ramp, 50 in bursts: within five standard deviations of a Poisson count and its bursts.
+    # 400 steady, 800 on the ramp and 50 in bursts, within five standard deviations of a Poisson
+    # count with bursts.
     assert abs(len(times) - 1250) < 5 * 45
     half = (times < 2 * S).sum()
     assert half < 0.45 * len(times) and set(grades) == {0, 1, 2} and set(customers) == {0}
 
 
-def test_the_list_changes_as_troubles_have_it():
-    told = day("""[[troubles]]
+def test_endpoint_list_changes_with_the_injected_faults():
+    experiment_with_faults = day("""[[troubles]]
 what = "crash"
 at = 1
 for = 2
@@ -258,7 +271,8 @@
 who = [3]
 """)
     rows = [
-        (row.at, row.number, row.state, row.started_at) for row in Timeline.of(told, 0).listings
+        (row.at, row.number, row.state, row.started_at)
+        for row in Timeline.of(experiment_with_faults, 0).listings
     ]
     assert rows == [
         (0.5, 2, "draining", None),
@@ -271,20 +285,20 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_messages_are_cut_the_same_however_the_bytes_come(seed):
+def test_messages_are_parsed_alike_however_the_bytes_are_split(seed):
     chance = random.Random(seed)
-    whole = [
+    sent = [
         wire.message(b"POST", b"/x", [(b"X-Request-ID", b"%d" % n)], b"y" * n)
         for n in range(0, 90, 7)
     ]
-    stream, messages, got = b"".join(whole), wire.Messages(), []
+    stream, messages, received = b"".join(sent), wire.Messages(), []
     while stream:
         cut = chance.randrange(1, 60)
         messages.feed(stream[:cut])
         stream = stream[cut:]
-        while (found := messages.next()) is not None:
-            got.append((found[0].headers[b"x-request-id"], len(found[1])))
-    assert got == [(b"%d" % n, n) for n in range(0, 90, 7)] and not messages.begun
+        while (message := messages.next()) is not None:
+            received.append((message[0].headers[b"x-request-id"], len(message[1])))
+    assert received == [(b"%d" % n, n) for n in range(0, 90, 7)] and not messages.begun
     for bad in (
         b"nothing\r\n\r\n",
         b"GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n",
@@ -296,7 +310,7 @@
             messages.next()
 
 
-# The auditor: an honest day has no finding, and each fault has its own.
+# The auditor: a correct run has no finding, and each fault has its own.
 
 
 def one(
@@ -312,6 +326,7 @@
     tier=0,
     caller=-1,
 ):
+    """Return the event row of a request attempt; times in ms."""
     body = f"0.0.{identity}.1" if body is None else body
     return events.Try(
         tier,
@@ -332,6 +347,7 @@
 
 
 def work(at=101, took=10, grade=0, outcome="served", identity="a", upstream=0, gone=0, seen=1):
+    """Return the event row of an attempt at an upstream; times in ms."""
     nonce = f"0.0.{identity}.{seen}" if outcome == "served" else ""
     return events.Work(
         0,
@@ -352,6 +368,7 @@
 
 
 def told(at, state, upstream=0):
+    """Return the event row of a state that a balancer was notified of; ``at`` in ms."""
     return events.Told(0, 0, at * MS, upstream, state)
 
 
@@ -450,13 +467,13 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_the_auditor_names_each_fault_and_no_other(name):
-    wanted, rows = CASES[name]
-    found = [finding.name for finding in audit.Auditor(day(), rows, 0).judge().findings]
-    assert found == ([wanted] if wanted else [])
+def test_auditor_names_each_fault_and_no_other(name):
+    expected, rows = CASES[name]
+    findings = [finding.name for finding in audit.Auditor(day(), rows, 0).judge().findings]
+    assert findings == ([expected] if expected else [])
 
 
-def test_figures_count_wishes_and_not_tries():
+def test_figures_count_requests_and_not_retries():
     rows = [
         one(identity="a", status=500),
         one(at=200, identity="ar1", first="a", number=1, body="0.0.ar1.1"),
@@ -476,7 +493,7 @@
     )
 
 
-def test_rows_survive_a_writer_that_was_killed(tmp_path):
+def test_complete_rows_are_readable_after_a_writer_was_killed(tmp_path):
     book = events.Book(tmp_path / "x.rows")
     rows = [
         one(),
@@ -494,6 +511,7 @@
 
 
 def result(seed, earned, variant="a"):
+    """Return the result of a run with these values earned per second."""
     return {
         "seed": seed,
         "variant": variant,
@@ -504,19 +522,20 @@
     }
 
 
-def test_intervals_hold_the_difference_and_tell_noise_from_it():
+def test_interval_contains_the_difference_and_includes_zero_for_noise():
     chance = random.Random(2)
     noisy = [[chance.random() for _ in range(20)] for _ in range(12)]
     base = {n: result(n, row) for n, row in enumerate(noisy)}
     other = {n: result(n, [x - 0.2 for x in row]) for n, row in enumerate(noisy)}
-    same = {n: result(n, [chance.random() for _ in range(20)]) for n in range(12)}
-    middle, low, high = matrix.interval(base, other)
-    assert middle == pytest.approx(-0.2) and low <= middle <= high < -0.19
-    middle, low, high = matrix.interval(base, same)
+    unrelated = {n: result(n, [chance.random() for _ in range(20)]) for n in range(12)}
+    difference, low, high = matrix.interval(base, other)
+    assert difference == pytest.approx(-0.2) and low <= difference <= high < -0.19
+    difference, low, high = matrix.interval(base, unrelated)
     assert low < 0 < high
 
 
-# The baselines keep the rules that they are said to keep, in the same random world as the module.
+# The baselines keep the rules that they claim to keep, in the random world that also tests the
+# balancer's policy.
 
 
 @pytest.mark.parametrize("name", baselines.MODULES)
@@ -534,8 +553,9 @@
 # Injected defects.
 
 
-def test_every_injected_defect_finds_what_it_replaces():
-    # Against a renamed class or method leaving a defect without effect, which only its scenario would show.
+def test_every_injected_defect_finds_the_code_that_it_replaces():
+    # Guards against renames of a class or method that would leave a defect without effect; only the
+    # defect's scenario would show that.
     code = (
         "from pepperhook.lab import planted\nfor plant in planted.FAULTS.values():\n    plant()\n"
     )
