--- a/pepperhook/lab/day.py
+++ b/pepperhook/lab/day.py
@@ -392,7 +392,7 @@
                 rows.append((trouble.at + 0.1, self.move))
         rows += [(at, lambda work=work: work(self)) for at, work in self.script]
         rows += [(at, self.sample) for at in range(1, int(self.day.seconds) + 1)]
-        # Faults that would end after the run stay, as the load has stopped by then.
+        # Actions due after the end of the run are left out: the load is over by then.
         return sorted((row for row in rows if row[0] <= self.day.seconds), key=lambda row: row[0])
 
     def lifecycles(self, tier):
--- a/pepperhook/lab/experiment.py
+++ b/pepperhook/lab/experiment.py
@@ -19,7 +19,7 @@
 Above0 = Annotated[float, Meta(gt=0)]
 Chance = Annotated[float, Meta(ge=0, le=1)]
 
-# Faults of upstreams, of balancers, of the discovery service, and of the network before a tier.
+# Kinds of faults: of upstreams, balancers, the discovery service, and the network before a tier.
 OF_UPSTREAMS = (
     "crash",
     "cold",
@@ -56,12 +56,14 @@
 
 
 class Grade(Struct, forbid_unknown_fields=True, kw_only=True):
+    """A service class."""
+
     name: str
     effect: Literal["idempotent", "deduplicated", "at_most_once"] = "idempotent"
     time_limit_ms: Above0 = 1000.0
     client_limit_ms: Above0 | None = None  # the limit that clients announce; None: the time limit
     goal_ms: Above0 | None = None  # latency objective; None: the time limit
-    earnings: From0 = 1.0  # value of a request served within the objective
+    earnings: From0 = 1.0  # value of a request served within its objective
     inner_earnings: From0 | None = None  # in the settings of later tiers; None: as in the first
     inner_goal_ms: Above0 | None = None  # latency objective in later tiers; None: goal_ms
     late_earnings: From0 = 0.0  # value of a request served after the objective
@@ -74,16 +76,19 @@
 
 
 class Customer(Struct, forbid_unknown_fields=True, kw_only=True):
+    """A tenant."""
+
     name: str
     share: Above0 = 1.0  # of the load
     quota_per_s: From0 = 0.0
 
 
 class Tier(Struct, forbid_unknown_fields=True, kw_only=True):
+    """A tier of upstreams, and the balancers that send to it."""
+
     upstreams: Count = 3
-    balancers: Count = (
-        1  # first tier only; later tiers have one for each upstream of the tier before
-    )
+    # In the first tier; a later tier has one for each upstream of the tier before it.
+    balancers: Count = 1
     machine: Spec = msgspec.field(default_factory=Spec)
     fail: Chance = 0.0  # fraction of requests that an upstream fails by itself, after the work
     fail_sticks: bool = False  # a request that failed once fails on every attempt
@@ -117,10 +122,11 @@
 
 
 class Clients(Struct, forbid_unknown_fields=True, kw_only=True):
+    """Behaviour of the clients."""
+
     protocol: Literal["http/1.1", "h2"] = "http/1.1"
-    retries: Annotated[int, Meta(ge=0, le=10)] = (
-        0  # after a failure or rejection, each as a new request
-    )
+    # Limit of a client's retries after failures and rejections; each is a new request.
+    retries: Annotated[int, Meta(ge=0, le=10)] = 0
     backoff_ms: From0 = 50.0  # doubled with each retry; jitter from half to 1.5 times
     # Most copies of a request with an effect, sent under the same idempotency key.
     duplicates: Annotated[int, Meta(ge=0, le=20)] = 0
@@ -131,9 +137,8 @@
     # Number of closed-loop clients, in addition to the open loop.
     closed: Annotated[int, Meta(ge=0, le=10000)] = 0
     think_ms: From0 = 0.0  # pause of a closed-loop client after a response
-    bad: dict[
-        Literal["mute", "half", "flood", "lengths", "forged"], Count
-    ] = {}  # misbehaving clients
+    # Number of misbehaving clients of each kind.
+    bad: dict[Literal["mute", "half", "flood", "lengths", "forged"], Count] = {}
     connections: Annotated[int, Meta(ge=1)] = 4096
 
 
@@ -145,6 +150,8 @@
 
 
 class Discovery(Struct, forbid_unknown_fields=True, kw_only=True):
+    """Behaviour of the discovery service."""
+
     notice_s: From0 = 1.0  # delay until a crash or a return is listed
     answer_ms: From0 = 1.0  # duration of each call
     # Limit of queued calls; further calls get a 503; 0: no limit.
@@ -159,9 +166,11 @@
 
 
 class Trouble(Struct, forbid_unknown_fields=True, kw_only=True):
-    what: What
+    """An injected fault."""
+
+    what: What  # kind of fault
     at: From0  # seconds into the run
-    for_: Above0 = msgspec.field(name="for", default=5.0)
+    for_: Above0 = msgspec.field(name="for", default=5.0)  # duration in seconds
     tier: Annotated[int, Meta(ge=0)] = 0
     who: list[int] | None = None  # numbers of upstreams or balancers in the tier
     part: Chance | None = None  # or this fraction of them, by lowest numbers
@@ -173,6 +182,8 @@
 
 
 class Variant(Struct, forbid_unknown_fields=True, kw_only=True):
+    """A balancer, or a configuration of it, to run the experiment with."""
+
     name: str
     module: str = "pepperhook"  # or a baseline of pepperhook.lab.baselines
     options: dict[str, float] = {}
@@ -187,13 +198,15 @@
 
 
 class Experiment(Struct, forbid_unknown_fields=True, kw_only=True):
+    """A scenario and the variants to run it with: the content of an experiment file."""
+
     version: Literal[1]
     name: str
-    seconds: Above0 = 20.0
+    seconds: Above0 = 20.0  # duration of a run
     seed: Annotated[int, Meta(ge=0)] = 1
     repeats: Count = 1  # runs per variant, with seeds from ``seed`` up
     cold: bool = False  # upstreams are cold at the start
-    max_dispatches: Count = 4
+    max_dispatches: Count = 4  # limit of attempts per request
     # Upstreams and balancers are assigned to the zones in turn.
     zones: Annotated[int, Meta(ge=1, le=8)] = 1
     safety: dict[str, float] = {}  # overrides, under the platform's names
@@ -231,7 +244,7 @@
         seen = set()
         for at, row in enumerate(getattr(day, key)):
             if row.name in seen:
-                wrong(f"{row.name!r} is there twice", key, at, "name")
+                wrong(f"{row.name!r} is defined twice", key, at, "name")
             seen.add(row.name)
     for at, tier in enumerate(day.tiers):
         if at and tier.balancers != 1:
@@ -261,7 +274,7 @@
         if trouble.zone is not None and trouble.zone >= day.zones:
             wrong(f"there are {day.zones} zones, from 0", "troubles", at, "zone")
         if trouble.at >= day.seconds:
-            wrong(f"the day has {day.seconds:g} seconds", "troubles", at, "at")
+            wrong(f"the run lasts {day.seconds:g} seconds", "troubles", at, "at")
         if trouble.what in OF_NETWORK and not day.tiers[trouble.tier].network:
             wrong("needs `network = true` in its tier", "troubles", at, "what")
         count = len(day.tiers) and (
@@ -293,7 +306,7 @@
         wrong("needs calls_per_s beside it", "discovery", "lines_per_s")
     for at, trouble in enumerate(day.troubles):
         if trouble.what == "discovery_refused" and trouble.size > 1:
-            wrong("a fraction of the calls is wanted, at most 1", "troubles", at, "size")
+            wrong("must be a fraction of the calls, at most 1", "troubles", at, "size")
 
 
 def callers(day: Experiment, tier: int) -> int:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -172,7 +172,7 @@
     ("a = 1\nb = \n", "line 2"),
     (
         DAY + "[[troubles]]\nwhat = 'crash'\nat = 9\n",
-        "line 26: troubles[0].at: the day has 4 seconds",
+        "line 26: troubles[0].at: the run lasts 4 seconds",
     ),
     (
         DAY + "[[troubles]]\nwhat = 'crush'\nat = 1\n",
