--- a/pepperhook/lab/baselines.py
+++ b/pepperhook/lab/baselines.py
@@ -23,7 +23,7 @@
 WATCH_WAIT = 2 * 10**9  # how long an endpoint list poll may wait for a change, in ns
 
 
-class Plain(Policy):
+class Baseline(Policy):
     """Base of the baselines: two choices, with up to ``retries`` immediate retries.
 
     Subclasses override ``choose``, ``retry_wait``, ``is_available`` and ``note_outcome``.
@@ -162,14 +162,14 @@
         """Update the state of an upstream after an attempt."""
 
 
-class Random(Plain):
+class Random(Baseline):
     """A ready upstream at random."""
 
     def choose(self, usable):
         return usable[int(self.random() * len(usable))]
 
 
-class RoundRobin(Plain):
+class RoundRobin(Baseline):
     """The ready upstreams in turn."""
 
     def choose(self, usable):
@@ -177,7 +177,7 @@
         return usable[self.turn % len(usable)]
 
 
-class LeastOut(Plain):
+class LeastOut(Baseline):
     """One of the upstreams with the fewest attempts in flight."""
 
     def choose(self, usable):
@@ -186,7 +186,7 @@
         return usable[int(self.random() * len(usable))]
 
 
-class Retries(Plain):
+class Retries(Baseline):
     """Two choices and immediate retries."""
 
     def __init__(self, settings, seed, now, retries=3):
@@ -201,11 +201,11 @@
         self.base_ns = int(base_ms * MS)
 
     def retry_wait(self, now, request):
-        made = len(request.attempts)
+        attempts_made = len(request.attempts)
         return (
             None
-            if made > self.max_retries
-            else int(self.random() * self.base_ns * 2 ** (made - 1)) + 1
+            if attempts_made > self.max_retries
+            else int(self.random() * self.base_ns * 2 ** (attempts_made - 1)) + 1
         )
 
 
@@ -268,7 +268,7 @@
     "random": Random,
     "round-robin": RoundRobin,
     "least-out": LeastOut,
-    "two-choices": Plain,
+    "two-choices": Baseline,
     "retries": Retries,
     "backoff": Backoff,
     "budget": Budgeted,
--- a/pepperhook/lab/day.py
+++ b/pepperhook/lab/day.py
@@ -89,13 +89,13 @@
     """Git worktrees of other revisions of this repository, removed by ``close``."""
 
     def __init__(self):
-        self.folder, self.made = None, {}
+        self.folder, self.paths = None, {}
 
     def at(self, revision):
         """Return the path of a checkout of ``revision``. Raises Failed."""
-        if revision not in self.made:
+        if revision not in self.paths:
             self.folder = self.folder or tempfile.mkdtemp(prefix="pepperhook-revisions-")
-            path = f"{self.folder}/{len(self.made)}"
+            path = f"{self.folder}/{len(self.paths)}"
             done = subprocess.run(
                 ["git", "-C", str(ROOT), "worktree", "add", "--detach", path, revision],
                 capture_output=True,
@@ -103,11 +103,11 @@
             )
             if done.returncode:
                 raise Failed(f"revision {revision}: {done.stderr.strip().splitlines()[-1]}")
-            self.made[revision] = path
-        return self.made[revision]
+            self.paths[revision] = path
+        return self.paths[revision]
 
     def close(self):
-        for path in self.made.values():
+        for path in self.paths.values():
             subprocess.run(
                 ["git", "-C", str(ROOT), "worktree", "remove", "--force", path], capture_output=True
             )
