--- a/pepperhook/lab/baselines.py
+++ b/pepperhook/lab/baselines.py
@@ -1,8 +1,9 @@
 """Baseline policies to compare with, built on pepperhook/policy_interface.py.
 
 They are common alternatives to the balancer's own policy. They keep rules 1 to 3, so that a
-comparison shows the effect of decisions and not of broken rules; they don't know rule 4. Each of
-them chooses among all ready upstreams:
+comparison shows the effect of decisions and not of broken rules: one final response by the
+deadline, no attempt that may cause a second effect, no attempt at an upstream that is draining or
+gone. They don't know rule 4, slow start. Each of them chooses among all ready upstreams:
 
     random, round-robin, least-out       one attempt
     two-choices                          one attempt, at the less busy of two (Mitzenmacher 2001)
@@ -21,10 +22,11 @@
 
 
 WATCH_WAIT = 2 * 10**9  # how long an endpoint list poll may wait for a change, in ns
+INITIAL_TOKENS = 10.0  # of the retry budget
 
 
 class Baseline(Policy):
-    """Base of the baselines: two choices, with up to ``retries`` immediate retries.
+    """Base class, and itself the ``two-choices`` policy with up to ``retries`` immediate retries.
 
     Subclasses override ``choose``, ``retry_wait``, ``is_available`` and ``note_outcome``.
     """
@@ -39,7 +41,7 @@
 
     def usable(self, now, request):
         """Return the upstreams for the next attempt, preferring those not tried yet."""
-        tried = {d.upstream for d in request.attempts}
+        tried = {attempt.upstream for attempt in request.attempts}
         ready = [
             u for u in self.listed if u.state == UpstreamState.READY and self.is_available(now, u)
         ]
@@ -47,14 +49,16 @@
             request.service_class.effect == Effect.KEYED
             and request.service_class.repeat_group != "all"
         ):
-            doubtful = [d.upstream for d in request.attempts if d.may_have_executed]
+            maybe_executed = [
+                attempt.upstream for attempt in request.attempts if attempt.may_have_executed
+            ]
             ready = [
                 u
                 for u in ready
                 if all(
-                    getattr(d, request.service_class.repeat_group)
+                    getattr(attempt, request.service_class.repeat_group)
                     == getattr(u, request.service_class.repeat_group)
-                    for d in doubtful
+                    for attempt in maybe_executed
                 )
             ]
         return [u for u in ready if u not in tried] or ready
@@ -75,14 +79,14 @@
 
     def may_retry(self, now, request):
         """Return whether the effect of the request allows another attempt."""
-        doubtful = [d for d in request.attempts if d.may_have_executed]
+        maybe_executed = [attempt for attempt in request.attempts if attempt.may_have_executed]
         effect = request.service_class.effect
         return (
-            not doubtful
+            not maybe_executed
             or effect == Effect.SAFE
             or (
                 effect == Effect.KEYED
-                and now <= doubtful[0].sent_at + request.service_class.key_window_ns
+                and now <= maybe_executed[0].sent_at + request.service_class.key_window_ns
             )
         )
 
@@ -101,7 +105,7 @@
         if not request.finished:
             request.finished = True
             harmless = request.service_class.effect == Effect.SAFE or not any(
-                d.may_have_executed for d in request.attempts
+                attempt.may_have_executed for attempt in request.attempts
             )
             is_rejected = harmless and not request.open_attempts
             self.actions.append(RejectRequest(request, 0) if is_rejected else FailRequest(request))
@@ -120,6 +124,7 @@
     # Events.
 
     def on_endpoints_changed(self, now, whole, updates):
+        """Update the endpoint list; ``whole``: ``updates`` replaces it."""
         for upstream in [u for u in self.listed if whole]:
             upstream.state = UpstreamState.GONE
         for upstream, state, started_at in updates:
@@ -159,7 +164,7 @@
             self.send(now, request)
 
     def note_outcome(self, now, attempt):
-        """Update the state of an upstream after an attempt."""
+        """Update the state of an upstream after an attempt; a hook that does nothing here."""
 
 
 class Random(Baseline):
@@ -178,7 +183,7 @@
 
 
 class LeastOut(Baseline):
-    """One of the upstreams with the fewest attempts in flight."""
+    """One of the upstreams with the fewest attempts in flight (least connections)."""
 
     def choose(self, usable):
         least = min(len(u.in_flight) for u in usable)
@@ -210,11 +215,14 @@
 
 
 class Budgeted(Retries):
-    """Retry budget: each request adds ``share`` of a token to a bucket, each retry takes one."""
+    """Retry budget: each request adds ``share`` of a token to a bucket, each retry takes one.
+
+    ``most`` is the size of the bucket.
+    """
 
     def __init__(self, settings, seed, now, retries=3, share=0.2, most=100.0):
         super().__init__(settings, seed, now, retries)
-        self.share, self.max_tokens, self.tokens = share, most, 10.0
+        self.share, self.max_tokens, self.tokens = share, most, INITIAL_TOKENS
 
     def retry_wait(self, now, request):
         if len(request.attempts) > self.max_retries or self.tokens < 1:
@@ -229,9 +237,9 @@
 
 
 class Breaker(Retries):
-    """Circuit breaker: after ``failures`` in a row an upstream gets no attempt for rest_ms.
+    """Circuit breaker: after ``failures`` in a row it is open for rest_ms, without attempts.
 
-    Then it gets one at a time until one succeeds.
+    Then it is half-open: one attempt at a time until one succeeds.
     """
 
     def __init__(self, settings, seed, now, retries=3, failures=5, rest_ms=1000.0):
--- a/pepperhook/lab/controlload.py
+++ b/pepperhook/lab/controlload.py
@@ -37,7 +37,14 @@
     """Stand-in for one balancer: it applies every version and reports which one it runs."""
 
     def __init__(self, fleet, number):
-        self.fleet, self.name, self.running, self.at, self.views, self.known = (
+        (
+            self.fleet,
+            self.name,
+            self.running,
+            self.applied_at,
+            self.views_received,
+            self.known_versions,
+        ) = (
             fleet,
             f"m{number:05}",
             0,
@@ -45,6 +52,7 @@
             0,
             {},
         )
+        # ``applied_at``: monotonic seconds by version number.
         self.mark = 0  # checksum of the upstreams that the service has from this member
 
     async def follow(self):
@@ -53,7 +61,7 @@
         while True:
             try:
                 path = "/v1/stream?" + urlencode({"name": self.name, "tier": 0, "have": have})
-                reader = frames.FrameReader(self.known.get)
+                reader = frames.FrameReader(self.known_versions.get)
                 async with self.fleet.session.get(
                     self.fleet.url + path, headers=sign_request(KEYS, "GET", path)
                 ) as response:
@@ -61,14 +69,15 @@
                         for message in reader.feed(data):
                             if isinstance(message, Version):
                                 self.running = have = message.number
-                                self.known = {message.number: message}
-                                self.at[message.number] = time.monotonic()
+                                self.known_versions = {message.number: message}
+                                self.applied_at[message.number] = time.monotonic()
                                 await self.send_heartbeat()
                             elif isinstance(message, frames.MembershipView):
-                                self.views += 1
+                                self.views_received += 1
                                 self.fleet.members_seen[self.name] = len(message.members)
             except (aiohttp.ClientError, OSError, TimeoutError, frames.StreamError):
                 self.fleet.broken += 1
+                # Jitter by name, in seconds.
                 await asyncio.sleep(0.2 + 0.001 * (hash_of(self.name) % 500))
 
     async def send_heartbeats(self):
@@ -118,6 +127,7 @@
         self.folder, self.address, self.url = Path(folder), address, f"http://{address}"
         self.members = [Member(self, number) for number in range(count)]
         self.members_seen: dict[str, int] = {}
+        # ``broken`` counts broken streams and failed heartbeats.
         self.broken, self.tasks = 0, []
         self.upstreams = [f"t0-{number:03}" for number in range(UPSTREAMS)]
         self.mark = hash_of("\n".join(self.upstreams))
@@ -138,11 +148,11 @@
                 raise Failed(f"timed out after {TIMEOUT_S:g} s with {len(self.members)} members")
             await asyncio.sleep(0.01)
 
-    async def propose(self, goal, parent):
+    async def propose(self, objective_ms, parent):
         """Add a version with this latency objective in ms; return its number. Raises Failed."""
         document = {
             "version": 1,
-            "grades": {f"g{number}": {"goal_ms": goal} for number in range(GRADES)},
+            "grades": {f"g{number}": {"goal_ms": objective_ms} for number in range(GRADES)},
         }
         status, answer = await self.call(
             "POST",
@@ -169,8 +179,8 @@
         )
         if status != 200:
             raise Failed(f"the service rejected a rollout: {answer}")
-        await self.wait_until(lambda: all(number in member.at for member in self.members))
-        return sorted(member.at[number] - begun for member in self.members)
+        await self.wait_until(lambda: all(number in member.applied_at for member in self.members))
+        return sorted(member.applied_at[number] - begun for member in self.members)
 
     async def measure(self, process):
         """Return the figures of the service running in ``process``. Raises Failed."""
@@ -198,14 +208,14 @@
                     )
                 )
                 joined, joining_cpu_s = time.monotonic() - begun, spent(process, before)
-                views = sum(member.views for member in self.members)
+                views = sum(member.views_received for member in self.members)
                 first = await self.propose(100.0, 0)
                 times = await self.roll_out(first)
                 await self.call("POST", "/v1/rollout/back", {"why": "measured"})
                 await asyncio.sleep(1.0)
-                before_rest, since = process.cpu_times(), time.monotonic()
+                before_idle, since = process.cpu_times(), time.monotonic()
                 await asyncio.sleep(5.0)
-                rest_share = spent(process, before_rest) / (time.monotonic() - since)
+                idle_share = spent(process, before_idle) / (time.monotonic() - since)
             finally:
                 for task in self.tasks:
                     task.cancel()
@@ -217,7 +227,7 @@
             "views_a_member": round(views / len(self.members), 1),
             "version_at_half_s": round(times[len(times) // 2], 3),
             "version_at_all_s": round(times[-1], 3),
-            "core_share_at_rest": round(rest_share, 3),
+            "core_share_at_rest": round(idle_share, 3),
             "resident_mb": round(process.memory_info().rss / 2**20, 1),
             "broken_streams": self.broken,
         }
--- a/pepperhook/lab/day.py
+++ b/pepperhook/lab/day.py
@@ -25,12 +25,11 @@
 
 S = 10**9
 READY_S = 30  # startup timeout of every process
-LEAD_S = 1.2  # a balancer is started this long before its upstream comes back
-# Share of all cores taken by other machines on the same hardware within one sample. With a larger
-# share the run is void, as its figures would describe the host.
+LEAD_S = 1.2  # a later tier's balancer starts this long before the upstream that calls through it
+# A run is void, and not used in comparisons, if the machine had too little processor time for it.
+# Limit of the share of all cores that other virtual machines of the host took within one sample:
 MAX_STOLEN = 0.05
-# How long a process may wait for a core within one sample. With a longer wait the run is void, as
-# its figures would describe the machine.
+# Limit of the time that a process waited for a core within one sample:
 MAX_CORE_WAIT_MS = 400
 ROOT = Path(__file__).resolve().parents[2]
 LINE = re.compile(r"(\w+)=(\"(?:[^\"\\]|\\.)*\"|\S+)")
@@ -44,6 +43,7 @@
     """
 
     def __init__(self):
+        # Waits in ns by pid; the longest wait between two samples and the name of its process.
         self.waited, self.worst_ms, self.who = {}, 0.0, None
         self.ticks, self.stolen = None, 0.0
 
@@ -82,7 +82,7 @@
 
 
 class Failed(RuntimeError):
-    """The scenario could not be run."""
+    """The scenario could not be started or finished."""
 
 
 class Worktrees:
@@ -120,6 +120,8 @@
 
     def __init__(self, day, tier, number):
         self.day, self.tier, self.number, self.process = day, tier, number, None
+        # ``moved``: 1 if it uses the discovery service's second address; ``begun``: monotonic
+        # seconds of the last start.
         self.cpu_s, self.rss_mb, self.moved, self.start_cpu_s, self.begun = 0.0, 0.0, 0, 0.0, 0.0
         self.log = f"{day.folder}/balancer-{tier}-{number}.log"
 
@@ -138,6 +140,11 @@
         return path
 
     def begin(self):
+        """Start the process: the balancer, or what the variant has in its place.
+
+        That is a deliberately faulty stand-in, a baseline policy, a balancer with an injected
+        defect, or another revision.
+        """
         day, plan, variant = self.day, self.day.plan, self.day.variant
         environ = {
             **os.environ,
@@ -187,14 +194,14 @@
         except psutil.Error:
             pass
 
-    def send(self, number):
+    def send(self, signal_number):
         """Send a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
-    def end(self, number=signal.SIGKILL, within_s=10):
+    def end(self, signal_number=signal.SIGKILL, within_s=10):
         """Send a signal and wait; kill the process if it doesn't exit within ``within_s``."""
-        self.send(number)
+        self.send(signal_number)
         try:
             self.process.wait(within_s)
         except subprocess.TimeoutExpired:
@@ -203,7 +210,13 @@
 
 
 class Day:
-    """One run of a scenario with one variant and one seed."""
+    """One run of a scenario with one variant and one seed.
+
+    ``day`` is the experiment. ``tell(text, share)`` reports progress. ``blind`` has the names of
+    findings that the auditor ignores, for the check that it can fail. ``sockets`` is the balancers'
+    limit of sockets. ``script`` has additional actions: rows of (seconds, callable); each callable
+    gets this Day.
+    """
 
     def __init__(
         self,
@@ -223,11 +236,12 @@
             day = self.day = replace(
                 day, tiers=[replace(tier, carry=list(variant.carry)) for tier in day.tiers]
             )
-        block, self.held = experiment.free_block()  # ``held`` locks the block
+        block, self.block_lock = experiment.free_block()
         self.plan = experiment.Plan(day, seed, block)
         # ``own``: close the worktrees at the end.
         self.worktrees, self.own = worktrees or Worktrees(), worktrees is None
         self.tell, self.stages, self.balancers, self.start = tell or (lambda *_: None), [], {}, 0
+        # ``book``: event rows of this process.
         self.book, self.load, self.blind, self.sockets, self.cores = (
             None,
             None,
@@ -235,7 +249,7 @@
             sockets,
             Cores(),
         )
-        self.script = list(script)  # rows of (seconds, callable); each callable gets this Day
+        self.script = list(script)
 
     def operator_file(self, tier, number):
         """Write the operator's file of one balancer and return its path."""
@@ -266,7 +280,10 @@
         store(self.folder / f"peers-{tier}.toml", f"version = 1\nepoch = 1\n{rows}".encode())
 
     def stage(self, *arguments, module="pepperhook.lab.stage"):
-        """Start a stand-in process."""
+        """Start a stand-in process and return it.
+
+        Its arguments are the plan, the folder and ``arguments``.
+        """
         with open(self.folder / "stands.log", "ab") as log:
             process = subprocess.Popen(
                 [
@@ -372,26 +389,28 @@
         for trouble in self.day.troubles:
             periods = list(experiment.moments(self.day, trouble))
             if trouble.what == "kill_balancer":
-                for number, at, ends in periods:
+                for number, begin_s, ends in periods:
                     balancer = self.balancers[trouble.tier, number]
-                    rows.append((at, lambda b=balancer: self.kill(b)))
+                    rows.append((begin_s, lambda b=balancer: self.kill(b)))
                     rows.append((ends, lambda b=balancer: self.again(b)))
             elif trouble.what in ("term_balancer", "roll_balancers"):
-                for turn, (number, at, _) in enumerate(periods):
-                    at += (
-                        trouble.for_ * turn / len(periods)
+                for index, (number, begin_s, _) in enumerate(periods):
+                    begin_s += (
+                        trouble.for_ * index / len(periods)
                         if trouble.what == "roll_balancers"
                         else 0
                     )
                     balancer = self.balancers[trouble.tier, number]
-                    rows.append((at, lambda b=balancer: self.term(b)))
+                    rows.append((begin_s, lambda b=balancer: self.term(b)))
             elif trouble.what == "hup_balancer":
-                for number, at, _ in periods:
-                    rows.append((at, lambda b=self.balancers[trouble.tier, number]: self.hup(b)))
+                for number, begin_s, _ in periods:
+                    rows.append(
+                        (begin_s, lambda b=self.balancers[trouble.tier, number]: self.hup(b))
+                    )
             elif trouble.what == "discovery_move":
                 rows.append((trouble.at + 0.1, self.move))
-        rows += [(at, lambda work=work: work(self)) for at, work in self.script]
-        rows += [(at, self.sample) for at in range(1, int(self.day.seconds) + 1)]
+        rows += [(begin_s, lambda work=work: work(self)) for begin_s, work in self.script]
+        rows += [(begin_s, self.sample) for begin_s in range(1, int(self.day.seconds) + 1)]
         # Actions due after the end of the run are left out: the load is over by then.
         return sorted((row for row in rows if row[0] <= self.day.seconds), key=lambda row: row[0])
 
@@ -412,7 +431,7 @@
         return rows
 
     def along(self):
-        """Run the actions on time, then wait for the load to finish. Raises Failed."""
+        """Run the scenario's actions, each at its time, then wait for the load. Raises Failed."""
         for at, work in self.steps():
             while (left := self.start / S + at - time.monotonic()) > 0:
                 self.tell(
@@ -433,7 +452,7 @@
             raise Failed("the load did not end") from None
 
     def happened(self, what, balancer, on=True):
-        """Write an event row about a balancer."""
+        """Write an event row about a balancer; ``on``: whether it begins or ends."""
         self.book.add(
             events.Happened(time.monotonic_ns(), what, balancer.tier, balancer.number, on)
         )
@@ -509,12 +528,12 @@
         if self.book is not None:
             self.samples()
             self.book.close()
-        self.held.close()
+        self.block_lock.close()
         if self.own:
             self.worktrees.close()
 
     def samples(self):
-        """Write the figures in the balancers' logs as event rows; only the report uses them."""
+        """Convert the counters that the balancers logged into event rows, for the report alone."""
         offset = time.time_ns() - time.monotonic_ns()
         for balancer in self.balancers.values():
             if not os.path.exists(balancer.log):
@@ -543,6 +562,7 @@
         rows = events.read(self.folder)
         report = audit.Auditor(self.day, rows, self.start, self.blind).judge()
         load = json.loads(path.read_text()) if (path := self.folder / "load.json").exists() else {}
+        # ``wishes`` counts requests without their clients' retries.
         requests = max(1, report.figures.get("wishes", 0))
         costs = {
             f"{b.tier}.{b.number}": {
@@ -552,7 +572,9 @@
             }
             for b in self.balancers.values()
         }
-        first = sum(b.cpu_s - b.start_cpu_s for b in self.balancers.values() if b.tier == 0)
+        first_tier_cpu_s = sum(
+            b.cpu_s - b.start_cpu_s for b in self.balancers.values() if b.tier == 0
+        )
         result = {
             "experiment": self.day.name,
             "variant": self.variant.name,
@@ -568,7 +590,7 @@
                 "stolen": round(self.cores.stolen, 3),
             },
             "costs": costs,
-            "first_tier_cpu_ms": round(first * 1000 / requests, 3),
+            "first_tier_cpu_ms": round(first_tier_cpu_s * 1000 / requests, 3),
             **msgspec.to_builtins(report),
         }
         store(self.folder / "result.json", msgspec.json.encode(result))
@@ -576,7 +598,7 @@
 
 
 def filled(tree, placeholders):
-    """Return a file's tree with the placeholders in its strings replaced for one balancer."""
+    """Return a parsed file with the placeholders in its strings replaced for one balancer."""
     if isinstance(tree, dict):
         return {key: filled(value, placeholders) for key, value in tree.items()}
     if isinstance(tree, list):
--- a/pepperhook/lab/demo.py
+++ b/pepperhook/lab/demo.py
@@ -24,16 +24,16 @@
     """Reads the complete lines that were added to the event files since the last call."""
 
     def __init__(self, folder):
-        self.folder, self.places, self.decoder = folder, {}, msgspec.json.Decoder(events.Event)
+        self.folder, self.offsets, self.decoder = folder, {}, msgspec.json.Decoder(events.Event)
 
     def new(self):
         """Yield the new event rows."""
         for path in self.folder.glob("*.rows"):
             with open(path, "rb") as file:
-                file.seek(self.places.get(path, 0))
+                file.seek(self.offsets.get(path, 0))
                 data = file.read()
             data = data[: data.rfind(b"\n") + 1]
-            self.places[path] = self.places.get(path, 0) + len(data)
+            self.offsets[path] = self.offsets.get(path, 0) + len(data)
             for line in data.splitlines():
                 yield self.decoder.decode(line)
 
@@ -45,6 +45,7 @@
 
     def bring_up(self, load=True):
         super().bring_up(load)
+        # ``tries``: clients' requests of the last two seconds; ``works``: attempts by tier.
         self.tail, self.tries, self.works, self.on = Tail(self.folder), deque(), Counter(), []
 
     def make_table(self):
@@ -110,7 +111,7 @@
         self.tell = self.show
         super().along()
 
-    def show(self, what, share):
+    def show(self, _text, share):
         """Update the live display, if there is one."""
         if self.live is not None and share < 1:
             self.live.update(self.make_table())
--- a/pepperhook/lab/experiment.py
+++ b/pepperhook/lab/experiment.py
@@ -14,43 +14,52 @@
 from pepperhook.lab.machine import Spec
 
 S, MS = 10**9, 10**6
+ZONE_NAMES = "abcdefgh"
 Count = Annotated[int, Meta(ge=1, le=200)]
 From0 = Annotated[float, Meta(ge=0)]
 Above0 = Annotated[float, Meta(gt=0)]
 Chance = Annotated[float, Meta(ge=0, le=1)]
 
 # Kinds of faults: of upstreams, balancers, the discovery service, and the network before a tier.
+# The unit of a fault's ``size`` is in parentheses; a fraction of 0 means all.
 OF_UPSTREAMS = (
-    "crash",
+    "crash",  # the process dies and starts again
     "cold",
-    "replaced",
-    "drain",
-    "slow",
-    "pause",
-    "hang",
-    "errors",
-    "reset_before",
-    "reset_after",
-    "refused",
-    "unconnectable",
-    "unready",
-    "spoilt",
-    "crowd",
-    "stale_report",
-    "lost_report",
-    "released",
+    "replaced",  # the process dies and another instance starts
+    "drain",  # rejects requests after a grace (seconds), then serves again
+    "slow",  # runs at a lower speed (remaining fraction)
+    "pause",  # does no work
+    "hang",  # some requests are never processed (fraction)
+    "errors",  # some requests get a 500 without any work (fraction)
+    "reset_before",  # some connections are reset when a request arrives (fraction)
+    "reset_after",  # some connections are reset after the work (fraction)
+    "refused",  # new connections are refused
+    "unconnectable",  # new connections are never accepted
+    "unready",  # refuses connections (seconds), then rejects requests and health checks
+    "spoilt",  # some responses are malformed (fraction)
+    "crowd",  # runs at the machine's crowd_speed until it has been idle
+    "stale_report",  # load reports don't change
+    "lost_report",  # load reports are answered 503
+    "released",  # drains (seconds), ends, and comes back as another instance
 )
 OF_BALANCERS = ("kill_balancer", "term_balancer", "hup_balancer", "roll_balancers")
 OF_DISCOVERY = (
-    "discovery_outage",
-    "discovery_slow",
-    "discovery_lag",
-    "discovery_move",
-    "discovery_refused",
-    "discovery_silence",
+    "discovery_outage",  # connections are closed and polls answered 503
+    "discovery_slow",  # each poll takes longer (seconds)
+    "discovery_lag",  # changes are listed late (seconds)
+    "discovery_move",  # the service moves to its second address
+    "discovery_refused",  # some polls are answered 503 (fraction)
+    "discovery_silence",  # open watches are never answered
 )
+# net_delay: delay in each direction (seconds); net_deaf: requests are lost; net_mute: responses are
+# lost; net_silence: both are lost; net_cut: connections are reset; net_apart: like net_silence, and
+# new connections are never accepted.
 OF_NETWORK = ("net_delay", "net_deaf", "net_mute", "net_silence", "net_cut", "net_apart")
+# Kinds of malformed responses.
 SPOILT = ("short", "noise", "no_length", "two_lengths", "large", "half")
+# What an upstream does with the request context's headers when it calls the next tier: it passes
+# them on, drops them, always sends those of the first request it saw, sends them twice, or changes
+# them.
 Carry = Literal["pass", "drop", "copy", "twice", "change"]
 What = Literal[OF_UPSTREAMS + OF_BALANCERS + OF_DISCOVERY + OF_NETWORK]
 
@@ -67,9 +76,9 @@
     inner_earnings: From0 | None = None  # in the settings of later tiers; None: as in the first
     inner_goal_ms: Above0 | None = None  # latency objective in later tiers; None: goal_ms
     late_earnings: From0 = 0.0  # value of a request served after the objective
-    key_ttl_ms: From0 = 0.0  # for so long upstreams recognise an idempotency key
+    key_ttl_ms: From0 = 0.0  # how long upstreams recognise an idempotency key
     group: Literal["all", "zone", "cell"] = "all"
-    work_ms: Above0 = 5.0  # median time of one core
+    work_ms: Above0 = 5.0  # median CPU time, in ms of one core
     body_bytes: Annotated[int, Meta(ge=0, le=65536)] = 0  # of requests that have a body
     spread: From0 = 0.0  # standard deviation of the logarithm of the work (lognormal); 0: constant
     share: Above0 = 1.0  # of the load
@@ -90,19 +99,20 @@
     # In the first tier; a later tier has one for each upstream of the tier before it.
     balancers: Count = 1
     machine: Spec = msgspec.field(default_factory=Spec)
-    fail: Chance = 0.0  # fraction of requests that an upstream fails by itself, after the work
+    fail: Chance = 0.0  # fraction of requests that fail after their work, without a fault
     fail_sticks: bool = False  # a request that failed once fails on every attempt
     calls: Annotated[int, Meta(ge=0, le=8)] = 1  # calls to the next tier for each request
     hide_failures: bool = False  # responds 200 even if its calls failed
     # Whether its calls announce the time that is left; else the service class's whole limit.
     tells_time: bool = True
-    # Whether it ends its work and calls when its client has left, which few servers do.
+    # Whether it ends its work and calls when its caller has disconnected, which few servers do.
     heeds_leaving: bool = True
-    # How upstreams treat the chain headers; the entries apply to the upstreams in turn.
+    # How upstreams treat the request context's headers; the entries apply to the upstreams in turn.
     carry: Annotated[list[Carry], Meta(min_length=1)] = msgspec.field(
         default_factory=lambda: ["pass"]
     )
-    circle: str | None = None  # requests of this service class call the first tier again: a loop
+    # For requests of this service class, upstreams call the first tier: a routing loop.
+    circle: str | None = None
     network: bool = False  # put relays between it and its callers, which network faults need
 
 
@@ -162,7 +172,7 @@
     timeout_s: Above0 = 2.0  # a call that has waited this long gets a 503
     retry_after_s: Annotated[int, Meta(ge=0, le=3600)] = 0  # header in each 503; 0: no header
     longest_watch_s: Above0 | None = None  # upper limit of long polls; None: as requested
-    odd_rows: bool = False  # add a row in a state that balancers don't know to each response
+    odd_rows: bool = False  # add to each response a row whose state is unknown to balancers
 
 
 class Trouble(Struct, forbid_unknown_fields=True, kw_only=True):
@@ -172,12 +182,14 @@
     at: From0  # seconds into the run
     for_: Above0 = msgspec.field(name="for", default=5.0)  # duration in seconds
     tier: Annotated[int, Meta(ge=0)] = 0
-    who: list[int] | None = None  # numbers of upstreams or balancers in the tier
+    # Numbers of upstreams or balancers in the tier. Without who, part and zone: the first upstream,
+    # or, for faults of balancers and the network, all of the tier.
+    who: list[int] | None = None
     part: Chance | None = None  # or this fraction of them, by lowest numbers
     # Only targets in this zone; for network faults: only connections that cross its border.
     zone: Annotated[int, Meta(ge=0)] | None = None
     over: From0 = 0.0  # the targets' faults begin in even steps over this many seconds
-    size: From0 = 0.0  # remaining speed, probability or seconds, depending on the fault
+    size: From0 = 0.0  # unit depends on the fault, see above
     kind: Literal[SPOILT] | None = None  # kind of malformed response; None: each in turn
 
 
@@ -188,7 +200,7 @@
     module: str = "pepperhook"  # or a baseline of pepperhook.lab.baselines
     options: dict[str, float] = {}
     revision: str | None = None  # git revision of the balancer; None: the checkout
-    crooked: str | None = None  # kind of faulty balancer: pepperhook.lab.crooked
+    crooked: str | None = None  # deliberately faulty stand-in of pepperhook.lab.crooked
     settings: dict = {}  # override the experiment's, by their platform names
     # Operator's file; {folder}, {tier} and {number} in its strings are replaced.
     operator: dict | None = None
@@ -209,7 +221,8 @@
     max_dispatches: Count = 4  # limit of attempts per request
     # Upstreams and balancers are assigned to the zones in turn.
     zones: Annotated[int, Meta(ge=1, le=8)] = 1
-    safety: dict[str, float] = {}  # overrides, under the platform's names
+    # Overrides of two tables of the settings, with the deployment platform's key names.
+    safety: dict[str, float] = {}
     permissions: dict = {}
     grades: Annotated[list[Grade], Meta(min_length=1)]
     customers: list[Customer] = []
@@ -259,7 +272,7 @@
     for at, load in enumerate(day.load):
         if load.balancer is not None and load.balancer >= day.tiers[0].balancers:
             wrong(
-                f"the first tier has {day.tiers[0].balancers} of them, from 0",
+                f"the first tier has {day.tiers[0].balancers} balancers, numbered from 0",
                 "load",
                 at,
                 "balancer",
@@ -270,9 +283,9 @@
                 wrong(f"no {key} has the name {name!r}", "load", at, key)
     for at, trouble in enumerate(day.troubles):
         if trouble.tier >= len(day.tiers):
-            wrong(f"there are {len(day.tiers)} tiers, from 0", "troubles", at, "tier")
+            wrong(f"there are {len(day.tiers)} tiers, numbered from 0", "troubles", at, "tier")
         if trouble.zone is not None and trouble.zone >= day.zones:
-            wrong(f"there are {day.zones} zones, from 0", "troubles", at, "zone")
+            wrong(f"there are {day.zones} zones, numbered from 0", "troubles", at, "zone")
         if trouble.at >= day.seconds:
             wrong(f"the run lasts {day.seconds:g} seconds", "troubles", at, "at")
         if trouble.what in OF_NETWORK and not day.tiers[trouble.tier].network:
@@ -284,20 +297,21 @@
         )
         for target in trouble.who or ():
             if not 0 <= target < count:
-                wrong(f"there are {count} of them, from 0", "troubles", at, "who")
+                wrong(f"there are {count} targets, numbered from 0", "troubles", at, "who")
     check_discovery(day, wrong)
     from pepperhook.lab import baselines, crooked
 
     for at, variant in enumerate(day.variants):
         if variant.module != "pepperhook" and variant.module not in baselines.MODULES:
             wrong(
-                f"no module has the name {variant.module!r}; there are pepperhook, {', '.join(baselines.MODULES)}",
+                f"no policy has the name {variant.module!r}; there are pepperhook, "
+                f"{', '.join(baselines.MODULES)}",
                 "variants",
                 at,
                 "module",
             )
         if variant.crooked is not None and variant.crooked not in crooked.WAYS:
-            wrong(f"there are {', '.join(crooked.WAYS)}", "variants", at, "crooked")
+            wrong(f"no such kind; there are {', '.join(crooked.WAYS)}", "variants", at, "crooked")
 
 
 def check_discovery(day, wrong):
@@ -332,10 +346,13 @@
 
 
 def moments(day, trouble):
-    """Yield the period of a fault for each of its targets: (number, begin, end), in seconds."""
+    """Yield the period of a fault for each of its targets: (number, begin, end), in seconds.
+
+    The periods are staggered evenly over the fault's ``over``.
+    """
     chosen = targets(day, trouble)
-    for turn, number in enumerate(chosen):
-        at = trouble.at + trouble.over * turn / len(chosen)
+    for index, number in enumerate(chosen):
+        at = trouble.at + trouble.over * index / len(chosen)
         yield number, at, at + trouble.for_
 
 
@@ -344,7 +361,7 @@
 
     A later tier's balancer is in the zone of the upstream that calls through it.
     """
-    return "abcdefgh"[number % day.zones]
+    return ZONE_NAMES[number % day.zones]
 
 
 class Plan:
@@ -377,11 +394,17 @@
         return f"127.{self.block}.{150 + tier}.{1 + number}", 7171
 
     def discovery(self, tier, caller, moved=0):
-        """Return the discovery service's address for a balancer; ``moved`` 1: after its move."""
+        """Return the discovery service's address for a balancer.
+
+        ``moved`` is 0 for its first address, 1 for its second (fault discovery_move).
+        """
         return f"127.{self.block}.{200 + moved}.{1 + tier}", 8000 + caller
 
-    def settings(self, tier, caller, over=None):
-        """Return the deployment's settings, under the platform's names, with ``over`` applied."""
+    def settings(self, tier, caller, overrides=None):
+        """Return the deployment's settings, under the platform's key names.
+
+        ``overrides`` replaces values, and merges tables.
+        """
         day = self.day
         settings = {
             "discovery": "ask",
@@ -389,7 +412,7 @@
             "groupSize": callers(day, tier),
             "tier": tier,
             "locality": caller % day.zones,
-            "azs": list("abcdefgh"[: day.zones]),
+            "azs": list(ZONE_NAMES[: day.zones]),
             "models": ["m"],
             "orgs": [
                 {
@@ -437,7 +460,7 @@
                 for g in day.grades
             ],
         }
-        for key, value in (over or {}).items():
+        for key, value in (overrides or {}).items():
             settings[key] = (
                 {**settings[key], **value}
                 if isinstance(value, dict) and isinstance(settings.get(key), dict)
@@ -462,14 +485,14 @@
 
 
 def free_block():
-    """Return a part of 127.0.0.0/8 that no other run on this machine uses, and its lock.
+    """Return n such that no other run on this machine uses 127.n.0.0/16, and the lock of n.
 
-    The lock is a listening socket; closing it frees the part. Raises OSError if no part is free.
+    The lock is a listening socket; closing it frees n. Raises OSError if none is free.
     """
     for offset in range(200):
         block = 20 + (os.getpid() + offset) % 200
         # Not create_server: it sets SO_REUSEADDR, with which two runs that started together both
-        # got the same part.
+        # got the same block.
         lock = socket.socket()
         try:
             lock.bind((f"127.{block}.255.1", 7999))
@@ -477,4 +500,4 @@
             return block, lock
         except OSError:
             lock.close()
-    raise OSError("no free part of 127.0.0.0/8 was found")
+    raise OSError("no free /16 block of 127.0.0.0/8 was found")
--- a/pepperhook/lab/explore.py
+++ b/pepperhook/lab/explore.py
@@ -27,17 +27,21 @@
 QUIET = logging.Logger("pepperhook.explore", logging.CRITICAL)
 
 
-class Disk:
+class StoreStandIn:
     """Stand-in for the store, with the methods a rollout uses; its data survives a crash."""
 
     def __init__(self, kept, newest):
-        self.kept, self.last = kept, newest
+        self.stored_rollout, self.last = kept, newest
 
     def newest_rollout(self):
-        return None if self.kept is None else msgspec.json.decode(self.kept, type=Rollout)
+        return (
+            None
+            if self.stored_rollout is None
+            else msgspec.json.decode(self.stored_rollout, type=Rollout)
+        )
 
     def save_rollout(self, changed):
-        self.kept = msgspec.json.encode(changed)
+        self.stored_rollout = msgspec.json.encode(changed)
 
     def newest_version(self):
         return version(self.last)
@@ -100,14 +104,14 @@
     worse: bool = False  # half of all requests fail under the new version
     steps: tuple[tuple[float, float], ...] = ((0.3, 1.0), (1.0, 0.0))  # (share, seconds)
     patience_s: float = 2.0
-    turns: int = 5  # seconds until the end
+    turns: int = 5  # simulated seconds after which the search ends
 
 
 class Broken(Struct):
     """A broken rule, and a shortest sequence of actions that breaks it."""
 
     rule: str
-    way: list[str]
+    way: list[str]  # the actions, in order
 
 
 class Explorer:
@@ -133,9 +137,9 @@
 
     def service(self, state: State, time: int):
         """Build a service and its store from a state."""
-        disk = Disk(state.kept, state.newest)
+        store = StoreStandIn(state.kept, state.newest)
         service = self.make(
-            disk,
+            store,
             KEYS,
             log=QUIET,
             clock=lambda: float(time),
@@ -149,35 +153,35 @@
             row.running_version = member.word
             row.succeeded, row.failed = member.told
             row.recent_heartbeats = 0.0
-        return service, disk
+        return service, store
 
-    def after(self, state: State, service, disk, **more) -> State:
+    def state_after(self, state: State, service, store, **more) -> State:
         """Return the state of the service and its store after an action."""
         return msgspec.structs.replace(
             state,
-            kept=disk.kept,
-            newest=disk.last,
+            kept=store.stored_rollout,
+            newest=store.last,
             rollout=msgspec.json.encode(service.rollouts.current),
             **more,
         )
 
-    def next(self, state: State) -> Iterator[tuple[str, State]]:
+    def successors(self, state: State) -> Iterator[tuple[str, State]]:
         """Yield every action that is possible now, with the state after it."""
         replace = msgspec.structs.replace
         if state.rollout is None:
-            back = replace(state, rollout=state.kept)
-            service, disk = self.service(replace(state, rollout=None), state.time)
-            yield "the service restarts", self.after(back, service, disk)
+            restarted = replace(state, rollout=state.kept)
+            service, store = self.service(replace(state, rollout=None), state.time)
+            yield "the service restarts", self.state_after(restarted, service, store)
             for number, member in enumerate(state.members):
                 yield from self.received(state, number, member)
             return
         if state.time < self.case.turns:
-            service, disk = self.service(state, state.time + 1)
+            service, store = self.service(state, state.time + 1)
             service.tick()
-            yield "a second passes", self.after(state, service, disk, time=state.time + 1)
+            yield "a second passes", self.state_after(state, service, store, time=state.time + 1)
         if state.crashes:
             yield "the service is killed", replace(state, rollout=None, crashes=state.crashes - 1)
-        service, disk = self.service(state, state.time)
+        service, store = self.service(state, state.time)
         for number, member in enumerate(state.members):
             name = self.names[number]
             wanted = service.desired_version(name)
@@ -223,34 +227,34 @@
         would be infinite.
         """
         current = msgspec.json.decode(state.rollout, type=Rollout)
-        side = current.updated if member.running == current.version else current.baseline
-        good, bad = member.told
-        if side.total < rollout.MIN_REQUESTS and current.state == RolloutState.RUNNING:
+        group_counts = current.updated if member.running == current.version else current.baseline
+        succeeded, failed = member.told
+        if group_counts.total < rollout.MIN_REQUESTS and current.state == RolloutState.RUNNING:
             worse = self.case.worse and member.running == AFTER
-            good, bad = (
-                (good + REPORTED_REQUESTS // 2, bad + REPORTED_REQUESTS // 2)
+            succeeded, failed = (
+                (succeeded + REPORTED_REQUESTS // 2, failed + REPORTED_REQUESTS // 2)
                 if worse
-                else (good + REPORTED_REQUESTS, bad)
+                else (succeeded + REPORTED_REQUESTS, failed)
             )
-        if (member.word, member.told) == (member.running, (good, bad)) and not (
+        if (member.word, member.told) == (member.running, (succeeded, failed)) and not (
             member.refused and self.names[number] not in current.rejections
         ):
             return
-        service, disk = self.service(state, state.time)
+        service, store = self.service(state, state.time)
         service.receive_heartbeat(
             Heartbeat(
                 name=self.names[number],
                 tier=0,
                 running_version=member.running,
-                succeeded=good,
-                failed=bad,
+                succeeded=succeeded,
+                failed=failed,
                 rejection=Rejection(AFTER, "incompatible") if member.refused else None,
             )
         )
-        after = self.after(state, service, disk)
+        after = self.state_after(state, service, store)
         yield (
             f"{self.names[number]} reports that it runs {member.running}",
-            self.changed(after, number, word=member.running, told=(good, bad)),
+            self.changed(after, number, word=member.running, told=(succeeded, failed)),
         )
 
     @staticmethod
@@ -262,16 +266,18 @@
 
     # Invariants.
 
-    def rules(self, before: State | None, state: State) -> Iterator[str]:
-        """Yield the rules that the state, or the transition to it, breaks."""
+    def broken_rules(self, before: State | None, state: State) -> Iterator[str]:
+        """Yield the texts of the rules that the state, or the transition to it, breaks."""
         stored = msgspec.json.decode(state.kept, type=Rollout)
-        inside = [
+        running_or_sent = [
             self.names[number]
             for number, member in enumerate(state.members)
             if member.running == AFTER or member.coming == AFTER
         ]
-        if stored.state != RolloutState.COMPLETED and not set(inside) <= set(stored.admitted):
-            yield "a member that has or was sent the version is written down as one that is in"
+        if stored.state != RolloutState.COMPLETED and not set(running_or_sent) <= set(
+            stored.admitted
+        ):
+            yield "a member that runs or was sent the version is written down as one that is in"
         if state.rollout is not None and state.rollout != state.kept:
             in_memory = msgspec.json.decode(state.rollout, type=Rollout)
             if (
@@ -315,25 +321,25 @@
                 yield "a member's version number never decreases"
 
 
-def explore(explorer: Explorer, most: int = 200_000) -> tuple[int, Broken | None]:
+def explore(explorer: Explorer, max_states: int = 200_000) -> tuple[int, Broken | None]:
     """Return the number of states and the first broken rule, if any.
 
-    Raises RuntimeError if there are more than ``most`` states.
+    Raises RuntimeError if there are more than ``max_states`` states.
     """
     start = explorer.start()
-    for rule in explorer.rules(None, start):
+    for rule in explorer.broken_rules(None, start):
         return 1, Broken(rule, [])
     reached_by: dict[State, tuple[State, str] | None] = {start: None}
     queue = [start]
     for state in queue:
-        for action, after in explorer.next(state):
+        for action, after in explorer.successors(state):
             if after in reached_by:
                 continue
             reached_by[after] = state, action
-            for rule in explorer.rules(state, after):
+            for rule in explorer.broken_rules(state, after):
                 return len(reached_by), Broken(rule, path_to(reached_by, after))
-            if len(reached_by) > most:
-                raise RuntimeError(f"more than {most} states")
+            if len(reached_by) > max_states:
+                raise RuntimeError(f"more than {max_states} states")
             queue.append(after)
     return len(reached_by), None
 
--- a/pepperhook/lab/h2memory.py
+++ b/pepperhook/lab/h2memory.py
@@ -13,11 +13,11 @@
 
 from pepperhook.lab.day import Day
 
-COUNT, EACH = 1000, 100  # requests, and streams per HTTP/2 connection
-HOLD_S = 0.8  # well below the 2 s after which the balancer drops an incomplete request
+COUNT, STREAMS_PER_CONNECTION = 1000, 100  # requests, and streams per HTTP/2 connection
+SETTLE_S = 0.8  # until the memory is read; the balancer drops incomplete requests after 2 s
 
 
-async def plain(address):
+async def open_connections(address):
     """Open the HTTP/1.1 connections and send the requests; return the writers."""
     writers = []
     for number in range(COUNT):
@@ -30,14 +30,14 @@
     return writers
 
 
-async def streams(address):
+async def open_streams(address):
     """Open the HTTP/2 connections and send the requests; return the writers."""
     writers = []
-    for number in range(COUNT // EACH):
+    for number in range(COUNT // STREAMS_PER_CONNECTION):
         _, writer = await asyncio.open_connection(*address)
         connection = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
         connection.initiate_connection()
-        for stream in range(EACH):
+        for stream in range(STREAMS_PER_CONNECTION):
             connection.send_headers(
                 2 * stream + 1,
                 [
@@ -58,7 +58,7 @@
     """Return the growth of resident memory in KB per request."""
     before = process.memory_info().rss
     writers = await open_all(address)
-    await asyncio.sleep(HOLD_S)
+    await asyncio.sleep(SETTLE_S)
     after = process.memory_info().rss
     for writer in writers:
         writer.transport.abort()
@@ -68,7 +68,7 @@
 def measure(day, variant, seed, folder):
     """Return the KB of memory per connection and per stream, each of a new balancer process."""
     figures = {}
-    for name, open_all in ("connection", plain), ("stream", streams):
+    for name, open_all in ("connection", open_connections), ("stream", open_streams):
         run = Day(
             replace(day, seconds=1.0, troubles=[]),
             variant,
--- a/pepperhook/lab/journals.py
+++ b/pepperhook/lab/journals.py
@@ -22,7 +22,7 @@
 
 
 class Sqlite(Journal):
-    """The alternative: a table by key, written by the same thread in the same groups.
+    """Journal in sqlite3: a table with the key as primary key, written in the same groups.
 
     Each group is a transaction and synced to disk (synchronous=FULL).
     """
@@ -33,8 +33,8 @@
         self.database.execute("pragma journal_mode=wal")
         self.database.execute("pragma synchronous=full")
         self.database.execute(
-            "create table if not exists keys (key blob primary key, kind int, print blob, grade text, "
-            "customer text, at int, body blob, type text) without rowid"
+            "create table if not exists keys (key blob primary key, kind int, fingerprint blob, "
+            "grade text, customer text, at int, body blob, type text) without rowid"
         )
 
     def persist(self, records):
@@ -112,7 +112,7 @@
     }
 
 
-def own(folder):
+def open_journal(folder):
     """Return an open journal of the kind in use."""
     journal = Journal(folder, 10**15, lambda *_, **__: None)
     journal.open()
@@ -121,7 +121,7 @@
 
 def fill(folder, count):
     """Write a journal and a table with ``count`` entries each, without syncing to disk."""
-    journal = own(folder / "own")
+    journal = open_journal(folder / "own")
     journal.segments.sync = lambda descriptor: None
     rows = []
     for record in records(count):
@@ -183,14 +183,17 @@
 """
 
 
-def read(folder, which):
+def read(folder, journal_kind):
     """Measure a recovery in a new process.
 
     Return the number of entries, the seconds until the store is restored, and the bytes of memory
     per entry with a response body of about a hundred bytes.
     """
     output = subprocess.run(
-        [sys.executable, "-c", READ, str(folder), which], capture_output=True, text=True, check=True
+        [sys.executable, "-c", READ, str(folder), journal_kind],
+        capture_output=True,
+        text=True,
+        check=True,
     ).stdout
     count, seconds, entry_bytes = output.split()
     return {
@@ -209,7 +212,7 @@
     for turn in range(rounds):
         tell(f"writing, round {turn + 1} of {rounds}", turn / rounds / 2)
         pairs = [
-            ("own", lambda: own(folder / f"w{turn}")),
+            ("own", lambda: open_journal(folder / f"w{turn}")),
             ("sqlite", lambda: Sqlite(folder / f"w{turn}.db")),
         ]
         for name, make in pairs[turn % 2 :] + pairs[: turn % 2]:
--- a/pepperhook/lab/load.py
+++ b/pepperhook/lab/load.py
@@ -21,10 +21,16 @@
 
 MS, S = 10**6, 10**9
 LATE_NS = 20 * MS  # a 99th percentile of the generator's lateness above this makes a run void
-AFTER_S = 1.0  # wait for the last responses, beyond the longest time limit
+AFTER_S = 1.0  # how long to wait for late responses after the longest time limit
 SLACK_NS = 50 * MS  # tolerance past the time limit, as responses may be late on a busy machine
-FLUSH_S = 0.25
+FLUSH_S = 0.25  # interval at which event rows are flushed
 HEALTH_S = 0.5  # interval of the front's health checks
+# An exchange's number shows its kind. Retries have numbers below COPY. Copies have the sum of COPY
+# and a small number, of COPY, AT_END and an index, or of COPY, AFTER_LOSS and an index. A lost
+# exchange with a number below AFTER_LOSS is copied.
+COPY = 100
+AT_END = 50
+AFTER_LOSS = 200
 
 
 def arrivals(day, seed):
@@ -74,7 +80,9 @@
 
 
 class Front:
-    """Distributes connections over the first tier's balancers, round robin or skewed.
+    """Stand-in for the network load balancer before the first tier.
+
+    It distributes connections over the balancers, round robin or skewed.
 
     It notices only with a delay that a balancer went down or came back.
     """
@@ -140,28 +148,31 @@
 
 
 class Exchange:
-    """One request attempt of a client, from its intended send time to its event row."""
+    """One request that a client sends, from its intended send time to its event row.
+
+    A client's retry, or a copy, is another exchange.
+    """
 
     __slots__ = (
         "load",
         "id",
-        "first",
-        "number",
+        "first",  # id of the first try; its own unless it is a retry or a copy
+        "number",  # 0: first try; else the number of the retry or copy
         "grade",
         "customer",
         "intended",
         "sent",
         "limit",
         "link",
-        "fresh",
-        "over",
+        "fresh",  # its connection was opened for it
+        "over",  # its row has been written
         "timer",
         "data",
         "resent",
         "leaves_early",
         "future",
         "stream",
-        "to",
+        "to",  # number of the balancer; -1: the front chooses
         "pool",
         "copies_at_end",
     )
@@ -191,7 +202,7 @@
         """Send the request and start its timer."""
         load = self.load
         load.open += 1
-        name, method = load.names[self.grade]
+        name, method = load.targets[self.grade]
         headers = [
             (b"X-Request-ID", self.id.encode()),
             (b"X-Timeout-Ms", b"%d" % (self.limit // MS)),
@@ -211,7 +222,7 @@
             # Drawn by the request's id, so it is the same for HTTP/1.1 and HTTP/2.
             self.leaves_early = True
             patience = self.limit * draw / leave / 3
-        self.timer = load.loop.call_later(patience / S, self.late)
+        self.timer = load.loop.call_later(patience / S, self.on_timeout)
         self.pool.ask(self, method, name, headers, load.bodies[self.grade])
 
     def written(self):
@@ -227,7 +238,7 @@
             load.failed(self, float(after) if after else 0.0)
 
     def lost(self, why, unread=False):
-        """Record a connection that broke; ``unread``: before any byte of the response."""
+        """Record a broken connection; ``unread``: it broke before any byte of the response."""
         if unread and not self.fresh and not self.resent:
             # The balancer closed the kept connection while the request was sent: resend it once on
             # a new connection.
@@ -237,11 +248,13 @@
             return
         self.done("lost", 0, "", why)
         load = self.load
-        if load.day.clients.duplicates and load.has_effect[self.grade] and self.number < 200:
-            # Like a terminal whose balancer died: send a copy at once, and another when the
+        if load.day.clients.duplicates and load.has_effect[self.grade] and self.number < AFTER_LOSS:
+            # Like a client whose connection broke: send a copy at once, and another when a killed
             # balancer may be running again.
             for wait in 0.05, 2.2 + chance.share(load.plan.seed, "lost", self.id):
-                load.loop.call_later(wait, load.copy, self, 200 + 2 * self.number + int(wait))
+                load.loop.call_later(
+                    wait, load.copy, self, AFTER_LOSS + 2 * self.number + int(wait)
+                )
         load.failed(self, 0.0)
 
     def unconnected(self, why):
@@ -249,14 +262,14 @@
         self.done("unconnected", 0, "", why)
         self.load.failed(self, 0.0)
 
-    def late(self):
+    def on_timeout(self):
         """Record that the client's patience or time limit ran out, and close the connection."""
         self.pool.drop(self)
         self.done("gone" if self.leaves_early or self.load.patience is not None else "open", 0, "")
         self.load.failed(self, 0.0)
 
     def done(self, kind, status, body, note=""):
-        """Write the attempt's event row, once, and send the copies due at its end."""
+        """Write the event row, once, and send the copies due at its end."""
         if self.over:
             return
         self.over = True
@@ -288,7 +301,7 @@
         if self.future is not None and not self.future.done():
             self.future.set_result(status)
         for turn in range(self.copies_at_end):
-            load.copy(self, 50 + turn)
+            load.copy(self, AT_END + turn)
 
 
 class Load:
@@ -311,7 +324,7 @@
             self.pools[number] = make(lambda address=address: address, self.unasked, self.unasked)
         grades = plan.day.grades
         self.limits = [int((g.client_limit_ms or g.time_limit_ms) * MS) for g in grades]
-        self.names = [
+        self.targets = [  # (path, method) by service class
             (b"/" + g.name.encode(), b"GET" if g.effect == "idempotent" else b"POST")
             for g in grades
         ]
@@ -330,7 +343,7 @@
         self.open, self.count, self.tasks, self.ends = 0, 0, set(), None
 
     def unasked(self, exchange, data):
-        """Record bytes that no request asked for."""
+        """Record bytes received without an open request."""
         self.book.add(
             events.Extra(0, time.monotonic_ns(), exchange.id if exchange else "", len(data))
         )
@@ -390,24 +403,24 @@
                 exchange.copies_at_end += 1
                 continue
             wait = (
-                position * 0.003,
-                position * 0.1,
-                None,
-                limit + (position - 0.5) * 0.06,
-                position * limit,
-                1.5 + position * 2.0,
+                position * 0.003,  # together with it
+                position * 0.1,  # soon after it
+                None,  # in the event loop turn in which it ends, see above
+                limit + (position - 0.5) * 0.06,  # around its time limit
+                position * limit,  # at any time up to its time limit
+                1.5 + position * 2.0,  # when a killed balancer may be running again
             )[kind]
             self.loop.call_later(wait, self.copy, exchange, number + 1)
 
     def copy(self, exchange, number):
         """Send a copy of a request under its idempotency key."""
         if time.monotonic_ns() < self.ends + 2 * S:
-            # A number of 100 or more is above any limit of retries: a copy is never retried.
+            # A number of COPY or more is above any limit of retries: a copy is never retried.
             Exchange(
                 self,
                 f"{exchange.first}k{number}",
                 exchange.first,
-                100 + number,
+                COPY + number,
                 exchange.grade,
                 exchange.customer,
                 time.monotonic_ns(),
@@ -427,30 +440,30 @@
         times, grades, customers, to = (
             part.tolist() for part in arrivals(self.day, self.plan.seed)
         )
-        name, at, most = f"{self.plan.seed:x}", 0, len(times)
-        while at < most:
+        seed_hex, index, total = f"{self.plan.seed:x}", 0, len(times)
+        while index < total:
             now = time.monotonic_ns() - start
-            while at < most and times[at] <= now:
-                identity = f"{name}.{at:x}"
+            while index < total and times[index] <= now:
+                identity = f"{seed_hex}.{index:x}"
                 Exchange(
                     self,
                     identity,
                     identity,
                     0,
-                    grades[at],
-                    customers[at],
-                    start + times[at],
-                    to[at],
+                    grades[index],
+                    customers[index],
+                    start + times[index],
+                    to[index],
                 ).begin()
                 # The generator's own lateness, kept apart from the balancer's latency.
                 self.lateness.record_value(
-                    max(1, (time.monotonic_ns() - start - times[at]) // 1000)
+                    max(1, (time.monotonic_ns() - start - times[index]) // 1000)
                 )
-                at += 1
-            if at < most:
+                index += 1
+            if index < total:
                 # Very short sleeps would only keep the event loop from reading responses.
-                await asyncio.sleep(max(0.0005, (times[at] - (time.monotonic_ns() - start)) / S))
-        self.count = at
+                await asyncio.sleep(max(0.0005, (times[index] - (time.monotonic_ns() - start)) / S))
+        self.count = index
         await asyncio.sleep(max(0.0, (self.ends - time.monotonic_ns()) / S))
         longest = (
             (max(self.limits) + 2 * SLACK_NS) / S
@@ -467,7 +480,7 @@
     async def write(self):
         """Flush the event rows regularly, for live displays.
 
-        Otherwise they are written only when many have come together.
+        Buffered rows are otherwise written only in large groups.
         """
         while True:
             await asyncio.sleep(FLUSH_S)
@@ -499,27 +512,28 @@
     async def bad(self, start, kind, number):
         """Run a misbehaving client; its messages aren't requests of the run and aren't audited."""
         await asyncio.sleep(max(0, start - time.monotonic_ns()) / S)
-        name, method = self.names[0]
+        name, method = self.targets[0]
         turn = 0
         while time.monotonic_ns() < self.ends:
             turn += 1
             identity = f"bad-{kind}-{number}-{turn}".encode()
             headers = [(b"X-Request-ID", identity), (b"X-Timeout-Ms", b"500")]
-            good = wire.message(method, name, headers, b"{}" if method == b"POST" else b"")
+            valid = wire.message(method, name, headers, b"{}" if method == b"POST" else b"")
             data, wait = {
-                "mute": (good * 20, 2.0),
-                "half": (good[: len(good) // 2], 2.0),
-                "flood": (good * 200, 0.05),
-                "lengths": (
-                    good.replace(
+                "mute": (valid * 20, 2.0),  # requests whose responses are never read
+                "half": (valid[: len(valid) // 2], 2.0),  # half a request
+                "flood": (valid * 200, 0.05),  # many requests at once
+                "lengths": (  # two contradicting lengths
+                    valid.replace(
                         b"\r\n\r\n", b"\r\nContent-Length: 7\r\nContent-Length: 70\r\n\r\n"
                     ),
                     0.1,
                 ),
-                "forged": (good.replace(identity, f"{self.plan.seed:x}.{turn:x}".encode()), 0.05),
+                "forged": (valid.replace(identity, f"{self.plan.seed:x}.{turn:x}".encode()), 0.05),
             }[kind]
             if kind == "forged":
-                # It uses the id of a real client's request, which must still get its response.
+                # Two X-Request-ID headers: ``forged``, and the id of a real client's request, which
+                # must still get its response.
                 data = data.replace(b"X-Request-ID", b"X-Request-ID: forged\r\nX-Request-ID")
             with suppress(OSError, TimeoutError):
                 async with asyncio.timeout(5):
@@ -565,7 +579,7 @@
 
 
 async def run(plan, folder, begin, where=None):
-    """Run the load from the common start until it is done or stdin closes; write load.json."""
+    """Run the load from the shared start time until it is done or stdin closes; write load.json."""
     load = Load(plan, folder, where)
     start, ended = await begin()
     playing = asyncio.ensure_future(load.play(start))
--- a/pepperhook/lab/matrix.py
+++ b/pepperhook/lab/matrix.py
@@ -14,6 +14,7 @@
 
 BLOCK_S = 5  # seconds drawn together by the bootstrap, as consecutive seconds are correlated
 DRAWS = 2000  # bootstrap resamples
+MAX_RUNS_WITH_ROWS = 12  # with more runs, the event rows of each are deleted after it
 FIGURES = ("goodput", "served", "shed", "failed", "lost", "worst_ten_seconds")
 OUTCOMES = ("served", "shed", "failed", "gone", "lost")
 
@@ -21,6 +22,9 @@
 def play(day, folder, seed, repeats, only, tell):
     """Run the experiment and return the results.
 
+    ``only`` has the names of the variants to run, all if empty; ``tell(text, share)`` reports
+    progress.
+
     Each result is stored as soon as its run is over; an interrupt skips the remaining runs.
     """
     variants = [v for v in day.variants if not only or v.name in only]
@@ -50,7 +54,7 @@
                 )
                 results.append(run.play())
                 for rows in run.folder.glob("*.rows"):
-                    rows.unlink() if repeats * len(variants) > 12 else None
+                    rows.unlink() if repeats * len(variants) > MAX_RUNS_WITH_ROWS else None
                 if results[-1]["interrupted"]:
                     return results
     except KeyboardInterrupt:
@@ -79,7 +83,7 @@
 
 
 def blocks(result):
-    """Return the earned and the possible value of each block of seconds."""
+    """Return the earned value of each block of seconds, and the possible value."""
     earned, possible = (numpy.array(result["seconds"][name]) for name in ("earned", "possible"))
     starts = range(0, len(earned), BLOCK_S)
     return (
@@ -113,7 +117,7 @@
     )
 
 
-def plain_interval(base, other, key):
+def interval_over_seeds(base, other, key):
     """Return the mean difference of a figure and its 95% interval, bootstrapped over the seeds.
 
     With a single seed the interval is infinite.
@@ -163,7 +167,7 @@
         difference, low, high = (
             interval(by_name[base], by_name[other])
             if key == "goodput"
-            else plain_interval(by_name[base], by_name[other], key)
+            else interval_over_seeds(by_name[base], by_name[other], key)
         )
         figures[key] = {
             "base": mean(by_name[base].values(), key),
@@ -181,7 +185,10 @@
 
 
 def summary(day, results):
-    """Return a machine-readable summary: a row per variant, compared with the first one."""
+    """Return a machine-readable summary, with a row per variant.
+
+    Each is compared with the first variant that has results.
+    """
     by_name, rows, first = by_variant(results), [], None
     for variant in day.variants:
         by_seed = by_name.get(variant.name)
--- a/pepperhook/lab/null.py
+++ b/pepperhook/lab/null.py
@@ -13,7 +13,7 @@
 from pepperhook.lab.experiment import Experiment, Grade, Load, Tier, Variant
 
 
-class Null(asyncio.Protocol):
+class Responder(asyncio.Protocol):
     """Responds to each message immediately."""
 
     def connection_made(self, transport):
@@ -32,14 +32,17 @@
     """Run the responder until stdin closes."""
     from pepperhook.lab.stage import begin
 
-    server = await asyncio.get_running_loop().create_server(Null, host, port)
+    server = await asyncio.get_running_loop().create_server(Responder, host, port)
     _, ended = await begin()
     await ended
     server.close()
 
 
 def measure(rate, seconds):
-    """Return the responses per second, the latencies and the load generator's own lateness."""
+    """Send ``rate`` requests per second; return the responses per second and the latencies.
+
+    The result also has the load generator's own lateness.
+    """
     folder = Path(tempfile.mkdtemp(prefix="pepperhook-null-"))
     day = Experiment(
         version=1,
@@ -69,7 +72,7 @@
                 process.wait(5)
             except subprocess.TimeoutExpired:
                 process.kill()
-        run.held.close()
+        run.block_lock.close()
     summary = json.loads((folder / "load.json").read_text())
     return {
         "asked_per_s": rate,
--- a/pepperhook/lab/speed.py
+++ b/pepperhook/lab/speed.py
@@ -21,7 +21,7 @@
     "2-1": ("h2", "http/1.1"),
     "2-2": ("h2", "h2"),
 }
-BUSY = 0.9  # the balancer was the bottleneck if it used at least this share of a core
+MIN_BUSY_CORES = 0.9  # the balancer was the bottleneck if it used at least this share of a core
 CLIENTS, UPSTREAMS = 48, 6
 WORK_MS = 0.5  # of each request, at an upstream
 
@@ -62,38 +62,41 @@
     for round_number in range(rounds):
         for at, name in enumerate(names[round_number % 4 :] + names[: round_number % 4]):
             tell(f"round {round_number + 1} of {rounds}: {name}", (round_number + at / 4) / rounds)
-            full, busy = run_pairing(
+            saturated, cores = run_pairing(
                 day(seconds, clients=Clients(closed=CLIENTS)),
                 name,
                 seed + round_number,
                 folder / f"{name}-{round_number}-full",
             )
-            if busy < BUSY:
+            if cores < MIN_BUSY_CORES:
                 raise Failed(
-                    f"{name}: the balancer used {busy:.2f} of a core; something else was the bottleneck"
+                    f"{name}: the balancer used {cores:.2f} of a core; "
+                    "something else was the bottleneck"
                 )
-            figures = full["figures"]
-            rate = figures["wishes"] * figures["served"] / seconds / busy
-            half, share = run_pairing(
+            figures = saturated["figures"]
+            rate = figures["wishes"] * figures["served"] / seconds / cores
+            half_rate, half_rate_cores = run_pairing(
                 day(seconds, load=[Load(rate=rate / 2)]),
                 name,
                 seed + round_number,
                 folder / f"{name}-{round_number}-half",
             )
-            if half["void"]:
-                raise Failed(f"{name}: the load was late at {rate / 2:.0f} a second")
+            if half_rate["void"]:
+                raise Failed(
+                    f"{name}: the load generator was late at {rate / 2:.0f} requests per second"
+                )
             rows[name].append(
                 {
                     "a_core_per_s": rate,
                     "core_ms": 1000 / rate,
                     "served": figures["served"],
                     "half_per_s": rate / 2,
-                    "half_core": share,
-                    "half_p50_ms": half["load"]["latency_ms"]["p50"],
-                    "half_p99_ms": half["load"]["latency_ms"]["p99"],
-                    "half_served": half["figures"]["served"],
-                    "half_core_ms": half["first_tier_cpu_ms"],
-                    "rss_mb": max(r["rss_mb"] for r in full["costs"].values()),
+                    "half_core": half_rate_cores,
+                    "half_p50_ms": half_rate["load"]["latency_ms"]["p50"],
+                    "half_p99_ms": half_rate["load"]["latency_ms"]["p99"],
+                    "half_served": half_rate["figures"]["served"],
+                    "half_core_ms": half_rate["first_tier_cpu_ms"],
+                    "rss_mb": max(r["rss_mb"] for r in saturated["costs"].values()),
                 }
             )
     figures_by_name = {}
--- a/pepperhook/lab/tracecost.py
+++ b/pepperhook/lab/tracecost.py
@@ -28,6 +28,7 @@
 NS_PER_S = 1e9
 US_PER_S = 1e6
 ROOT = Path(__file__).resolve().parents[2]
+# Fraction of requests that are traced; None: tracing is off.
 MODES: dict[str, float | None] = {"off": None, "sampled, 1%": 0.01, "whole": 1.0}
 
 Record = list[Any]
@@ -48,13 +49,13 @@
     driver, traces = Driver(Balancer), []
     spent_ns = requests = 0
     clock = time.process_time_ns
-    for kind, *rest in records:
+    for kind, *rest in records:  # kinds of a capture's records
         if kind == "new" or (kind == "state" and driver.policy is None):
             begin = driver.start_policy if kind == "new" else driver.restore_state
             begin(*rest)
             if sampled_fraction is not None:
-                keep = lambda trace: traces.append(len(encode(trace)))  # noqa: E731
-                driver.policy = Tracer(driver.policy, keep, (), (), sampled_fraction)
+                append_size = lambda trace: traces.append(len(encode(trace)))  # noqa: E731
+                driver.policy = Tracer(driver.policy, append_size, (), (), sampled_fraction)
         elif kind == "upstream":
             driver.add_upstream(*rest)
         elif kind == "operation":
@@ -111,6 +112,7 @@
         "operations": runs["off"][0].requests,
         "rounds": rounds,
         "us_an_operation": {name: _times(rows) for name, rows in runs.items()},
+        # Bytes of a request's trace.
         "raw_bytes_a_life": {
             name: round(rows[-1].traced_bytes / rows[-1].traces, 1)
             for name, rows in runs.items()
--- a/pepperhook/lab/tracesize.py
+++ b/pepperhook/lab/tracesize.py
@@ -16,7 +16,7 @@
 
 S = 10**9
 GRADES = ("look", "hold", "sale")
-FINALS = (records.RequestOutcome.SERVED,) * 6 + (
+OUTCOMES = (records.RequestOutcome.SERVED,) * 6 + (
     records.RequestOutcome.REJECTED,
     records.RequestOutcome.FAILED,
 )
@@ -37,7 +37,7 @@
 
     Ids are random like those of real clients; there are a million tenants.
     """
-    chance, traces, accepted_ns = Random(seed), 0, 10**18
+    rng, traces, accepted_ns = Random(seed), 0, 10**18
     writer = ContainerWriter(
         Path(path),
         FileMetadata("trace", records.CONTENT_VERSION, "b0-0", 0, 10**18, 10**18, {"share": 1.0}),
@@ -46,38 +46,38 @@
     max_bytes = int(megabytes * 1e6)
     while writer.size < max_bytes:
         for _ in range(2000):
-            accepted_ns += chance.randrange(1000, 300_000)
+            accepted_ns += rng.randrange(1000, 300_000)
             final, first, second = (
-                FINALS[traces % len(FINALS)],
-                names[chance.randrange(UPSTREAMS)],
-                names[chance.randrange(UPSTREAMS)],
+                OUTCOMES[traces % len(OUTCOMES)],
+                names[rng.randrange(UPSTREAMS)],
+                names[rng.randrange(UPSTREAMS)],
             )
-            duration_us = 1000 + int(chance.expovariate(1 / 20_000))
+            duration_us = 1000 + int(rng.expovariate(1 / 20_000))
             selection = records.Selection(
                 "slice",
                 8,
                 1 + traces % 8,
                 [
-                    (first, chance.random(), chance.random() * 5, chance.random()),
-                    (second, chance.random(), chance.random() * 5, chance.random()),
+                    (first, rng.random(), rng.random() * 5, rng.random()),
+                    (second, rng.random(), rng.random() * 5, rng.random()),
                 ],
             )
             retry = (
                 None
                 if final == records.RequestOutcome.SERVED
                 else records.RetryDecision(
-                    "chance", chance.random(), 0.2, chance.random() / 5, chance.random()
+                    "chance", rng.random(), 0.2, rng.random() / 5, rng.random()
                 )
             )
             trace = records.RequestTrace(
-                f"{chance.getrandbits(128):032x}",
+                f"{rng.getrandbits(128):032x}",
                 "",
                 GRADES[traces % 3],
-                f"c{chance.randrange(CUSTOMERS)}",
+                f"c{rng.randrange(CUSTOMERS)}",
                 accepted_ns,
                 2_000_000,
                 1_000_000,
-                chance.random(),
+                rng.random(),
                 final,
                 duration_us,
                 final == records.RequestOutcome.SERVED and traces % 50 == 0,
@@ -108,7 +108,7 @@
     """
     path = Path(folder) / "large.trc"
     traces = make(path, megabytes, seed, tell)
-    tell("summing up", 0.5)
+    tell("summarizing", 0.5)
     begun = time.monotonic()
     done = subprocess.run(
         [sys.executable, "-c", SUMMARY, str(path)], capture_output=True, text=True
--- a/tests/lab/experiments.py
+++ b/tests/lab/experiments.py
@@ -9,7 +9,7 @@
 
 
 def read_experiment(text):
-    """Return the experiment of a file's text, without the checks across keys."""
+    """Return the experiment of a file's text, without experiment.check."""
     return tomlfile.decode(text, Experiment)
 
 
--- a/tests/lab/test_cores.py
+++ b/tests/lab/test_cores.py
@@ -40,8 +40,8 @@
 
 
 def test_largest_share_of_stolen_time_between_two_samples_is_kept(tmp_path):
-    # Guards against blaming the program for a run in which the virtual machine lost a fifth of
-    # its cores.
+    # Otherwise a run on a virtual machine that lost a fifth of its cores would count against the
+    # program.
     cores, statistics = Cores(), tmp_path / "stat"
 
     for idle, stolen in ((1000, 5), (1490, 15), (1905, 100)):
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -8,7 +8,7 @@
 
 
 def make_front():
-    """Return a distribution over four balancers with a skew of one."""
+    """Return a front before four balancers, with a skew of one."""
     text = EXPERIMENT.replace("upstreams = 4", "upstreams = 4\nbalancers = 4")
     return load.Front(Plan(read_experiment(text + "[front]\nskew = 1.0\n"), 3, 30))
 
@@ -18,7 +18,7 @@
 
     counts = Counter(front.next_address() for _ in range(4000))
 
-    # 1, 1/2, 1/3 and 1/4 of 25/12; within five standard deviations.
+    # The weights are 1, 1/2, 1/3 and 1/4, whose sum is 25/12; within five standard deviations.
     shares = sorted((count / 4000 for count in counts.values()), reverse=True)
     assert all(abs(share - 12 / 25 / (rank + 1)) < 0.04 for rank, share in enumerate(shares))
 
--- a/tests/lab/test_zones.py
+++ b/tests/lab/test_zones.py
@@ -98,7 +98,7 @@
 )
 def test_connection_crosses_a_zones_border_if_one_end_is_in_the_zone(ends, crosses):
     network = Network(Plan(make_zoned_experiment(), 1, 30), None)
-    fault = experiment.Trouble(what="net_apart", at=1, zone=1)
+    fault = experiment.Trouble(what="net_apart", at=1, zone=1)  # zone 1 is "b"
     relay = Relay(network, None)
     relay.ends = ends
 
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -108,10 +108,11 @@
         assert (what, True) in recorded and (what, False) in recorded, what
     assert ("balancer killed", True) in recorded and ("discovery_move", True) in recorded
     works = [row for row in rows if isinstance(row, events.Work)]
-    marks = {(row.upstream, row.outcome) for row in works}
-    assert {(1, "hung"), (2, "error"), (4, "reset"), (7, "spoilt")} <= marks
+    outcomes = {(row.upstream, row.outcome) for row in works}
+    assert {(1, "hung"), (2, "error"), (4, "reset"), (7, "spoilt")} <= outcomes
     start = min(row.intended for row in rows if isinstance(row, events.Try))
-    # Upstreams that are down or unreachable get nothing; both balancers get the list's changes.
+    # Faults last from 1.5 s to 3.5 s. Upstreams that are down or unreachable get nothing; both
+    # balancers get the list's changes.
     for upstream in (0, 5, 6, 9, 10):
         assert not [
             row
@@ -125,6 +126,7 @@
 
 
 def test_bad_clients_reach_no_upstream(played):
+    # Incomplete, ambiguous and forged messages; mute and flood clients send valid ones.
     _, _, rows = played
     bad = [
         row.id
@@ -137,7 +139,9 @@
 
 
 S = 10**9
-SECOND = (
+# Faults of draining, crowding, the network and the discovery service; no misbehaving clients (the
+# replacement of ``bad`` comments its entries out).
+SECOND_SCENARIO = (
     DAY.replace("upstreams = 12", "upstreams = 8")
     .replace("rate = 200", "rate = 100")
     .replace("[clients]", "[clients]\nclosed = 3\nthink_ms = 40")
@@ -166,7 +170,7 @@
 @pytest.fixture(scope="module")
 def second(tmp_path_factory):
     """Run the second scenario; return the experiment, the result, the event rows and the folder."""
-    text = SECOND + "".join(
+    text = SECOND_SCENARIO + "".join(
         f'[[troubles]]\nwhat = "{what}"\nat = {at}\nfor = {long}\nsize = {size}\n'
         + (f"who = {who}\n" if who else "")
         for what, who, at, long, size in SECOND_FAULTS
@@ -244,8 +248,9 @@
     assert delayed and min(row.ended - row.sent for row in delayed) >= 120e6
     # Deaf: no request arrives. Mute: requests arrive and are processed, but no response gets back.
     assert not [row for row in works if row.upstream == 3 and within(row)]
-    # Requests sent in the first moments stay in flight and keep further ones away. So look at two
-    # upstreams, from the very beginning of the fault; otherwise there may be no request.
+    # Requests sent in the first moments stay in flight, so the upstream gets hardly any further
+    # ones. Two upstreams are checked, from the very beginning of the fault, or there may be no
+    # request.
     mute = [row for row in works if row.upstream in (4, 6) and within(row, begin=1.0, end=3.3)]
     assert mute and not [
         row
@@ -301,6 +306,7 @@
 
 def test_closed_loop_clients_wait_for_the_response_and_the_think_time(second):
     _, result, rows, _ = second
+    # Ids of closed-loop requests have a c after the seed, which is 9 here.
     by_client = {}
     for row in rows:
         if isinstance(row, events.Try) and "c" in row.id.split(".")[0]:
@@ -337,7 +343,7 @@
 
 @loopback
 async def test_network_cut_resets_open_connections_and_allows_new_ones():
-    # The event rows of a run show nothing of a cut that happens while no request is in flight.
+    # A cut while no request is in flight leaves no event row of a request, so it is tested here.
 
     async def echo(reader, writer):
         with suppress(ConnectionError):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -130,13 +130,16 @@
         and box.warmth(S) == pytest.approx(0.6)
         and box.warmth(2 * S) == 1
     )
+    # With little work, a cold machine stays up.
     box = Machine(spec, 0, cold=True)
     for at in range(20):
         box.arrive(at * 10 * MS, Job(5 * MS, at))
     assert not box.fell
+    # More than fall_multiple of its present capacity makes it fail.
     for at in range(60):
         box.arrive(S // 5 + at * MS, Job(20 * MS, at))
     assert box.fell
+    # A warm machine stays up.
     warm = Machine(spec, 0)
     for at in range(200):
         warm.arrive(at, Job(20 * MS, at))
@@ -180,7 +183,7 @@
     ),
     (
         DAY + "[[troubles]]\nwhat = 'slow'\nat = 1\nwho = [7]\n",
-        "line 27: troubles[0].who: there are 4 of them",
+        "line 27: troubles[0].who: there are 4 targets",
     ),
     (DAY + "[[troubles]]\nwhat = 'net_cut'\nat = 1\n", "troubles[0].what: needs `network = true`"),
     (
@@ -190,7 +193,7 @@
     (DAY + "[[load]]\nrate = -1\n", "line 25: load[1].rate: expected `float` >= 0"),
     (
         DAY + "[[variants]]\nname = 'x'\nmodule = 'nobody'\n",
-        "line 26: variants[0].module: no module has",
+        "line 26: variants[0].module: no policy has",
     ),
     (DAY + "[[tiers]]\nbalancers = 3\n", "line 25: tiers[2].balancers: only the first tier"),
     (DAY + "[clients]\nretires = 1\n", "line 25: clients.retires: is not known; 'retries' is"),
@@ -250,8 +253,8 @@
     # 400 steady, 800 on the ramp and 50 in bursts, within five standard deviations of a Poisson
     # count with bursts.
     assert abs(len(times) - 1250) < 5 * 45
-    half = (times < 2 * S).sum()
-    assert half < 0.45 * len(times) and set(grades) == {0, 1, 2} and set(customers) == {0}
+    in_first_half = (times < 2 * S).sum()
+    assert in_first_half < 0.45 * len(times) and set(grades) == {0, 1, 2} and set(customers) == {0}
 
 
 def test_endpoint_list_changes_with_the_injected_faults():
@@ -299,13 +302,13 @@
         while (message := messages.next()) is not None:
             received.append((message[0].headers[b"x-request-id"], len(message[1])))
     assert received == [(b"%d" % n, n) for n in range(0, 90, 7)] and not messages.begun
-    for bad in (
+    for malformed in (
         b"nothing\r\n\r\n",
         b"GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n",
         b"GET / HTTP/1.1\r\nno colon\r\n\r\n",
     ):
         messages = wire.Messages()
-        messages.feed(bad)
+        messages.feed(malformed)
         with pytest.raises(wire.Broken):
             messages.next()
 
@@ -347,7 +350,10 @@
 
 
 def work(at=101, took=10, grade=0, outcome="served", identity="a", upstream=0, gone=0, seen=1):
-    """Return the event row of an attempt at an upstream; times in ms."""
+    """Return the event row of an attempt at an upstream; times in ms.
+
+    ``gone``: when the client left, 0: never; ``seen``: number of the execution.
+    """
     nonce = f"0.0.{identity}.{seen}" if outcome == "served" else ""
     return events.Work(
         0,
@@ -392,6 +398,7 @@
         None,
         [one(kind="lost", status=0), work(), events.Happened(150 * MS, "balancer killed", 0, 0)],
     ),
+    # The balancer of the client was killed: its lost request is excused.
     "its own": (
         None,
         [
@@ -400,10 +407,12 @@
             events.Happened(150 * MS, "balancer killed", 0, 1),
         ],
     ),
+    # The upstream that called through a balancer of the second tier crashed: also excused.
     "its upstream's": (
         None,
         [one(kind="lost", status=0, tier=1, caller=2), events.Happened(150 * MS, "crash", 0, 2)],
     ),
+    # Another balancer was killed: not excused.
     "another's": (
         "lost",
         [
@@ -412,6 +421,7 @@
             events.Happened(150 * MS, "balancer killed", 0, 0),
         ],
     ),
+    # A balancer that drains must not lose requests.
     "told to leave": (
         "lost",
         [
@@ -438,9 +448,11 @@
         ],
     ),
     "lost": ("lost", [one(kind="lost", status=0), work()]),
+    # The client got no response within its time limit.
     "never": ("lost", [one(kind="open", status=0), work()]),
     "late": ("late", [one(took=600), work(took=590)]),
     "invented": ("invented", [one(body="0.0.b.1"), work()]),
+    # A 200 without any attempt at an upstream.
     "nobody's": ("invented", [one()]),
     "twice": ("answered twice", [one(), work(), events.Extra(0, 130 * MS, "a", 40)]),
     "ran twice": (
@@ -534,8 +546,8 @@
     assert low < 0 < high
 
 
-# The baselines keep the rules that they claim to keep, in the random world that also tests the
-# balancer's policy.
+# The baselines keep the rules that they claim to keep, in the simulation of tests/world.py that
+# also tests the balancer's policy.
 
 
 @pytest.mark.parametrize("name", baselines.MODULES)
