--- a/pepperhook/lab/experiment.py
+++ b/pepperhook/lab/experiment.py
@@ -401,7 +401,7 @@
         return f"127.{self.block}.{200 + moved}.{1 + tier}", 8000 + caller
 
     def settings(self, tier, caller, overrides=None):
-        """Return the deployment's settings, under the platform's key names (pepperhook/settings.py).
+        """Return the deployment's settings, under the key names of pepperhook/settings.py.
 
         ``overrides`` replaces values, and merges tables.
         """
