--- a/pepperhook/lab/load.py
+++ b/pepperhook/lab/load.py
@@ -1,8 +1,10 @@
-"""Clients: ``python -m pepperhook.lab.load PLAN FOLDER``. Open loop from a seeded arrival process, closed loop, and bad ones.
+"""Load generator: ``python -m pepperhook.lab.load PLAN FOLDER``.
 
-Latency counts from the moment at which an operation was to be sent, whenever it could be: a load that waits for a slow
-balancer before it sends the next would leave out what its users felt (coordinated omission, as Gil Tene's HdrHistogram pages
-have it). The load measures its own lateness, and says when it was the bottleneck.
+It runs an open loop from a seeded arrival process, closed-loop clients and misbehaving clients.
+Latency counts from the intended send time. A generator that waits for a slow balancer before it
+sends the next request would leave out the delay that users see (coordinated omission, described by
+Gil Tene on the HdrHistogram pages). The generator measures its own lateness and marks a run as void
+when it was the bottleneck itself.
 """
 
 import asyncio
@@ -18,27 +20,36 @@
 from pepperhook.lab.experiment import Plan
 
 MS, S = 10**6, 10**9
-LATE_NS = 20 * MS  # a load whose 99th percentile of lateness is over this was the bottleneck
-AFTER_S = 1.0  # beyond the longest time limit, for last answers
-SLACK_NS = 50 * MS  # past its limit an answer may still come on a busy machine; later it is late
-FLUSH_S = 0.25
-HEALTH_S = 0.5  # between the front's looks
+LATE_NS = 20 * MS  # a 99th percentile of the generator's lateness above this makes a run void
+AFTER_S = 1.0  # how long to wait for late responses after the longest time limit
+SLACK_NS = 50 * MS  # tolerance past the time limit, as responses may be late on a busy machine
+FLUSH_S = 0.25  # interval at which event rows are flushed
+HEALTH_S = 0.5  # interval of the front's health checks
+# An exchange's number shows its kind. Retries have numbers below COPY. Copies have the sum of COPY
+# and a small number, of COPY, AT_END and an index, or of COPY, AFTER_LOSS and an index. A lost
+# exchange with a number below AFTER_LOSS is copied.
+COPY = 100
+AT_END = 50
+AFTER_LOSS = 200
 
 
 def arrivals(day, seed):
-    """(times in ns, grades, customers, balancers or -1), sorted, of the open loop: a Poisson process, thinned where it ramps; bursts
-    bring a geometric number at once."""
+    """Return the open loop's arrivals as sorted arrays: (ns, grade, customer, balancer).
+
+    Customer and balancer are -1 where none is given. Arrivals are a Poisson process, thinned on
+    ramps; the number of requests in a burst is geometrically distributed.
+    """
     parts = []
-    for at, load in enumerate(day.load):
-        rng = numpy.random.default_rng([seed, at])
+    for index, load in enumerate(day.load):
+        rng = numpy.random.default_rng([seed, index])
         ends = day.seconds if load.for_ is None else min(day.seconds, load.at + load.for_)
-        span, most = ends - load.at, max(load.rate, load.to or 0.0)
-        if span <= 0 or not most:
+        duration, peak_rate = ends - load.at, max(load.rate, load.to or 0.0)
+        if duration <= 0 or not peak_rate:
             continue
-        times = numpy.sort(rng.uniform(0, span, rng.poisson(most / load.burst * span)))
+        times = numpy.sort(rng.uniform(0, duration, rng.poisson(peak_rate / load.burst * duration)))
         if load.to is not None:
-            rate = load.rate + (load.to - load.rate) * times / span
-            times = times[rng.uniform(0, most, len(times)) < rate]
+            rate = load.rate + (load.to - load.rate) * times / duration
+            times = times[rng.uniform(0, peak_rate, len(times)) < rate]
         if load.burst > 1:
             times = numpy.repeat(times, rng.geometric(1 / load.burst, len(times)))
         names = [g.name for g in day.grades], [c.name for c in day.customers]
@@ -63,32 +74,39 @@
 
 
 def shares(rows):
+    """Return the rows' shares, scaled to a sum of one."""
     weights = numpy.array([row.share for row in rows])
     return weights / weights.sum()
 
 
 class Front:
-    """Deals connections among the balancers of the first tier, in turn or unevenly; notices deaths and returns late."""
+    """Stand-in for the network load balancer before the first tier.
+
+    It distributes connections over the balancers, round robin or skewed.
+
+    It notices only with a delay that a balancer went down or came back.
+    """
 
     def __init__(self, plan):
-        self.seed, self.told = plan.seed, plan.day.front
+        self.seed, self.config = plan.seed, plan.day.front
         self.addresses = [plan.balancer(0, number) for number in range(plan.day.tiers[0].balancers)]
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
         self.alive = list(self.addresses)
-        self.well_at = dict.fromkeys(self.addresses, time.monotonic())
+        self.last_healthy_at = dict.fromkeys(self.addresses, time.monotonic())
         self.turn = 0
         ranked = sorted(
             self.addresses, key=lambda address: chance.share(plan.seed, "rank", address)
         )
         self.weights = {
-            address: (rank + 1) ** -self.told.skew for rank, address in enumerate(ranked)
+            address: (rank + 1) ** -self.config.skew for rank, address in enumerate(ranked)
         }
 
-    def deal(self):
+    def next_address(self):
+        """Return the address for the next connection; None if no balancer is alive."""
         if not self.alive:
             return None
         self.turn += 1
-        if not self.told.skew:
+        if not self.config.skew:
             return self.alive[self.turn % len(self.alive)]
         drawn = chance.share(self.seed, "deal", self.turn) * sum(
             self.weights[address] for address in self.alive
@@ -100,14 +118,15 @@
         return address
 
     async def watch(self):
+        """Check the health of all balancers, until cancelled."""
         while True:
             for address in self.addresses:
                 if await healthy(address):
-                    self.well_at[address] = time.monotonic()
+                    self.last_healthy_at[address] = time.monotonic()
                     if address not in self.alive:
                         self.alive.append(address)
                 elif (
-                    time.monotonic() - self.well_at[address] > self.told.notice_s
+                    time.monotonic() - self.last_healthy_at[address] > self.config.notice_s
                     and address in self.alive
                 ):
                     self.alive.remove(address)
@@ -115,6 +134,7 @@
 
 
 async def healthy(address):
+    """Return whether a balancer passes its health check within a second."""
     try:
         async with asyncio.timeout(1):
             reader, writer = await asyncio.open_connection(*address)
@@ -128,33 +148,36 @@
 
 
 class Exchange:
-    """One try: from the moment it was to be sent to its one row in the book."""
+    """One request that a client sends, from its intended send time to its event row.
+
+    A client's retry, or a copy, is another exchange.
+    """
 
     __slots__ = (
         "load",
         "id",
-        "first",
-        "number",
+        "first",  # id of the first try; its own unless it is a retry or a copy
+        "number",  # 0: first try; else the number of the retry or copy
         "grade",
         "customer",
         "intended",
         "sent",
         "limit",
         "link",
-        "fresh",
-        "over",
+        "fresh",  # its connection was opened for it
+        "over",  # its row has been written
         "timer",
         "data",
-        "again",
-        "gave_up",
+        "resent",
+        "leaves_early",
         "future",
         "stream",
-        "to",
+        "to",  # number of the balancer; -1: the front chooses
         "pool",
-        "behind",
+        "copies_at_end",
     )
 
-    data: bytes  # as it is sent, for once more on a new connection
+    data: bytes  # the message as sent, kept for sending it again on a new connection
 
     def __init__(self, load, identity, first, number, grade, customer, intended, to=-1):
         self.load, self.id, self.first, self.number, self.grade = (
@@ -166,19 +189,20 @@
         )
         self.customer, self.intended, self.sent, self.future = customer, intended, 0, None
         self.limit, self.to, self.pool = load.limits[grade], to, load.pools[to]
-        self.link, self.fresh, self.over, self.again, self.gave_up = (
+        self.link, self.fresh, self.over, self.resent, self.leaves_early = (
             None,
             False,
             False,
             False,
             False,
         )
-        self.behind = 0  # copies that are sent in the very turn in which this one ends
+        self.copies_at_end = 0  # copies to send in the same event loop turn in which this one ends
 
     def begin(self):
+        """Send the request and start its timer."""
         load = self.load
         load.open += 1
-        name, method = load.names[self.grade]
+        name, method = load.targets[self.grade]
         headers = [
             (b"X-Request-ID", self.id.encode()),
             (b"X-Timeout-Ms", b"%d" % (self.limit // MS)),
@@ -195,17 +219,18 @@
         patience = load.patience if load.patience is not None else self.limit + 2 * SLACK_NS
         leave = load.day.clients.leave
         if leave and (draw := chance.share(load.plan.seed, "leave", self.id)) < leave:
-            # By its name, and so the same whatever it speaks.
-            self.gave_up = True
+            # Drawn by the request's id, so it is the same for HTTP/1.1 and HTTP/2.
+            self.leaves_early = True
             patience = self.limit * draw / leave / 3
-        self.timer = load.loop.call_later(patience / S, self.late)
+        self.timer = load.loop.call_later(patience / S, self.on_timeout)
         self.pool.ask(self, method, name, headers, load.bodies[self.grade])
 
     def written(self):
-        # A client's time counts from its sending; one that had to connect first sends only now.
+        """Set the send time: the client's time limit counts from sending, after connecting."""
         self.sent = time.monotonic_ns()
 
     def answered(self, status, body, headers):
+        """Record a response; retry one that isn't 200."""
         self.done("answer", status, body.decode(errors="replace").strip())
         load = self.load
         if status != 200:
@@ -213,30 +238,38 @@
             load.failed(self, float(after) if after else 0.0)
 
     def lost(self, why, unread=False):
-        if unread and not self.fresh and not self.again:
-            # It crossed the closing of a kept connection: once more on a new one.
-            self.again = True
+        """Record a broken connection; ``unread``: it broke before any byte of the response."""
+        if unread and not self.fresh and not self.resent:
+            # The balancer closed the kept connection while the request was sent: resend it once on
+            # a new connection.
+            self.resent = True
             self.pool.idle.clear()
             self.pool.send(self, self.data)
             return
         self.done("lost", 0, "", why)
         load = self.load
-        if load.day.clients.duplicates and load.has_effect[self.grade] and self.number < 200:
-            # As a terminal does whose balancer died; once at once, and once when that may have begun again.
+        if load.day.clients.duplicates and load.has_effect[self.grade] and self.number < AFTER_LOSS:
+            # Like a client whose connection broke: send a copy at once, and another when a killed
+            # balancer may be running again.
             for wait in 0.05, 2.2 + chance.share(load.plan.seed, "lost", self.id):
-                load.loop.call_later(wait, load.copy, self, 200 + 2 * self.number + int(wait))
+                load.loop.call_later(
+                    wait, load.copy, self, AFTER_LOSS + 2 * self.number + int(wait)
+                )
         load.failed(self, 0.0)
 
     def unconnected(self, why):
+        """Record that no connection could be opened."""
         self.done("unconnected", 0, "", why)
         self.load.failed(self, 0.0)
 
-    def late(self):
+    def on_timeout(self):
+        """Record that the client's patience or time limit ran out, and close the connection."""
         self.pool.drop(self)
-        self.done("gone" if self.gave_up or self.load.patience is not None else "open", 0, "")
+        self.done("gone" if self.leaves_early or self.load.patience is not None else "open", 0, "")
         self.load.failed(self, 0.0)
 
     def done(self, kind, status, body, note=""):
+        """Write the event row, once, and send the copies due at its end."""
         if self.over:
             return
         self.over = True
@@ -267,11 +300,13 @@
             load.served.record_value(max(1, min(60 * 10**6, (now - self.intended) // 1000)))
         if self.future is not None and not self.future.done():
             self.future.set_result(status)
-        for turn in range(self.behind):
-            load.copy(self, 50 + turn)
+        for turn in range(self.copies_at_end):
+            load.copy(self, AT_END + turn)
 
 
 class Load:
+    """The clients of one run."""
+
     def __init__(self, plan, folder, where=None):
         self.plan, self.day, self.folder, self.loop = (
             plan,
@@ -284,12 +319,12 @@
         make = wire.Pool
         if plan.day.clients.protocol == "h2":
             from pepperhook.lab.wire2 import Pool2 as make
-        self.pools = {-1: make(where or self.front.deal, self.unasked, self.unasked)}
+        self.pools = {-1: make(where or self.front.next_address, self.unasked, self.unasked)}
         for number, address in enumerate(self.front.addresses):
             self.pools[number] = make(lambda address=address: address, self.unasked, self.unasked)
         grades = plan.day.grades
         self.limits = [int((g.client_limit_ms or g.time_limit_ms) * MS) for g in grades]
-        self.names = [
+        self.targets = [  # (path, method) by service class
             (b"/" + g.name.encode(), b"GET" if g.effect == "idempotent" else b"POST")
             for g in grades
         ]
@@ -302,32 +337,34 @@
             for g in grades
         ]
         self.customers = [c.name.encode() for c in plan.day.customers]
-        told = plan.day.clients
-        self.patience = None if told.patience_ms is None else int(told.patience_ms * MS)
+        clients = plan.day.clients
+        self.patience = None if clients.patience_ms is None else int(clients.patience_ms * MS)
         self.latency, self.served, self.lateness = (HdrHistogram(1, 60 * 10**6, 3) for _ in "abc")
         self.open, self.count, self.tasks, self.ends = 0, 0, set(), None
 
     def unasked(self, exchange, data):
+        """Record bytes received without an open request."""
         self.book.add(
             events.Extra(0, time.monotonic_ns(), exchange.id if exchange else "", len(data))
         )
 
     def spawn(self, work):
+        """Run a coroutine as a task that ``close`` cancels."""
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def failed(self, exchange, after_s):
-        """Clients try again by themselves, each a new operation."""
-        told = self.day.clients
+        """Schedule a client's retry, which is a new request to the balancer."""
+        clients = self.day.clients
         if (
-            exchange.number >= told.retries
+            exchange.number >= clients.retries
             or exchange.future is not None
             or time.monotonic_ns() > self.ends
         ):
             return
         wait = (
-            told.backoff_ms
+            clients.backoff_ms
             / 1000
             * 2**exchange.number
             * (0.5 + chance.share(self.plan.seed, "back", exchange.id))
@@ -335,6 +372,7 @@
         self.loop.call_later(max(wait, after_s), self.again, exchange)
 
     def again(self, exchange):
+        """Send the next retry."""
         number = exchange.number + 1
         Exchange(
             self,
@@ -348,36 +386,41 @@
         ).begin()
 
     def duplicate(self, exchange):
-        """Copies of a first try, with ids of their own and its key, at the worst moments: with it, while it runs, in the turn
-        in which it ends, at its time limit, and so late that a balancer that was killed has begun again."""
+        """Schedule copies of a first attempt, with their own ids and its idempotency key.
+
+        They are sent at the most difficult moments: together with it, while it runs, in the event
+        loop turn in which it ends, at its time limit, and so late that a killed balancer is running
+        again.
+        """
 
-        def draw(*what):
-            return chance.share(self.plan.seed, "copy", exchange.id, *what)
+        def draw(*names):
+            return chance.share(self.plan.seed, "copy", exchange.id, *names)
 
         limit = exchange.limit / S
         for number in range(int(draw() * (self.day.clients.duplicates + 1))):
-            kind, where = int(draw(number) * 6), draw(number, "at")
+            kind, position = int(draw(number) * 6), draw(number, "at")
             if kind == 2:
-                exchange.behind += 1
+                exchange.copies_at_end += 1
                 continue
             wait = (
-                where * 0.003,
-                where * 0.1,
-                None,
-                limit + (where - 0.5) * 0.06,
-                where * limit,
-                1.5 + where * 2.0,
+                position * 0.003,  # together with it
+                position * 0.1,  # soon after it
+                None,  # in the event loop turn in which it ends, see above
+                limit + (position - 0.5) * 0.06,  # around its time limit
+                position * limit,  # at any time up to its time limit
+                1.5 + position * 2.0,  # when a killed balancer may be running again
             )[kind]
             self.loop.call_later(wait, self.copy, exchange, number + 1)
 
     def copy(self, exchange, number):
+        """Send a copy of a request under its idempotency key."""
         if time.monotonic_ns() < self.ends + 2 * S:
-            # The number keeps it from being tried again by itself: its copies are that.
+            # A number of COPY or more is above any limit of retries: a copy is never retried.
             Exchange(
                 self,
                 f"{exchange.first}k{number}",
                 exchange.first,
-                100 + number,
+                COPY + number,
                 exchange.grade,
                 exchange.customer,
                 time.monotonic_ns(),
@@ -385,6 +428,7 @@
             ).begin()
 
     async def play(self, start):
+        """Send all requests of the run, then wait for the last responses."""
         self.ends = start + int(self.day.seconds * S)
         self.spawn(self.front.watch())
         self.spawn(self.write())
@@ -396,30 +440,30 @@
         times, grades, customers, to = (
             part.tolist() for part in arrivals(self.day, self.plan.seed)
         )
-        name, at, most = f"{self.plan.seed:x}", 0, len(times)
-        while at < most:
+        seed_hex, index, total = f"{self.plan.seed:x}", 0, len(times)
+        while index < total:
             now = time.monotonic_ns() - start
-            while at < most and times[at] <= now:
-                identity = f"{name}.{at:x}"
+            while index < total and times[index] <= now:
+                identity = f"{seed_hex}.{index:x}"
                 Exchange(
                     self,
                     identity,
                     identity,
                     0,
-                    grades[at],
-                    customers[at],
-                    start + times[at],
-                    to[at],
+                    grades[index],
+                    customers[index],
+                    start + times[index],
+                    to[index],
                 ).begin()
-                # Its own lateness, told apart from the balancer's.
+                # The generator's own lateness, kept apart from the balancer's latency.
                 self.lateness.record_value(
-                    max(1, (time.monotonic_ns() - start - times[at]) // 1000)
+                    max(1, (time.monotonic_ns() - start - times[index]) // 1000)
                 )
-                at += 1
-            if at < most:
-                # Not to sleep for too little, which only keeps the loop from reading answers.
-                await asyncio.sleep(max(0.0005, (times[at] - (time.monotonic_ns() - start)) / S))
-        self.count = at
+                index += 1
+            if index < total:
+                # Very short sleeps would only keep the event loop from reading responses.
+                await asyncio.sleep(max(0.0005, (times[index] - (time.monotonic_ns() - start)) / S))
+        self.count = index
         await asyncio.sleep(max(0.0, (self.ends - time.monotonic_ns()) / S))
         longest = (
             (max(self.limits) + 2 * SLACK_NS) / S
@@ -429,18 +473,21 @@
         stop = time.monotonic() + longest
         quiet = time.monotonic() + (
             2.0 if self.day.clients.duplicates else 0.0
-        )  # copies that are still to come
+        )  # copies are still scheduled
         while (self.open or time.monotonic() < quiet) and time.monotonic() < stop:
             await asyncio.sleep(0.02)
 
     async def write(self):
-        # For whoever looks on while the day goes; the book itself writes only when it has many rows.
+        """Flush the event rows regularly, for live displays.
+
+        Buffered rows are otherwise written only in large groups.
+        """
         while True:
             await asyncio.sleep(FLUSH_S)
             self.book.flush()
 
     async def closed(self, start, number):
-        """A client that sends its next when it has the answer, after thinking."""
+        """Run a closed-loop client: it sends its next request after a response and a think time."""
         await asyncio.sleep(max(0, start - time.monotonic_ns()) / S)
         turn = 0
         while time.monotonic_ns() < self.ends:
@@ -463,39 +510,40 @@
             await asyncio.sleep(self.day.clients.think_ms / 1000)
 
     async def bad(self, start, kind, number):
-        """One that misbehaves all day; what it sends is no operation of the day's and is not audited as one."""
+        """Run a misbehaving client; its messages aren't requests of the run and aren't audited."""
         await asyncio.sleep(max(0, start - time.monotonic_ns()) / S)
-        name, method = self.names[0]
+        name, method = self.targets[0]
         turn = 0
         while time.monotonic_ns() < self.ends:
             turn += 1
             identity = f"bad-{kind}-{number}-{turn}".encode()
             headers = [(b"X-Request-ID", identity), (b"X-Timeout-Ms", b"500")]
-            good = wire.message(method, name, headers, b"{}" if method == b"POST" else b"")
-            said, wait = {
-                "mute": (good * 20, 2.0),
-                "half": (good[: len(good) // 2], 2.0),
-                "flood": (good * 200, 0.05),
-                "lengths": (
-                    good.replace(
+            valid = wire.message(method, name, headers, b"{}" if method == b"POST" else b"")
+            data, wait = {
+                "mute": (valid * 20, 2.0),  # requests whose responses are never read
+                "half": (valid[: len(valid) // 2], 2.0),  # half a request
+                "flood": (valid * 200, 0.05),  # many requests at once
+                "lengths": (  # two contradicting lengths
+                    valid.replace(
                         b"\r\n\r\n", b"\r\nContent-Length: 7\r\nContent-Length: 70\r\n\r\n"
                     ),
                     0.1,
                 ),
-                "forged": (good.replace(identity, f"{self.plan.seed:x}.{turn:x}".encode()), 0.05),
+                "forged": (valid.replace(identity, f"{self.plan.seed:x}.{turn:x}".encode()), 0.05),
             }[kind]
             if kind == "forged":
-                # An id that a real client uses: what it may not do is to keep the real one from its answer.
-                said = said.replace(b"X-Request-ID", b"X-Request-ID: forged\r\nX-Request-ID")
+                # Two X-Request-ID headers: ``forged``, and the id of a real client's request, which
+                # must still get its response.
+                data = data.replace(b"X-Request-ID", b"X-Request-ID: forged\r\nX-Request-ID")
             with suppress(OSError, TimeoutError):
                 async with asyncio.timeout(5):
-                    address = self.front.deal()
+                    address = self.front.next_address()
                     if address is None:
                         await asyncio.sleep(0.2)
                         continue
                     reader, writer = await asyncio.open_connection(*address)
                     try:
-                        writer.write(said)
+                        writer.write(data)
                         await asyncio.sleep(wait)
                         if kind not in ("mute", "half"):
                             await asyncio.wait_for(reader.read(65536), 1)
@@ -503,6 +551,7 @@
                         writer.transport.abort()
 
     async def close(self):
+        """Cancel all tasks and close the connections and the file."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -511,6 +560,8 @@
         self.book.close()
 
     def summary(self):
+        """Return the counts and latency quantiles in ms; ``void`` if the generator was late."""
+
         def points(histogram):
             return {
                 f"p{p:g}": histogram.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)
@@ -528,12 +579,13 @@
 
 
 async def run(plan, folder, begin, where=None):
+    """Run the load from the shared start time until it is done or stdin closes; write load.json."""
     load = Load(plan, folder, where)
     start, ended = await begin()
-    work = asyncio.ensure_future(load.play(start))
-    await asyncio.wait([work, ended], return_when=asyncio.FIRST_COMPLETED)
-    work.cancel()
-    await asyncio.gather(work, return_exceptions=True)
+    playing = asyncio.ensure_future(load.play(start))
+    await asyncio.wait([playing, ended], return_when=asyncio.FIRST_COMPLETED)
+    playing.cancel()
+    await asyncio.gather(playing, return_exceptions=True)
     await load.close()
     with open(f"{folder}/load.json", "w", encoding="utf-8") as file:
         json.dump(load.summary(), file)
--- a/tests/lab/experiments.py
+++ b/tests/lab/experiments.py
@@ -9,13 +9,13 @@
 
 
 def read_experiment(text):
-    """Return the experiment of a file's text, without the checks across keys."""
+    """Return the experiment of a file's text, without experiment.check."""
     return tomlfile.decode(text, Experiment)
 
 
 def make_zoned_experiment(more=""):
     """Return a checked experiment with two zones, and ``more`` at the end of its file."""
     text = ZONED_EXPERIMENT + more
-    made = read_experiment(text)
-    experiment.check(made, text=text)
-    return made
+    parsed = read_experiment(text)
+    experiment.check(parsed, text=text)
+    return parsed
