--- a/pepperhook/lab/soak/__init__.py
+++ b/pepperhook/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak runs: a fleet a seed, with overlapping faults, restarts, signals and a crowd; audited."""
+"""Soak test: each seed runs a fleet under overlapping faults and audits the result."""
--- a/pepperhook/lab/soak/crowd.py
+++ b/pepperhook/lab/soak/crowd.py
@@ -1,37 +1,37 @@
-"""Idle clients that take a balancer's descriptors."""
+"""Idle clients that occupy a balancer's file descriptors."""
 
 import socket
 from collections.abc import Iterable
 from contextlib import suppress
 
-CONNECT_S = 0.2
-HALF_MESSAGE = b"GET /look HTTP/1.1\r\nHost: soak\r\nX-Request-ID: half"
+CONNECT_TIMEOUT_S = 0.2
+PARTIAL_REQUEST = b"GET /look HTTP/1.1\r\nHost: soak\r\nX-Request-ID: half"
 
 
 class IdleClients:
-    """Connections on which nothing is asked; on some a message begins and stops."""
+    """Connections without complete requests; some carry the start of a request and then stall."""
 
     def __init__(self) -> None:
-        """Begin without any."""
+        """Start without connections."""
         self.sockets: list[socket.socket] = []
 
-    def connect(self, address: tuple[str, int], clients: int, begun: int) -> None:
-        """Open connections, on the first ``begun`` of which a message begins."""
+    def connect(self, address: tuple[str, int], clients: int, partial: int) -> None:
+        """Open ``clients`` connections; send a partial request on the first ``partial`` of them."""
         for number in range(clients):
             with suppress(OSError):
-                made = socket.create_connection(address, CONNECT_S)
-                self.sockets.append(made)
-                if number < begun:
-                    made.sendall(HALF_MESSAGE)
+                connection = socket.create_connection(address, CONNECT_TIMEOUT_S)
+                self.sockets.append(connection)
+                if number < partial:
+                    connection.sendall(PARTIAL_REQUEST)
 
     def close(self) -> None:
-        """Close all, also those that the other side has closed."""
+        """Close all connections, including those that the balancer has closed."""
         close_all(self.sockets)
         self.sockets.clear()
 
 
 def close_all(sockets: Iterable[socket.socket]) -> None:
-    """Close sockets whatever their state."""
-    for one in sockets:
+    """Close sockets, ignoring errors."""
+    for connection in sockets:
         with suppress(OSError):
-            one.close()
+            connection.close()
--- a/pepperhook/lab/soak/draw.py
+++ b/pepperhook/lab/soak/draw.py
@@ -1,4 +1,4 @@
-"""Draws a soak run from its seed: the fleet, its load, and what happens to it."""
+"""Generates a soak run from its seed: fleet, load, faults, restarts, signals and idle clients."""
 
 import random
 from typing import Any
@@ -18,18 +18,20 @@
 )
 from pepperhook.lab.machine import Spec
 
-IDLE_CLOSE_S = 4.0  # short, so that kept connections are gone in the quiet time at the end
-FRONT_NOTICE_S = 0.3  # clients go on connecting for 0.2 to 0.4 s to a balancer that leaves
+IDLE_CLOSE_S = 4.0  # short, so that idle keep-alive connections close within QUIET_S at the end
+FRONT_NOTICE_S = 0.3  # clients still connect to a draining balancer for 0.2 to 0.4 s
 MIN_FAULTS, MAX_FAULTS = 3, 8
-FIRST_FAULT_S, LAST_FAULT_S = 1.0, 5.0  # after the start, and before the end
-CROWD_CHANCE = 0.5
-WORK_MS = 8.0  # of a core for a request, in which its client may leave
-# An interpreter that has not begun to run the program is ended by any signal.
-STARTING_MS = (400.0, 1200.0)
-SECOND_TIER_CHANCE = 0.3
-FAULTY_FILE_CHANCE = 0.5
-ODD_ROWS_CHANCE = 0.5
-# Faults with the sizes that they are drawn from; None: they have no size.
+# Faults start at least this long after the start of the run and before its end.
+FIRST_FAULT_AFTER_S, LAST_FAULT_BEFORE_END_S = 1.0, 5.0
+CROWD_PROBABILITY = 0.5
+WORK_MS = 8.0  # CPU time per request, long enough for its client to disconnect meanwhile
+# Delay of signals after a process start. Earlier, the interpreter has installed no signal
+# handlers yet, and any signal would end it.
+SIGNAL_AFTER_START_MS = (400.0, 1200.0)
+SECOND_TIER_PROBABILITY = 0.3
+INVALID_FILE_PROBABILITY = 0.5
+ODD_ROWS_PROBABILITY = 0.5
+# Range of each fault's size; None: the fault has no size.
 FAULTS: dict[str, tuple[float, float] | None] = {
     "crash": None,
     "replaced": None,
@@ -53,58 +55,58 @@
     "net_mute": None,
     "net_silence": None,
 }
-OF_ALL = ("discovery_", "net_")  # faults that are not about single upstreams
+FLEET_WIDE_PREFIXES = ("discovery_", "net_")  # faults that do not select single upstreams
 
 
 class Restart(Struct, frozen=True):
-    """A planned restart: SIGTERM, and SIGKILL at the platform's earliest.
+    """A planned restart: SIGTERM, then SIGKILL at the earliest time that the platform may send it.
 
-    SIGHUP and SIGUSR1 come just before, while it leaves and while it starts again, or not.
+    SIGHUP and SIGUSR1 are optionally sent before SIGTERM, during the drain and after the new start.
     """
 
-    at: float
-    balancer: int  # of the first tier
+    at: float  # seconds since the start of the run
+    balancer: int  # number in the first tier
     has_signals_before: bool
-    leaving_ms: float | None  # after SIGTERM
-    starting_ms: float | None  # after the new process began
+    leaving_ms: float | None  # delay of the signals after SIGTERM; None: no signals
+    starting_ms: float | None  # delay of the signals after the new start; None: no signals
 
 
 class SignalSeries(Struct, frozen=True):
-    """Signals to one balancer, milliseconds apart.
+    """Signals to one balancer, sent milliseconds apart."""
 
-    ``faulty``: which of its SIGHUPs come with a faulty file.
-    """
-
-    at: float
-    balancer: int
+    at: float  # seconds since the start of the run
+    balancer: int  # number in the first tier
     names: list[str]
     gap_ms: float
-    faulty: list[int]
+    faulty: list[int]  # indexes, among the SIGHUPs, of those with an invalid config file
 
 
 class Crowd(Struct, frozen=True):
-    """Idle clients on all balancers of the first tier; some begin a message and stop."""
+    """Idle clients on all balancers of the first tier; some send a partial request and stall."""
 
-    at: float
-    for_s: float
-    clients: int  # for each balancer
-    begun: float  # fraction that begins a message
+    at: float  # seconds since the start of the run
+    for_s: float  # seconds until the clients disconnect
+    clients: int  # per balancer
+    begun: float  # fraction that sends a partial request
 
 
 class SoakRun(Struct, frozen=True):
-    """All that one seed plays."""
+    """Everything that one seed determines."""
 
     seed: int
     experiment: Experiment
     variant: Variant
-    sockets: int  # descriptors of each balancer
+    sockets: int  # limit of file descriptors per balancer
     restarts: list[Restart]
     signals: list[SignalSeries]
     crowd: Crowd | None
 
 
 def draw(seed: int, seconds: float, plant: str | None = None) -> SoakRun:
-    """Return the run of a seed; the same seed and length give the same run."""
+    """Return the run of a seed; the same arguments always give the same run.
+
+    ``plant`` names a defect to inject into the balancers.
+    """
     rng = random.Random(f"soak {seed}")
     tiers = _draw_tiers(rng)
     experiment = Experiment(
@@ -127,8 +129,8 @@
         troubles=_draw_faults(rng, seconds, len(tiers)),
     )
     balancers = tiers[0].balancers
-    has_crowd = rng.random() < CROWD_CHANCE
-    crowd_at = rng.uniform(FIRST_FAULT_S, max(FIRST_FAULT_S, seconds / 2))
+    has_crowd = rng.random() < CROWD_PROBABILITY
+    crowd_at = rng.uniform(FIRST_FAULT_AFTER_S, max(FIRST_FAULT_AFTER_S, seconds / 2))
     crowd = Crowd(crowd_at, rng.uniform(2.0, 4.0), rng.randint(60, 300), rng.uniform(0.0, 0.5))
     return SoakRun(
         seed=seed,
@@ -142,8 +144,8 @@
 
 
 def _has_odd_rows(seed: int) -> bool:
-    """Draw apart from the rest, which stays as it is for each seed."""
-    return random.Random(f"soak {seed} odd rows").random() < ODD_ROWS_CHANCE
+    """Draw from a separate generator, so that the other draws of a seed do not change."""
+    return random.Random(f"soak {seed} odd rows").random() < ODD_ROWS_PROBABILITY
 
 
 def _draw_tiers(rng: random.Random) -> list[Tier]:
@@ -157,7 +159,7 @@
         network=True,
     )
     second = Tier(upstreams=rng.randint(2, 3), machine=machine(), network=True)
-    return [first, second] if rng.random() < SECOND_TIER_CHANCE else [first]
+    return [first, second] if rng.random() < SECOND_TIER_PROBABILITY else [first]
 
 
 def _draw_grades(rng: random.Random) -> list[Grade]:
@@ -186,18 +188,18 @@
 
 def _draw_faults(rng: random.Random, seconds: float, tiers: int) -> list[Trouble]:
     faults = []
-    last = max(FIRST_FAULT_S + 0.1, seconds - LAST_FAULT_S)
+    last_start_s = max(FIRST_FAULT_AFTER_S + 0.1, seconds - LAST_FAULT_BEFORE_END_S)
     for _ in range(rng.randint(MIN_FAULTS, MAX_FAULTS)):
-        what = rng.choice(sorted(FAULTS))
-        sizes = FAULTS[what]
+        kind = rng.choice(sorted(FAULTS))
+        sizes = FAULTS[kind]
         tier = rng.randrange(tiers)
         faults.append(
             Trouble(
-                what=what,
-                at=round(rng.uniform(FIRST_FAULT_S, last), 2),
+                what=kind,
+                at=round(rng.uniform(FIRST_FAULT_AFTER_S, last_start_s), 2),
                 for_=round(rng.uniform(0.6, 3.5), 2),
                 tier=tier,
-                who=None if what.startswith(OF_ALL) else [rng.randrange(2)],
+                who=None if kind.startswith(FLEET_WIDE_PREFIXES) else [rng.randrange(2)],
                 size=0.0 if sizes is None else round(rng.uniform(*sizes), 3),
             )
         )
@@ -211,14 +213,14 @@
 
 
 def _draw_restarts(rng: random.Random, seconds: float, balancers: int) -> list[Restart]:
-    last = max(2.0, seconds - LAST_FAULT_S)
+    last_start_s = max(2.0, seconds - LAST_FAULT_BEFORE_END_S)
     return [
         Restart(
-            at=round(rng.uniform(2.0, last), 2),
+            at=round(rng.uniform(2.0, last_start_s), 2),
             balancer=rng.randrange(balancers),
             has_signals_before=rng.choice((True, False)),
             leaving_ms=rng.choice((None, rng.uniform(0.0, 400.0))),
-            starting_ms=rng.choice((None, rng.uniform(*STARTING_MS))),
+            starting_ms=rng.choice((None, rng.uniform(*SIGNAL_AFTER_START_MS))),
         )
         for _ in range(rng.randint(1, 2))
     ]
@@ -227,16 +229,16 @@
 def _draw_signals(rng: random.Random, seconds: float, balancers: int) -> list[SignalSeries]:
     series = []
     for _ in range(rng.randint(1, 3)):
-        hups = rng.randint(1, 4)
-        names = ["SIGHUP"] * hups + ["SIGUSR1"] * rng.randint(0, 2)
+        sighup_count = rng.randint(1, 4)
+        names = ["SIGHUP"] * sighup_count + ["SIGUSR1"] * rng.randint(0, 2)
         rng.shuffle(names)
-        last_hup = hups - 1  # its file is sound, so that the one in force at the end is known
+        last_sighup = sighup_count - 1  # has a valid file, so that the final configuration is known
         faulty = [
             number
-            for number in range(hups)
-            if number != last_hup and rng.random() < FAULTY_FILE_CHANCE
+            for number in range(sighup_count)
+            if number != last_sighup and rng.random() < INVALID_FILE_PROBABILITY
         ]
-        at = round(rng.uniform(0.5, max(0.6, seconds - LAST_FAULT_S)), 2)
+        at = round(rng.uniform(0.5, max(0.6, seconds - LAST_FAULT_BEFORE_END_S)), 2)
         series.append(
             SignalSeries(at, rng.randrange(balancers), names, rng.uniform(0.0, 8.0), faulty)
         )
--- a/pepperhook/lab/soak/judge.py
+++ b/pepperhook/lab/soak/judge.py
@@ -1,4 +1,4 @@
-"""Judges a soak run: the auditor's findings, and what the processes hold after a quiet time."""
+"""Evaluates a soak run: audit findings, leaked resources, log errors and lost SIGHUPs."""
 
 import re
 from collections.abc import Iterable
@@ -12,41 +12,44 @@
 from pepperhook.lab.soak.resources import Resources
 from pepperhook.server.app import CONNECTION_KB, PROCESS_MB, SocketBudget
 
-# A poll of the endpoint list may be just ending while the next begins.
-SPARE = 2
-MAX_EXCUSED_SHARE = 0.003  # of the requests; beyond, the stand-ins stood still too often to judge
+# One poll of the endpoint list may be ending while the next begins.
+COUNT_TOLERANCE = 2
+MAX_EXCUSED_SHARE = 0.003  # of requests; above it, stand-ins stalled too often for a verdict
 KB_PER_MB = 1024
-RELOAD = re.compile(r"event=reload(?:ed|_refused) .*")
-LAST_FILE = "wait_for_a_restart=sockets"  # what the log says of the file that comes last
-FAULT = re.compile(r"event=(module_fault|background_fault|h2_fault|dispatch_fault)\b.*")
+RELOAD_EVENT = re.compile(r"event=reload(?:ed|_refused) .*")
+LAST_RELOAD_MARK = "wait_for_a_restart=sockets"  # in the log line of the last config file
+FAULT_EVENT = re.compile(r"event=(module_fault|background_fault|h2_fault|dispatch_fault)\b.*")
 
 
 class Verdict(Struct):
-    """What became of one seed."""
+    """Result of one seed."""
 
     seed: int
-    holds: bool
-    void: str  # why nothing is to be concluded; empty where it is
+    holds: bool  # no problems were found
+    void: str  # why the run is inconclusive; empty if it is conclusive
     requests: int
-    problems: dict[str, list[str]]
-    played: dict[str, Any]
-    folder: str = ""
-    excused: dict[str, int] = {}  # what the auditor excused, and how often
+    problems: dict[str, list[str]]  # examples by the problem's name
+    played: dict[str, Any]  # summary of what the seed drew
+    folder: str = ""  # with logs and results
+    excused: dict[str, int] = {}  # number of excused audit findings by name
 
 
 def judge(day: SoakDay, result: dict[str, Any]) -> Verdict:
-    """Return the verdict of a run that was played."""
+    """Return the verdict of a completed run."""
     problems: dict[str, list[str]] = {}
     for finding in result["findings"]:
         problems[f"rule {finding['rule']}: {finding['name']}"] = finding["examples"]
-    for name, example in [*day.problems, *_resources(day), *_logs(day), *_files(day)]:
+    for name, example in [
+        *day.problems,
+        *_resource_problems(day),
+        *_logged_faults(day),
+        *_lost_sighups(day),
+    ]:
         problems.setdefault(name, []).append(example)
     void = ""
     if result["void"]:
         wait = result["core_wait"]
-        void = (
-            f"{wait['who']} waited {wait['worst_ms']} ms for a core, {wait['stolen']:.0%} was taken"
-        )
+        void = f"{wait['who']} waited {wait['worst_ms']} ms for a CPU core, {wait['stolen']:.0%} stolen"
     requests = result["figures"].get("tries", 0)
     excused = result["excused"]
     if excused.get(STAMPED_LATE, 0) > MAX_EXCUSED_SHARE * requests:
@@ -57,12 +60,12 @@
         void=void,
         requests=requests,
         problems=problems,
-        played=_played(day),
+        played=_summary(day),
         excused=excused,
     )
 
 
-def _played(day: SoakDay) -> dict[str, Any]:
+def _summary(day: SoakDay) -> dict[str, Any]:
     run = day.run
     return {
         "tiers": [[tier.balancers, tier.upstreams] for tier in run.experiment.tiers],
@@ -75,55 +78,58 @@
     }
 
 
-def _resources(day: SoakDay) -> Iterable[Problem]:
-    # One that was restarted is compared with another that began in the same way: with itself as
-    # it began, as all begin alike.
-    for name, after in day.after.items():
-        before = day.before.get(name)
+def _resource_problems(day: SoakDay) -> Iterable[Problem]:
+    # A restarted process is compared with its predecessor's measurement, as all processes of a
+    # balancer start in the same way.
+    for key, after in day.after.items():
+        before = day.before.get(key)
         if before is None:
-            yield "not measured", f"balancer {name}"
+            yield "not measured", f"balancer {key}"
             continue
-        yield from compare(f"balancer {name[0]}.{name[1]}", before, after, day.sockets)
+        yield from compare(f"balancer {key[0]}.{key[1]}", before, after, day.sockets)
 
 
-def compare(who: str, before: Resources, after: Resources, sockets: int) -> Iterable[Problem]:
-    """Yield what is held after the quiet time that was not held after the start."""
-    if after.descriptors > before.descriptors + SPARE:
-        yield "descriptors left", f"{who}: {after.descriptors}, {before.descriptors} at the start"
-    if after.connections > before.connections + SPARE:
-        yield "connections left", f"{who}: {after.connections}, {before.connections} at the start"
-    if after.tasks > before.tasks + SPARE:
-        yield "tasks left", f"{who}: {after.tasks}, {before.tasks} at the start"
+def compare(label: str, before: Resources, after: Resources, sockets: int) -> Iterable[Problem]:
+    """Yield a problem for each resource that has grown since the start of the run.
+
+    ``label`` names the process in the examples; ``sockets`` is its limit of file descriptors.
+    """
+    if after.descriptors > before.descriptors + COUNT_TOLERANCE:
+        yield "descriptors left", f"{label}: {after.descriptors}, {before.descriptors} at the start"
+    if after.connections > before.connections + COUNT_TOLERANCE:
+        yield "connections left", f"{label}: {after.connections}, {before.connections} at the start"
+    if after.tasks > before.tasks + COUNT_TOLERANCE:
+        yield "tasks left", f"{label}: {after.tasks}, {before.tasks} at the start"
     if after.under_way > 0 or after.waiting > 0:
-        yield "requests left", f"{who}: {after.under_way} under way, {after.waiting} waiting"
+        yield "requests left", f"{label}: {after.under_way} under way, {after.waiting} waiting"
     bound = memory_bound_mb(sockets)
     if after.memory_mb > max(bound, before.memory_mb + bound - PROCESS_MB):
-        yield "memory", f"{who}: {after.memory_mb} MB, {before.memory_mb} at the start"
+        yield "memory", f"{label}: {after.memory_mb} MB, {before.memory_mb} at the start"
 
 
 def memory_bound_mb(sockets: int) -> float:
-    """Return what README has a balancer take at the worst: the program, and all its clients."""
+    """Return the limit of a balancer's memory by README: the process and all its client slots."""
     clients = SocketBudget.of(sockets, None).clients.hard
     return float(PROCESS_MB + clients * CONNECTION_KB / KB_PER_MB)
 
 
-def _logs(day: SoakDay) -> Iterable[Problem]:
-    """Yield what the balancers themselves took for defects."""
+def _logged_faults(day: SoakDay) -> Iterable[Problem]:
+    """Yield the first internal error that each balancer logged."""
     for balancer in day.balancers.values():
         path = Path(balancer.log)
         if path.exists():
-            found = FAULT.search(path.read_text(errors="replace"))
-            if found is not None:
-                yield "fault in the log", f"{path.name}: {found.group(0)[:200]}"
+            match = FAULT_EVENT.search(path.read_text(errors="replace"))
+            if match is not None:
+                yield "fault in the log", f"{path.name}: {match.group(0)[:200]}"
 
 
-def _files(day: SoakDay) -> Iterable[Problem]:
-    """Yield where the file that came with the last SIGHUP is not the one in force."""
+def _lost_sighups(day: SoakDay) -> Iterable[Problem]:
+    """Yield balancers whose last reload did not read the file of their last SIGHUP."""
     for number, pid in day.last_series.items():
         balancer = day.balancers[0, number]
         if balancer.process.pid != pid:
-            continue  # restarted since
+            continue  # restarted after the signals
         text = Path(balancer.log).read_text(errors="replace")
-        reloads = RELOAD.findall(text)
-        if not reloads or LAST_FILE not in reloads[-1]:
+        reloads = RELOAD_EVENT.findall(text)
+        if not reloads or LAST_RELOAD_MARK not in reloads[-1]:
             yield "signal lost", f"balancer {number}: {reloads[-1:]}"
--- a/pepperhook/lab/soak/leaving_clients.py
+++ b/pepperhook/lab/soak/leaving_clients.py
@@ -1,7 +1,8 @@
-"""Clients that send to a balancer in the moment in which it begins to leave.
+"""Clients that send to a balancer just as it begins to drain.
 
-The load has few requests in that moment, and sends once more what a kept connection lost unread,
-so that it does not show how a balancer closes connections. These look at single connections.
+The load generator has few requests at that moment, and retries a request that a keep-alive
+connection lost unread, so it does not show how a balancer closes connections. The clients here
+check each connection.
 """
 
 import socket
@@ -12,12 +13,12 @@
 Address = tuple[str, int]
 Problem = tuple[str, str]
 
-RESTING = 20  # connections on which one request was answered before SIGTERM
-SPREAD_S = 0.06  # after SIGTERM, over which they send their next requests
+CONNECTIONS = 20  # keep-alive connections, each with one response before SIGTERM
+SPREAD_S = 0.06  # after SIGTERM; the clients' second requests are spread over this time
 TIMEOUT_S = 1.0
-BEGUN_AFTER_S = 0.05  # SIGTERM at the least, in the notice in which clients still connect
-GOAWAY_WITHIN_S = 0.3  # of a connection's beginning
-SETTLE_S = 0.05  # for a reset to come back
+OPEN_AFTER_S = 0.05  # at least, after SIGTERM: the balancer still accepts connections then
+GOAWAY_WITHIN_S = 0.3  # after the connection was opened
+SETTLE_S = 0.05  # for a reset to arrive
 MS_PER_S = 1000
 READ_SIZE = 65536
 REQUEST = b"GET /_health HTTP/1.1\r\nHost: soak\r\n\r\n"
@@ -29,82 +30,83 @@
 GOAWAY = 7
 
 
-class RestingClients:
-    """Connections over HTTP/1.1 that rest at SIGTERM, and on which the next request comes then."""
+class KeepAliveClients:
+    """HTTP/1.1 keep-alive connections, idle at SIGTERM, that carry another request after it."""
 
     def __init__(self, address: Address) -> None:
-        """Open the connections, each with one response."""
+        """Open the connections and complete one request on each."""
         self.sockets: list[socket.socket] = []
-        for _ in range(RESTING):
+        for _ in range(CONNECTIONS):
             with suppress(OSError):
-                made = socket.create_connection(address, TIMEOUT_S)
-                made.sendall(REQUEST)
-                if made.recv(READ_SIZE):
-                    self.sockets.append(made)
+                connection = socket.create_connection(address, TIMEOUT_S)
+                connection.sendall(REQUEST)
+                if connection.recv(READ_SIZE):
+                    self.sockets.append(connection)
 
-    def send(self, told_at: float) -> Iterator[Problem]:
-        """Send on each, and yield those that were reset: their clients cannot know what ran.
+    def send(self, sigterm_at: float) -> Iterator[Problem]:
+        """Send a request on each connection; yield a problem for each failure.
 
-        A response is owed, or an end of the stream, behind which a client sends once more.
+        A response and a clean close are allowed; after a clean close the client may retry. After a
+        reset it cannot know whether its request was run.
         """
-        waiting = []
-        for number, one in enumerate(self.sockets):
-            at = told_at + SPREAD_S * number / RESTING
+        pending = []
+        for number, connection in enumerate(self.sockets):
+            at = sigterm_at + SPREAD_S * number / CONNECTIONS
             time.sleep(max(0.0, at - time.monotonic()))
-            # Also behind an end that has come meanwhile: a request may be on its way by then.
-            waiting.append((one, at - told_at))
+            # Send even if the balancer has closed its side: a real request may be in flight then.
+            pending.append((connection, at - sigterm_at))
             with suppress(OSError):
-                one.sendall(REQUEST)
+                connection.sendall(REQUEST)
         time.sleep(SETTLE_S)
-        for one, after_s in waiting:
-            found = _ending(one)
-            if found:
-                yield found, f"sent {after_s * MS_PER_S:.0f} ms after SIGTERM"
+        for connection, after_s in pending:
+            problem = _closing_problem(connection)
+            if problem:
+                yield problem, f"sent {after_s * MS_PER_S:.0f} ms after SIGTERM"
 
     def close(self) -> None:
         """Close all connections."""
-        for one in self.sockets:
-            one.close()
+        for connection in self.sockets:
+            connection.close()
 
 
-def _ending(one: socket.socket) -> str:
-    """Return what is wrong with the end of a connection; empty where nothing is."""
+def _closing_problem(connection: socket.socket) -> str:
+    """Return the problem with how a connection ended; empty if there is none."""
     try:
-        one.recv(READ_SIZE)
+        connection.recv(READ_SIZE)
     except TimeoutError:
         return "no answer on a resting connection"
     except OSError:
         return "reset on a resting connection"
-    # Behind an end that was read before it, a reset shows only here.
-    if one.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+    # A reset that follows an already received FIN does not fail recv() and shows only here.
+    if connection.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
         return "reset on a resting connection"
     return ""
 
 
-def begin_http2(address: Address, told_at: float) -> Iterator[Problem]:
-    """Begin an HTTP/2 connection while a balancer leaves; yield a problem where no GOAWAY comes."""
-    time.sleep(max(0.0, told_at + BEGUN_AFTER_S - time.monotonic()))
+def open_http2_during_drain(address: Address, sigterm_at: float) -> Iterator[Problem]:
+    """Open an HTTP/2 connection to a draining balancer; yield a problem if no GOAWAY arrives."""
+    time.sleep(max(0.0, sigterm_at + OPEN_AFTER_S - time.monotonic()))
     try:
-        made = socket.create_connection(address, TIMEOUT_S)
+        connection = socket.create_connection(address, TIMEOUT_S)
     except OSError:
-        return  # it takes none any more
-    begun_after_s = time.monotonic() - told_at
-    made.settimeout(GOAWAY_WITHIN_S)
-    with made:
+        return  # the balancer accepts no more connections
+    opened_after_s = time.monotonic() - sigterm_at
+    connection.settimeout(GOAWAY_WITHIN_S)
+    with connection:
         received = b""
         with suppress(OSError):
-            made.sendall(PREFACE + EMPTY_SETTINGS)
+            connection.sendall(PREFACE + EMPTY_SETTINGS)
             while GOAWAY not in frame_types(received):
-                data = made.recv(READ_SIZE)
+                data = connection.recv(READ_SIZE)
                 if not data:
                     break
                 received += data
         if GOAWAY not in frame_types(received):
-            yield "no GOAWAY", f"begun {begun_after_s * MS_PER_S:.0f} ms after SIGTERM"
+            yield "no GOAWAY", f"opened {opened_after_s * MS_PER_S:.0f} ms after SIGTERM"
 
 
 def frame_types(data: bytes) -> list[int]:
-    """Return the types of the frames whose headers are there whole."""
+    """Return the types of the HTTP/2 frames whose headers are complete in ``data``."""
     types = []
     while len(data) >= FRAME_HEADER_BYTES:
         types.append(data[LENGTH_BYTES])
--- a/pepperhook/lab/soak/play.py
+++ b/pepperhook/lab/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays a soak run: a day of the lab with restarts, series of signals and a crowd."""
+"""Executes a soak run: a lab scenario with restarts, series of signals and idle clients."""
 
 import json
 import signal
@@ -14,34 +14,36 @@
 from pepperhook.lab import day as days
 from pepperhook.lab.soak.crowd import IdleClients
 from pepperhook.lab.soak.draw import IDLE_CLOSE_S, Restart, SignalSeries, SoakRun
-from pepperhook.lab.soak.leaving_clients import RestingClients, begin_http2
+from pepperhook.lab.soak.leaving_clients import KeepAliveClients, open_http2_during_drain
 from pepperhook.lab.soak.resources import Resources, measure
 
-KILL_AFTER_S = 0.7  # beyond the longest deadline, after SIGTERM: the platform's earliest
+KILL_AFTER_S = (
+    0.7  # on top of the longest time limit: the platform's earliest SIGKILL after SIGTERM
+)
 READY_S = 10.0
-# Idle connections to upstreams are looked for once in the time after which an upstream closes them,
-# and clients' connections linger for a second or two when they are closed.
+# Idle upstream connections are checked once per idle timeout of the upstream, and closed client
+# connections linger for one to two seconds.
 QUIET_S = 2 * IDLE_CLOSE_S + 2.0
-SETTLE_S = 0.3  # for an answer to SIGUSR1
-AFTER_CROWD_S = 1.0  # in which what a crowd held is closed
+SETTLE_S = 0.3  # for the log lines that SIGUSR1 triggers
+AFTER_CROWD_S = 1.0  # in which the balancers close the idle clients' connections
 MS_PER_S = 1000
-S = 10**9
+NS_PER_S = 10**9
 
-Problem = tuple[str, str]  # its name, and an example
+Problem = tuple[str, str]  # name and example
 
 
 class SoakDay(days.Day):
-    """A day that also judges the processes of its balancers."""
+    """A lab scenario that also checks the processes of its balancers."""
 
     def __init__(self, run: SoakRun, folder: Path) -> None:
-        """Prepare the day of ``run``; results and logs are kept in ``folder``."""
+        """Prepare ``run``; its results and logs go to ``folder``."""
         self.run = run
         self.problems: list[Problem] = []
         self.before: dict[Any, Resources] = {}
         self.after: dict[Any, Resources] = {}
-        self.restarting: list[threading.Thread] = []
-        self.restarted: set[Any] = set()
-        self.last_series: dict[int, int] = {}  # the process that had it, by balancer
+        self.background_threads: list[threading.Thread] = []
+        self.restarts_in_progress: set[Any] = set()  # balancer numbers
+        self.last_series: dict[int, int] = {}  # pid that got the last signals, by balancer number
         self.crowd = IdleClients()
         super().__init__(
             run.experiment,
@@ -49,15 +51,15 @@
             run.seed,
             folder,
             sockets=run.sockets,
-            script=[*self._script()],
+            script=[*self._timeline()],
         )
 
-    def _script(self) -> list[tuple[float, Callable[[Any], None]]]:
+    def _timeline(self) -> list[tuple[float, Callable[[Any], None]]]:
         rows: list[tuple[float, Callable[[Any], None]]] = []
         for restart in self.run.restarts:
-            rows.append((restart.at, lambda _, one=restart: self.restart(one)))
+            rows.append((restart.at, lambda _, planned=restart: self.restart(planned)))
         for series in self.run.signals:
-            rows.append((series.at, lambda _, one=series: self.send_series(one)))
+            rows.append((series.at, lambda _, planned=series: self.send_series(planned)))
         crowd = self.run.crowd
         if crowd is not None:
             rows.append((crowd.at, lambda _: self.spawn(self.open_crowd)))
@@ -65,19 +67,19 @@
         return rows
 
     def spawn(self, work: Callable[[], None]) -> None:
-        """Do something without holding up the time line."""
+        """Run ``work`` on a thread of its own, so that it does not delay the timeline."""
         thread = threading.Thread(target=work, daemon=True)
-        self.restarting.append(thread)
+        self.background_threads.append(thread)
         thread.start()
 
-    def problem(self, name: str, example: str) -> None:
-        """Note what is wrong with a process."""
+    def add_problem(self, name: str, example: str) -> None:
+        """Record a problem with a process."""
         self.problems.append((name, example))
 
-    # What happens.
+    # Events of the timeline.
 
     def open_crowd(self) -> None:
-        """Fill the balancers of the first tier with idle clients."""
+        """Connect the idle clients to the balancers of the first tier."""
         crowd = self.run.crowd
         assert crowd is not None
         for number in range(self.day.tiers[0].balancers):
@@ -85,33 +87,33 @@
             self.crowd.connect(address, crowd.clients, int(crowd.clients * crowd.begun))
 
     def restart(self, restart: Restart) -> None:
-        """Restart a balancer as the platform does."""
+        """Restart a balancer as the platform does, unless it is restarting or has ended."""
         balancer = self.balancers[0, restart.balancer]
-        if restart.balancer in self.restarted or balancer.process.poll() is not None:
-            return  # one that is restarting already
-        self.restarted.add(restart.balancer)
+        if restart.balancer in self.restarts_in_progress or balancer.process.poll() is not None:
+            return
+        self.restarts_in_progress.add(restart.balancer)
         self.happened("balancer told to leave", balancer)
         self.spawn(lambda: self._restart(balancer, restart))
 
     def _restart(self, balancer: Any, restart: Restart) -> None:
         longest_s = max(grade.time_limit_ms for grade in self.day.grades) / MS_PER_S
         address = self.plan.balancer(0, balancer.number)
-        # Where a crowd holds the connections, some are closed for room.
-        resting = None if self.is_crowded else RestingClients(address)
+        # With idle clients connected, the balancer closes some connections to make room.
+        keepalive_clients = None if self.is_crowded else KeepAliveClients(address)
         if restart.has_signals_before:
-            _send_both(balancer)
+            _send_sighup_and_sigusr1(balancer)
         balancer.send(signal.SIGTERM)
-        told_at = time.monotonic()
-        killed_at = told_at + longest_s + KILL_AFTER_S
-        if resting is not None:
-            self.spawn(lambda: self._send_while_it_leaves(resting, address, told_at))
+        sigterm_at = time.monotonic()
+        sigkill_at = sigterm_at + longest_s + KILL_AFTER_S
+        if keepalive_clients is not None:
+            self.spawn(lambda: self._send_during_drain(keepalive_clients, address, sigterm_at))
         if restart.leaving_ms is not None:
             time.sleep(restart.leaving_ms / MS_PER_S)
-            _send_both(balancer)
+            _send_sighup_and_sigusr1(balancer)
         try:
-            balancer.process.wait(killed_at - time.monotonic())
+            balancer.process.wait(sigkill_at - time.monotonic())
         except subprocess.TimeoutExpired:
-            self.problem("did not leave in time", f"balancer {balancer.number}")
+            self.add_problem("did not leave in time", f"balancer {balancer.number}")
             balancer.process.kill()
             balancer.process.wait()
         self.check_exit(balancer)
@@ -120,87 +122,92 @@
         self.happened("balancer begun", balancer)
         if restart.starting_ms is not None:
             time.sleep(restart.starting_ms / MS_PER_S)
-            _send_both(balancer)
+            _send_sighup_and_sigusr1(balancer)
         self._wait_ready(balancer)
-        self.restarted.discard(balancer.number)
+        self.restarts_in_progress.discard(balancer.number)
 
-    def _send_while_it_leaves(
-        self, resting: RestingClients, address: tuple[str, int], told_at: float
+    def _send_during_drain(
+        self, keepalive_clients: KeepAliveClients, address: tuple[str, int], sigterm_at: float
     ) -> None:
-        where = "balancer {}:{}, ".format(*address)
-        for name, example in [*resting.send(told_at), *begin_http2(address, told_at)]:
-            self.problem(name, where + example)
-        resting.close()
+        prefix = "balancer {}:{}, ".format(*address)
+        for name, example in [
+            *keepalive_clients.send(sigterm_at),
+            *open_http2_during_drain(address, sigterm_at),
+        ]:
+            self.add_problem(name, prefix + example)
+        keepalive_clients.close()
 
     @property
     def is_crowded(self) -> bool:
-        """Whether idle clients hold connections, or did so a moment ago."""
+        """Whether idle clients are connected, or were within the last AFTER_CROWD_S."""
         crowd = self.run.crowd
-        now_s = time.monotonic() - self.start / S
+        now_s = time.monotonic() - self.start / NS_PER_S
         return crowd is not None and crowd.at <= now_s <= crowd.at + crowd.for_s + AFTER_CROWD_S
 
     def _wait_ready(self, balancer: Any) -> None:
         import asyncio
 
-        ends = balancer.begun + READY_S
+        deadline = balancer.begun + READY_S
         while not asyncio.run(days.healthy(self.plan.balancer(0, balancer.number))):
-            if time.monotonic() > ends or balancer.process.poll() is not None:
-                self.problem("not ready in time", f"balancer {balancer.number}")
+            if time.monotonic() > deadline or balancer.process.poll() is not None:
+                self.add_problem("not ready in time", f"balancer {balancer.number}")
                 return
             time.sleep(0.05)
 
     def check_exit(self, balancer: Any) -> None:
-        """Note an end that was a crash."""
+        """Record a problem if the process ended with an unexpected exit code."""
         code = balancer.process.returncode
         if code not in (0, -signal.SIGKILL):
-            self.problem("crash", f"balancer {balancer.number} ended with {code}")
+            self.add_problem("crash", f"balancer {balancer.number} ended with {code}")
 
     def send_series(self, series: SignalSeries) -> None:
-        """Send signals milliseconds apart; each SIGHUP comes with a file of its own."""
+        """Send signals milliseconds apart, and write a config file before each SIGHUP."""
         balancer = self.balancers[0, series.balancer]
-        if series.balancer in self.restarted or balancer.process.poll() is not None:
+        if series.balancer in self.restarts_in_progress or balancer.process.poll() is not None:
             return
         path = self.folder / f"balancer-0-{balancer.number}.json"
-        sound = json.loads(path.read_text()) | {"limits": {"sockets": self.run.sockets}}
-        hups = series.names.count("SIGHUP")
+        valid = json.loads(path.read_text()) | {"limits": {"sockets": self.run.sockets}}
+        sighup_count = series.names.count("SIGHUP")
         number = 0
         for name in series.names:
             if name == "SIGHUP":
-                days.store(path, json.dumps(_file_of(sound, series, number, hups)).encode())
+                days.store(
+                    path, json.dumps(_reload_config(valid, series, number, sighup_count)).encode()
+                )
                 number += 1
             balancer.send(getattr(signal, name))
             time.sleep(series.gap_ms / MS_PER_S)
         self.last_series[balancer.number] = balancer.process.pid
 
-    # The end.
+    # Start and end of the run.
 
     def along(self) -> None:
-        """Play the day between two looks at what the balancers hold."""
-        self.before = self._look()
+        """Run the timeline, and measure the resources of the balancers before and after it."""
+        self.before = self._measure_all()
         super().along()
-        for thread in self.restarting:
+        for thread in self.background_threads:
             thread.join(READY_S + 5)
         self.crowd.close()
         time.sleep(QUIET_S)
-        self.after = self._look()
+        self.after = self._measure_all()
         for (tier, number), balancer in self.balancers.items():
             if balancer.process.poll() is not None:
-                self.problem("crash", f"balancer {tier}.{number} ended by itself")
+                self.add_problem("crash", f"balancer {tier}.{number} ended by itself")
 
-    def _look(self) -> dict[Any, Resources]:
+    def _measure_all(self) -> dict[Any, Resources]:
         for balancer in self.balancers.values():
             balancer.send(signal.SIGUSR1)
         time.sleep(SETTLE_S)
-        held = {}
-        for name, balancer in self.balancers.items():
+        resources = {}
+        for key, balancer in self.balancers.items():
             try:
-                held[name] = measure(balancer.process.pid, Path(balancer.log))
+                resources[key] = measure(balancer.process.pid, Path(balancer.log))
             except psutil.Error:
-                continue  # it is gone, which is judged by itself
-        return held
+                continue  # the process has ended, which is checked separately
+        return resources
 
     def take_down(self) -> None:
-        """End all, and look at how the balancers end."""
+        """Stop all processes, and check the exit codes of the balancers."""
         self.crowd.close()
         super().take_down()
         for balancer in self.balancers.values():
@@ -208,15 +215,20 @@
                 self.check_exit(balancer)
 
 
-def _send_both(balancer: Any) -> None:
+def _send_sighup_and_sigusr1(balancer: Any) -> None:
     balancer.send(signal.SIGHUP)
     balancer.send(signal.SIGUSR1)
 
 
-def _file_of(sound: dict[str, Any], series: SignalSeries, number: int, hups: int) -> dict[str, Any]:
-    """Return the file that comes with a SIGHUP; the last one differs in what its log line names."""
+def _reload_config(
+    valid: dict[str, Any], series: SignalSeries, number: int, sighup_count: int
+) -> dict[str, Any]:
+    """Return the config file for a SIGHUP.
+
+    The last one changes ``sockets``, so that the log line of its reload names that setting.
+    """
     if number in series.faulty:
-        return sound | {"discovery": "nowhere"}
-    if number == hups - 1:
-        return sound | {"limits": {"sockets": sound["limits"]["sockets"] + 1}}
-    return sound
+        return valid | {"discovery": "nowhere"}
+    if number == sighup_count - 1:
+        return valid | {"limits": {"sockets": valid["limits"]["sockets"] + 1}}
+    return valid
--- a/pepperhook/lab/soak/resources.py
+++ b/pepperhook/lab/soak/resources.py
@@ -1,4 +1,4 @@
-"""What a balancer process holds: descriptors, connections, memory, and its work by its log."""
+"""Resource usage of a balancer process, from the operating system and from its log."""
 
 import re
 from pathlib import Path
@@ -6,27 +6,29 @@
 import psutil
 from msgspec import Struct
 
-BUDGET = re.compile(r"event=budget .*waiting=(\d+) under_way=(\d+) .*tasks=(\d+)")
+BUDGET_EVENT = re.compile(r"event=budget .*waiting=(\d+) under_way=(\d+) .*tasks=(\d+)")
 BYTES_PER_MB = 2**20
 
 
 class Resources(Struct, frozen=True):
-    """What one process holds at a moment."""
+    """Resource usage of one process at one time."""
 
-    descriptors: int
-    connections: int  # that are established
+    descriptors: int  # open file descriptors
+    connections: int  # established TCP connections
     memory_mb: float
-    tasks: int = -1  # of its event loop, by its own log; -1: it has not said
-    under_way: int = -1  # requests
+    tasks: int = -1  # of its event loop; -1: not logged yet, as for the two below
+    under_way: int = -1  # requests in progress
     waiting: int = -1  # requests in the admission queue
 
 
 def measure(pid: int, log: Path) -> Resources:
-    """Return what a process holds now, and what its log said last. Raises psutil.Error."""
+    """Return the current usage and the last logged figures of a process. Raises psutil.Error."""
     process = psutil.Process(pid)
     with process.oneshot():
         established = [
-            one for one in process.net_connections("tcp") if one.status == psutil.CONN_ESTABLISHED
+            connection
+            for connection in process.net_connections("tcp")
+            if connection.status == psutil.CONN_ESTABLISHED
         ]
         waiting, under_way, tasks = _last_budget(log)
         return Resources(
@@ -40,9 +42,9 @@
 
 
 def _last_budget(log: Path) -> tuple[int, int, int]:
-    """Return waiting, under way and tasks by the last line that tells them."""
-    found = BUDGET.findall(log.read_text(errors="replace"))
-    if not found:
+    """Return waiting, under way and tasks from the last ``budget`` event; -1 each without one."""
+    matches = BUDGET_EVENT.findall(log.read_text(errors="replace"))
+    if not matches:
         return -1, -1, -1
-    waiting, under_way, tasks = (int(figure) for figure in found[-1])
+    waiting, under_way, tasks = (int(figure) for figure in matches[-1])
     return waiting, under_way, tasks
--- a/pepperhook/lab/soak/run.py
+++ b/pepperhook/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays the seeds of a soak, one after the other or several at once."""
+"""Runs the seeds of a soak test, in sequence or several at once."""
 
 import json
 import shutil
@@ -12,45 +12,50 @@
 from pepperhook.lab.soak.judge import Verdict, judge
 from pepperhook.lab.soak.play import SoakDay
 
-TRIES = 3  # of a run in which a process was short of core, which shows nothing
-KEPT = "soak"  # below the folder for results
+MAX_RUNS = 3  # of a void run, such as one in which a process lacked CPU time
+KEPT = "soak"  # subfolder of the results folder
 
 Tell = Callable[[Verdict], None]
 
 
 def play_seed(seed: int, seconds: float, folder: Path, plant: str | None = None) -> Verdict:
-    """Play one seed, again while it is void. Its logs are kept where it does not hold."""
+    """Run one seed, up to MAX_RUNS times while it is void. Keep the logs only of a failed run."""
     verdict = None
-    for turn in range(TRIES):
-        place = folder / f"{seed}-{turn}"
-        verdict = _play_once(seed, seconds, place, plant)
+    for number in range(MAX_RUNS):
+        run_folder = folder / f"{seed}-{number}"
+        verdict = _run_once(seed, seconds, run_folder, plant)
         if verdict.holds or verdict.void:
-            shutil.rmtree(place, ignore_errors=True)
+            shutil.rmtree(run_folder, ignore_errors=True)
         if not verdict.void:
             return verdict
     assert verdict is not None
     return verdict
 
 
-def _play_once(seed: int, seconds: float, place: Path, plant: str | None) -> Verdict:
+def _run_once(seed: int, seconds: float, run_folder: Path, plant: str | None) -> Verdict:
     run = draw(seed, seconds, plant)
-    day = SoakDay(run, place)
+    day = SoakDay(run, run_folder)
     try:
         result = day.play()
     except Failed as error:
-        return Verdict(seed, False, "", 0, {"could not be played": [str(error)]}, {}, str(place))
+        return Verdict(
+            seed, False, "", 0, {"could not be played": [str(error)]}, {}, str(run_folder)
+        )
     if result["interrupted"]:
         raise KeyboardInterrupt
     verdict = judge(day, result)
-    verdict.folder = str(place)
-    (place / "verdict.json").write_text(json.dumps(verdict.problems, indent=1))
+    verdict.folder = str(run_folder)
+    (run_folder / "verdict.json").write_text(json.dumps(verdict.problems, indent=1))
     return verdict
 
 
 def play(
     seeds: range, seconds: float, at_once: int, folder: Path | None, plant: str | None
 ) -> Iterator[Verdict]:
-    """Yield the verdict of each seed, in their order."""
-    where = folder or Path(tempfile.mkdtemp(prefix="pepperhook-soak-"))
+    """Yield the verdict of each seed, in the order of the seeds.
+
+    ``at_once`` seeds run at the same time. Without ``folder``, results go to a temporary folder.
+    """
+    results_folder = folder or Path(tempfile.mkdtemp(prefix="pepperhook-soak-"))
     with ThreadPoolExecutor(at_once) as pool:
-        yield from pool.map(lambda seed: play_seed(seed, seconds, where, plant), seeds)
+        yield from pool.map(lambda seed: play_seed(seed, seconds, results_folder, plant), seeds)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,14 +1,14 @@
-"""Reads KNOWN-RED.txt, the list of tests that fail for a fault that is still open.
+"""Reads KNOWN-RED.txt, the list of tests that fail because of a fault that is still open.
 
-One line an entry, with its four fields in this order:
+Each line is an entry with four fields in this order:
 
     test: TEST | command: COMMAND with its seed | seen: what was seen | issue 47
 
-TEST is a pytest test, with all its cases or one of them (``tests/x.py::test_y[case]``), ``scenario
+TEST is a pytest test with all its cases, one case of it (``tests/x.py::test_y[case]``), ``scenario
 NAME`` for an acceptance scenario, or ``soak SEED`` for a run of ``pepperhook lab soak``.
 
-``python -m tests.known_red scenario NAME`` prints the entry of a scenario; exit code 0: listed,
-1: not listed, 2: the list is malformed.
+``python -m tests.known_red TEST`` prints the entry of a test. Exit code 0: listed, 1: not listed,
+2: the list is malformed.
 """
 
 import ast
@@ -29,7 +29,7 @@
 
 
 class MalformedEntryError(ValueError):
-    """An entry that lacks a field, or names a test that does not exist; the text is one line."""
+    """An entry is malformed, listed twice or names no existing test. The message is one line."""
 
 
 @dataclass(frozen=True)
@@ -45,15 +45,15 @@
         return f"{self.test}: {self.seen} (issue {self.issue}; {self.command})"
 
     def covers(self, node_id: str) -> bool:
-        """Whether this entry lists a pytest test, by its id."""
+        """Whether this entry lists the pytest test ``node_id``, itself or with all its cases."""
         return node_id == self.test or node_id.partition("[")[0] == self.test
 
 
 def parse(text: str) -> list[Entry]:
-    """Return the entries. Raises MalformedEntryError."""
+    """Return the entries of a list. Raises MalformedEntryError."""
     entries = [_parse_line(line) for line in text.splitlines() if line.strip()]
     for entry in entries:
-        if [other.test for other in entries].count(entry.test) > 1:
+        if [listed.test for listed in entries].count(entry.test) > 1:
             raise MalformedEntryError(f"{entry.test}: listed twice")
     return entries
 
@@ -62,14 +62,14 @@
     match = ENTRY.fullmatch(line)
     if match is None:
         raise MalformedEntryError(
-            "KNOWN-RED.txt: 'test: ... | command: ... | seen: ... | issue N' is wanted, "
-            f"not {line!r:.80}"
+            "KNOWN-RED.txt: expected 'test: ... | command: ... | seen: ... | issue N', "
+            f"got {line!r:.80}"
         )
     return Entry(**match.groupdict())
 
 
 def check(entry: Entry, scenarios: tuple[str, ...], root: Path = ROOT) -> None:
-    """Raise MalformedEntryError unless the entry names something that exists."""
+    """Raise MalformedEntryError unless the entry names an existing scenario, test or seed."""
     if entry.test.startswith(SCENARIO):
         exists = entry.test.removeprefix(SCENARIO) in scenarios
     elif entry.test.startswith(SOAK):
@@ -82,12 +82,12 @@
 
 
 def _functions(path: Path) -> set[str]:
-    """Return the names of the functions at the top of a file; none where there is no such file."""
+    """Return the names of a file's top-level functions; empty if the file does not exist."""
     if not path.is_file():
         return set()
     tree = ast.parse(path.read_text(encoding="utf-8"))
-    kinds = (ast.FunctionDef, ast.AsyncFunctionDef)
-    return {node.name for node in tree.body if isinstance(node, kinds)}
+    function_types = (ast.FunctionDef, ast.AsyncFunctionDef)
+    return {node.name for node in tree.body if isinstance(node, function_types)}
 
 
 def load(path: Path = PATH) -> list[Entry]:
@@ -101,16 +101,16 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Print the entry of the test that the arguments name."""
+    """Print the entry of the test that the arguments name, and return the exit code."""
     try:
         entries = load()
     except MalformedEntryError as error:
         print(error, file=sys.stderr)
         return 2
-    listed = [entry for entry in entries if entry.test == " ".join(arguments)]
-    for entry in listed:
+    matches = [entry for entry in entries if entry.test == " ".join(arguments)]
+    for entry in matches:
         print(f"known red: {entry}")
-    return 0 if listed else 1
+    return 0 if matches else 1
 
 
 if __name__ == "__main__":
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's draws, its judgement of processes, and its command; the runs themselves are in CI."""
+"""Generation and evaluation of soak runs, and the ``lab soak`` command; CI executes the runs."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 from pepperhook.lab.soak import judge, run
 from pepperhook.lab.soak.draw import MAX_FAULTS, MIN_FAULTS, draw
 from pepperhook.lab.soak.judge import Verdict, compare, memory_bound_mb
-from pepperhook.lab.soak.play import _file_of
+from pepperhook.lab.soak.play import _reload_config
 from pepperhook.lab.soak.resources import Resources, measure
 from tests.cli.commands import run as run_command
 
@@ -21,54 +21,54 @@
 SOCKETS = 256
 
 
-def changed(**values):
+def usage_with(**values):
     return msgspec.structs.replace(AT_START, **values)
 
 
-def problems(after):
+def problem_names(after):
     return [name for name, _ in compare("balancer 0.0", AT_START, after, SOCKETS)]
 
 
-def test_one_seed_gives_one_run_and_others_differ():
+def test_same_seed_gives_same_run_and_another_seed_another_run():
     assert draw(7, 30.0) == draw(7, 30.0)
     assert draw(7, 30.0) != draw(8, 30.0)
 
 
-def test_all_drawn_runs_can_be_played_and_are_as_wide_as_they_should_be():
-    drawn = [draw(seed, 30.0) for seed in SEEDS]
+def test_drawn_runs_are_valid_experiments_and_cover_all_variants():
+    runs = [draw(seed, 30.0) for seed in SEEDS]
 
-    for one in drawn:
-        experiment.check(one.experiment)
-        assert MIN_FAULTS <= len(one.experiment.troubles) <= MAX_FAULTS
-        assert one.restarts and one.signals
-        for series in one.signals:
-            hups = series.names.count("SIGHUP")
-            assert hups - 1 not in series.faulty and all(n < hups for n in series.faulty)
-    assert {one.experiment.clients.protocol for one in drawn} == {"http/1.1", "h2"}
-    assert {one.variant.settings["discovery"] for one in drawn} == {"ask", "push"}
-    assert {len(one.experiment.tiers) for one in drawn} == {1, 2}
-    assert any(one.crowd for one in drawn) and not all(one.crowd for one in drawn)
-    assert any(series.faulty for one in drawn for series in one.signals)
+    for soak_run in runs:
+        experiment.check(soak_run.experiment)
+        assert MIN_FAULTS <= len(soak_run.experiment.troubles) <= MAX_FAULTS
+        assert soak_run.restarts and soak_run.signals
+        for series in soak_run.signals:
+            sighups = series.names.count("SIGHUP")
+            assert sighups - 1 not in series.faulty and all(n < sighups for n in series.faulty)
+    assert {soak_run.experiment.clients.protocol for soak_run in runs} == {"http/1.1", "h2"}
+    assert {soak_run.variant.settings["discovery"] for soak_run in runs} == {"ask", "push"}
+    assert {len(soak_run.experiment.tiers) for soak_run in runs} == {1, 2}
+    assert any(soak_run.crowd for soak_run in runs) and not all(soak_run.crowd for soak_run in runs)
+    assert any(series.faulty for soak_run in runs for series in soak_run.signals)
 
 
-def test_what_is_held_as_after_the_start_is_no_problem():
-    assert problems(AT_START) == []
-    assert problems(changed(descriptors=10, memory_mb=memory_bound_mb(SOCKETS))) == []
+def test_unchanged_or_allowed_resource_usage_is_no_problem():
+    assert problem_names(AT_START) == []
+    assert problem_names(usage_with(descriptors=10, memory_mb=memory_bound_mb(SOCKETS))) == []
 
 
 @pytest.mark.parametrize(
     "after, name",
     [
-        (changed(descriptors=15), "descriptors left"),
-        (changed(connections=4), "connections left"),
-        (changed(tasks=6), "tasks left"),
-        (changed(under_way=1), "requests left"),
-        (changed(waiting=1), "requests left"),
-        (changed(memory_mb=50.0 + memory_bound_mb(SOCKETS)), "memory"),
+        (usage_with(descriptors=15), "descriptors left"),
+        (usage_with(connections=4), "connections left"),
+        (usage_with(tasks=6), "tasks left"),
+        (usage_with(under_way=1), "requests left"),
+        (usage_with(waiting=1), "requests left"),
+        (usage_with(memory_mb=50.0 + memory_bound_mb(SOCKETS)), "memory"),
     ],
 )
-def test_what_is_left_after_the_quiet_time_is_a_problem(after, name):
-    assert problems(after) == [name]
+def test_resource_left_after_the_quiet_time_is_a_problem(after, name):
+    assert problem_names(after) == [name]
 
 
 def test_resources_of_a_process_are_measured(tmp_path):
@@ -77,34 +77,34 @@
         "time=x level=info event=budget B=0.2 f=0.0 waiting=1 under_way=2 late_ms=0 tasks=7\n"
     )
 
-    held = measure(os.getpid(), log)
+    resources = measure(os.getpid(), log)
 
-    assert held.descriptors > 2 and held.memory_mb > 1
-    assert (held.waiting, held.under_way, held.tasks) == (1, 2, 7)
+    assert resources.descriptors > 2 and resources.memory_mb > 1
+    assert (resources.waiting, resources.under_way, resources.tasks) == (1, 2, 7)
     log.write_text("nothing\n")
     assert measure(os.getpid(), log).tasks == -1
 
 
-def test_files_of_a_series_are_faulty_as_drawn_and_the_last_one_is_told_apart():
+def test_signal_series_writes_invalid_files_as_drawn_and_a_distinct_last_file():
     series = draw(1, 30.0).signals[0]
     series = msgspec.structs.replace(series, names=["SIGHUP"] * 3, faulty=[1])
-    sound = {"discovery": "127.0.0.1:1", "limits": {"sockets": 256}}
+    valid = {"discovery": "127.0.0.1:1", "limits": {"sockets": 256}}
 
-    files = [_file_of(sound, series, number, 3) for number in range(3)]
+    files = [_reload_config(valid, series, number, 3) for number in range(3)]
 
-    assert files[0] == sound
+    assert files[0] == valid
     assert files[1]["discovery"] == "nowhere"
-    assert files[2] == sound | {"limits": {"sockets": 257}}
-    reloads = judge.RELOAD.findall(
+    assert files[2] == valid | {"limits": {"sockets": 257}}
+    reloads = judge.RELOAD_EVENT.findall(
         "event=reloaded discovery=a\nevent=reload_refused error=b\n"
         "event=reloaded discovery=a wait_for_a_restart=sockets\n"
     )
-    assert len(reloads) == 3 and judge.LAST_FILE in reloads[-1]
+    assert len(reloads) == 3 and judge.LAST_RELOAD_MARK in reloads[-1]
 
 
 def verdict(seed, holds, void=""):
-    found = {} if holds else {"rule 1: lost": ["1.0 s: a"]}
-    return Verdict(seed, holds, void, 10, found, {"crowd": 0}, "" if holds else "/kept")
+    problems = {} if holds else {"rule 1: lost": ["1.0 s: a"]}
+    return Verdict(seed, holds, void, 10, problems, {"crowd": 0}, "" if holds else "/kept")
 
 
 @pytest.mark.parametrize(
@@ -115,7 +115,7 @@
         ([verdict(3, True), verdict(4, False, "short of core")], 2),
     ],
 )
-def test_command_prints_a_line_a_seed_and_how_to_play_a_failing_one_again(
+def test_command_prints_one_line_per_seed_with_the_command_to_repeat_a_failed_one(
     monkeypatch, verdicts, exit_code
 ):
     monkeypatch.setattr(run, "play", lambda *_: iter(verdicts))
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "options",
     [
         ["--seeds", "3"],
         ["--seeds", "3:0"],
@@ -143,11 +143,11 @@
         ["--seeds", "1:1", "--seconds", "1"],
     ],
 )
-def test_bad_input_is_refused(words):
-    assert run_command("lab", "soak", *words).exit_code == 2
+def test_invalid_options_are_rejected(options):
+    assert run_command("lab", "soak", *options).exit_code == 2
 
 
-def test_faults_that_the_soak_must_find_can_be_planted():
+def test_defects_that_the_soak_must_detect_can_be_injected():
     assert {
         "ends-at-once",
         "descriptor-leaked",
@@ -159,8 +159,8 @@
     } <= set(planted.FAULTS)
 
 
-def test_run_in_which_stalls_excuse_too_much_is_void():
-    def judged(excused):
+def test_run_with_too_many_findings_excused_by_stalls_is_void():
+    def verdict_with(excused):
         day = SimpleNamespace(
             run=draw(1, 30.0), problems=[], after={}, balancers={}, last_series={}
         )
@@ -168,7 +168,7 @@
         result = {"findings": [], "void": False, "figures": figures, "excused": excused}
         return judge.judge(day, result)
 
-    few, many = judged({STAMPED_LATE: 3}), judged({STAMPED_LATE: 4})
+    few, many = verdict_with({STAMPED_LATE: 3}), verdict_with({STAMPED_LATE: 4})
 
     assert few.holds and not few.void and few.excused == {STAMPED_LATE: 3}
     assert "excused too often" in many.void
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,5 +1,8 @@
-"""The balancer by the deploy file's own line, where the platform refuses what it refuses: other programs, fork, splice and
-sendfile end with ENOSYS or EINVAL, sockets are TCP and UDP over IPv4."""
+"""The deploy file's command runs the balancer under the platform's restrictions.
+
+Starting programs and fork fail with ENOSYS, splice with EINVAL and sendfile with ENOSYS; sockets
+are limited to TCP and UDP over IPv4.
+"""
 
 import asyncio
 import os
@@ -18,19 +21,20 @@
 
 ROOT = Path(day.ROOT)
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-# Read by the started process itself before anything of ours: an audit hook sees what the interpreter is asked for, and
-# what raises no audit event is replaced by what fails. Nothing is traced from outside.
+# The started interpreter imports this as sitecustomize before any project code. An audit hook
+# rejects restricted calls; splice and sendfile raise no audit event and are replaced by functions
+# that fail. No external tracer is used.
 REFUSED = """
 import errno, os, socket, sys
-def refuse(what, number=errno.ENOSYS):
-    os.write(2, f"REFUSED {what}\\n".encode())
+def refuse(call, number=errno.ENOSYS):
+    os.write(2, f"REFUSED {call}\\n".encode())
     raise OSError(number, os.strerror(number))
-def hook(event, told):
+def hook(event, args):
     if event in ("os.fork", "os.forkpty", "os.exec", "os.posix_spawn", "os.spawn", "os.system", "subprocess.Popen"):
         refuse(event)
-    if event == "socket.__new__" and told[1] not in (socket.AF_INET, socket.AF_UNIX):
-        refuse(f"socket of family {told[1]}", errno.EAFNOSUPPORT)
-    if event in ("socket.bind", "socket.connect") and told[0].family == socket.AF_UNIX:
+    if event == "socket.__new__" and args[1] not in (socket.AF_INET, socket.AF_UNIX):
+        refuse(f"socket of family {args[1]}", errno.EAFNOSUPPORT)
+    if event in ("socket.bind", "socket.connect") and args[0].family == socket.AF_UNIX:
         refuse(f"{event} of a Unix socket")
 sys.addaudithook(hook)
 os.splice = lambda *_, **__: refuse("splice", errno.EINVAL)
@@ -38,12 +42,13 @@
 """
 
 
-def refusing(tmp_path):
+def restricted_environment(tmp_path):
     (tmp_path / "sitecustomize.py").write_text(REFUSED)
     return {"PATH": os.environ["PATH"], "PYTHONPATH": str(tmp_path), "TMPDIR": str(tmp_path)}
 
 
-def test_what_the_platform_refuses_is_refused_here_or_the_next_test_shows_nothing(tmp_path):
+def test_restricted_environment_rejects_the_calls_that_the_platform_rejects(tmp_path):
+    # Otherwise the test that runs the balancer under the restrictions would prove nothing.
     calls = [
         "os.fork()",
         "os.posix_spawn('/bin/true', ['true'], {})",
@@ -56,32 +61,35 @@
         "os.execv('/bin/true', ['true'])",
     ]
     for call in calls:
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-c", f"import os, socket, subprocess\n{call}"],
-            env=refusing(tmp_path),
+            env=restricted_environment(tmp_path),
             capture_output=True,
             text=True,
             stdin=subprocess.DEVNULL,
         )
-        assert done.returncode == 1 and done.stderr.startswith("REFUSED "), (call, done.stderr)
+        assert result.returncode == 1 and result.stderr.startswith("REFUSED "), (
+            call,
+            result.stderr,
+        )
 
 
-def test_the_line_ends_in_one_process_of_the_interpreter():
+def test_deploy_command_replaces_the_shell_and_build_reuses_the_environment():
     words = shlex.split(DEPLOY["run"])
-    # Not a shell that stays round it: a signal would reach that and not the balancer.
+    # Without exec a shell would remain, and signals would reach it instead of the balancer.
     assert words[0] == "exec" and words[1:] == [".venv/bin/python", "-m", "pepperhook"]
     assert all((ROOT / path).exists() for path in DEPLOY["policy"] + DEPLOY["node"])
-    # Over an old one, as operators build where they built before, it is not made anew.
+    # Operators build repeatedly in one folder; an existing virtual environment is kept.
     assert "test -x .venv/bin/python || python3 -m venv .venv" in DEPLOY["build"]
 
 
 @loopback
-async def test_it_starts_serves_reloads_and_leaves_where_the_platform_refuses_all_it_refuses(
+async def test_balancer_starts_serves_reloads_and_drains_under_the_platform_restrictions(
     tmp_path,
 ):
-    release, seen = asyncio.Event(), asyncio.Event()
+    release, request_received = asyncio.Event(), asyncio.Event()
 
-    def list_of(head, _):
+    def endpoint_list(head, _):
         return (
             None
             if b"since" in head
@@ -91,21 +99,21 @@
             )
         )
 
-    async def script(head, _):
+    async def respond(head, _):
         if b"slow" in head:
-            seen.set()
+            request_received.set()
             await release.wait()
         return answer()
 
-    async with Peer(script) as peer, Peer(list_of) as first, Peer(list_of) as second:
+    async with Peer(respond) as peer, Peer(endpoint_list) as first, Peer(endpoint_list) as second:
         balancer = Running()
         balancer.port = free_port()
-        told = dict(
+        config = dict(
             known={"seq": 1, "whole": True, "hosts": hosts([peer.dial])}, discovery=first.dial
         )
         environ = {
-            **refusing(tmp_path),
-            **write_config(tmp_path, **told),
+            **restricted_environment(tmp_path),
+            **write_config(tmp_path, **config),
             "LB_LISTEN": f"127.0.0.1:{balancer.port}",
             "LB_DISCOVERY": first.dial,
         }
@@ -117,31 +125,32 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
         )
-        said = []
+        log_lines = []
 
         async def line_with(event):
             while f"event={event}" not in (
                 line := await asyncio.to_thread(process.stderr.readline)
             ):
-                assert line, "".join(said)
-                said.append(line)
+                assert line, "".join(log_lines)
+                log_lines.append(line)
 
         await line_with("started")
-        inside = psutil.Process(process.pid)
+        balancer_process = psutil.Process(process.pid)
         maps = Path(f"/proc/{process.pid}/maps").read_text()
-        assert "python" in os.path.basename(inside.exe()) and "libc.so" in maps
+        assert "python" in os.path.basename(balancer_process.exe()) and "libc.so" in maps
         assert (await balancer.ask("/look"))[0] == 200
         assert (await balancer.ask("/pay", b"POST", b"1"))[0] == 200
-        write_config(tmp_path, **{**told, "discovery": second.dial})
+        write_config(tmp_path, **{**config, "discovery": second.dial})
         process.send_signal(signal.SIGHUP)
         await line_with(f"reloaded discovery={second.dial}")
         process.send_signal(signal.SIGUSR1)
         await line_with("counters")
         reader, writer = await balancer.send("/look/slow")
-        await seen.wait()
-        assert not inside.children(recursive=True)
-        # Both in one turn: the file is read again, and what was taken is answered before it is gone.
-        write_config(tmp_path, **told)
+        await request_received.wait()
+        assert not balancer_process.children(recursive=True)
+        # SIGHUP and SIGTERM together: the config file is reloaded, and the request in progress is
+        # answered before the process ends.
+        write_config(tmp_path, **config)
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
         await line_with("leaving")
@@ -149,6 +158,6 @@
         assert (await balancer.answer(reader))[0] == 200
         writer.close()
         _, rest = await asyncio.to_thread(process.communicate, timeout=60)
-        log = "".join(said) + rest
+        log = "".join(log_lines) + rest
         assert process.returncode == 0 and "REFUSED" not in log and "level=error" not in log
         assert rest.splitlines()[-1].endswith("event=ended")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt is read strictly, and excuses the tests that it lists and no others."""
+"""KNOWN-RED.txt is parsed strictly; only failures of the tests that it lists are tolerated."""
 
 import pytest
 
@@ -33,7 +33,7 @@
         ENTRY.format(test="scenario h2") + "\n" + ENTRY.format(test="scenario h2"),
     ],
 )
-def test_malformed_lists_are_refused(text):
+def test_malformed_lists_are_rejected(text):
     with pytest.raises(known_red.MalformedEntryError):
         known_red.parse(text)
 
@@ -60,12 +60,15 @@
 
 
 def test_an_entry_covers_all_cases_of_its_test_or_the_one_it_names():
-    whole, one = entry_for("tests/test_one.py::test_a"), entry_for("tests/test_one.py::test_a[x]")
+    all_cases, one_case = (
+        entry_for("tests/test_one.py::test_a"),
+        entry_for("tests/test_one.py::test_a[x]"),
+    )
 
-    assert whole.covers("tests/test_one.py::test_a[y]")
-    assert one.covers("tests/test_one.py::test_a[x]")
-    assert not one.covers("tests/test_one.py::test_a[y]")
-    assert not whole.covers("tests/test_one.py::test_ab")
+    assert all_cases.covers("tests/test_one.py::test_a[y]")
+    assert one_case.covers("tests/test_one.py::test_a[x]")
+    assert not one_case.covers("tests/test_one.py::test_a[y]")
+    assert not all_cases.covers("tests/test_one.py::test_ab")
 
 
 def test_the_list_of_this_repository_is_well_formed():
@@ -74,7 +77,7 @@
 
 @pytest.fixture
 def run_listed(pytester, monkeypatch):
-    """Run a file with one failing and one passing test, under a list that names a given test."""
+    """Return a function that runs a failing and a passing test with the given tests listed."""
 
     def run(*listed):
         entries = "\n".join(ENTRY.format(test=test) for test in listed)
@@ -82,17 +85,19 @@
         path = pytester.path / "KNOWN-RED.txt"
         path.write_text(entries)
         monkeypatch.setattr(known_red, "PATH", path)
-        plain_load, plain_check = known_red.load, known_red.check
-        monkeypatch.setattr(known_red, "load", lambda: plain_load(path))
+        original_load, original_check = known_red.load, known_red.check
+        monkeypatch.setattr(known_red, "load", lambda: original_load(path))
         monkeypatch.setattr(
-            known_red, "check", lambda one, names: plain_check(one, names, pytester.path)
+            known_red,
+            "check",
+            lambda entry, scenarios: original_check(entry, scenarios, pytester.path),
         )
         return pytester.runpytest_inprocess("-p", "tests.conftest", "tests/test_one.py")
 
     return run
 
 
-def test_a_listed_failure_is_passed_over_and_printed(run_listed):
+def test_a_listed_failure_is_reported_as_expected_and_printed(run_listed):
     result = run_listed("tests/test_one.py::test_wrong")
 
     result.assert_outcomes(passed=1, xfailed=1)
@@ -100,7 +105,7 @@
     result.stdout.fnmatch_lines(["fails as listed: tests/test_one.py::test_wrong*it was wrong*"])
 
 
-def test_a_failure_that_is_not_listed_fails_and_a_listed_success_is_printed(run_listed):
+def test_an_unlisted_failure_fails_the_run_and_a_listed_success_is_printed(run_listed):
     result = run_listed("tests/test_one.py::test_right")
 
     result.assert_outcomes(passed=1, failed=1)
@@ -111,7 +116,7 @@
 @pytest.mark.parametrize(
     "test", ["tests/test_one.py::test_gone", "tests/test_one.py::test_wrong[one]"]
 )
-def test_a_list_that_names_no_test_ends_the_run(run_listed, test):
+def test_a_list_that_names_a_missing_test_is_a_usage_error(run_listed, test):
     result = run_listed(test)
 
     assert result.ret == pytest.ExitCode.USAGE_ERROR
