--- a/pepperhook/lab/soak/crowd.py
+++ b/pepperhook/lab/soak/crowd.py
@@ -5,6 +5,7 @@
 from contextlib import suppress
 
 CONNECT_TIMEOUT_S = 0.2
+# Ends within a header, without the blank line that completes the head.
 PARTIAL_REQUEST = b"GET /look HTTP/1.1\r\nHost: soak\r\nX-Request-ID: half"
 
 
@@ -25,7 +26,7 @@
                     connection.sendall(PARTIAL_REQUEST)
 
     def close(self) -> None:
-        """Close all connections, including those that the balancer has closed."""
+        """Close all connections; the balancer may have closed some of them already."""
         close_all(self.sockets)
         self.sockets.clear()
 
--- a/pepperhook/lab/soak/draw.py
+++ b/pepperhook/lab/soak/draw.py
@@ -1,4 +1,4 @@
-"""Generates a soak run from its seed: fleet, load, faults, restarts, signals and idle clients."""
+"""Draws a random soak run from a seed: fleet, load, faults, restarts, signals, idle clients."""
 
 import random
 from typing import Any
@@ -19,19 +19,20 @@
 from pepperhook.lab.machine import Spec
 
 IDLE_CLOSE_S = 4.0  # short, so that idle keep-alive connections close within QUIET_S at the end
-FRONT_NOTICE_S = 0.3  # clients still connect to a draining balancer for 0.2 to 0.4 s
+FRONT_NOTICE_S = 0.3  # clients keep connecting to a draining balancer for 0.2 to 0.4 s
 MIN_FAULTS, MAX_FAULTS = 3, 8
 # Faults start at least this long after the start of the run and before its end.
 FIRST_FAULT_AFTER_S, LAST_FAULT_BEFORE_END_S = 1.0, 5.0
 CROWD_PROBABILITY = 0.5
 WORK_MS = 8.0  # CPU time per request, long enough for its client to disconnect meanwhile
-# Delay of signals after a process start. Earlier, the interpreter has installed no signal
-# handlers yet, and any signal would end it.
+# Delay of signals after a process start. Before that, the balancer may not have installed its
+# signal handlers, and any signal would end the process.
 SIGNAL_AFTER_START_MS = (400.0, 1200.0)
 SECOND_TIER_PROBABILITY = 0.3
 INVALID_FILE_PROBABILITY = 0.5
 ODD_ROWS_PROBABILITY = 0.5
-# Range of each fault's size; None: the fault has no size.
+# Kinds of faults (``Trouble.what``) with the range of their size, whose unit depends on the kind;
+# None: the fault has no size.
 FAULTS: dict[str, tuple[float, float] | None] = {
     "crash": None,
     "replaced": None,
@@ -66,7 +67,7 @@
 
     at: float  # seconds since the start of the run
     balancer: int  # number in the first tier
-    has_signals_before: bool
+    has_signals_before: bool  # SIGHUP and SIGUSR1 directly before SIGTERM
     leaving_ms: float | None  # delay of the signals after SIGTERM; None: no signals
     starting_ms: float | None  # delay of the signals after the new start; None: no signals
 
@@ -78,7 +79,7 @@
     balancer: int  # number in the first tier
     names: list[str]
     gap_ms: float
-    faulty: list[int]  # indexes, among the SIGHUPs, of those with an invalid config file
+    faulty: list[int]  # SIGHUPs, numbered from 0, that come with an invalid config file
 
 
 class Crowd(Struct, frozen=True):
@@ -91,12 +92,12 @@
 
 
 class SoakRun(Struct, frozen=True):
-    """Everything that one seed determines."""
+    """One generated run: its experiment, and the events that are not faults of the experiment."""
 
     seed: int
     experiment: Experiment
     variant: Variant
-    sockets: int  # limit of file descriptors per balancer
+    sockets: int  # file descriptors that a balancer may use: the setting ``limits.sockets``
     restarts: list[Restart]
     signals: list[SignalSeries]
     crowd: Crowd | None
@@ -105,7 +106,7 @@
 def draw(seed: int, seconds: float, plant: str | None = None) -> SoakRun:
     """Return the run of a seed; the same arguments always give the same run.
 
-    ``plant`` names a defect to inject into the balancers.
+    ``plant`` names a defect of ``pepperhook.lab.planted`` to inject into the balancers.
     """
     rng = random.Random(f"soak {seed}")
     tiers = _draw_tiers(rng)
@@ -144,7 +145,10 @@
 
 
 def _has_odd_rows(seed: int) -> bool:
-    """Draw from a separate generator, so that the other draws of a seed do not change."""
+    """Return whether the endpoint list has rows in a state that balancers do not know.
+
+    A separate generator keeps the other draws of each seed as they are.
+    """
     return random.Random(f"soak {seed} odd rows").random() < ODD_ROWS_PROBABILITY
 
 
@@ -232,7 +236,7 @@
         sighup_count = rng.randint(1, 4)
         names = ["SIGHUP"] * sighup_count + ["SIGUSR1"] * rng.randint(0, 2)
         rng.shuffle(names)
-        last_sighup = sighup_count - 1  # has a valid file, so that the final configuration is known
+        last_sighup = sighup_count - 1  # always has a valid file, so that the final file is known
         faulty = [
             number
             for number in range(sighup_count)
--- a/pepperhook/lab/soak/judge.py
+++ b/pepperhook/lab/soak/judge.py
@@ -12,9 +12,9 @@
 from pepperhook.lab.soak.resources import Resources
 from pepperhook.server.app import CONNECTION_KB, PROCESS_MB, SocketBudget
 
-# One poll of the endpoint list may be ending while the next begins.
+# Allowed growth of a count: one poll of the endpoint list may be ending while the next begins.
 COUNT_TOLERANCE = 2
-MAX_EXCUSED_SHARE = 0.003  # of requests; above it, stand-ins stalled too often for a verdict
+MAX_EXCUSED_SHARE = 0.003  # of requests, for stalled stand-ins; above it, the run is void
 KB_PER_MB = 1024
 RELOAD_EVENT = re.compile(r"event=reload(?:ed|_refused) .*")
 LAST_RELOAD_MARK = "wait_for_a_restart=sockets"  # in the log line of the last config file
@@ -25,12 +25,12 @@
     """Result of one seed."""
 
     seed: int
-    holds: bool  # no problems were found
+    holds: bool  # whether no problem was found
     void: str  # why the run is inconclusive; empty if it is conclusive
     requests: int
     problems: dict[str, list[str]]  # examples by the problem's name
     played: dict[str, Any]  # summary of what the seed drew
-    folder: str = ""  # with logs and results
+    folder: str = ""  # with logs and results; deleted unless the run failed
     excused: dict[str, int] = {}  # number of excused audit findings by name
 
 
@@ -49,7 +49,10 @@
     void = ""
     if result["void"]:
         wait = result["core_wait"]
-        void = f"{wait['who']} waited {wait['worst_ms']} ms for a CPU core, {wait['stolen']:.0%} stolen"
+        void = (
+            f"{wait['who']} waited {wait['worst_ms']} ms for a core, "
+            f"{wait['stolen']:.0%} of the CPU time was stolen"
+        )
     requests = result["figures"].get("tries", 0)
     excused = result["excused"]
     if excused.get(STAMPED_LATE, 0) > MAX_EXCUSED_SHARE * requests:
@@ -79,10 +82,10 @@
 
 
 def _resource_problems(day: SoakDay) -> Iterable[Problem]:
-    # A restarted process is compared with its predecessor's measurement, as all processes of a
-    # balancer start in the same way.
-    for key, after in day.after.items():
-        before = day.before.get(key)
+    # After a restart, ``before`` was measured on the previous process. The figures are comparable,
+    # as all processes of a balancer start in the same way.
+    for key, after in day.resources_after.items():
+        before = day.resources_before.get(key)
         if before is None:
             yield "not measured", f"balancer {key}"
             continue
@@ -90,7 +93,10 @@
 
 
 def compare(label: str, before: Resources, after: Resources, sockets: int) -> Iterable[Problem]:
-    """Yield a problem for each resource that has grown since the start of the run.
+    """Yield a problem for each resource above its limit.
+
+    Limits: for counts COUNT_TOLERANCE above the start, for requests none left, for memory
+    ``memory_bound_mb``, or as much growth as it allows.
 
     ``label`` names the process in the examples; ``sockets`` is its limit of file descriptors.
     """
@@ -108,7 +114,7 @@
 
 
 def memory_bound_mb(sockets: int) -> float:
-    """Return the limit of a balancer's memory by README: the process and all its client slots."""
+    """Return the memory limit that README states: the process and all its client connections."""
     clients = SocketBudget.of(sockets, None).clients.hard
     return float(PROCESS_MB + clients * CONNECTION_KB / KB_PER_MB)
 
@@ -124,8 +130,8 @@
 
 
 def _lost_sighups(day: SoakDay) -> Iterable[Problem]:
-    """Yield balancers whose last reload did not read the file of their last SIGHUP."""
-    for number, pid in day.last_series.items():
+    """Yield a problem for each balancer whose last reload is not that of its last SIGHUP."""
+    for number, pid in day.signalled_pids.items():
         balancer = day.balancers[0, number]
         if balancer.process.pid != pid:
             continue  # restarted after the signals
--- a/pepperhook/lab/soak/leaving_clients.py
+++ b/pepperhook/lab/soak/leaving_clients.py
@@ -1,8 +1,8 @@
 """Clients that send to a balancer just as it begins to drain.
 
-The load generator has few requests at that moment, and retries a request that a keep-alive
-connection lost unread, so it does not show how a balancer closes connections. The clients here
-check each connection.
+The load generator sends few requests at that moment, and retries those whose keep-alive
+connection closed before the balancer read them. So it does not show how a balancer closes
+connections. The clients here check each connection.
 """
 
 import socket
@@ -14,11 +14,11 @@
 Problem = tuple[str, str]
 
 CONNECTIONS = 20  # keep-alive connections, each with one response before SIGTERM
-SPREAD_S = 0.06  # after SIGTERM; the clients' second requests are spread over this time
+SPREAD_S = 0.06  # time after SIGTERM over which the second requests are spread
 TIMEOUT_S = 1.0
-OPEN_AFTER_S = 0.05  # at least, after SIGTERM: the balancer still accepts connections then
+OPEN_AFTER_S = 0.05  # minimum delay after SIGTERM; the balancer still accepts connections then
 GOAWAY_WITHIN_S = 0.3  # after the connection was opened
-SETTLE_S = 0.05  # for a reset to arrive
+SETTLE_S = 0.05  # time for a reset to arrive
 MS_PER_S = 1000
 READ_SIZE = 65536
 REQUEST = b"GET /_health HTTP/1.1\r\nHost: soak\r\n\r\n"
@@ -31,7 +31,7 @@
 
 
 class KeepAliveClients:
-    """HTTP/1.1 keep-alive connections, idle at SIGTERM, that carry another request after it."""
+    """HTTP/1.1 keep-alive connections, idle at SIGTERM, that send another request after it."""
 
     def __init__(self, address: Address) -> None:
         """Open the connections and complete one request on each."""
@@ -47,7 +47,7 @@
         """Send a request on each connection; yield a problem for each failure.
 
         A response and a clean close are allowed; after a clean close the client may retry. After a
-        reset it cannot know whether its request was run.
+        reset it cannot know whether the balancer processed its request.
         """
         pending = []
         for number, connection in enumerate(self.sockets):
@@ -58,10 +58,10 @@
             with suppress(OSError):
                 connection.sendall(REQUEST)
         time.sleep(SETTLE_S)
-        for connection, after_s in pending:
+        for connection, planned_after_s in pending:
             problem = _closing_problem(connection)
             if problem:
-                yield problem, f"sent {after_s * MS_PER_S:.0f} ms after SIGTERM"
+                yield problem, f"sent {planned_after_s * MS_PER_S:.0f} ms after SIGTERM"
 
     def close(self) -> None:
         """Close all connections."""
@@ -70,7 +70,7 @@
 
 
 def _closing_problem(connection: socket.socket) -> str:
-    """Return the problem with how a connection ended; empty if there is none."""
+    """Return the name of the problem with the end of a connection; empty if there is none."""
     try:
         connection.recv(READ_SIZE)
     except TimeoutError:
@@ -84,12 +84,15 @@
 
 
 def open_http2_during_drain(address: Address, sigterm_at: float) -> Iterator[Problem]:
-    """Open an HTTP/2 connection to a draining balancer; yield a problem if no GOAWAY arrives."""
+    """Open an HTTP/2 connection to a draining balancer; yield a problem if no GOAWAY arrives.
+
+    A reset or a timeout before the GOAWAY counts as its absence.
+    """
     time.sleep(max(0.0, sigterm_at + OPEN_AFTER_S - time.monotonic()))
     try:
         connection = socket.create_connection(address, TIMEOUT_S)
     except OSError:
-        return  # the balancer accepts no more connections
+        return  # the balancer no longer accepts connections
     opened_after_s = time.monotonic() - sigterm_at
     connection.settimeout(GOAWAY_WITHIN_S)
     with connection:
--- a/pepperhook/lab/soak/play.py
+++ b/pepperhook/lab/soak/play.py
@@ -11,18 +11,17 @@
 
 import psutil
 
-from pepperhook.lab import day as days
+from pepperhook.lab import day as lab_day
 from pepperhook.lab.soak.crowd import IdleClients
 from pepperhook.lab.soak.draw import IDLE_CLOSE_S, Restart, SignalSeries, SoakRun
 from pepperhook.lab.soak.leaving_clients import KeepAliveClients, open_http2_during_drain
 from pepperhook.lab.soak.resources import Resources, measure
 
-KILL_AFTER_S = (
-    0.7  # on top of the longest time limit: the platform's earliest SIGKILL after SIGTERM
-)
-READY_S = 10.0
-# Idle upstream connections are checked once per idle timeout of the upstream, and closed client
-# connections linger for one to two seconds.
+# The platform sends SIGKILL no earlier than the longest time limit plus this after SIGTERM.
+KILL_AFTER_S = 0.7
+READY_S = 10.0  # in which a restarted balancer must become healthy
+# Wait before the final measurement: idle upstream connections are checked once per idle timeout
+# of the upstream, and closed client connections linger for one to two seconds.
 QUIET_S = 2 * IDLE_CLOSE_S + 2.0
 SETTLE_S = 0.3  # for the log lines that SIGUSR1 triggers
 AFTER_CROWD_S = 1.0  # in which the balancers close the idle clients' connections
@@ -32,19 +31,19 @@
 Problem = tuple[str, str]  # name and example
 
 
-class SoakDay(days.Day):
-    """A lab scenario that also checks the processes of its balancers."""
+class SoakDay(lab_day.Day):
+    """A lab scenario with restarts, signals and idle clients; checks the balancer processes."""
 
     def __init__(self, run: SoakRun, folder: Path) -> None:
         """Prepare ``run``; its results and logs go to ``folder``."""
         self.run = run
         self.problems: list[Problem] = []
-        self.before: dict[Any, Resources] = {}
-        self.after: dict[Any, Resources] = {}
+        self.resources_before: dict[Any, Resources] = {}
+        self.resources_after: dict[Any, Resources] = {}
         self.background_threads: list[threading.Thread] = []
         self.restarts_in_progress: set[Any] = set()  # balancer numbers
-        self.last_series: dict[int, int] = {}  # pid that got the last signals, by balancer number
-        self.crowd = IdleClients()
+        self.signalled_pids: dict[int, int] = {}  # by balancer number, of the last series
+        self.idle_clients = IdleClients()
         super().__init__(
             run.experiment,
             run.variant,
@@ -55,16 +54,16 @@
         )
 
     def _timeline(self) -> list[tuple[float, Callable[[Any], None]]]:
-        rows: list[tuple[float, Callable[[Any], None]]] = []
+        events: list[tuple[float, Callable[[Any], None]]] = []
         for restart in self.run.restarts:
-            rows.append((restart.at, lambda _, planned=restart: self.restart(planned)))
+            events.append((restart.at, lambda _, planned=restart: self.start_restart(planned)))
         for series in self.run.signals:
-            rows.append((series.at, lambda _, planned=series: self.send_series(planned)))
+            events.append((series.at, lambda _, planned=series: self.send_series(planned)))
         crowd = self.run.crowd
         if crowd is not None:
-            rows.append((crowd.at, lambda _: self.spawn(self.open_crowd)))
-            rows.append((crowd.at + crowd.for_s, lambda _: self.crowd.close()))
-        return rows
+            events.append((crowd.at, lambda _: self.spawn(self.connect_idle_clients)))
+            events.append((crowd.at + crowd.for_s, lambda _: self.idle_clients.close()))
+        return events
 
     def spawn(self, work: Callable[[], None]) -> None:
         """Run ``work`` on a thread of its own, so that it does not delay the timeline."""
@@ -73,33 +72,34 @@
         thread.start()
 
     def add_problem(self, name: str, example: str) -> None:
-        """Record a problem with a process."""
+        """Record a problem, with an example."""
         self.problems.append((name, example))
 
     # Events of the timeline.
 
-    def open_crowd(self) -> None:
+    def connect_idle_clients(self) -> None:
         """Connect the idle clients to the balancers of the first tier."""
         crowd = self.run.crowd
         assert crowd is not None
         for number in range(self.day.tiers[0].balancers):
             address = self.plan.balancer(0, number)
-            self.crowd.connect(address, crowd.clients, int(crowd.clients * crowd.begun))
+            self.idle_clients.connect(address, crowd.clients, int(crowd.clients * crowd.begun))
 
-    def restart(self, restart: Restart) -> None:
+    def start_restart(self, restart: Restart) -> None:
         """Restart a balancer as the platform does, unless it is restarting or has ended."""
         balancer = self.balancers[0, restart.balancer]
         if restart.balancer in self.restarts_in_progress or balancer.process.poll() is not None:
             return
         self.restarts_in_progress.add(restart.balancer)
         self.happened("balancer told to leave", balancer)
-        self.spawn(lambda: self._restart(balancer, restart))
+        self.spawn(lambda: self._perform_restart(balancer, restart))
 
-    def _restart(self, balancer: Any, restart: Restart) -> None:
+    def _perform_restart(self, balancer: Any, restart: Restart) -> None:
         longest_s = max(grade.time_limit_ms for grade in self.day.grades) / MS_PER_S
         address = self.plan.balancer(0, balancer.number)
-        # With idle clients connected, the balancer closes some connections to make room.
-        keepalive_clients = None if self.is_crowded else KeepAliveClients(address)
+        # With idle clients connected, the balancer closes some connections to make room,
+        # which the keep-alive clients would report.
+        keepalive_clients = None if self.has_idle_clients else KeepAliveClients(address)
         if restart.has_signals_before:
             _send_sighup_and_sigusr1(balancer)
         balancer.send(signal.SIGTERM)
@@ -138,7 +138,7 @@
         keepalive_clients.close()
 
     @property
-    def is_crowded(self) -> bool:
+    def has_idle_clients(self) -> bool:
         """Whether idle clients are connected, or were within the last AFTER_CROWD_S."""
         crowd = self.run.crowd
         now_s = time.monotonic() - self.start / NS_PER_S
@@ -148,7 +148,7 @@
         import asyncio
 
         deadline = balancer.begun + READY_S
-        while not asyncio.run(days.healthy(self.plan.balancer(0, balancer.number))):
+        while not asyncio.run(lab_day.healthy(self.plan.balancer(0, balancer.number))):
             if time.monotonic() > deadline or balancer.process.poll() is not None:
                 self.add_problem("not ready in time", f"balancer {balancer.number}")
                 return
@@ -158,7 +158,7 @@
         """Record a problem if the process ended with an unexpected exit code."""
         code = balancer.process.returncode
         if code not in (0, -signal.SIGKILL):
-            self.add_problem("crash", f"balancer {balancer.number} ended with {code}")
+            self.add_problem("crash", f"balancer {balancer.number} exited with code {code}")
 
     def send_series(self, series: SignalSeries) -> None:
         """Send signals milliseconds apart, and write a config file before each SIGHUP."""
@@ -171,28 +171,30 @@
         number = 0
         for name in series.names:
             if name == "SIGHUP":
-                days.store(
+                lab_day.store(
                     path, json.dumps(_reload_config(valid, series, number, sighup_count)).encode()
                 )
                 number += 1
             balancer.send(getattr(signal, name))
             time.sleep(series.gap_ms / MS_PER_S)
-        self.last_series[balancer.number] = balancer.process.pid
+        self.signalled_pids[balancer.number] = balancer.process.pid
 
     # Start and end of the run.
 
     def along(self) -> None:
-        """Run the timeline, and measure the resources of the balancers before and after it."""
-        self.before = self._measure_all()
+        """Run the timeline (called by ``Day``) between two measurements of the balancers."""
+        self.resources_before = self._measure_all()
         super().along()
         for thread in self.background_threads:
             thread.join(READY_S + 5)
-        self.crowd.close()
+        self.idle_clients.close()
         time.sleep(QUIET_S)
-        self.after = self._measure_all()
+        self.resources_after = self._measure_all()
         for (tier, number), balancer in self.balancers.items():
             if balancer.process.poll() is not None:
-                self.add_problem("crash", f"balancer {tier}.{number} ended by itself")
+                self.add_problem(
+                    "crash", f"balancer {tier}.{number} was not running at the end of the run"
+                )
 
     def _measure_all(self) -> dict[Any, Resources]:
         for balancer in self.balancers.values():
@@ -208,7 +210,7 @@
 
     def take_down(self) -> None:
         """Stop all processes, and check the exit codes of the balancers."""
-        self.crowd.close()
+        self.idle_clients.close()
         super().take_down()
         for balancer in self.balancers.values():
             if balancer.process is not None:
@@ -225,7 +227,8 @@
 ) -> dict[str, Any]:
     """Return the config file for a SIGHUP.
 
-    The last one changes ``sockets``, so that the log line of its reload names that setting.
+    The file of the last SIGHUP changes ``sockets``, a setting that needs a restart, so that the log
+    line of the reload names it.
     """
     if number in series.faulty:
         return valid | {"discovery": "nowhere"}
--- a/pepperhook/lab/soak/resources.py
+++ b/pepperhook/lab/soak/resources.py
@@ -11,12 +11,12 @@
 
 
 class Resources(Struct, frozen=True):
-    """Resource usage of one process at one time."""
+    """Resource usage of one process at one time; -1 for figures that are not logged yet."""
 
     descriptors: int  # open file descriptors
     connections: int  # established TCP connections
     memory_mb: float
-    tasks: int = -1  # of its event loop; -1: not logged yet, as for the two below
+    tasks: int = -1  # in its event loop
     under_way: int = -1  # requests in progress
     waiting: int = -1  # requests in the admission queue
 
@@ -30,7 +30,7 @@
             for connection in process.net_connections("tcp")
             if connection.status == psutil.CONN_ESTABLISHED
         ]
-        waiting, under_way, tasks = _last_budget(log)
+        waiting, under_way, tasks = _last_logged_counts(log)
         return Resources(
             descriptors=process.num_fds(),
             connections=len(established),
@@ -41,7 +41,7 @@
         )
 
 
-def _last_budget(log: Path) -> tuple[int, int, int]:
+def _last_logged_counts(log: Path) -> tuple[int, int, int]:
     """Return waiting, under way and tasks from the last ``budget`` event; -1 each without one."""
     matches = BUDGET_EVENT.findall(log.read_text(errors="replace"))
     if not matches:
--- a/pepperhook/lab/soak/run.py
+++ b/pepperhook/lab/soak/run.py
@@ -12,14 +12,14 @@
 from pepperhook.lab.soak.judge import Verdict, judge
 from pepperhook.lab.soak.play import SoakDay
 
-MAX_RUNS = 3  # of a void run, such as one in which a process lacked CPU time
+MAX_RUNS = 3  # of one seed, until one is not void, as for lack of CPU time
 KEPT = "soak"  # subfolder of the results folder
 
 Tell = Callable[[Verdict], None]
 
 
-def play_seed(seed: int, seconds: float, folder: Path, plant: str | None = None) -> Verdict:
-    """Run one seed, up to MAX_RUNS times while it is void. Keep the logs only of a failed run."""
+def run_seed(seed: int, seconds: float, folder: Path, plant: str | None = None) -> Verdict:
+    """Run one seed; repeat a void run, up to MAX_RUNS in total. Keep the logs of a failed run."""
     verdict = None
     for number in range(MAX_RUNS):
         run_folder = folder / f"{seed}-{number}"
@@ -58,4 +58,4 @@
     """
     results_folder = folder or Path(tempfile.mkdtemp(prefix="pepperhook-soak-"))
     with ThreadPoolExecutor(at_once) as pool:
-        yield from pool.map(lambda seed: play_seed(seed, seconds, results_folder, plant), seeds)
+        yield from pool.map(lambda seed: run_seed(seed, seconds, results_folder, plant), seeds)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""Reads KNOWN-RED.txt, the list of tests that fail because of a fault that is still open.
+"""Reads KNOWN-RED.txt, the list of tests that fail for a known fault with an open issue.
 
 Each line is an entry with four fields in this order:
 
@@ -8,7 +8,7 @@
 NAME`` for an acceptance scenario, or ``soak SEED`` for a run of ``pepperhook lab soak``.
 
 ``python -m tests.known_red TEST`` prints the entry of a test. Exit code 0: listed, 1: not listed,
-2: the list is malformed.
+2: an entry is malformed or names no existing test.
 """
 
 import ast
@@ -54,7 +54,7 @@
     entries = [_parse_line(line) for line in text.splitlines() if line.strip()]
     for entry in entries:
         if [listed.test for listed in entries].count(entry.test) > 1:
-            raise MalformedEntryError(f"{entry.test}: listed twice")
+            raise MalformedEntryError(f"KNOWN-RED.txt: {entry.test}: listed twice")
     return entries
 
 
@@ -69,7 +69,7 @@
 
 
 def check(entry: Entry, scenarios: tuple[str, ...], root: Path = ROOT) -> None:
-    """Raise MalformedEntryError unless the entry names an existing scenario, test or seed."""
+    """Raise MalformedEntryError unless the entry names an existing test or scenario, or a seed."""
     if entry.test.startswith(SCENARIO):
         exists = entry.test.removeprefix(SCENARIO) in scenarios
     elif entry.test.startswith(SOAK):
--- a/tests/lab/test_leaving_clients.py
+++ b/tests/lab/test_leaving_clients.py
@@ -1,4 +1,4 @@
-"""The soak test's clients that send to a draining balancer report failures, and only those."""
+"""The soak test's clients report only resets and missing GOAWAYs of a draining balancer."""
 
 import asyncio
 import time
@@ -14,8 +14,8 @@
 from tests.http2.balancers import HTTP2_CLIENTS
 from tests.server.balancers import RunningBalancer, wait_until
 
-ACCEPT_S = 0.5
-WITHIN_S = 5
+DRAIN_ACCEPT_S = 0.5
+DRAIN_TIMEOUT_S = 5
 
 
 def abort_idle(balancer):
@@ -33,7 +33,9 @@
         if aborts:
             abort_idle(balancer)
 
-        shutdown = asyncio.ensure_future(balancer.app.http_server.close(ACCEPT_S, WITHIN_S))
+        shutdown = asyncio.ensure_future(
+            balancer.app.http_server.close(DRAIN_ACCEPT_S, DRAIN_TIMEOUT_S)
+        )
         problems = await asyncio.to_thread(lambda: list(clients.send(time.monotonic())))
         clients.close()
         await shutdown
@@ -48,7 +50,9 @@
     if not sends_goaway:
         monkeypatch.setattr(ServerConnection, "_announce_shutdown", lambda _: None)
     async with RunningBalancer(["127.0.0.1:9"], HTTP2_CLIENTS) as balancer:
-        shutdown = asyncio.ensure_future(balancer.app.http_server.close(ACCEPT_S, WITHIN_S))
+        shutdown = asyncio.ensure_future(
+            balancer.app.http_server.close(DRAIN_ACCEPT_S, DRAIN_TIMEOUT_S)
+        )
         address, now = ("127.0.0.1", balancer.port), time.monotonic()
         problems = await asyncio.to_thread(lambda: list(open_http2_during_drain(address, now)))
         await shutdown
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -34,7 +34,7 @@
     assert draw(7, 30.0) != draw(8, 30.0)
 
 
-def test_drawn_runs_are_valid_experiments_and_cover_all_variants():
+def test_drawn_runs_are_valid_and_cover_protocols_discovery_modes_tier_counts_and_crowds():
     runs = [draw(seed, 30.0) for seed in SEEDS]
 
     for soak_run in runs:
@@ -51,7 +51,7 @@
     assert any(series.faulty for soak_run in runs for series in soak_run.signals)
 
 
-def test_unchanged_or_allowed_resource_usage_is_no_problem():
+def test_resource_usage_within_its_limits_is_not_reported():
     assert problem_names(AT_START) == []
     assert problem_names(usage_with(descriptors=10, memory_mb=memory_bound_mb(SOCKETS))) == []
 
@@ -67,11 +67,11 @@
         (usage_with(memory_mb=50.0 + memory_bound_mb(SOCKETS)), "memory"),
     ],
 )
-def test_resource_left_after_the_quiet_time_is_a_problem(after, name):
+def test_resource_above_its_limit_is_reported_by_name(after, name):
     assert problem_names(after) == [name]
 
 
-def test_resources_of_a_process_are_measured(tmp_path):
+def test_measure_reads_the_process_and_its_last_budget_event(tmp_path):
     log = tmp_path / "a.log"
     log.write_text(
         "time=x level=info event=budget B=0.2 f=0.0 waiting=1 under_way=2 late_ms=0 tasks=7\n"
@@ -85,7 +85,7 @@
     assert measure(os.getpid(), log).tasks == -1
 
 
-def test_signal_series_writes_invalid_files_as_drawn_and_a_distinct_last_file():
+def test_reload_config_is_invalid_as_drawn_and_its_last_file_is_recognised_in_the_log():
     series = draw(1, 30.0).signals[0]
     series = msgspec.structs.replace(series, names=["SIGHUP"] * 3, faulty=[1])
     valid = {"discovery": "127.0.0.1:1", "limits": {"sockets": 256}}
@@ -112,10 +112,10 @@
     [
         ([verdict(3, True), verdict(4, True)], 0),
         ([verdict(3, True), verdict(4, False)], 1),
-        ([verdict(3, True), verdict(4, False, "short of core")], 2),
+        ([verdict(3, True), verdict(4, False, "lack of CPU time")], 2),
     ],
 )
-def test_command_prints_one_line_per_seed_with_the_command_to_repeat_a_failed_one(
+def test_command_prints_a_line_per_seed_and_exits_1_on_failure_and_2_on_a_void_run(
     monkeypatch, verdicts, exit_code
 ):
     monkeypatch.setattr(run, "play", lambda *_: iter(verdicts))
@@ -147,7 +147,7 @@
     assert run_command("lab", "soak", *options).exit_code == 2
 
 
-def test_defects_that_the_soak_must_detect_can_be_injected():
+def test_defects_that_verify_the_soak_test_exist():
     assert {
         "ends-at-once",
         "descriptor-leaked",
@@ -162,7 +162,7 @@
 def test_run_with_too_many_findings_excused_by_stalls_is_void():
     def verdict_with(excused):
         day = SimpleNamespace(
-            run=draw(1, 30.0), problems=[], after={}, balancers={}, last_series={}
+            run=draw(1, 30.0), problems=[], resources_after={}, balancers={}, signalled_pids={}
         )
         figures = {"tries": 1000}
         result = {"findings": [], "void": False, "figures": figures, "excused": excused}
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,7 +1,7 @@
 """The deploy file's command runs the balancer under the platform's restrictions.
 
 Starting programs and fork fail with ENOSYS, splice with EINVAL and sendfile with ENOSYS; sockets
-are limited to TCP and UDP over IPv4.
+are limited to TCP and UDP over IPv4, except for unconnected Unix sockets.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 # The started interpreter imports this as sitecustomize before any project code. An audit hook
 # rejects restricted calls; splice and sendfile raise no audit event and are replaced by functions
 # that fail. No external tracer is used.
-REFUSED = """
+SITECUSTOMIZE = """
 import errno, os, socket, sys
 def refuse(call, number=errno.ENOSYS):
     os.write(2, f"REFUSED {call}\\n".encode())
@@ -43,12 +43,12 @@
 
 
 def restricted_environment(tmp_path):
-    (tmp_path / "sitecustomize.py").write_text(REFUSED)
+    (tmp_path / "sitecustomize.py").write_text(SITECUSTOMIZE)
     return {"PATH": os.environ["PATH"], "PYTHONPATH": str(tmp_path), "TMPDIR": str(tmp_path)}
 
 
 def test_restricted_environment_rejects_the_calls_that_the_platform_rejects(tmp_path):
-    # Otherwise the test that runs the balancer under the restrictions would prove nothing.
+    # The test that runs the balancer relies on these restrictions.
     calls = [
         "os.fork()",
         "os.posix_spawn('/bin/true', ['true'], {})",
@@ -75,9 +75,10 @@
 
 
 def test_deploy_command_replaces_the_shell_and_build_reuses_the_environment():
-    words = shlex.split(DEPLOY["run"])
+    command = shlex.split(DEPLOY["run"])
     # Without exec a shell would remain, and signals would reach it instead of the balancer.
-    assert words[0] == "exec" and words[1:] == [".venv/bin/python", "-m", "pepperhook"]
+    assert command[0] == "exec" and command[1:] == [".venv/bin/python", "-m", "pepperhook"]
+    # The files that the deploy file names exist.
     assert all((ROOT / path).exists() for path in DEPLOY["policy"] + DEPLOY["node"])
     # Operators build repeatedly in one folder; an existing virtual environment is kept.
     assert "test -x .venv/bin/python || python3 -m venv .venv" in DEPLOY["build"]
@@ -90,6 +91,7 @@
     release, request_received = asyncio.Event(), asyncio.Event()
 
     def endpoint_list(head, _):
+        # A poll for changes gets no response.
         return (
             None
             if b"since" in head
@@ -105,17 +107,21 @@
             await release.wait()
         return answer()
 
-    async with Peer(respond) as peer, Peer(endpoint_list) as first, Peer(endpoint_list) as second:
+    async with (
+        Peer(respond) as peer,
+        Peer(endpoint_list) as discovery_a,
+        Peer(endpoint_list) as discovery_b,
+    ):
         balancer = Running()
         balancer.port = free_port()
         config = dict(
-            known={"seq": 1, "whole": True, "hosts": hosts([peer.dial])}, discovery=first.dial
+            known={"seq": 1, "whole": True, "hosts": hosts([peer.dial])}, discovery=discovery_a.dial
         )
         environ = {
             **restricted_environment(tmp_path),
             **write_config(tmp_path, **config),
             "LB_LISTEN": f"127.0.0.1:{balancer.port}",
-            "LB_DISCOVERY": first.dial,
+            "LB_DISCOVERY": discovery_a.dial,
         }
         process = subprocess.Popen(
             ["/bin/sh", "-c", DEPLOY["run"]],
@@ -127,24 +133,24 @@
         )
         log_lines = []
 
-        async def line_with(event):
+        async def wait_for_event(event):
             while f"event={event}" not in (
                 line := await asyncio.to_thread(process.stderr.readline)
             ):
                 assert line, "".join(log_lines)
                 log_lines.append(line)
 
-        await line_with("started")
+        await wait_for_event("started")
         balancer_process = psutil.Process(process.pid)
         maps = Path(f"/proc/{process.pid}/maps").read_text()
         assert "python" in os.path.basename(balancer_process.exe()) and "libc.so" in maps
         assert (await balancer.ask("/look"))[0] == 200
         assert (await balancer.ask("/pay", b"POST", b"1"))[0] == 200
-        write_config(tmp_path, **{**config, "discovery": second.dial})
+        write_config(tmp_path, **{**config, "discovery": discovery_b.dial})
         process.send_signal(signal.SIGHUP)
-        await line_with(f"reloaded discovery={second.dial}")
+        await wait_for_event(f"reloaded discovery={discovery_b.dial}")
         process.send_signal(signal.SIGUSR1)
-        await line_with("counters")
+        await wait_for_event("counters")
         reader, writer = await balancer.send("/look/slow")
         await request_received.wait()
         assert not balancer_process.children(recursive=True)
@@ -153,11 +159,11 @@
         write_config(tmp_path, **config)
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
-        await line_with("leaving")
+        await wait_for_event("leaving")
         release.set()
         assert (await balancer.answer(reader))[0] == 200
         writer.close()
-        _, rest = await asyncio.to_thread(process.communicate, timeout=60)
-        log = "".join(log_lines) + rest
+        _, remaining_log = await asyncio.to_thread(process.communicate, timeout=60)
+        log = "".join(log_lines) + remaining_log
         assert process.returncode == 0 and "REFUSED" not in log and "level=error" not in log
-        assert rest.splitlines()[-1].endswith("event=ended")
+        assert remaining_log.splitlines()[-1].endswith("event=ended")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -13,7 +13,7 @@
     return known_red.parse(ENTRY.format(test=test))[0]
 
 
-def test_entries_are_read_with_all_their_fields():
+def test_parse_returns_an_entry_per_line_and_ignores_empty_lines():
     text = ENTRY.format(test="scenario h2") + "\n\n" + ENTRY.format(test="soak 7")
 
     first, second = known_red.parse(text)
@@ -45,13 +45,16 @@
         ("scenario h3", False),
         ("soak 12", True),
         ("soak twelve", False),
-        ("tests/test_known_red.py::test_entries_are_read_with_all_their_fields", True),
+        (
+            "tests/test_known_red.py::test_parse_returns_an_entry_per_line_and_ignores_empty_lines",
+            True,
+        ),
         ("tests/test_known_red.py::test_that_is_not_here", False),
         ("tests/test_not_here.py::test_one", False),
         ("tests/test_known_red.py", False),
     ],
 )
-def test_an_entry_must_name_a_test_that_exists(test, exists):
+def test_an_entry_is_accepted_only_if_its_scenario_test_or_seed_is_valid(test, exists):
     if exists:
         known_red.check(entry_for(test), ("h2",))
         return
@@ -59,7 +62,7 @@
         known_red.check(entry_for(test), ("h2",))
 
 
-def test_an_entry_covers_all_cases_of_its_test_or_the_one_it_names():
+def test_an_entry_covers_all_cases_of_a_test_or_only_the_listed_case():
     all_cases, one_case = (
         entry_for("tests/test_one.py::test_a"),
         entry_for("tests/test_one.py::test_a[x]"),
