--- a/pepperhook/lab/soak/judge.py
+++ b/pepperhook/lab/soak/judge.py
@@ -14,7 +14,7 @@
 
 # Allowed growth of a count: one poll of the endpoint list may be ending while the next begins.
 COUNT_TOLERANCE = 2
-MAX_EXCUSED_SHARE = 0.003  # of requests, for stalled stand-ins; above it, the run is void
+MAX_EXCUSED_SHARE = 0.003  # of requests, excused as a stand-in stalled; above it, the run is void
 KB_PER_MB = 1024
 RELOAD_EVENT = re.compile(r"event=reload(?:ed|_refused) .*")
 LAST_RELOAD_MARK = "wait_for_a_restart=sockets"  # in the log line of the last config file
--- a/pepperhook/lab/soak/run.py
+++ b/pepperhook/lab/soak/run.py
@@ -12,7 +12,7 @@
 from pepperhook.lab.soak.judge import Verdict, judge
 from pepperhook.lab.soak.play import SoakDay
 
-MAX_RUNS = 3  # of one seed, until one is not void, as for lack of CPU time
+MAX_RUNS = 3  # per seed; a run is repeated if it is void, such as for lack of CPU time
 KEPT = "soak"  # subfolder of the results folder
 
 Tell = Callable[[Verdict], None]
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -2,7 +2,7 @@
 
 Each line is an entry with four fields in this order:
 
-    test: TEST | command: COMMAND with its seed | seen: what was seen | issue 47
+    test: TEST | command: COMMAND with its seed | seen: OBSERVED FAILURE | issue 47
 
 TEST is a pytest test with all its cases, one case of it (``tests/x.py::test_y[case]``), ``scenario
 NAME`` for an acceptance scenario, or ``soak SEED`` for a run of ``pepperhook lab soak``.
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -144,8 +144,10 @@
         balancer_process = psutil.Process(process.pid)
         maps = Path(f"/proc/{process.pid}/maps").read_text()
         assert "python" in os.path.basename(balancer_process.exe()) and "libc.so" in maps
+        # Serve requests.
         assert (await balancer.ask("/look"))[0] == 200
         assert (await balancer.ask("/pay", b"POST", b"1"))[0] == 200
+        # Reload on SIGHUP, and log the counters on SIGUSR1.
         write_config(tmp_path, **{**config, "discovery": discovery_b.dial})
         process.send_signal(signal.SIGHUP)
         await wait_for_event(f"reloaded discovery={discovery_b.dial}")
