--- a/pepperhook/lab/crooked.py
+++ b/pepperhook/lab/crooked.py
@@ -1,5 +1,8 @@
-"""Crooked balancers: ``python -m pepperhook.lab.crooked WAY``. Each breaks one thing on purpose, so that the auditor can be
-seen to catch it; ``honest`` breaks none, and is no good balancer either: one try, in turn, for each operation."""
+"""Run a deliberately faulty balancer: ``python -m pepperhook.lab.crooked WAY``.
+
+Each way breaks one rule, so that a scenario can show that the auditor reports it. ``honest`` breaks
+none; it is a minimal balancer that makes one attempt per request, to the upstreams in turn.
+"""
 
 import asyncio
 import json
@@ -9,6 +12,7 @@
 
 from pepperhook.lab import chance, wire
 
+# Kind of fault: the finding that the auditor must report.
 WAYS = {
     "honest": None,
     "twice": "answered twice",
@@ -22,68 +26,85 @@
     "drained": "sent after drain",
     "floods": "pushed over cold",
 }
-EVERY = 20  # one operation in so many is done crookedly
+FAULTY_ONE_IN = 20  # one of this many requests is handled faultily
+
 
+class Attempt:
+    """One attempt, an exchange of `wire.Pool`.
 
-class Sending:
-    """One dispatch; a future of (status, body, never ran)."""
+    ``result`` is a future of (status, body, whether the request was never executed). The pool reads
+    and sets ``over`` (the attempt has ended), ``link`` (its connection) and ``fresh`` (whether that
+    is new). The parameters ``why`` and ``unread`` belong to its interface and are ignored here.
+    """
 
     def __init__(self, pool, data, limit_s):
         loop = asyncio.get_running_loop()
-        self.over, self.link, self.fresh, self.pool, self.told = (
+        self.over, self.link, self.fresh, self.pool, self.result = (
             False,
             None,
             False,
             pool,
             loop.create_future(),
         )
-        self.timer = loop.call_later(limit_s, self.late)
+        self.timer = loop.call_later(limit_s, self.time_out)
         pool.send(self, data)
 
     def written(self):
-        """The connection is up."""
+        """Do nothing: the pool calls this when a new connection is established."""
 
-    def done(self, *what):
+    def finish(self, *result):
+        """Set the result, unless the attempt has ended already."""
         if not self.over:
             self.over = True
             self.timer.cancel()
-            self.told.set_result(what)
+            self.result.set_result(result)
 
     def answered(self, status, body, headers):
-        self.done(status, body, headers.get(b"x-not-processed") == b"1")
+        """Finish with the response."""
+        self.finish(status, body, headers.get(b"x-not-processed") == b"1")
 
     def lost(self, why, unread=False):
-        self.done(0, b"", False)
+        """Finish after the connection was lost: the request may have been executed."""
+        self.finish(0, b"", False)
 
     def unconnected(self, why):
-        self.done(0, b"", True)
+        """Finish after the connection failed: the request was never executed."""
+        self.finish(0, b"", True)
 
-    def late(self):
+    def time_out(self):
+        """Close the connection at the time limit: the request may have been executed."""
         self.pool.drop(self)
-        self.done(0, b"", False)
+        self.finish(0, b"", False)
+
 
+class FaultyBalancer:
+    """A balancer that is faulty in one way; ``environ`` has the variables that a balancer reads."""
 
-class Crooked:
     def __init__(self, way, environ):
         with open(environ["LB_CONFIG"], encoding="utf-8") as file:
-            told = json.load(file)
-        self.way, self.pools, self.states, self.born, self.turn = way, {}, {}, {}, 0
-        self.effects = {g["name"]: g for g in told["settings"]["serviceGrades"]}
+            config = json.load(file)
+        self.way, self.pools, self.states, self.born, self.selections = way, {}, {}, {}, 0
+        self.service_classes = {row["name"]: row for row in config["settings"]["serviceGrades"]}
         self.listen, self.discovery = (
             address(environ[key]) for key in ("LB_LISTEN", "LB_DISCOVERY")
         )
-        self.cold, self.back = [], set()
+        self.cold, self.back = (
+            [],
+            set(),
+        )  # cold: upstreams that have restarted
 
     async def run(self):
+        """Serve until SIGTERM."""
         server = await asyncio.start_server(self.serve, *self.listen)
-        watch = asyncio.create_task(self.watch())
+        watch_task = asyncio.create_task(self.watch())
         stop = asyncio.Event()
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
         await stop.wait()
         server.close()
-        watch.cancel()
+        watch_task.cancel()
 
     async def watch(self):
+        """Follow the endpoint list by long polls."""
         since = None
         while True:
             try:
@@ -91,26 +112,27 @@
                 query = "" if since is None else f"?since={since}&timeout_ms=2000"
                 writer.write(wire.message(b"GET", f"/catalog/members{query}".encode(), []))
                 messages = wire.Messages()
-                while (whole := messages.next()) is None:
+                while (message := messages.next()) is None:
                     data = await reader.read(65536)
                     if not data:
-                        raise OSError("ended")
+                        raise OSError("connection closed before the endpoint list was complete")
                     messages.feed(data)
                 writer.close()
-                told = json.loads(whole[1])
+                endpoint_list = json.loads(message[1])
             except (OSError, ValueError):
                 await asyncio.sleep(0.1)
                 continue
-            since = told["seq"]
-            for row in told["hosts"]:
-                self.hear(row)
+            since = endpoint_list["seq"]
+            for row in endpoint_list["hosts"]:
+                self.update_upstream(row)
 
-    def hear(self, row):
+    def update_upstream(self, row):
+        """Apply one row of the endpoint list."""
         dial, state = row["dial"], row["health"]
         if state == "ready" and row["born_ms"] != self.born.get(dial, row["born_ms"]):
             self.cold.append(dial)
         self.born[dial] = row["born_ms"]
-        # One that has no ear for drains goes on with all that was ever ready.
+        # The kind `drained` keeps the first state of an upstream, and so sends to draining ones.
         if self.way == "drained" and dial in self.states:
             return
         self.states[dial] = state
@@ -118,35 +140,39 @@
             host = address(dial)
             self.pools[dial] = wire.Pool(lambda: host)
 
-    def choose(self):
+    def select(self):
+        """Return the address of the next upstream, or None when none is ready."""
         ready = sorted(dial for dial, state in self.states.items() if state == "ready")
         if self.way == "floods" and self.cold:
             return self.cold[-1]
-        self.turn += 1
-        return ready[self.turn % len(ready)] if ready else None
+        self.selections += 1
+        return ready[self.selections % len(ready)] if ready else None
 
     async def serve(self, reader, writer):
+        """Handle the requests of one client connection."""
         messages = wire.Messages()
         try:
             while data := await reader.read(65536):
                 messages.feed(data)
-                while (whole := messages.next()) is not None:
-                    await self.handle(writer, *whole)
+                while (message := messages.next()) is not None:
+                    await self.handle(writer, *message)
         except (wire.Broken, ConnectionError):
             pass
         finally:
             writer.close()
 
     async def handle(self, writer, head, body):
+        """Handle one request; a fraction, chosen by the request id, is handled faultily."""
         path = head.start[1]
         if path == b"/_health":
             writer.write(wire.answer(200 if self.states else 503))
             return
-        identity, grade = head.headers[b"x-request-id"], self.effects[path.split(b"/")[1].decode()]
+        request_id = head.headers[b"x-request-id"]
+        service_class = self.service_classes[path.split(b"/")[1].decode()]
         limit_s = head.number(b"x-timeout-ms", 1000) / 1000
-        bad = chance.share("crooked", identity) < 1 / EVERY
-        way = self.way if bad else None
-        unsafe = grade["effect"] == "at_most_once"
+        is_faulty = chance.share("crooked", request_id) < 1 / FAULTY_ONE_IN
+        way = self.way if is_faulty else None
+        is_unsafe = service_class["effect"] == "at_most_once"
         headers = [
             (name, head.headers[name.lower()])
             for name in (b"X-Request-ID", b"Idempotency-Key")
@@ -155,9 +181,9 @@
         headers.append((b"X-Timeout-Ms", b"%d" % max(1, int(limit_s * 1000))))
         data = wire.message(head.start[0], path, headers, body)
 
-        def send(to=None):
-            to = to or self.choose()
-            return Sending(self.pools[to], data, limit_s) if to else None
+        def send(dial=None):
+            dial = dial or self.select()
+            return Attempt(self.pools[dial], data, limit_s) if dial else None
 
         if way == "invents":
             writer.write(wire.answer(200, b"0.0.made-up.1\n"))
@@ -168,30 +194,31 @@
             return
         if way == "overlaps":
             second = send()
-            await second.told
-        status, said, never = await first.told
-        if way == "reruns" and unsafe and status == 200:
-            status, said, never = await send().told
-        if way == "repeats-late" and grade["effect"] == "deduplicated" and status == 200:
-            await asyncio.sleep(grade["keyTtlUs"] / 1e6 + 0.3)
-            status, said, never = await send().told
+            await second.result
+        status, response, never_executed = await first.result
+        if way == "reruns" and is_unsafe and status == 200:
+            status, response, never_executed = await send().result
+        if way == "repeats-late" and service_class["effect"] == "deduplicated" and status == 200:
+            await asyncio.sleep(service_class["keyTtlUs"] / 1e6 + 0.3)
+            status, response, never_executed = await send().result
         if way == "loses":
             writer.close()
             return
         if way == "late":
             await asyncio.sleep(limit_s + 0.06)
-        if way == "sheds-what-ran" and unsafe:
+        if way == "sheds-what-ran" and is_unsafe:
             writer.write(wire.answer(503, b"shed\n"))
         elif status == 200:
-            writer.write(wire.answer(200, said) * (2 if way == "twice" else 1))
+            writer.write(wire.answer(200, response) * (2 if way == "twice" else 1))
         else:
-            writer.write(wire.answer(503 if never else 500))
+            writer.write(wire.answer(503 if never_executed else 500))
 
 
 def address(text):
+    """Return host and port of ``host:port``."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 if __name__ == "__main__":
-    asyncio.run(Crooked(sys.argv[1], os.environ).run())
+    asyncio.run(FaultyBalancer(sys.argv[1], os.environ).run())
--- a/pepperhook/lab/planted.py
+++ b/pepperhook/lab/planted.py
@@ -1,23 +1,26 @@
-"""A balancer with a fault planted in one of its parts: ``python -m pepperhook.lab.planted FAULT``, for proofs that must fail."""
+"""Run a balancer with an injected defect: ``python -m pepperhook.lab.planted FAULT``.
+
+A scenario that is played with one of its defects must fail, which shows that its checks detect it.
+"""
 
 import sys
 
 from pepperhook import __main__ as program
 from pepperhook.domain import Outcome, UpstreamState
 
-DRAIN_LATE_S = 8.0
-RELOAD_PAUSE_S = 0.5  # of the planted reload that is lost
+DRAIN_DELAY_S = 8.0  # of drain-heard-late
+RELOAD_PAUSE_S = 0.5  # of reload-lost: a reload requested this soon after another is ignored
 
 
 def time_kept():
-    """Carried time is not reduced by what was spent."""
+    """Forward the time limit unreduced by the time already spent."""
     from pepperhook.request_context import messages
     from pepperhook.request_context.context_policy import ContextPolicy
 
-    plain = ContextPolicy.attempt_started
+    original = ContextPolicy.attempt_started
 
     def attempt_started(self, now, state, deadline, is_retry):
-        context = plain(self, now, state, deadline, is_retry)
+        context = original(self, now, state, deadline, is_retry)
         if context is not None:
             context.remaining_ms = messages.MAX_MS
         return context
@@ -26,14 +29,14 @@
 
 
 def tries_unsplit():
-    """Each tier, and each attempt, has the whole allowance."""
+    """Give each tier and each attempt the whole retry allowance."""
     from pepperhook.request_context.context_policy import ContextPolicy
 
-    plain = ContextPolicy.attempt_started
+    original = ContextPolicy.attempt_started
 
     def attempt_started(self, now, state, deadline, is_retry):
         state.allowance.retries, state.retry_stop = 3, None
-        context = plain(self, now, state, deadline, is_retry)
+        context = original(self, now, state, deadline, is_retry)
         context.retries = 3
         return context
 
@@ -41,15 +44,15 @@
 
 
 def forged_believed():
-    """Values are believed whoever wrote them."""
+    """Trust the request context header whoever sent it."""
     from pepperhook.request_context import context_header
 
-    plain = context_header.read_members
-    context_header.read_members = lambda text, keys, is_trusted: plain(text, keys, True)
+    original = context_header.read_members
+    context_header.read_members = lambda text, keys, is_trusted: original(text, keys, True)
 
 
 def hops_unchecked():
-    """Nobody looks whether a request has been here."""
+    """Detect no request loops."""
     from pepperhook.request_context.loop_detection import LoopDetector
 
     assert LoopDetector.is_loop
@@ -57,20 +60,22 @@
 
 
 def reset_never_ran():
-    """A stream that was reset is taken for one that never ran."""
+    """Treat a reset stream as a request that was never executed."""
     from pepperhook.http2.client_connection import ClientConnection
     from pepperhook.server.attempt_errors import ConnectionLostError, OverloadedError
 
-    plain = ClientConnection.finish
-    ClientConnection.finish = lambda self, exchange, error: plain(
+    original = ClientConnection.finish
+    ClientConnection.finish = lambda self, exchange, error: original(
         self,
         exchange,
-        OverloadedError("planted") if isinstance(error, ConnectionLostError) else error,
+        OverloadedError("injected defect reset-never-ran")
+        if isinstance(error, ConnectionLostError)
+        else error,
     )
 
 
 def goaway_ignored():
-    """A GOAWAY's last id is ignored: what is above it is waited for."""
+    """Ignore the last stream id of a GOAWAY: keep waiting for the streams above it."""
     from pepperhook.http2.client_connection import ClientConnection
 
     assert callable(ClientConnection.end_streams_above)
@@ -78,41 +83,44 @@
 
 
 def ended_twice():
-    """A stream's end is reported twice."""
+    """Send END_STREAM twice for each stream."""
     from hyperframe.frame import DataFrame, GoAwayFrame
 
     from pepperhook.http2.server_stream import ServerStream
 
-    plain = ServerStream.write_response
+    original = ServerStream.write_response
 
     async def write_response(self, status, headers, body):
         self.connection.flush()
-        await plain(self, status, headers, body)
+        await original(self, status, headers, body)
         goaway = GoAwayFrame(0, last_stream_id=self.connection.last_stream_id, error_code=0)
-        again = DataFrame(self.stream_id, body, flags=["END_STREAM"])
-        self.connection.transport.write(goaway.serialize() + again.serialize())
+        second_end = DataFrame(self.stream_id, body, flags=["END_STREAM"])
+        self.connection.transport.write(goaway.serialize() + second_end.serialize())
 
     ServerStream.write_response = write_response
 
 
 def window_kept():
-    """The window of what has come is not returned."""
+    """Return no flow-control window for received data.
+
+    Only the one large increment at the start of a connection, over 500 000 bytes, is sent.
+    """
     from pepperhook.http2.connection import Http2Connection
 
-    plain = Http2Connection.increment_flow_control_window
+    original = Http2Connection.increment_flow_control_window
     Http2Connection.increment_flow_control_window = lambda self, size, stream=None: (
-        plain(self, size, stream) if size > 500_000 else None
+        original(self, size, stream) if size > 500_000 else None
     )
 
 
 def evicts_running():
-    """When the store is full what runs is forgotten, too."""
+    """Evict entries of running requests, too, when the store is full."""
     from pepperhook.idempotency import store
 
-    plain = store.IdempotencyStore.make_room
+    original = store.IdempotencyStore.make_room
 
     def make_room(self, now_ns, partition, size, new_entries=1):
-        if not plain(self, now_ns, partition, size, new_entries):
+        if not original(self, now_ns, partition, size, new_entries):
             running = next(
                 (
                     entry
@@ -129,7 +137,7 @@
 
 
 def record_after():
-    """The record of an operation is written when it has ended, and not before its dispatch."""
+    """Write the record of a request only when it has ended, not before its first attempt."""
     from pepperhook.idempotency import recorder
 
     def record_started(self, keyed):
@@ -141,7 +149,7 @@
 
 
 def first_calls_off():
-    """When the first client leaves its dispatch is called off, whoever waits."""
+    """Cancel the running attempt when the first client leaves, even if others wait for it."""
     from pepperhook.idempotency import extension
 
     def leaving(self, now_ns, request):
@@ -152,55 +160,55 @@
 
 
 def all_dispatched():
-    """When the first never ran, all that wait for it are dispatched."""
+    """Send all waiting requests when the first was never executed, instead of one of them."""
     from pepperhook.idempotency import store
     from pepperhook.idempotency.entries import Decision, Resolution, Verdict
 
-    plain = store.IdempotencyStore.hand_over
+    original = store.IdempotencyStore.hand_over
 
     def hand_over(self, entry):
-        resolutions = plain(self, entry)
-        for other in self.waiters.remove_all(entry):
-            self.running[other] = entry
-            resolutions.append(Resolution(other, Decision(Verdict.NEW)))
+        resolutions = original(self, entry)
+        for waiter in self.waiters.remove_all(entry):
+            self.running[waiter] = entry
+            resolutions.append(Resolution(waiter, Decision(Verdict.NEW)))
         return resolutions
 
     store.IdempotencyStore.hand_over = hand_over
 
 
 def clock_read():
-    """The policy reads a clock."""
+    """Let the policy read a clock, so that its decisions do not replay."""
     import time
 
     from pepperhook.policy import completion
 
-    plain = completion.Completion.handle
+    original = completion.Completion.handle
 
     def handle(self, now, request):
-        # Near its limit a request ends at a time that depends on it.
+        # A request near its deadline ends at a time that depends on the clock.
         request.deadline -= time.perf_counter_ns() % 1000
-        return plain(self, now, request)
+        return original(self, now, request)
 
     completion.Completion.handle = handle
 
 
 def set_order():
-    """The policy takes the members of its subset in the order of a set."""
+    """Iterate over the members of the subset in the order of a set."""
     from pepperhook.policy import selection
 
-    plain = selection.Selection.handle
+    original = selection.Selection.handle
 
     def handle(self, now, request):
         subset = self.balancer.subset
-        known = {bytes(member.address): member for member in subset.members}
-        subset.members = [known[address] for address in set(known)]
-        return plain(self, now, request)
+        by_address = {bytes(member.address): member for member in subset.members}
+        subset.members = [by_address[address] for address in set(by_address)]
+        return original(self, now, request)
 
     selection.Selection.handle = handle
 
 
 def checksum_skipped():
-    """A reader believes blocks whatever their checksum says."""
+    """Accept blocks whose checksum does not match."""
     import zstandard
 
     from pepperhook.container import Block, ContainerReader, blocks
@@ -224,49 +232,49 @@
     ContainerReader.read_block = read_block
 
 
-# In the decisions.
+# Defects of the policy.
 
 
 def repeats_all():
-    """Whatever a request's effect, it may be retried."""
+    """Allow a retry of every request, unsafe ones included."""
     from pepperhook.policy import guard
 
     guard.Guard.may_retry = lambda self, now, request, upstream, own: True
 
 
 def window_forgotten():
-    """A keyed request is retried also when its window is over."""
+    """Retry a keyed request even after its retry window has ended."""
     from pepperhook.policy import guard
 
-    plain = guard.Guard.may_retry
+    original = guard.Guard.may_retry
 
     def may_retry(self, now, request, upstream, own):
         executed = request.possibly_executed(own)
-        begun = min(now, executed[0].sent_at) if executed else now
-        return plain(self, begun, request, upstream, own)
+        first_sent_at = min(now, executed[0].sent_at) if executed else now
+        return original(self, first_sent_at, request, upstream, own)
 
     guard.Guard.may_retry = may_retry
 
 
 def group_forgotten():
-    """A keyed request is retried outside of its group, too."""
+    """Retry a keyed request outside its group of upstreams, too."""
     from pepperhook.policy import guard
 
-    plain = guard.Guard.may_retry
-    guard.Guard.may_retry = lambda self, now, request, upstream, own: plain(
+    original = guard.Guard.may_retry
+    guard.Guard.may_retry = lambda self, now, request, upstream, own: original(
         self, now, request, None, own
     )
 
 
 def sheds_all():
-    """What ends unanswered is rejected, also where it may have run."""
+    """Reject every request without a response, even one that may have been executed."""
     from pepperhook.actions import FailRequest, RejectRequest
     from pepperhook.policy import completion
 
-    plain = completion.Completion.finish
+    original = completion.Completion.finish
 
     def finish(self, now, request):
-        plain(self, now, request)
+        original(self, now, request)
         actions = self.balancer.actions
         if actions and actions[-1] == FailRequest(request):
             actions[-1] = RejectRequest(request, 0)
@@ -275,52 +283,53 @@
 
 
 def lost_never_ran():
-    """A response that is lost or malformed is taken for a request that was never executed."""
+    """Treat a reset connection or a malformed response as a request that was never executed."""
     from pepperhook import domain
 
     domain.NEVER_EXECUTED |= {Outcome.RESET, Outcome.MALFORMED_RESPONSE}
 
 
 def drains_unheeded():
-    """An upstream that is listed as draining is taken for ready."""
+    """Treat an upstream that is listed as draining as ready."""
     from pepperhook.policy import subset
 
-    plain = subset.Subset.apply
+    original = subset.Subset.apply
 
     def apply(self, now, whole, updates):
-        heard = [
+        altered = [
             update._replace(state=UpstreamState.READY)
             if update.state is UpstreamState.DRAINING
             else update
             for update in updates
         ]
-        return plain(self, now, whole, heard)
+        return original(self, now, whole, altered)
 
     subset.Subset.apply = apply
 
 
 def cold_unheeded():
-    """Nothing is held to be cold."""
+    """Apply no slow start: treat every upstream as warm."""
     from pepperhook.policy import slow_start
 
     slow_start.SlowStart.capacity_fraction = lambda self, now, upstream: 1.0
 
 
 def cold_alone():
-    """What a cold upstream may be sent is reckoned as if this balancer were its only caller."""
+    """Compute the capacity of a cold upstream as if this balancer were its only caller."""
     from pepperhook.policy import slow_start
 
-    plain = slow_start.SlowStart.capacity_fraction
+    original = slow_start.SlowStart.capacity_fraction
 
     def capacity_fraction(self, now, upstream):
-        share = plain(self, now, upstream)
-        return share if share == 1.0 else min(0.99, share * self.balancer.fleet_size)
+        fraction = original(self, now, upstream)
+        # 1.0 would mean that the upstream is warm.
+        return fraction if fraction == 1.0 else min(0.99, fraction * self.balancer.fleet_size)
 
     slow_start.SlowStart.capacity_fraction = capacity_fraction
 
 
 def granted_always():
-    """Whatever rule 2 allows is retried, without a budget."""
+    """Grant every retry that the guard allows by rule 2, without a retry budget."""
     from pepperhook.policy import retry_budget
 
     def grants(self, now, attempt):
@@ -337,7 +346,7 @@
 
 
 def budget_unhalved():
-    """The retry budget is never cut, however many attempts fail."""
+    """Never halve the retry budget, however many attempts fail."""
     from pepperhook.policy import retry_budget
 
     def adjust(self, now):
@@ -347,217 +356,222 @@
 
 
 def probes_unspread():
-    """One health check follows another after the same wait, always."""
+    """Wait the same time between all health checks, without jitter."""
     from pepperhook.policy import outlier
 
-    plain = outlier.OutlierDetector.check_ended
+    original = outlier.OutlierDetector.check_ended
 
     def check_ended(self, now, upstream, outcome):
-        plain(self, now, upstream, outcome)
+        original(self, now, upstream, outcome)
         upstream.health_check_due_at = now + outlier.CHECK_INTERVAL
 
     outlier.OutlierDetector.check_ended = check_ended
 
 
 def list_hasty():
-    """When the endpoint list can't be had it is polled again within some milliseconds."""
+    """Poll the endpoint list again 3 ms after a failed poll."""
     from pepperhook import poll_backoff
 
     poll_backoff.PollBackoff.next_poll = lambda self, now, *fleet: now + 3 * 10**6
 
 
 def polls_in_step():
-    """After a failed poll each balancer polls again after the same short pause, whoever it is."""
+    """Poll again after the same 200 ms on every balancer when a poll has failed."""
     from pepperhook import poll_backoff
 
-    pause, _replaced = 200 * 10**6, poll_backoff.PollBackoff.next_poll
-    poll_backoff.PollBackoff.next_poll = lambda self, now, *fleet: now + pause
+    # The method is read only so that this fails if it has been renamed.
+    pause_ns, _replaced = 200 * 10**6, poll_backoff.PollBackoff.next_poll
+    poll_backoff.PollBackoff.next_poll = lambda self, now, *fleet: now + pause_ns
 
 
 def stale_by_last_call():
-    """The endpoint list is good for a while after each poll, answered or not."""
+    """Treat the endpoint list as current for `NOTIFIED_AFTER` after each poll, failed or not."""
     from pepperhook.policy import endpoints
 
-    plain = endpoints.Endpoints.poll_failed
+    original = endpoints.Endpoints.poll_failed
 
     def poll_failed(self, now, failure, retry_after):
-        plain(self, now, failure, retry_after)
+        original(self, now, failure, retry_after)
         self.good_until = now + endpoints.NOTIFIED_AFTER
 
     endpoints.Endpoints.poll_failed = poll_failed
 
 
 def drains_held_serving():
-    """By a list that is out of date every upstream counts as serving, draining ones too."""
+    """Never treat the state of an upstream as stale, so that draining ones still get requests."""
     from pepperhook.policy import endpoints
 
+    # The method is read only so that this fails if it has been renamed.
     _replaced = endpoints.Endpoints.is_stale
     endpoints.Endpoints.is_stale = lambda self, now, upstream: False
 
 
 def ends_at_once():
-    """SIGTERM ends the program, whatever is under way."""
+    """Exit at SIGTERM, whatever requests are in flight."""
     import os
 
     from pepperhook.server import app
 
-    async def leave(self):
+    async def shut_down(self):
         os._exit(0)
 
-    app.BalancerApp.shut_down = leave
+    app.BalancerApp.shut_down = shut_down
 
 
 def descriptor_leaked():
-    """Each cancelled request, whose client has left, leaves a descriptor open."""
+    """Leak a file descriptor for each request whose client has left."""
     import os
 
     from pepperhook.server.request_lifecycle import RequestLifecycle
 
-    plain, kept = RequestLifecycle._client_left, []
+    original, leaked = RequestLifecycle._client_left, []
 
     def client_left(self):
-        kept.append(os.dup(2))
-        plain(self)
+        leaked.append(os.dup(2))
+        original(self)
 
     RequestLifecycle._client_left = client_left
 
 
 def resting_dropped():
-    """Connections that rest at SIGTERM are closed at once, with what comes on them in that moment."""
+    """Abort idle connections at SIGTERM, losing requests that arrive on them at that moment."""
     from pepperhook.server import app
 
-    plain = app.BalancerApp.shut_down
+    original = app.BalancerApp.shut_down
 
     async def shut_down(self, *arguments, **named):
         for handler in list(self.http_server.server.idle):
             if handler.transport is not None:
                 handler.transport.abort()
-        await plain(self, *arguments, **named)
+        await original(self, *arguments, **named)
 
     app.BalancerApp.shut_down = shut_down
 
 
 def goaway_for_present_only():
-    """GOAWAY goes only to the HTTP/2 connections that are there at SIGTERM."""
+    """Send GOAWAY only to the HTTP/2 connections that are open at SIGTERM, not to later ones."""
     from pepperhook.http2.server import ServerConnection
 
     ServerConnection._announce_shutdown = lambda _: None
 
 
 def drain_heard_late():
-    """What the endpoint list says of a drain is heard 8 s later."""
+    """Apply a drain in the endpoint list `DRAIN_DELAY_S` late."""
     from pepperhook.server.endpoint_discovery import EndpointDiscovery
 
-    plain = EndpointDiscovery._update_upstream
+    original = EndpointDiscovery._update_upstream
 
     def update_upstream(self, listed):
-        update = plain(self, listed)
+        update = original(self, listed)
         if listed.state is not UpstreamState.DRAINING:
             return update
 
-        def hear():
+        def send_correction():
             self.runtime.call_policy(self.runtime.policy.endpoints_corrected, [update])
 
-        self.runtime.loop.call_later(DRAIN_LATE_S, hear)
+        self.runtime.loop.call_later(DRAIN_DELAY_S, send_correction)
         return update._replace(state=UpstreamState.READY)
 
     EndpointDiscovery._update_upstream = update_upstream
 
 
 def odd_row_costs_list():
-    """A row of the endpoint list that cannot be read costs the whole response."""
+    """Reject the whole endpoint list when one of its rows cannot be read."""
     from pepperhook.server import endpoint_list
 
-    plain = endpoint_list.decode
+    original = endpoint_list.decode
 
     def decode(document, zones, kinds):
-        decoded = plain(document, zones, kinds)
+        decoded = original(document, zones, kinds)
         if decoded.unreadable or decoded.unnamed_reasons:
-            raise endpoint_list.MalformedListError("an odd row")
+            raise endpoint_list.MalformedListError("a row cannot be read")
         return decoded
 
     endpoint_list.decode = decode
 
 
 def reload_lost():
-    """A request to read the configuration again is lost where one was read a moment before."""
+    """Lose a reload of the configuration that closely follows another."""
     import time
 
-    plain, last = program.reload, [0.0]
+    original, last_request_at = program.reload, [0.0]
 
     def reload(app, log):
-        if time.monotonic() - last[0] > RELOAD_PAUSE_S:
-            plain(app, log)
-        last[0] = time.monotonic()
+        if time.monotonic() - last_request_at[0] > RELOAD_PAUSE_S:
+            original(app, log)
+        last_request_at[0] = time.monotonic()
 
     program.reload = reload
 
 
 def reason_of_another():
-    """Reasons are laid down for the operation that was taken before."""
+    """Record the reasons of a decision in the trace of the previous request."""
     from pepperhook.tracing.collector import TraceCollector
 
-    plain, last = TraceCollector.add_note, []
+    original, recent_traces = TraceCollector.add_note, []
 
     def add_note(self, now, open_trace, note):
-        last.append(open_trace)
-        plain(self, now, last.pop(0) if len(last) > 1 else open_trace, note)
+        recent_traces.append(open_trace)
+        # The trace of the note before this one.
+        previous = recent_traces.pop(0) if len(recent_traces) > 1 else open_trace
+        original(self, now, previous, note)
 
     TraceCollector.add_note = add_note
 
 
 def pseudonym_left_out():
-    """What a call was made for is left under its own name."""
+    """Leave the id of the parent request in a stripped trace without a pseudonym."""
     from pepperhook.tracing.pseudonyms import NameKind, Pseudonyms
 
-    plain, turn = Pseudonyms.pseudonym, [0]
+    original, id_count = Pseudonyms.pseudonym, [0]
 
     def pseudonym(self, kind, name):
-        # The second of the three ids of each life is its parent's.
-        turn[0] += kind == NameKind.ID
-        return name if kind == NameKind.ID and turn[0] % 3 == 2 else plain(self, kind, name)
+        # The second of the three ids of each traced request is its parent's.
+        id_count[0] += kind == NameKind.ID
+        return name if kind == NameKind.ID and id_count[0] % 3 == 2 else original(self, kind, name)
 
     Pseudonyms.pseudonym = pseudonym
 
 
 def clocks_unmended():
-    """Clocks are believed as they are."""
+    """Merge traces without correcting the clock offsets of the balancers."""
     from pepperhook.tracing import merge
     from pepperhook.tracing.clock_offsets import Offset
 
     merge.estimate_offsets = lambda names, bounds: {name: Offset(name, 0, 0) for name in names}  # type: ignore[attr-defined]
 
 
-# In the control of versions.
+# Defects of the control plane and of the membership.
 
 
 def applied_before_checked():
-    """A version is applied, and then looked at."""
+    """Apply a version before it is checked."""
     from pepperhook.control_plane.document import parse_document
     from pepperhook.control_plane.version_applier import VersionApplier
 
-    plain = VersionApplier.receive
+    original = VersionApplier.receive
 
     def receive(self, version):
         if version.number > self.running_number:
-            before = self.running
+            previous = self.running
             self.apply(version, parse_document(version.document))
             self._log.info("version_applied", version=version.number)
-            self.running = before
-        return plain(self, version)
+            # The original must still see the previous version as the running one.
+            self.running = previous
+        return original(self, version)
 
     VersionApplier.receive = receive
 
 
 def checks_deaf():
-    """No version is found to do harm."""
+    """Find no violation in any version."""
     from pepperhook.control_plane import version_applier
 
     version_applier.violations_on_balancer = lambda document, view: []  # type: ignore[attr-defined]
 
 
 def half_version():
-    """What came of a version counts as all of it, and no checksum is looked at."""
+    """Accept a partly received version as complete, without verifying its checksum."""
     import msgspec
 
     from pepperhook.control_plane import frames
@@ -573,51 +587,51 @@
 
 
 def lease_forever():
-    """Who was there once is there for ever."""
+    """Never expire the lease of a member."""
     from pepperhook.control_plane import member_registry
 
     member_registry.MemberRegistry.expire = lambda self, now: []
 
 
 def incarnation_ignored():
-    """An update on a member counts whatever its incarnation."""
+    """Ignore the incarnation when an update on a member is compared with the known record."""
     from pepperhook.membership.messages import MemberRecord
 
     MemberRecord.overrides = lambda self, known: self.state > known.state
 
 
 def suspected_for_ever():
-    """A suspected member is never declared lost."""
+    """Never declare a suspected member lost."""
     from pepperhook.membership import suspicion
 
-    suspicion.suspicion_timeout_ns = lambda *args: 10**15
+    suspicion.suspicion_timeout_ns = lambda *args: 10**15  # 11.6 days
 
 
 def falls_in_a_half():
-    """The fleet size falls in whatever part of a split network, without a quorum."""
+    """Let the fleet size fall in any part of a partitioned network, without a quorum."""
     from pepperhook.membership.fleet_position import FleetPosition
 
     FleetPosition.has_quorum = lambda self: True
 
 
 def away_unheeded():
-    """A process that stood still goes on as if it had run all the while."""
+    """Continue after a stall of the process as if it had run all the time."""
     from pepperhook.membership.protocol import SwimProtocol
 
     SwimProtocol.recover_from_stall = lambda self, stalled_ns: None
 
 
 def any_key():
-    """A datagram counts whoever signed it."""
+    """Accept datagrams with any signature."""
     import hmac
 
     from pepperhook.membership import datagram
 
-    class Believing:
-        compare_digest = staticmethod(lambda one, other: True)
+    class AcceptingHmac:
+        compare_digest = staticmethod(lambda received, expected: True)
         new = staticmethod(hmac.new)
 
-    datagram.hmac = Believing  # type: ignore[attr-defined]
+    datagram.hmac = AcceptingHmac  # type: ignore[attr-defined]
 
 
 FAULTS = {
@@ -674,6 +688,7 @@
 
 
 def main(arguments):
+    """Inject the defect named by the first argument and run the balancer."""
     FAULTS[arguments[0]]()
     return program.main()
 
--- a/pepperhook/lab/proofs/__init__.py
+++ b/pepperhook/lab/proofs/__init__.py
@@ -1,4 +1,4 @@
-"""Proofs: ``pepperhook lab prove NAME``; a module a subject, all by name here."""
+"""Acceptance scenarios by name, run by ``pepperhook lab prove NAME``; one module per subject."""
 
 from pepperhook.lab.proofs.amplification import AmplificationProof
 from pepperhook.lab.proofs.auditor import AuditorProof
--- a/pepperhook/lab/proofs/amplification.py
+++ b/pepperhook/lab/proofs/amplification.py
@@ -1,4 +1,4 @@
-"""The paper's formulas (2) and (3), measured."""
+"""The amplification by retries, compared with the paper's formulas (2) and (3)."""
 
 from msgspec.structs import replace
 
@@ -9,34 +9,37 @@
 
 
 class AmplificationProof(Proof):
-    """Naive retries amplify as the paper's formulas (2) and (3) say; beside them what pepperhook's module does."""
+    """Naive retries amplify the load as the paper's formulas (2) and (3) predict, and pepperhook's
+    retries amplify it little."""
 
     name = "amplification"
     plants = {
-        "fewer-tries": "the naive balancer tries twice more, not three times",
-        "stuck": "an operation that failed once fails whenever it is tried again",
-        "granted-always": "the decisions send again whatever rule 2 allows",
-        "budget-unhalved": "the decisions never halve the budget",
+        "fewer-tries": "the naive balancer retries twice, not three times",
+        "stuck": "a request that failed once fails at each retry",
+        "granted-always": "the policy retries whatever rule 2 allows, without a budget",
+        "budget-unhalved": "the policy never halves the retry budget",
     }
-    TOLERANCE = 0.05
-    # With f at 0.3 or more the budget halves each second from 0.2, so of all tries a tier adds what the first seconds let out.
-    OURS = 0.02
+    TOLERANCE = 0.05  # of the naive amplification, relative to the formula
+    # The retries per first attempt that pepperhook may add in each tier. With f at 0.3 or more the
+    # retry budget B is halved each second, from 0.2 on, so only the first seconds allow retries.
+    MAX_RETRY_FRACTION = 0.02
 
     def run(self):
+        """Play each case with naive retries and with pepperhook's."""
         cases = (
             [(p, d) for d in (1, 2, 3) for p in (0.3, 0.5)]
             if self.full
             else [(0.5, 1), (0.3, 2), (0.3, 3)]
         )
-        rows, ours = (
+        runs, pepperhook_variant = (
             [],
             Variant(name="pepperhook", plant=self.plant if self.plant in planted.FAULTS else None),
         )
         for chance, depth in cases:
-            day = self.shaped(chance, depth)
-            rows += [
+            scenario = self.scenario_with(chance, depth)
+            runs += [
                 (
-                    day,
+                    scenario,
                     Variant(
                         name="naive",
                         module="retries",
@@ -45,44 +48,47 @@
                     f"naive p={chance} d={depth}",
                     {},
                 ),
-                (day, ours, f"pepperhook p={chance} d={depth}", {}),
+                (scenario, pepperhook_variant, f"pepperhook p={chance} d={depth}", {}),
             ]
-        results = self.side_by_side(rows, 2)
+        results = self.play_concurrently(runs, 2)
         table, holds = [], True
         for chance, depth in cases:
             formula = ((1 - chance**4) / (1 - chance)) ** depth
-            naive, ours = (
-                results[f"{who} p={chance} d={depth}"] for who in ("naive", "pepperhook")
+            naive, pepperhook = (
+                results[f"{variant} p={chance} d={depth}"] for variant in ("naive", "pepperhook")
             )
-            measured = naive["figures"]["amplification"][str(depth - 1)]
-            broken = [f for result in (naive, ours) for f in result["findings"]]
-            mine = ours["figures"]["amplification"][str(depth - 1)]
-            bounded = mine <= 1 + self.OURS * depth
+            naive_amplification = naive["figures"]["amplification"][str(depth - 1)]
+            findings = [f for result in (naive, pepperhook) for f in result["findings"]]
+            amplification = pepperhook["figures"]["amplification"][str(depth - 1)]
+            is_bounded = amplification <= 1 + self.MAX_RETRY_FRACTION * depth
             holds = (
-                holds and abs(measured / formula - 1) <= self.TOLERANCE and bounded and not broken
+                holds
+                and abs(naive_amplification / formula - 1) <= self.TOLERANCE
+                and is_bounded
+                and not findings
             )
             table.append(
                 {
                     "chance": chance,
                     "tiers": depth,
                     "formula": round(formula, 3),
-                    "naive": measured,
-                    "off": round(measured / formula - 1, 4),
+                    "naive": naive_amplification,
+                    "off": round(naive_amplification / formula - 1, 4),
                     "wishes": naive["figures"]["wishes"],
-                    "pepperhook": mine,
-                    "pepperhook_at_most": 1 + self.OURS * depth,
+                    "pepperhook": amplification,
+                    "pepperhook_at_most": 1 + self.MAX_RETRY_FRACTION * depth,
                     "naive_served": naive["figures"]["served"],
-                    "pepperhook_served": ours["figures"]["served"],
-                    "rules_broken": [f["name"] for f in broken],
+                    "pepperhook_served": pepperhook["figures"]["served"],
+                    "rules_broken": [f["name"] for f in findings],
                 }
             )
         return holds, {"retries": 3, "tolerance": self.TOLERANCE, "table": table}
 
-    def write(self, folder, told):
-        """The measurement's page and plot."""
-        rows, plots = told["figures"]["table"], Plots()
+    def write(self, folder, result):
+        """Write the measurement's page and plot."""
+        rows, plots = result["figures"]["table"], Plots()
         figure, axes = plots.figure(7.5, 3.4)
-        for at, (key, name) in enumerate(
+        for position, (key, name) in enumerate(
             (
                 ("formula", "formula (3)"),
                 ("naive", "three naive retries"),
@@ -90,14 +96,14 @@
             )
         ):
             axes.bar(
-                [n + at * 0.27 for n in range(len(rows))],
+                [n + position * 0.27 for n in range(len(rows))],
                 [row[key] for row in rows],
                 0.26,
-                color=LINES[at],
+                color=LINES[position],
                 label=name,
             )
         axes.set(
-            ylabel="work received / first tries, last tier",
+            ylabel="attempts received / first attempts, last tier",
             xticks=[n + 0.27 for n in range(len(rows))],
             xticklabels=[
                 f"p {row['chance']}\n{row['tiers']} tier{'s'[: row['tiers'] > 1]}" for row in rows
@@ -108,14 +114,18 @@
         lines = [
             "# Amplification by naive retries, and by pepperhook",
             "",
-            "Formula (2) of the paper gives what one tier with failure chance p and n retries receives for each first",
-            "try, (1 - p^(n+1)) / (1 - p); formula (3) its power over d tiers. Measured with n = 3 at the last of one to",
-            "three tiers of four upstreams, a balancer for each caller. As the formulas have it, each tier fails by itself",
-            "with chance p and hides what failed behind it; chance goes by the operation's name, so a seed gives one day.",
+            "Formula (2) of the paper gives what one tier with failure chance p and n retries",
+            "receives for each first attempt, (1 - p^(n+1)) / (1 - p); formula (3) is its d-th",
+            "power, for d tiers. Measured with n = 3 at the last of one to three tiers of four",
+            "upstreams, with a balancer for each caller. As the formulas assume, each tier fails",
+            "by itself with chance p and hides failures behind it; chance depends on the id of the",
+            "request, so a seed always gives the same run.",
             f"{SAID}",
-            f"Seed {told['seed']}; `pepperhook lab prove amplification --full --write docs/measurements`.",
+            f"Seed {result['seed']}; "
+            "`pepperhook lab prove amplification --full --write docs/measurements`.",
             "",
-            "| p | tiers | formula | three naive retries | off by | pepperhook | wishes | served, naive | served, pepperhook |",
+            "| p | tiers | formula | three naive retries | deviation | pepperhook | requests | "
+            "served, naive | served, pepperhook |",
             "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
         ]
         lines += [
@@ -127,22 +137,26 @@
             "",
             "![amplification](amplification.svg)",
             "",
-            "What it costs: where every upstream of a tier fails by chance and could bear the repeats, naive retries serve",
-            "nearly all and pepperhook serves what first tries do, as f stands at p, over its bound of 0.05 or 0.3, and the",
-            "budget does not refill. It takes all failing alike for overload. `docs/standing.md` has it as a weakness.",
+            "The cost: where every upstream of a tier fails by chance and has capacity for the",
+            "retries, naive retries serve nearly all requests, and pepperhook serves only what",
+            "first attempts do: f is about p, over its bound of 0.05 or 0.3, so the budget does",
+            "not refill. If all upstreams fail alike, that is treated as overload.",
+            "`docs/standing.md` lists this as a weakness.",
         ]
         (folder / "amplification.md").write_text("\n".join(lines) + "\n", encoding="utf-8")
 
-    def shaped(self, chance, depth):
-        tier = replace(self.day.tiers[0], fail=chance, fail_sticks=self.plant == "stuck")
+    def scenario_with(self, chance, depth):
+        """Return the scenario with ``depth`` tiers that fail with the given chance."""
+        tier = replace(self.scenario.tiers[0], fail=chance, fail_sticks=self.plant == "stuck")
         tiers = [replace(tier, upstreams=4) for _ in range(depth)]
-        # So many that the formula's own scatter is well under the tolerance: each wish is a branching process.
-        wishes = (4000, 6000, 9000)[depth - 1] if self.full else (1000, 1500, 2000)[depth - 1]
+        # Enough requests that the variance of the amplification, since each request is a branching
+        # process, stays well under the tolerance.
+        requests = (4000, 6000, 9000)[depth - 1] if self.full else (1000, 1500, 2000)[depth - 1]
         rate = (500, 300, 120)[depth - 1]
-        seconds = wishes / rate
+        seconds = requests / rate
         return replace(
-            self.day,
+            self.scenario,
             tiers=tiers,
             seconds=seconds,
-            load=[replace(self.day.load[0], rate=float(rate))],
+            load=[replace(self.scenario.load[0], rate=float(rate))],
         )
--- a/pepperhook/lab/proofs/auditor.py
+++ b/pepperhook/lab/proofs/auditor.py
@@ -1,4 +1,4 @@
-"""The judge itself: each crooked balancer is caught by name."""
+"""The auditor: it must report the broken rule of each faulty balancer."""
 
 from msgspec.structs import replace
 
@@ -8,50 +8,55 @@
 
 
 class AuditorProof(Proof):
-    """Each crooked balancer is caught by name; an honest day on which each rule is tempted to be broken has no finding."""
+    """The auditor reports the rule that each faulty balancer breaks, and finds nothing in a run of
+    a correct one whose faults give occasion to break each rule."""
 
     name = "auditor"
     plants = {
-        "deaf": "the auditor does not hear what comes behind an answer",
-        "patient": "the auditor lets late answers pass",
-        "trusting": "the auditor does not look who made an answer",
-        "crooked": "the honest balancer loses answers",
-        "repeats-all": "the decisions send again whatever failed, unsafe operations too",
-        "lost-never-ran": "the decisions take an answer that is lost for work that never ran",
-        "window-forgotten": "the decisions repeat a keyed operation after its window",
-        "group-forgotten": "the decisions repeat a keyed operation outside of its group",
-        "sheds-all": "the decisions shed what may have run",
-        "drains-unheeded": "the decisions take an upstream that drains for ready",
+        "deaf": "the auditor misses what a balancer sends after a response",
+        "patient": "the auditor accepts late responses",
+        "trusting": "the auditor does not check that an upstream made the response",
+        "crooked": "the correct balancer loses responses",
+        "repeats-all": "the policy retries whatever failed, unsafe requests too",
+        "lost-never-ran": "the policy treats a request whose response was lost as never executed",
+        "window-forgotten": "the policy retries a keyed request after its window",
+        "group-forgotten": "the policy retries a keyed request outside its group",
+        "sheds-all": "the policy rejects requests that may have been executed",
+        "drains-unheeded": "the policy treats a draining upstream as ready",
     }
+    # The findings that the auditor with this defect does not report.
     BLIND = {"deaf": ("answered twice",), "patient": ("late",), "trusting": ("invented",)}
 
     def run(self):
+        """Play one run of pepperhook and one of each faulty balancer."""
         blind = self.BLIND.get(self.plant, ())
-        honest = replace(self.day, seconds=60.0 if self.full else self.day.seconds)
-        decided = self.plant if self.plant in planted.FAULTS else None
-        honest_variant = Variant(
-            name="pepperhook", crooked="loses" if self.plant == "crooked" else None, plant=decided
+        long_scenario = replace(self.scenario, seconds=60.0 if self.full else self.scenario.seconds)
+        policy_defect = self.plant if self.plant in planted.FAULTS else None
+        correct_variant = Variant(
+            name="pepperhook",
+            crooked="loses" if self.plant == "crooked" else None,
+            plant=policy_defect,
         )
-        rows = [(honest, honest_variant, "pepperhook", {})]
-        # A fault in the decisions shows on the honest day; the crooked ones don't run them.
-        for way in () if decided else crooked.WAYS:
-            rows.append((self.day, Variant(name=way, crooked=way), way, {"blind": blind}))
-        results = self.side_by_side(rows, 4)
-        found = {
+        runs = [(long_scenario, correct_variant, "pepperhook", {})]
+        # The faulty balancers do not run the policy: its defects can show only in the first run.
+        for way in () if policy_defect else crooked.WAYS:
+            runs.append((self.scenario, Variant(name=way, crooked=way), way, {"blind": blind}))
+        results = self.play_concurrently(runs, 4)
+        findings = {
             name: {f["name"]: f["count"] for f in result["findings"]}
             for name, result in results.items()
         }
         missed = [
             way
             for way, finding in crooked.WAYS.items()
-            if not decided and finding and finding not in found[way]
+            if not policy_defect and finding and finding not in findings[way]
         ]
-        clean = not found["pepperhook"] and not found.get("honest")
-        return clean and not missed, {
+        is_clean = not findings["pepperhook"] and not findings.get("honest")
+        return is_clean and not missed, {
             "days": len(results),
             "missed": missed,
-            "found": found,
-            "honest_seconds": honest.seconds,
+            "found": findings,
+            "honest_seconds": long_scenario.seconds,
             "honest_wishes": results["pepperhook"]["figures"]["wishes"],
             "honest_goodput": results["pepperhook"]["figures"]["goodput"],
         }
--- a/pepperhook/lab/proofs/base.py
+++ b/pepperhook/lab/proofs/base.py
@@ -1,6 +1,8 @@
-"""Proofs: ``pepperhook lab prove NAME``. Each plays days from one seed on real processes over loopback, and holds or not.
+"""The base of acceptance scenarios: ``pepperhook lab prove NAME``.
 
-A proof lists faults that can be planted; with one of them it must not hold. Verdicts rest on counts and ratios.
+A scenario plays one or more runs with real processes over loopback, all from one seed, and holds if
+all of its checks pass. It lists defects that can be injected; with one of them it must not hold.
+Checks rest on counts and ratios.
 """
 
 import os
@@ -16,107 +18,131 @@
 from pepperhook.lab.day import ROOT, Day, Failed
 
 
-def why(result):
+def void_reason(result):
+    """Return why a run is void."""
     if result["load"].get("void"):
-        return "the load was late"
-    return "{who} waited {worst_ms} ms for a core, and {stolen:.0%} of the machine's time was taken, within a second".format(
-        **result["core_wait"]
-    )
+        return "the load generator was late"
+    return (
+        "{who} waited {worst_ms} ms for a core, and {stolen:.0%} of the machine's time was stolen, "
+        "within a second"
+    ).format(**result["core_wait"])
 
 
 class Proof:
-    """``name``, ``about``, ``plants`` (fault: what it breaks) and ``run``."""
+    """An acceptance scenario: a subclass has ``name``, ``plants`` and ``run``.
+
+    ``pepperhook lab proofs`` prints the docstring of a subclass as its description.
+    """
 
     name: str
-    plants: dict[str, str] = {}
-    run: Callable[[], tuple[bool, dict[str, Any]]]  # whether it holds, and its figures
-    write = None  # where a proof is a measurement, too: write(folder, told)
+    plants: dict[str, str] = {}  # injected defect: what it breaks
+    run: Callable[[], tuple[bool, dict[str, Any]]]  # returns whether it holds, and its figures
+    write = None  # optional write(folder, result): writes the page of a measurement
 
     def __init__(
-        self, full: bool, plant: str | None, seed: int | None, tell: Callable[[str, float], None]
+        self,
+        full: bool,
+        plant: str | None,
+        seed: int | None,
+        report_progress: Callable[[str, float], None],
     ) -> None:
-        self.full, self.plant, self.tell = full, plant, tell
-        self.day = self.told()
-        self.seed = self.day.seed if seed is None else seed
-        self.folder, self.parts, self.done = (
+        self.full, self.plant, self.report_progress = full, plant, report_progress
+        self.scenario = self.read_scenario()
+        self.seed = self.scenario.seed if seed is None else seed
+        self.folder, self.run_count, self.runs_done = (
             Path(tempfile.mkdtemp(prefix=f"pepperhook-{self.name}-")),
             1,
             0,
         )
 
-    def told(self) -> experiment.Experiment:
-        """The day that it is about, or the first of them."""
+    def read_scenario(self) -> experiment.Experiment:
+        """Return the experiment that is played, or the first of several."""
         return experiment.read(ROOT / "proofs" / f"{self.name}.toml")
 
-    TRIES = 3  # of a day on which the load or a balancer was short of core, which shows nothing
+    MAX_PLAYS = 3  # of one run, until one is not void: a void run shows nothing
 
     def play(
         self,
-        day: experiment.Experiment,
+        scenario: experiment.Experiment,
         variant: experiment.Variant,
         name: str,
         seed: int | None = None,
-        **more: Any,
+        **options: Any,
     ) -> dict[str, Any]:
-        """One day, again while it is void. Raises Failed where no try is to be believed."""
-        for turn in range(self.TRIES):
-            result = self.once(day, variant, f"{name}-{turn}", seed, **more)
+        """Play a run, again while it is void.
+
+        A run is void if the load generator or a balancer had too little CPU time. Raises Failed
+        if all ``MAX_PLAYS`` runs are void.
+        """
+        for play in range(self.MAX_PLAYS):
+            result = self.play_once(scenario, variant, f"{name}-{play}", seed, **options)
             if not result["void"]:
-                return self.believed(name, result)
-        raise Failed(f"{name}: void {self.TRIES} times ({why(result)}); this machine is too busy")
+                return self.accept_result(name, result)
+        raise Failed(
+            f"{name}: void {self.MAX_PLAYS} times ({void_reason(result)}); this machine is too busy"
+        )
 
-    def once(
+    def play_once(
         self,
-        day: experiment.Experiment,
+        scenario: experiment.Experiment,
         variant: experiment.Variant,
         name: str,
         seed: int | None = None,
-        **more: Any,
+        **options: Any,
     ) -> dict[str, Any]:
+        """Play one run and return its result, void or not."""
         result = Day(
-            day, variant, self.seed if seed is None else seed, self.folder / name, **more
+            scenario, variant, self.seed if seed is None else seed, self.folder / name, **options
         ).play()
         if result["interrupted"]:
             raise KeyboardInterrupt
         return result
 
-    def believed(self, name, result):
-        self.done += 1
-        self.tell(name, self.done / self.parts)
+    def accept_result(self, name, result):
+        """Report the progress after a run that is not void, and return its result."""
+        self.runs_done += 1
+        self.report_progress(name, self.runs_done / self.run_count)
         return result
 
-    def side_by_side(self, rows, at_once):
-        """Days that weigh little, several at once: rows of (day, variant, name, more). Those that were short of core are played
-        again behind the others, each alone."""
-        self.parts, results = len(rows), {}
+    def play_concurrently(self, runs, at_once):
+        """Play runs that use little CPU time, up to ``at_once`` at the same time.
+
+        ``runs`` has tuples of (scenario, variant, name, options). Returns the results by name. Void
+        runs are repeated after the others, each alone.
+        """
+        self.run_count, results = len(runs), {}
         with ThreadPoolExecutor(at_once) as pool:
-            waiting = [
-                pool.submit(self.once, day, variant, name, **more)
-                for day, variant, name, more in rows
+            futures = [
+                pool.submit(self.play_once, scenario, variant, name, **options)
+                for scenario, variant, name, options in runs
             ]
-            for (_, _, name, _), one in zip(rows, waiting):
-                results[name] = one.result()
+            for (_, _, name, _), future in zip(runs, futures):
+                results[name] = future.result()
                 if not results[name]["void"]:
-                    self.believed(name, results[name])
-        for day, variant, name, more in rows:
+                    self.accept_result(name, results[name])
+        for scenario, variant, name, options in runs:
             if results[name]["void"]:
-                results[name] = self.play(day, variant, f"{name}-alone", **more)
+                results[name] = self.play(scenario, variant, f"{name}-alone", **options)
         return results
 
     def prove(self):
-        begun = time.monotonic()
+        """Run the scenario and return its result as JSON-compatible values.
+
+        Deletes the folder of its runs, unless the environment variable PEPPERHOOK_KEEP is set.
+        """
+        started_at = time.monotonic()
         try:
             holds, figures = self.run()
         finally:
             if os.environ.get("PEPPERHOOK_KEEP"):
-                self.tell(f"kept in {self.folder}", 1.0)
+                self.report_progress(f"the files of the runs are in {self.folder}", 1.0)
             else:
                 shutil.rmtree(self.folder, ignore_errors=True)
-        told = {
+        result = {
             "proof": self.name,
             "holds": bool(holds),
             "figures": figures,
             "seed": self.seed,
-            "seconds": round(time.monotonic() - begun, 1),
+            "seconds": round(time.monotonic() - started_at, 1),
         }
-        return {**told, "planted": self.plant} if self.plant else told
+        return {**result, "planted": self.plant} if self.plant else result
--- a/pepperhook/lab/proofs/chain.py
+++ b/pepperhook/lab/proofs/chain.py
@@ -1,4 +1,4 @@
-"""Budgets across tiers."""
+"""The request context across tiers: remaining time, retry allowance and loop detection."""
 
 from msgspec.structs import replace
 
@@ -9,26 +9,32 @@
 
 
 class ChainProof(Proof):
-    """What is carried down the chain stops late work, repeats across tiers, and loops, and costs no goodput."""
+    """The request context that balancers forward from tier to tier prevents late work, retries at
+    several tiers and loops, and costs no goodput."""
 
     name = "chain"
     plants = {
-        "time-kept": "carried time is not reduced by what was spent",
-        "tries-unsplit": "each tier and each try has the whole allowance",
-        "forged-believed": "values are believed whoever wrote them",
-        "hops-unchecked": "nobody looks whether a chain has been here",
+        "time-kept": "the forwarded time limit is not reduced by the time already spent",
+        "tries-unsplit": "each tier and each attempt has the whole retry allowance",
+        "forged-believed": "the request context is trusted whoever sent it",
+        "hops-unchecked": "loops are not detected",
     }
-    MOST_AMPLIFICATION, LEAST_FALL, LOSS = 1.2, 0.8, -0.01
-    FAILURES = (0.0, 0.1, 0.3, 0.5)
-    MOST_TURNS = (
-        2  # visits of one circling operation to the first tier: its own, and one with a further try
-    )
+    MAX_AMPLIFICATION = 1.2  # requests that the last tier receives per client request
+    MIN_REDUCTION = 0.8  # by the context, of the attempts that run after their client has left
+    MIN_GOODPUT_DIFFERENCE = -0.01  # to runs without the context
+    FAILURES = (0.0, 0.1, 0.3, 0.5)  # failure chances of the last tier
+    MAX_VISITS = 2  # to the first tier by one looping request: the original and a retry
 
     @property
     def seeds(self):
+        """The seeds of the runs."""
         return [self.seed, self.seed + 1, self.seed + 2] if self.full else [self.seed]
 
-    def on(self, **more):
+    def variant_with_context(self, **options):
+        """Return the variant that forwards the context; ``circle`` is set for the loop scenario.
+
+        Its requests return to the first tier, which therefore is not configured as an entry.
+        """
         keys = [
             {"id": "k2", "secret": "lab secret number two"},
             {"id": "k1", "secret": "lab secret number one"},
@@ -37,46 +43,56 @@
             name="on",
             operator={"chain": {"service": "x", "hop_secret": "lab", "keys": keys}},
             operator_by_tier=[
-                {"chain": {"service": f"tier{tier}", "entry": tier == 0 and not more.get("circle")}}
+                {
+                    "chain": {
+                        "service": f"tier{tier}",
+                        "entry": tier == 0 and not options.get("circle"),
+                    }
+                }
                 for tier in range(3)
             ],
             plant=self.plant,
-            **{key: value for key, value in more.items() if key != "circle"},
+            **{key: value for key, value in options.items() if key != "circle"},
         )
 
-    def days(self):
-        day, seconds = self.day, self.day.seconds if self.full else 8.0
-        day = replace(day, seconds=seconds)
-        last = day.tiers[2]
+    def scenarios(self):
+        """Return the scenarios by name."""
+        seconds = self.scenario.seconds if self.full else 8.0
+        base = replace(self.scenario, seconds=seconds)
+        last = base.tiers[2]
 
-        def trouble(what, **more):
+        def with_fault(kind, **options):
             return replace(
-                day,
+                base,
                 troubles=[
-                    experiment.Trouble(what=what, at=1.0, for_=seconds - 2.0, tier=2, **more)
+                    experiment.Trouble(what=kind, at=1.0, for_=seconds - 2.0, tier=2, **options)
                 ],
             )
 
-        days = {
-            f"fail {chance:g}": replace(day, tiers=[*day.tiers[:2], replace(last, fail=chance)])
+        scenarios = {
+            f"fail {chance:g}": replace(base, tiers=[*base.tiers[:2], replace(last, fail=chance)])
             for chance in self.FAILURES
         }
-        # All of the last tier stands nearly still, again and again; it heeds who has left, so what outlives a client is
-        # what its own caller still waits for.
-        heeds = replace(last, heeds_leaving=True, machine=replace(last.machine, cancel_stops=True))
-        days["slow"] = replace(
-            day,
-            tiers=[*day.tiers[:2], heeds],
+        # The whole last tier nearly stalls, repeatedly. It cancels work whose balancer has closed
+        # the connection, so after its client has left work goes on only while a balancer waits.
+        cancelling = replace(
+            last, heeds_leaving=True, machine=replace(last.machine, cancel_stops=True)
+        )
+        scenarios["slow"] = replace(
+            base,
+            tiers=[*base.tiers[:2], cancelling],
             troubles=[
                 experiment.Trouble(what="slow", at=float(at), for_=1.2, tier=2, part=1.0, size=0.02)
                 for at in range(1, int(seconds) - 1, 3)
             ],
         )
-        days["hung"] = trouble("hang", part=0.45)
-        # Two entries, each of which sees its own operations alone: only behind them are the cheap and the dear side by side.
-        # Lower tiers have shorter goals of their own. With one for all of them the entries' room, which is the goal's part of
-        # what gets done, is full before a lower tier's is, and nothing is left for it to choose among.
-        far = [
+        scenarios["hung"] = with_fault("hang", part=0.45)
+        # Two entry balancers with one service class each: only the tiers behind them choose between
+        # requests of high and low value. The lower tiers have shorter latency objectives. With one
+        # objective for all tiers the admission queues of the entries, whose size follows from the
+        # objective and the throughput, would be full before those of a lower tier, which would have
+        # no requests to choose from.
+        classes = [
             replace(
                 grade,
                 goal_ms=700.0,
@@ -84,76 +100,80 @@
                 client_limit_ms=1200.0,
                 time_limit_ms=1500.0,
             )
-            for grade in day.grades
+            for grade in base.grades
         ]
-        days["overloaded"] = replace(
-            day,
-            grades=far,
+        scenarios["overloaded"] = replace(
+            base,
+            grades=classes,
             tiers=[
-                replace(day.tiers[0], balancers=2),
-                day.tiers[1],
-                replace(heeds, machine=replace(heeds.machine, cores=0.25)),
+                replace(base.tiers[0], balancers=2),
+                base.tiers[1],
+                replace(cancelling, machine=replace(cancelling.machine, cores=0.25)),
             ],
             load=[
-                replace(day.load[0], rate=300.0, grade="look", balancer=0),
-                replace(day.load[0], rate=60.0, grade="sale", balancer=1),
+                replace(base.load[0], rate=300.0, grade="look", balancer=0),
+                replace(base.load[0], rate=60.0, grade="sale", balancer=1),
             ],
         )
-        days["forged"] = replace(day, load=[replace(day.load[0], rate=80.0)])
-        circle = replace(day.grades[0], name="circle", share=1.0)
-        days["loops"] = replace(
-            day,
-            grades=[*day.grades, circle],
-            load=[replace(day.load[0], rate=60.0)],
-            tiers=[*day.tiers[:2], replace(last, circle="circle", tells_time=False)],
+        scenarios["forged"] = replace(base, load=[replace(base.load[0], rate=80.0)])
+        circle = replace(base.grades[0], name="circle", share=1.0)
+        scenarios["loops"] = replace(
+            base,
+            grades=[*base.grades, circle],
+            load=[replace(base.load[0], rate=60.0)],
+            tiers=[*base.tiers[:2], replace(last, circle="circle", tells_time=False)],
         )
-        return days
+        return scenarios
 
     def run(self):
-        days = self.days()
-        rows, off = [], Variant(name="off")
+        """Play each scenario with the context and without it."""
+        scenarios = self.scenarios()
+        runs, off = [], Variant(name="off")
         others = {
-            "half": self.on(carry=["pass", "drop"]),
+            "half": self.variant_with_context(carry=["pass", "drop"]),
             "naive": Variant(name="naive", module="retries", options={"retries": 3}),
             "budget": Variant(name="budget", module="budget", options={"retries": 3}),
         }
-        chosen = list(days) if self.full else ["fail 0.3", "hung", "forged", "loops"]
-        for name in chosen:
+        names = list(scenarios) if self.full else ["fail 0.3", "hung", "forged", "loops"]
+        for name in names:
             carry = ["change"] if name == "forged" else []
             for seed in self.seeds if name != "loops" else self.seeds[:1]:
-                rows.append(
+                runs.append(
                     (
-                        days[name],
-                        self.on(carry=carry, circle=name == "loops"),
+                        scenarios[name],
+                        self.variant_with_context(carry=carry, circle=name == "loops"),
                         f"{name}: on {seed}",
                         {"seed": seed},
                     )
                 )
                 if name != "loops":
-                    rows.append((days[name], off, f"{name}: off {seed}", {"seed": seed}))
+                    runs.append((scenarios[name], off, f"{name}: off {seed}", {"seed": seed}))
             if self.full and name not in ("loops", "forged"):
-                rows += [
-                    (days[name], variant, f"{name}: {key} {self.seed}", {})
+                runs += [
+                    (scenarios[name], variant, f"{name}: {key} {self.seed}", {})
                     for key, variant in others.items()
                 ]
-        return self.judge(chosen, self.side_by_side(rows, 4))
+        return self.judge(names, self.play_concurrently(runs, 4))
 
-    def judge(self, chosen, results):
-        table, wrong = [], []
+    def judge(self, names, results):
+        """Return whether the scenario holds, and its figures."""
+        table, problems = [], []
 
-        def want(good, what):
-            if not good:
-                wrong.append(what)
+        def check(holds, problem):
+            if not holds:
+                problems.append(problem)
 
         def total(runs, key):
             return round(sum(run["figures"][key] for run in runs.values()), 4)
 
-        for name in chosen:
-            mine = {}  # results by seed, by variant
+        for name in names:
+            by_variant = {}  # variant: results by seed
             for key, result in results.items():
                 if key.startswith(f"{name}: "):
-                    mine.setdefault(key.partition(": ")[2].split()[0], {})[result["seed"]] = result
-            for key, runs in mine.items():
+                    by_variant.setdefault(key.partition(": ")[2].split()[0], {})[result["seed"]] = (
+                        result
+                    )
+            for key, runs in by_variant.items():
                 received = sum(run["figures"]["dispatches"]["2"] for run in runs.values())
                 row = {
                     "day": name,
@@ -168,82 +188,95 @@
                 }
                 if name != "loops" and key != "off":
                     row["against_off"] = [
-                        round(float(x), 4) for x in matrix.interval(mine["off"], runs)
+                        round(float(bound), 4) for bound in matrix.interval(by_variant["off"], runs)
                     ]
                 table.append(row)
                 for run in runs.values() if key in ("on", "half") else ():
                     for finding in run["findings"]:
-                        want(False, f"{name}: {key}: {finding['name']}")
+                        check(False, f"{name}: {key}: {finding['name']}")
             figures = next(row for row in table if (row["day"], row["variant"]) == (name, "on"))
-            grew = total(mine["on"], "tries_grew")
-            # Where values are changed on the way they are not believed, and a tier spends its own budget, now and then.
-            most = 0.01 * figures["wishes"] if name == "forged" else 0
-            want(
-                grew <= most,
-                f"{name}: {grew} dispatches had more tries than those that they were made for",
+            increased = total(by_variant["on"], "tries_grew")
+            # A context that was changed on the way is rejected, and the tier then uses its own
+            # retry budget: a few attempts may have more retries than their parent.
+            max_increased = 0.01 * figures["wishes"] if name == "forged" else 0
+            check(
+                increased <= max_increased,
+                f"{name}: {increased} attempts had more retries left than their parent attempt",
             )
             if name == "loops":
-                turns = max(run["figures"]["most_visits"] for run in mine["on"].values())
-                want(turns <= self.MOST_TURNS, f"loops: {turns} turns")
+                visits = max(run["figures"]["most_visits"] for run in by_variant["on"].values())
+                check(visits <= self.MAX_VISITS, f"loops: {visits} visits to the first tier")
                 continue
             difference, low, high = figures["against_off"]
             if name == "forged":
-                # A forged value is as good as none: no less is served than without.
-                want(low > -0.05, f"forged: goodput {difference:+.3f}")
+                # A forged context must have no effect: no less is served than without one.
+                check(low > -0.05, f"forged: goodput {difference:+.3f}")
                 continue
             if name.startswith("fail"):
-                most = figures["amplification"]
-                want(most <= self.MOST_AMPLIFICATION, f"{name}: amplification {most}")
+                amplification = figures["amplification"]
+                check(
+                    amplification <= self.MAX_AMPLIFICATION,
+                    f"{name}: amplification {amplification}",
+                )
             if name in ("slow", "hung"):
-                before, after = total(mine["off"], "outlived"), figures["outlived"]
-                want(
-                    before >= 20,
-                    f"{name}: without it only {before} outlived their client, which shows nothing",
+                outlived_off, outlived_on = (
+                    total(by_variant["off"], "outlived"),
+                    figures["outlived"],
+                )
+                check(
+                    outlived_off >= 20,
+                    f"{name}: without the context only {outlived_off} attempts ran after their "
+                    "client had left, too few for a result",
                 )
-                want(
-                    after <= before * (1 - self.LEAST_FALL),
-                    f"{name}: {before} outlived their client without, {after} with",
+                check(
+                    outlived_on <= outlived_off * (1 - self.MIN_REDUCTION),
+                    f"{name}: {outlived_off} attempts ran after their client had left without the "
+                    f"context, {outlived_on} with it",
                 )
             if name == "overloaded":
-                want(low > 0, f"overloaded: goodput {difference:+.3f} [{low:+.3f}, {high:+.3f}]")
+                check(low > 0, f"overloaded: goodput {difference:+.3f} [{low:+.3f}, {high:+.3f}]")
             else:
-                # With the whole size; a quick day is too short for an interval that narrow.
-                want(
-                    (low if self.full else high) > self.LOSS,
+                # The quick size is too short for an interval so narrow: its upper end is compared.
+                check(
+                    (low if self.full else high) > self.MIN_GOODPUT_DIFFERENCE,
                     f"{name}: goodput {difference:+.3f} [{low:+.3f}, {high:+.3f}]",
                 )
-            if "half" in mine:
-                _, _, upper = matrix.interval(mine["off"], mine["half"])
-                want(upper > self.LOSS, f"{name}: half dropping does worse than without")
-        return not wrong, {
-            "wrong": wrong,
+            if "half" in by_variant:
+                _, _, upper = matrix.interval(by_variant["off"], by_variant["half"])
+                check(
+                    upper > self.MIN_GOODPUT_DIFFERENCE,
+                    f"{name}: with every second node dropping it, less goodput than without",
+                )
+        return not problems, {
+            "wrong": problems,
             "table": table,
             "bound_of_naive": {
                 f"{chance:g}": round((1 - chance**4) / (1 - chance), 3) for chance in self.FAILURES
             },
         }
 
-    def write(self, folder, told):
-        rows, plots = told["figures"]["table"], Plots()
-        days = [
-            day
-            for day in dict.fromkeys(row["day"] for row in rows)
-            if day not in ("loops", "forged")
+    def write(self, folder, result):
+        """Write the measurement's page and plots."""
+        rows, plots = result["figures"]["table"], Plots()
+        names = [
+            name
+            for name in dict.fromkeys(row["day"] for row in rows)
+            if name not in ("loops", "forged")
         ]
         variants = list(dict.fromkeys(row["variant"] for row in rows))
-        for key, name, unit in (
+        for key, plot_name, unit in (
             ("goodput", "goodput", "goodput by earnings"),
-            ("amplification", "amplification", "dispatches at the last tier / wishes"),
-            ("outlived_s", "outlived", "seconds of work behind clients that had left"),
+            ("amplification", "amplification", "attempts at the last tier / client requests"),
+            ("outlived_s", "outlived", "seconds of work after the client had left"),
         ):
             figure, axes = plots.figure(8.5, 3.0)
-            for at, variant in enumerate(variants):
+            for position, variant in enumerate(variants):
                 values = [
                     next(
                         (
                             row[key] / row["seeds"]
                             for row in rows
-                            if (row["day"], row["variant"]) == (day, variant)
+                            if (row["day"], row["variant"]) == (name, variant)
                         ),
                         0,
                     )
@@ -252,32 +285,35 @@
                         (
                             row[key]
                             for row in rows
-                            if (row["day"], row["variant"]) == (day, variant)
+                            if (row["day"], row["variant"]) == (name, variant)
                         ),
                         0,
                     )
-                    for day in days
+                    for name in names
                 ]
                 axes.bar(
-                    [n + at * 0.16 for n in range(len(days))],
+                    [n + position * 0.16 for n in range(len(names))],
                     values,
                     0.15,
-                    color=LINES[at],
+                    color=LINES[position],
                     label=variant,
                 )
-            axes.set(ylabel=unit, xticks=[n + 0.32 for n in range(len(days))], xticklabels=days)
+            axes.set(ylabel=unit, xticks=[n + 0.32 for n in range(len(names))], xticklabels=names)
             axes.legend(frameon=False, fontsize=8, loc="upper left", bbox_to_anchor=(1, 1))
-            figure.savefig(folder / f"chain-{name}.svg", metadata={"Date": None})
+            figure.savefig(folder / f"chain-{plot_name}.svg", metadata={"Date": None})
         lines = [
-            "# Budgets across tiers, measured",
+            "# Request context across tiers, measured",
             "",
-            "Three tiers of three, five and seven upstreams, a balancer for each",
-            "caller; nodes neither say what is left of the time nor heed a client that left. Clients wait 350 ms, the",
-            "grades allow 800. `on`: the chain is carried; `half`: every second node drops it; `naive`: three",
-            f"immediate retries; `budget`: three within a plain 20% budget. {SAID}",
-            f"Seeds from {told['seed']}; `pepperhook lab prove chain --full --write docs/measurements`.",
+            "Three tiers of three, five and seven upstreams, a balancer for each caller; nodes",
+            "neither forward the remaining time nor cancel the work of a client that left. Clients",
+            "wait 350 ms, the service classes allow 800 ms. `on`: the request context is",
+            "forwarded; `half`: every second node drops it; `naive`: three immediate retries;",
+            f"`budget`: three within a plain 20% budget. {SAID}",
+            f"Seeds from {result['seed']}; "
+            "`pepperhook lab prove chain --full --write docs/measurements`.",
             "",
-            "| day | variant | days | wishes | goodput | against off (95%) | amplification | outlived their client | s |",
+            "| scenario | variant | runs | requests | goodput | against off (95%) | "
+            "amplification | attempts after the client had left | s |",
             "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
         ]
         for row in rows:
@@ -287,15 +323,17 @@
                 + ("" if against is None else "{:+.3f} [{:+.3f}, {:+.3f}]".format(*against))
                 + f" | {row['amplification']:.3f} | {row['outlived']:.0f} | {row['outlived_s']:.1f} |"
             )
-        bound = ", ".join(f"{p}: {value}" for p, value in told["figures"]["bound_of_naive"].items())
+        bound = ", ".join(
+            f"{p}: {value}" for p, value in result["figures"]["bound_of_naive"].items()
+        )
         lines += [
             "",
             f"The paper's bound for naive retries at one failing tier, by chance: {bound}.",
             "",
             "![goodput](chain-goodput.svg)",
             "![amplification](chain-amplification.svg)",
-            "![work that outlived its client](chain-outlived.svg)",
+            "![work after the client had left](chain-outlived.svg)",
             "",
-            f"Holds: {told['holds']}. {'; '.join(told['figures']['wrong'])}",
+            f"Holds: {result['holds']}. {'; '.join(result['figures']['wrong'])}",
         ]
         (folder / "chain.md").write_text("\n".join(lines).rstrip() + "\n", encoding="utf-8")
--- a/pepperhook/lab/proofs/control.py
+++ b/pepperhook/lab/proofs/control.py
@@ -1,4 +1,4 @@
-"""Streamed configuration on real processes: twenty balancers, a service that is killed, versions good and bad."""
+"""Streamed configuration: twenty balancers and a control plane that is killed during a rollout."""
 
 import os
 import re
@@ -15,7 +15,9 @@
 from pepperhook.lab.proofs.base import Proof
 
 SECRET = "the secret of this installation"
-SERVE = """
+# Runs the command line interface, with the defect of `pepperhook.lab.planted` that the first
+# argument names, if any.
+CLI_WITH_DEFECT = """
 import sys
 from pepperhook.lab import planted
 if sys.argv[1]:
@@ -23,28 +25,29 @@
 from pepperhook.cli import main
 main(sys.argv[2:])
 """
-WITHIN_S = 2.0  # in which a version is to be on all
+MAX_ROLLOUT_S = 2.0  # until a valid version runs on all balancers
 LINE = re.compile(r"^time=(\S+) .* event=(\S+) ?(.*)$")
-OF_SERVICE = ("lease-forever",)
+CONTROL_PLANE_DEFECTS = ("lease-forever",)
 
 
-class Played(Day):
-    """A day beside which a control service runs."""
+class ControlledDay(Day):
+    """A run with a control plane, in which the defect ``plant`` may be injected."""
 
-    def __init__(self, *rest, plant=None, **more):
-        super().__init__(*rest, **more)
+    def __init__(self, *arguments, plant=None, **options):
+        super().__init__(*arguments, **options)
         self.address = f"127.{self.plan.block}.240.1:7400"
         self.folder.mkdir(parents=True, exist_ok=True)
         (self.folder / "keys").write_text(f"k1 {SECRET}\n")
-        self.serving, self.plant = None, plant
+        self.control_plane, self.plant = None, plant
 
-    def serve(self):
+    def start_control_plane(self):
+        """Start the control plane on its address and store."""
         with open(self.folder / "control.log", "ab") as log:
-            self.serving = subprocess.Popen(
+            self.control_plane = subprocess.Popen(
                 [
                     sys.executable,
                     "-c",
-                    SERVE,
+                    CLI_WITH_DEFECT,
                     self.plant or "",
                     "control",
                     "serve",
@@ -64,8 +67,12 @@
                 start_new_session=True,
             )
 
-    def ask(self, method, path, told=None):
-        """(status, answer); waits a little for a service that has just begun."""
+    def request(self, method, path, body=None):
+        """Return (status, response) of a request to the control plane.
+
+        Retries for about 10 s, since the control plane may have just been started. Raises Failed
+        if it does not answer.
+        """
         import click
 
         from pepperhook.cli.control_client import ServiceClient
@@ -75,139 +82,163 @@
 
         for _ in range(100):
             try:
-                return client.request(method, path, told)
-            except click.ClickException as problem:
-                last = problem
+                return client.request(method, path, body)
+            except click.ClickException as error:
+                last_error = error
                 time.sleep(0.1)
-        raise Failed(f"the control service does not answer: {last}")
+        raise Failed(f"the control plane does not answer: {last_error}")
 
     def bring_up(self, load=True):
-        self.serve()
-        self.ask("GET", "/v1/members")
+        """Start the control plane before the other processes."""
+        self.start_control_plane()
+        self.request("GET", "/v1/members")
         super().bring_up(load)
 
     def take_down(self):
+        """Stop the control plane after the other processes."""
         super().take_down()
-        if self.serving is not None and self.serving.poll() is None:
-            self.serving.terminate()
+        if self.control_plane is not None and self.control_plane.poll() is None:
+            self.control_plane.terminate()
             try:
-                self.serving.wait(10)
+                self.control_plane.wait(10)
             except subprocess.TimeoutExpired:
-                self.serving.kill()
-                self.serving.wait()
+                self.control_plane.kill()
+                self.control_plane.wait()
 
-    def lines(self):
-        """Rows of (tier, number, Unix seconds, event, rest) of the balancers' logs."""
+    def log_rows(self):
+        """Return rows of (tier, number, Unix seconds, event, fields) of the balancers' logs."""
         rows = []
         for (tier, number), balancer in self.balancers.items():
             if os.path.exists(balancer.log):
                 with open(balancer.log, encoding="utf-8", errors="replace") as file:
                     rows += [
-                        (tier, number, unix(found[1]), found[2], found[3])
+                        (tier, number, unix(match[1]), match[2], match[3])
                         for line in file
-                        if (found := LINE.match(line))
+                        if (match := LINE.match(line))
                     ]
         return rows
 
 
 class ControlProof(Proof):
-    """Of twenty balancers all refuse a bad version with its reason, all have a good one within two seconds, and a staged rollout ends though the
-    service is killed in the middle and three balancers with it; no operation is lost or runs twice."""
+    """All of twenty balancers reject an invalid version with its reason and run a valid one within
+    two seconds, and a staged rollout completes although the control plane and three balancers are
+    killed during it; no request is lost or executed twice."""
 
     name = "control"
     plants = {
-        "applied-before-checked": "a balancer applies a version and looks at it afterwards",
-        "checks-deaf": "the decisions find no harm in any version",
-        "half-version": "a version counts whatever came of its stream",
-        "lease-forever": "a member's lease never ends",
+        "applied-before-checked": "a balancer applies a version before it checks it",
+        "checks-deaf": "the balancers find no violation in any version",
+        "half-version": "a partly received version is accepted",
+        "lease-forever": "the lease of a member never expires",
     }
 
-    def script(self, told):
-        def propose(document, name, **more):
-            def work(day):
-                status, answer = day.ask(
+    def script(self, responses):
+        """Return the rows (seconds, work) of the run; its steps store responses by name."""
+
+        def propose(document, name, **fields):
+            def work(run):
+                status, response = run.request(
                     "POST",
                     "/v1/versions",
                     {
                         "document": {"version": 1, **document},
                         "author": "proof",
                         "reason": name,
-                        **more,
+                        **fields,
                     },
                 )
-                told[name] = answer["number"] if status == 200 else (status, answer.get("error"))
+                responses[name] = (
+                    response["number"] if status == 200 else (status, response.get("error"))
+                )
 
             return work
 
-        def roll(name, steps, patience=60.0):
-            def work(day):
-                told[f"{name} at"] = time.time()
-                status, answer = day.ask(
+        def begin_rollout(name, steps, patience=60.0):
+            def work(run):
+                responses[f"{name} at"] = time.time()
+                status, response = run.request(
                     "POST",
                     "/v1/rollout",
-                    {"version": told[name], "steps": steps, "patience_s": patience},
+                    {"version": responses[name], "steps": steps, "patience_s": patience},
                 )
-                told[f"{name} rollout"] = status == 200 or answer
+                responses[f"{name} rollout"] = status == 200 or response
 
             return work
 
-        def back(day):
-            told["held"] = day.ask("GET", "/v1/rollout")[1]
-            status, answer = day.ask("POST", "/v1/rollout/back", {"why": "refused"})
-            told["back"] = answer.get("back_to") if status == 200 else answer
+        def roll_back(run):
+            responses["held"] = run.request("GET", "/v1/rollout")[1]
+            status, response = run.request("POST", "/v1/rollout/back", {"why": "refused"})
+            responses["back"] = response.get("back_to") if status == 200 else response
 
-        def kill(day):
-            told["before the kill"] = day.ask("GET", "/v1/rollout")[1]
-            day.serving.send_signal(signal.SIGKILL)
-            day.serving.wait()
+        def kill_control_plane(run):
+            responses["before the kill"] = run.request("GET", "/v1/rollout")[1]
+            run.control_plane.send_signal(signal.SIGKILL)
+            run.control_plane.wait()
 
-        def members(name):
-            def work(day):
-                told[name] = day.ask("GET", "/v1/members")[1]
+        def read_members(name):
+            def work(run):
+                responses[name] = run.request("GET", "/v1/members")[1]
 
             return work
 
-        whole = [{"share": 1.0, "seconds": 0.0}]
-        look = {"goal_ms": 500.0, "earnings": 1.2}
+        one_step = [{"share": 1.0, "seconds": 0.0}]
+        look_settings = {"goal_ms": 500.0, "earnings": 1.2}
         return [
+            # A version that is applied everywhere, and one that the control plane must reject since
+            # it allows retries of unsafe requests.
             (0.5, propose({"grades": {"sale": {"effect": "at_most_once"}}}, "first")),
-            (0.6, roll("first", whole, 0.1)),
+            (0.6, begin_rollout("first", one_step, 0.1)),
             (1.5, propose({"grades": {"sale": {"effect": "idempotent"}}}, "repeats sales")),
-            (2.0, lambda day: day.ask("POST", "/v1/rollout/back", {"why": "over"})),
+            (2.0, lambda run: run.request("POST", "/v1/rollout/back", {"why": "over"})),
+            # An invalid version, which all balancers must reject.
             (2.2, propose({"grades": {"look": {"goal_ms": 4000.0}}}, "bad")),
-            (2.4, roll("bad", whole)),
-            (5.0, back),
-            (6.0, propose({"grades": {"look": look, "hold": {"effect": "at_most_once"}}}, "good")),
-            (6.2, roll("good", whole)),
-            (9.0, lambda day: day.ask("POST", "/v1/rollout/back", {"why": "next"})),
+            (2.4, begin_rollout("bad", one_step)),
+            (5.0, roll_back),
+            # A valid version, which all must run within `MAX_ROLLOUT_S`.
+            (
+                6.0,
+                propose(
+                    {"grades": {"look": look_settings, "hold": {"effect": "at_most_once"}}}, "good"
+                ),
+            ),
+            (6.2, begin_rollout("good", one_step)),
+            (9.0, lambda run: run.request("POST", "/v1/rollout/back", {"why": "next"})),
+            # A staged rollout, during which the control plane is killed.
             (9.5, propose({"grades": {"look": {"goal_ms": 450.0}}}, "staged")),
-            (9.7, roll("staged", [{"share": 0.3, "seconds": 1.0}, {"share": 1.0, "seconds": 0.0}])),
-            (10.2, kill),
-            (11.5, lambda day: day.serve()),
-            (13.0, members("while two are away")),
-            (self.day.seconds - 0.5, members("end")),
             (
-                self.day.seconds - 0.4,
-                lambda day: told.update(ended=day.ask("GET", "/v1/rollout")[1]),
+                9.7,
+                begin_rollout(
+                    "staged", [{"share": 0.3, "seconds": 1.0}, {"share": 1.0, "seconds": 0.0}]
+                ),
+            ),
+            (10.2, kill_control_plane),
+            (11.5, lambda run: run.start_control_plane()),
+            (13.0, read_members("while balancers are down")),
+            (self.scenario.seconds - 0.5, read_members("end")),
+            (
+                self.scenario.seconds - 0.4,
+                lambda run: responses.update(ended=run.request("GET", "/v1/rollout")[1]),
             ),
         ]
 
     def run(self):
-        told, day = {}, self.day
-        seconds = 60.0 if self.full else day.seconds
-        day = self.day = replace(
-            day,
+        """Play the script once and check the logs, the members and the rollouts."""
+        responses, scenario = {}, self.scenario
+        seconds = 60.0 if self.full else scenario.seconds
+        scenario = self.scenario = replace(
+            scenario,
             seconds=seconds,
             troubles=[
                 Trouble(what="kill_balancer", at=10.4, for_=1.6, who=[1, 4, 7]),
-                # One that does not come back, whose lease ends.
+                # A balancer that is not restarted: its lease expires.
                 Trouble(what="kill_balancer", at=8.0, for_=seconds, who=[9]),
             ],
         )
         variant = Variant(
             name="controlled",
             plant=self.plant
-            if self.plant in planted.FAULTS and self.plant not in OF_SERVICE + ("half-version",)
+            if self.plant in planted.FAULTS
+            and self.plant not in CONTROL_PLANE_DEFECTS + ("half-version",)
             else None,
             operator={
                 "control": {
@@ -217,98 +248,110 @@
                 }
             },
         )
-        made = Played(
-            day,
+        run = ControlledDay(
+            scenario,
             variant,
             self.seed,
             self.folder / "controlled",
-            plant=self.plant if self.plant in OF_SERVICE else None,
-            script=self.script(told),
+            plant=self.plant if self.plant in CONTROL_PLANE_DEFECTS else None,
+            script=self.script(responses),
         )
-        made.variant = replace(
-            variant, operator={"control": {**variant.operator["control"], "address": made.address}}
+        run.variant = replace(
+            variant, operator={"control": {**variant.operator["control"], "address": run.address}}
         )
-        result = made.play()
+        result = run.play()
         if result["void"]:
-            raise Failed("the day was short of core; this machine is too busy")
-        self.tell("controlled", 0.9)
-        wrong = [finding["name"] for finding in result["findings"]]
-        rows, fleet = made.lines(), len(made.balancers)
+            raise Failed("the run had too little CPU time; this machine is too busy")
+        self.report_progress("controlled", 0.9)
+        problems = [finding["name"] for finding in result["findings"]]
+        rows, fleet = run.log_rows(), len(run.balancers)
         applied = {}
-        for tier, number, at, event, rest in rows:
-            if event == "version_applied" and (found := re.search(r"version=(\d+)", rest)):
-                applied.setdefault(int(found[1]), {}).setdefault((tier, number), at)
-        refusals = {
+        for tier, number, at, event, fields in rows:
+            if event == "version_applied" and (match := re.search(r"version=(\d+)", fields)):
+                applied.setdefault(int(match[1]), {}).setdefault((tier, number), at)
+        rejecting = {
             (tier, number)
-            for tier, number, _, event, rest in rows
-            if event == "version_rejected" and "goal" in rest
+            for tier, number, _, event, fields in rows
+            if event == "version_rejected" and "goal" in fields
         }
-        if not isinstance(told.get("repeats sales"), tuple) or told["repeats sales"][0] != 422:
-            wrong.append(
-                f"a version that repeats unsafe operations was made: {told.get('repeats sales')}"
+        if (
+            not isinstance(responses.get("repeats sales"), tuple)
+            or responses["repeats sales"][0] != 422
+        ):
+            problems.append(
+                "a version that allows retries of unsafe requests was accepted: "
+                f"{responses.get('repeats sales')}"
+            )
+        if len(rejecting) != fleet or responses.get("bad") in applied:
+            problems.append(
+                f"the invalid version was rejected by {len(rejecting)} of {fleet} balancers "
+                f"and applied by {len(applied.get(responses.get('bad'), ()))}"
             )
-        if len(refusals) != fleet or told.get("bad") in applied:
-            wrong.append(
-                f"the bad version was refused by {len(refusals)} of {fleet}, applied by {len(applied.get(told.get('bad'), ()))}"
+        rollout = responses.get("held") or {}
+        if rollout.get("state") != "held" or "goal" not in rollout.get("why", ""):
+            problems.append(
+                f"the rollout of the invalid version was {rollout.get('state')}: "
+                f"{rollout.get('why')}"
             )
-        held = told.get("held") or {}
-        if held.get("state") != "held" or "goal" not in held.get("why", ""):
-            wrong.append(f"the bad version's rollout was {held.get('state')}: {held.get('why')}")
-        took = sorted(
-            at - told["good at"]
-            for (tier, number), at in applied.get(told.get("good"), {}).items()
+        durations_s = sorted(
+            at - responses["good at"]
+            for (tier, number), at in applied.get(responses.get("good"), {}).items()
             if (tier, number) != (0, 9)
         )
-        there = fleet - 1
-        if len(took) != there or took[-1] > WITHIN_S:
-            wrong.append(
-                f"the good version was on {sum(at <= WITHIN_S for at in took)} of {there} within {WITHIN_S:g} s"
+        expected = fleet - 1
+        if len(durations_s) != expected or durations_s[-1] > MAX_ROLLOUT_S:
+            problems.append(
+                "the valid version ran on "
+                f"{sum(duration <= MAX_ROLLOUT_S for duration in durations_s)} of {expected} "
+                f"balancers within {MAX_ROLLOUT_S:g} s"
             )
-        if (told.get("ended") or {}).get("state") != "done":
-            wrong.append(f"the staged rollout ended {told.get('ended')}")
-        if (told.get("before the kill") or {}).get("state") != "going":
-            wrong.append(
-                f"the staged rollout was over before the service was killed: {told.get('before the kill')}"
+        if (responses.get("ended") or {}).get("state") != "done":
+            problems.append(f"the staged rollout ended {responses.get('ended')}")
+        if (responses.get("before the kill") or {}).get("state") != "going":
+            problems.append(
+                "the staged rollout was completed before the control plane was killed: "
+                f"{responses.get('before the kill')}"
             )
-        end = told.get("end") or {"members": {}, "gone": {}}
+        end = responses.get("end") or {"members": {}, "gone": {}}
         running = {name: row["running"] for name, row in end["members"].items()}
         if sorted(running) != sorted(
-            f"b{tier}-{number}" for tier, number in made.balancers if (tier, number) != (0, 9)
-        ) or set(running.values()) != {told.get("staged")}:
-            wrong.append(
-                f"at the end {len(running)} members ran {sorted(set(running.values()))}, {told.get('staged')} was wanted"
+            f"b{tier}-{number}" for tier, number in run.balancers if (tier, number) != (0, 9)
+        ) or set(running.values()) != {responses.get("staged")}:
+            problems.append(
+                f"at the end {len(running)} members ran the versions "
+                f"{sorted(set(running.values()))}, expected {responses.get('staged')}"
             )
-        # The processes' own words, told at SIGUSR1.
-        words = {}
-        for tier, number, _, event, rest in rows:
+        # What each process logged at SIGUSR1.
+        logged_versions = {}
+        for tier, number, _, event, fields in rows:
             if (
                 event == "part"
-                and "name=control" in rest
-                and (found := re.search(r"version=(\d+)", rest))
+                and "name=control" in fields
+                and (match := re.search(r"version=(\d+)", fields))
             ):
-                words[f"b{tier}-{number}"] = int(found[1])
-        if any(words.get(name) != number for name, number in running.items()):
-            wrong.append("the service's word on what members run is not theirs")
+                logged_versions[f"b{tier}-{number}"] = int(match[1])
+        if any(logged_versions.get(name) != number for name, number in running.items()):
+            problems.append("the control plane and the balancers disagree on the versions they run")
         if "b0-9" not in end["gone"] or "b0-9" in end["members"]:
-            wrong.append("one that was killed and did not come back is not told as gone")
-        wrong += self.cuts()
+            problems.append("a balancer that was killed and not restarted is not listed as gone")
+        problems += self.check_broken_streams()
         figures = result["figures"]
         if figures["goodput"] < 0.95:
-            wrong.append(f"goodput {figures['goodput']}")
-        return not wrong, {
-            "wrong": wrong[:10],
+            problems.append(f"goodput {figures['goodput']}")
+        return not problems, {
+            "wrong": problems[:10],
             "balancers": fleet,
-            "refused_by": len(refusals),
-            "good_on_all_s": round(took[-1], 2) if took else None,
-            "good_median_s": round(took[len(took) // 2], 2) if took else None,
+            "refused_by": len(rejecting),
+            "good_on_all_s": round(durations_s[-1], 2) if durations_s else None,
+            "good_median_s": round(durations_s[len(durations_s) // 2], 2) if durations_s else None,
             "core_wait_ms": result["core_wait"]["worst_ms"],
             "goodput": figures["goodput"],
             "wishes": figures["wishes"],
             "excused": result["excused"],
         }
 
-    def cuts(self):
-        """A stream that ends anywhere, or whose bytes are spoilt, gives whole versions and no other."""
+    def check_broken_streams(self):
+        """Check that a stream that is cut or corrupted at any byte gives no wrong version."""
         from pepperhook.control_plane import frames
         from pepperhook.control_plane.version import Version, sign_version
         from pepperhook.key_ring import KeyRing
@@ -330,16 +373,20 @@
             KeyRing([("k1", SECRET)]),
         )
         data = b"".join(frames.encode_version(version))
-        for at in range(len(data)):
-            spoilt = bytearray(data)
-            spoilt[at] ^= 0x10
-            for stream in (data[:at], bytes(spoilt)):
+        for position in range(len(data)):
+            corrupted = bytearray(data)
+            corrupted[position] ^= 0x10
+            for stream in (data[:position], bytes(corrupted)):
                 try:
-                    got = frames.FrameReader(lambda number: None).feed(stream)
+                    versions = frames.FrameReader(lambda number: None).feed(stream)
                 except frames.StreamError:
                     continue
                 except ValueError:
-                    return [f"a stream that breaks at byte {at} is taken for a version"]
-                if any(one != version for one in got) or got and len(stream) < len(data):
-                    return [f"a stream that breaks at byte {at} gives something else"]
+                    return [f"a stream broken at byte {position} is read as a version"]
+                if (
+                    any(received != version for received in versions)
+                    or versions
+                    and len(stream) < len(data)
+                ):
+                    return [f"a stream broken at byte {position} gives a wrong version"]
         return []
--- a/pepperhook/lab/proofs/customers.py
+++ b/pepperhook/lab/proofs/customers.py
@@ -1,4 +1,4 @@
-"""The limit on each customer's operations."""
+"""The rate limit of each tenant."""
 
 from msgspec.structs import replace
 
@@ -7,70 +7,82 @@
 
 
 class NoisyCustomerProof(Proof):
-    """With a limit on each customer, a loud one costs itself and not the quiet ones."""
+    """With a rate limit for each tenant, overload by one costs that tenant and not the others."""
 
     name = "noisy-customer"
     plants = {
-        "limit-off": "the limit is not turned on",
-        "one-bucket": "all customers share one bucket",
-        "loud-unlimited": "the loud customer has a limit so high that it never binds",
+        "limit-off": "the rate limit is not enabled",
+        "one-bucket": "all tenants share one token bucket",
+        "loud-unlimited": "the limit of the loud tenant is never reached",
     }
 
     def run(self):
-        day = (
-            self.day
+        """Play one run without a limit and one with it."""
+        scenario = (
+            self.scenario
             if self.full
             else replace(
-                self.day,
+                self.scenario,
                 seconds=15.0,
                 load=[
                     replace(row, at=row.at / 2, for_=row.for_ and row.for_ / 2)
-                    for row in self.day.load
+                    for row in self.scenario.load
                 ],
             )
         )
-        limit = {"customers": {"of": "fleet", "default": {"per_second": 80.0, "burst": 80.0}}}
+        operator = {"customers": {"of": "fleet", "default": {"per_second": 80.0, "burst": 80.0}}}
         if self.plant == "loud-unlimited":
-            limit["customers"]["each"] = {"loud": {"per_second": 1e6}}
+            operator["customers"]["each"] = {"loud": {"per_second": 1e6}}
         if self.plant == "limit-off":
-            limit = {}
+            operator = {}
         if self.plant == "one-bucket":
-            limit = {"customers": {"unknown": {"per_second": 80.0, "burst": 80.0}}}
-        limited = Variant(name="limited", operator=limit)
+            operator = {"customers": {"unknown": {"per_second": 80.0, "burst": 80.0}}}
+        limited = Variant(name="limited", operator=operator)
         if self.plant == "one-bucket":
-            # No customer is known to the settings, so all fall to the one bucket of the unknown.
+            # The settings name no tenant, so all use the one bucket of unknown tenants.
             limited = replace(limited, settings={"orgs": []})
-        self.parts = 2
-        open_ = self.play(day, Variant(name="unlimited"), "unlimited")
-        held = self.play(day, limited, "limited")
-        quiet = [c.name for c in day.customers if c.name != "loud"]
+        self.run_count = 2
+        unlimited_result = self.play(scenario, Variant(name="unlimited"), "unlimited")
+        limited_result = self.play(scenario, limited, "limited")
+        quiet = [tenant.name for tenant in scenario.customers if tenant.name != "loud"]
         during = {
-            name: self.during(day, result)
-            for name, result in (("unlimited", open_), ("limited", held))
+            name: self.goodput_during_rush(scenario, result)
+            for name, result in (("unlimited", unlimited_result), ("limited", limited_result))
         }
-        before, after = (
+        worst_unlimited, worst_limited = (
             min(result["figures"]["goodput_by_customer"][name] for name in quiet)
-            for result in (open_, held)
+            for result in (unlimited_result, limited_result)
+        )
+        findings = [
+            finding["name"]
+            for result in (unlimited_result, limited_result)
+            for finding in result["findings"]
+        ]
+        # The quiet tenants lose at most 5% with the limit, and more than 10% and at least twice as
+        # much without it.
+        holds = (
+            not findings
+            and worst_limited >= 0.95
+            and worst_unlimited <= 1 - 2 * (1 - worst_limited)
+            and worst_unlimited < 0.9
         )
-        broken = [f["name"] for result in (open_, held) for f in result["findings"]]
-        # The quiet ones lose at most a twentieth with the limit, and at least twice that without.
-        holds = not broken and after >= 0.95 and before <= 1 - 2 * (1 - after) and before < 0.9
         return holds, {
-            "worst_quiet_unlimited": before,
-            "worst_quiet_limited": after,
+            "worst_quiet_unlimited": worst_unlimited,
+            "worst_quiet_limited": worst_limited,
             "during_the_rush": during,
-            "by_customer_unlimited": open_["figures"]["goodput_by_customer"],
-            "by_customer_limited": held["figures"]["goodput_by_customer"],
-            "shed_limited": held["figures"]["shed"],
-            "rules_broken": broken,
+            "by_customer_unlimited": unlimited_result["figures"]["goodput_by_customer"],
+            "by_customer_limited": limited_result["figures"]["goodput_by_customer"],
+            "shed_limited": limited_result["figures"]["shed"],
+            "rules_broken": findings,
         }
 
     @staticmethod
-    def during(day, result):
-        rush, seconds = day.load[-1], result["seconds"]
-        chosen = range(int(rush.at), int(rush.at + rush.for_))
+    def goodput_during_rush(scenario, result):
+        """Return the share of the possible earnings during the last load row, the rush."""
+        rush, seconds = scenario.load[-1], result["seconds"]
+        rush_seconds = range(int(rush.at), int(rush.at + rush.for_))
         return round(
-            sum(seconds["earned"][at] for at in chosen)
-            / max(1, sum(seconds["possible"][at] for at in chosen)),
+            sum(seconds["earned"][second] for second in rush_seconds)
+            / max(1, sum(seconds["possible"][second] for second in rush_seconds)),
             4,
         )
--- a/pepperhook/lab/proofs/h2.py
+++ b/pepperhook/lab/proofs/h2.py
@@ -1,4 +1,4 @@
-"""HTTP/2 beside HTTP/1.1."""
+"""HTTP/2 compared with HTTP/1.1."""
 
 from msgspec.structs import replace
 
@@ -9,26 +9,31 @@
 
 
 class H2Proof(Proof):
-    """HTTP/1.1 and HTTP/2, clients and upstreams, give the same answers under the same faults, and no rule is broken."""
+    """Clients and upstreams of HTTP/1.1 and of HTTP/2 get the same results under the same faults,
+    and no rule is broken."""
 
     name = "h2"
     plants = {
-        "reset-never-ran": "a stream that was reset is taken for one that never ran",
-        "goaway-ignored": "a GOAWAY's last id is ignored: all streams are taken for answered below it",
-        "ended-twice": "a stream's end is reported twice",
-        "window-kept": "the window of what has come is not returned",
+        "reset-never-ran": "a reset stream is treated as a request that was never executed",
+        "goaway-ignored": "the last stream id of a GOAWAY is ignored: streams above it stay open",
+        "ended-twice": "END_STREAM is sent twice for each stream",
+        "window-kept": "no flow-control window is returned for received data",
     }
-    PAIRINGS = {
+    PAIRINGS = {  # name: protocols of (clients, upstreams)
         "1-1": ("http/1.1", "http/1.1"),
         "1-2": ("http/1.1", "h2"),
         "2-1": ("h2", "http/1.1"),
         "2-2": ("h2", "h2"),
     }
-    # So little that no upstream is judged for it: passing over goes by chance, and with it a few sheds would.
+    # Shares of responses, so low that no upstream counts as an outlier: ejections depend on random
+    # choices, and would change the number of rejected requests.
     SCRIPTED = (("errors", 0.03), ("reset_after", 0.02), ("spoilt", 0.02))
-    BETWEEN = 0.02  # by which shares of served answers may differ on timed days, beside what two runs of one differ
+    # The allowed difference between the served fractions of timed runs, beyond that between two
+    # runs with the same protocols.
+    MAX_DIFFERENCE = 0.02
 
     def variant(self, upstreams):
+        """Return the variant whose upstreams use the given protocol."""
         return Variant(
             name=upstreams,
             operator={"h2": {"upstreams": upstreams}},
@@ -36,53 +41,56 @@
             settings={"permissions": {"cancel": True}},
         )
 
-    def days(self):
-        day = self.day
+    def scenarios(self):
+        """Return the scenarios by name."""
+        base = self.scenario
         seconds = 30.0 if self.full else 8.0
-        body = [
+        classes = [
             replace(grade, body_bytes=3000 if grade.effect == "at_most_once" else 0)
-            for grade in day.grades
+            for grade in base.grades
         ]
-        # No repeats where timing decides on them: with unsafe and keyed ones alone what fails by name stays failed.
+        # No retries, since whether one is made depends on timing: each request fails or succeeds by
+        # its id alone.
         scripted = replace(
-            day,
+            base,
             seconds=seconds,
-            load=[replace(day.load[0], rate=60.0)],
+            load=[replace(base.load[0], rate=60.0)],
             max_dispatches=1,
-            grades=body,
+            grades=classes,
             troubles=[
-                experiment.Trouble(what=what, at=0.0, for_=seconds + 5, part=1.0, size=size)
-                for what, size in self.SCRIPTED
+                experiment.Trouble(what=kind, at=0.0, for_=seconds + 5, part=1.0, size=size)
+                for kind, size in self.SCRIPTED
             ],
         )
 
-        def trouble(what, at, for_, **more):
-            return experiment.Trouble(what=what, at=seconds * at, for_=seconds * for_, **more)
+        def fault(kind, at, for_, **options):
+            return experiment.Trouble(what=kind, at=seconds * at, for_=seconds * for_, **options)
 
         timed = replace(
-            day,
+            base,
             seconds=seconds,
-            grades=body,
+            grades=classes,
             troubles=[
-                trouble("slow", 0.1, 0.2, who=[0], size=0.1),
-                trouble("hang", 0.25, 0.2, who=[1]),
-                trouble("crash", 0.4, 0.15, who=[2]),
-                trouble("drain", 0.6, 0.15, who=[3]),
-                trouble("errors", 0.75, 0.15, who=[4], size=0.5),
+                fault("slow", 0.1, 0.2, who=[0], size=0.1),
+                fault("hang", 0.25, 0.2, who=[1]),
+                fault("crash", 0.4, 0.15, who=[2]),
+                fault("drain", 0.6, 0.15, who=[3]),
+                fault("errors", 0.75, 0.15, who=[4], size=0.5),
             ],
-            clients=replace(day.clients, leave=0.05),
+            clients=replace(base.clients, leave=0.05),
         )
         return {"scripted": scripted, "timed": timed}
 
     def run(self):
-        rows = []
-        for name, day in self.days().items():
+        """Play both scenarios with each pairing of protocols and compare the counts."""
+        runs = []
+        for name, scenario in self.scenarios().items():
             for pairing, (clients, upstreams) in self.PAIRINGS.items():
-                spoken = replace(day, clients=replace(day.clients, protocol=clients))
-                rows.append((spoken, self.variant(upstreams), f"{name} {pairing}", {}))
-        rows.append((self.days()["timed"], self.variant("http/1.1"), "timed again", {}))
-        results = self.side_by_side(rows, 3 if self.full else 5)
-        wrong, table = [], []
+                paired = replace(scenario, clients=replace(scenario.clients, protocol=clients))
+                runs.append((paired, self.variant(upstreams), f"{name} {pairing}", {}))
+        runs.append((self.scenarios()["timed"], self.variant("http/1.1"), "timed again", {}))
+        results = self.play_concurrently(runs, 3 if self.full else 5)
+        problems, table = [], []
         for key, result in results.items():
             figures, seconds = result["figures"], result["seconds"]
             counts = {
@@ -99,7 +107,7 @@
                     "core_ms": result["first_tier_cpu_ms"],
                 }
             )
-            wrong += [
+            problems += [
                 f"{key}: {finding['name']} {finding['count']} ({finding['examples'][0]})"
                 for finding in result["findings"]
             ]
@@ -107,38 +115,40 @@
             row["day"]: tuple(row[name] for name in ("served", "shed", "failed", "gone", "lost"))
             for row in table
         }
-        first = counts["scripted 1-1"]
-        wrong += [
-            f"{key}: {counts[key]} where HTTP/1.1 has {first}"
+        baseline = counts["scripted 1-1"]
+        problems += [
+            f"{key}: {counts[key]}, with HTTP/1.1 {baseline}"
             for key in counts
-            if key.startswith("scripted") and counts[key] != first
+            if key.startswith("scripted") and counts[key] != baseline
         ]
         served = {row["day"]: results[row["day"]]["figures"]["served"] for row in table}
         noise = abs(served["timed 1-1"] - served["timed again"])
-        wrong += [
-            f"{key}: served {served[key]}, HTTP/1.1 {served['timed 1-1']}"
+        problems += [
+            f"{key}: served {served[key]}, with HTTP/1.1 {served['timed 1-1']}"
             for key in served
             if key.startswith("timed")
-            and abs(served[key] - served["timed 1-1"]) > noise + self.BETWEEN
+            and abs(served[key] - served["timed 1-1"]) > noise + self.MAX_DIFFERENCE
         ]
-        figures = {"wrong": wrong, "table": table}
+        figures = {"wrong": problems, "table": table}
         if self.full and not self.plant:
             figures["memory"] = h2memory.measure(
-                self.days()["timed"], self.variant("http/1.1"), self.seed, self.folder
+                self.scenarios()["timed"], self.variant("http/1.1"), self.seed, self.folder
             )
-        return not wrong, figures
+        return not problems, figures
 
-    def write(self, folder, told):
-        rows, memory = told["figures"]["table"], told["figures"].get("memory")
+    def write(self, folder, result):
+        """Write the measurement's page."""
+        rows, memory = result["figures"]["table"], result["figures"].get("memory")
         lines = [
             "# HTTP/2 and HTTP/1.1, the four pairings",
             "",
             "Clients and upstreams of either protocol under the same faults from",
             f"the same seed. {SAID}",
-            f"Seed {told['seed']}; `pepperhook lab prove h2 --full --write docs/measurements`.",
-            "`1-2`: clients speak HTTP/1.1, upstreams HTTP/2. Core is the balancer's, ms an operation. On scripted days an",
-            "operation's fate goes by its name alone; on timed days upstreams turn slow, hang, crash, drain and fail, and 5%",
-            "of the clients leave in the middle.",
+            f"Seed {result['seed']}; `pepperhook lab prove h2 --full --write docs/measurements`.",
+            "`1-2`: clients use HTTP/1.1, upstreams HTTP/2. Core is the CPU time of the balancer,",
+            "in ms per request. In scripted runs the outcome of a request depends on its id alone;",
+            "in timed runs upstreams become slow, hang, crash, drain and fail, and 5% of the",
+            "clients leave before the response.",
             "",
             "| day | served | shed | failed | client left | lost | p50 ms | p99 ms | core ms |",
             "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
@@ -151,8 +161,9 @@
         if memory:
             lines += [
                 "",
-                f"A thousand half messages: {memory['kb_a_connection']} KB each on HTTP/1.1 connections of their own, "
-                f"{memory['kb_a_stream']} KB each as streams of ten HTTP/2 connections (resident, fresh processes).",
+                "Memory of a thousand incomplete requests (resident, new processes): "
+                f"{memory['kb_a_connection']} KB each on separate HTTP/1.1 connections, "
+                f"{memory['kb_a_stream']} KB each as streams of ten HTTP/2 connections.",
             ]
-        lines += ["", f"Holds: {told['holds']}. {'; '.join(told['figures']['wrong'])}"]
+        lines += ["", f"Holds: {result['holds']}. {'; '.join(result['figures']['wrong'])}"]
         (folder / "h2.md").write_text("\n".join(lines).rstrip() + "\n", encoding="utf-8")
--- a/pepperhook/lab/proofs/membership.py
+++ b/pepperhook/lab/proofs/membership.py
@@ -1,4 +1,4 @@
-"""Gossip among balancers: on sockets as twenty processes, and in virtual time as many as an installation may have."""
+"""Membership: twenty balancers over sockets, and up to a thousand members in virtual time."""
 
 import re
 import signal
@@ -18,53 +18,59 @@
 
 SECRET = "the secret of this installation"
 LINE = re.compile(r"^time=(\S+) .* event=(\S+) ?(.*)$")
-PERIOD_MS, SUSPICION = 400.0, 2.0
-DEAD = {(0, 3), (0, 6)}
-STOPPED = 1, 2  # stands still for a second, and shows up again
-FIRST = e / (e - 1)  # periods until a death is first probed, as published (SWIM, section 3.2)
+PERIOD_MS, SUSPICION = 400.0, 2.0  # probe period, suspicion multiplier
+DEAD = {(0, 3), (0, 6)}  # (tier, number) of the balancers that the experiment kills for good
+STOPPED = (1, 2)  # (tier, number) of the balancer that is stopped for one second
+# Periods until a dead member is first probed, on average, as published (SWIM, section 3.2).
+FIRST_PROBE_PERIODS = e / (e - 1)
 
 
 class MembershipProof(Proof):
-    """Of twenty balancers the dead are missed by all and the living by none, forged words change nothing, places are each one's own; in virtual time
-    detection, false suspicions and load are as published, from twenty to a thousand members, and no part of a split network takes more than its own."""
+    """Of twenty balancers all detect the dead and none declares a live one lost, forged datagrams
+    change nothing, and each has its own fleet index; in virtual time detection, false suspicions
+    and load are as published, from 20 to 1000 members, and no part of a partitioned network lowers
+    its fleet size and so takes more than its share."""
 
     name = "membership"
     plants = {
-        "incarnation-ignored": "words on a member count whatever life of it they are of",
-        "suspected-for-ever": "who is suspected is never taken for lost",
-        "falls-in-a-half": "the number of fellows falls in whatever part of a split network",
-        "away-unheeded": "one that stood still goes on as if it had watched all the while",
-        "any-key": "a datagram counts whoever signed it",
+        "incarnation-ignored": "updates on a member count whatever incarnation they are about",
+        "suspected-for-ever": "a suspected member is never declared lost",
+        "falls-in-a-half": "the fleet size falls in any part of a partitioned network",
+        "away-unheeded": "a stalled process continues as if it had run all the time",
+        "any-key": "datagrams with any signature are accepted",
     }
 
     def run(self):
+        """Run the simulations, and then the run over sockets unless they detected a defect."""
         if self.plant:
             planted.FAULTS[self.plant]()
-        wrong, shown = [], {}
-        for name, work in (
+        problems, figures = [], {}
+        for name, simulate in (
             ("deaths", self.deaths),
             ("load", self.load),
             ("loss", self.loss),
             ("split", self.split),
-            ("stood still", self.stood_still),
+            ("stood still", self.stall),
         ):
-            self.tell(name, 0.1)
-            found, shown[name] = work()
-            wrong += found
-        if wrong and self.plant:
-            return False, {"wrong": wrong[:12], **shown}
-        self.tell("twenty balancers", 0.5)
-        found, shown["twenty on sockets"] = self.sockets()
-        return not wrong + found, {"wrong": (wrong + found)[:12], **shown}
+            self.report_progress(name, 0.1)
+            found_problems, figures[name] = simulate()
+            problems += found_problems
+        if problems and self.plant:
+            return False, {"wrong": problems[:12], **figures}
+        self.report_progress("twenty balancers", 0.5)
+        found_problems, figures["twenty on sockets"] = self.sockets()
+        problems += found_problems
+        return not problems, {"wrong": problems[:12], **figures}
 
     # In virtual time.
 
-    def many(self):
+    def large_fleet(self):
+        """Return the number of members of the large simulations."""
         return 1000 if self.full else 120
 
     def deaths(self):
-        """How long a death takes to be suspected, believed and known by all, in periods."""
-        count, wrong, told = self.many(), [], {}
+        """Measure how many periods a death takes to be suspected, confirmed and known by all."""
+        count, problems, figures = self.large_fleet(), [], {}
         for members in (20, count):
             net = gossip.settled(members, self.seed, tiers=2)
             for number in range(5, 5 + (12 if self.full else 8)):
@@ -73,152 +79,168 @@
             net.run(net.now / S + 40)
             deaths = net.figures().deaths
             if not net.agreed() or any(death.known is None for death in deaths):
-                wrong.append(
-                    f"of {members} members not all know of {sum(death.known is None for death in deaths)} deaths"
+                problems.append(
+                    f"of {members} members not all know of "
+                    f"{sum(death.known is None for death in deaths)} deaths"
                 )
                 continue
-            least = 3.0 * log10(members - len(deaths))  # by Pace, with all confirmations
-            told[members] = {
+            # In periods, with all confirmations.
+            shortest_suspicion = 3.0 * log10(members - len(deaths))
+            figures[members] = {
                 "suspected": round(mean(death.suspected for death in deaths) / S, 2),
-                "published_first_probe": round(FIRST, 2),
+                "published_first_probe": round(FIRST_PROBE_PERIODS, 2),
                 "lost": round(mean(death.lost for death in deaths) / S, 2),
-                "shortest_suspicion": round(least, 2),
+                "shortest_suspicion": round(shortest_suspicion, 2),
                 "known_by_all": round(mean(death.known for death in deaths) / S, 2),
                 "known_by_all_at_most": round(max(death.known for death in deaths) / S, 2),
             }
-            # A probe's period must pass, too, before anybody is suspected.
-            if not told[members]["suspected"] < FIRST + 1 + 0.8 or not told[members][
-                "lost"
-            ] < FIRST + 2 + 9.0 * log10(members):
-                wrong.append(f"deaths among {members} were noticed late: {told[members]}")
-        return wrong, told
+            # A member is suspected only at the end of the period of the probe that failed.
+            if not figures[members]["suspected"] < FIRST_PROBE_PERIODS + 1 + 0.8 or not figures[
+                members
+            ]["lost"] < FIRST_PROBE_PERIODS + 2 + 9.0 * log10(members):
+                problems.append(f"deaths among {members} were detected late: {figures[members]}")
+        return problems, figures
 
     def load(self):
-        """Datagrams of a member a period, which must not hang on how many there are, and those of a seed while all join at once."""
-        wrong, told = [], {}
-        for members in (20, self.many()):
+        """Measure the datagrams per member and period, which must not depend on the fleet size.
+
+        Also measures the datagrams per second of the busiest member, a seed, while all join.
+        """
+        problems, figures = [], {}
+        for members in (20, self.large_fleet()):
             net = gossip.settled(members, self.seed + 1)
-            joined_s, busiest = net.now / S, max(net.sent.values()) / (net.now / S)
+            joined_s, busiest_rate = net.now / S, max(net.sent.values()) / (net.now / S)
             before = sum(net.sent.values())
             net.run(net.now / S + 20)
-            each = (sum(net.sent.values()) - before) / 20 / members
-            told[members] = {
-                "datagrams_a_period": round(each, 2),
+            per_member = (sum(net.sent.values()) - before) / 20 / members
+            figures[members] = {
+                "datagrams_a_period": round(per_member, 2),
                 "joined_in_s": round(joined_s, 1),
-                "busiest_while_joining_a_s": round(busiest),
+                "busiest_while_joining_a_s": round(busiest_rate),
             }
-            if each > 2.5:
-                wrong.append(f"each of {members} members sends {each:.2f} datagrams a period")
-        return wrong, told
+            if per_member > 2.5:
+                problems.append(
+                    f"each of {members} members sends {per_member:.2f} datagrams per period"
+                )
+        return problems, figures
 
     def loss(self):
-        """Where a twentieth of all datagrams is lost: suspicions of those that live, and none that is believed."""
-        net = gossip.settled(self.many() // 4, self.seed + 2, loss=0.05)
+        """Lose 5% of all datagrams: live members may be suspected, but not declared lost."""
+        net = gossip.settled(self.large_fleet() // 4, self.seed + 2, loss=0.05)
         net.run(net.now / S + 120)
         net.kill("m0005")
         net.run(net.now / S + 40)
-        figures = net.figures()
-        told = {
-            "members": figures.members,
+        run_figures = net.figures()
+        figures = {
+            "members": run_figures.members,
             "loss": 0.05,
             "suspicions_a_member_an_hour": round(
-                figures.suspected / figures.members / net.now * S * 3600, 2
+                run_figures.suspected / run_figures.members / net.now * S * 3600, 2
             ),
-            "refuted": figures.refuted,
-            "falsely_lost": figures.falsely_lost,
+            "refuted": run_figures.refuted,
+            "falsely_lost": run_figures.falsely_lost,
         }
-        wrong = []
-        if figures.falsely_lost or not net.agreed():
-            wrong.append(
-                f"with datagrams lost {figures.falsely_lost} times one that lived was taken for lost"
+        problems = []
+        if run_figures.falsely_lost or not net.agreed():
+            problems.append(
+                f"with datagram loss a live member was declared lost "
+                f"{run_figures.falsely_lost} times"
             )
-        if not figures.refuted:
-            wrong.append("nobody had to say that it lives; the run shows nothing")
-        return wrong, told
+        if not run_figures.refuted:
+            problems.append("no member had to refute a suspicion; the run shows nothing")
+        return problems, figures
 
     def split(self):
-        """Two halves that do not hear each other, of forty: how many each counts."""
+        """Partition a network of forty into halves: neither may lower its fleet size."""
         net, count = gossip.settled(40, self.seed + 3), 40
-        places = {name: fleet_position.FleetPosition(name, count, 18 * S) for name in net.members}
+        positions = {
+            name: fleet_position.FleetPosition(name, count, 18 * S) for name in net.members
+        }
 
         def pass_time(seconds):
             for _ in range(seconds):
                 net.run(net.now / S + 1)
                 for name, member in net.members.items():
                     table = member.protocol.table
-                    places[name].update(net.now, table.present_names(), table.departed_names())
-                    places[name].settle(net.now)
+                    positions[name].update(net.now, table.present_names(), table.departed_names())
+                    positions[name].settle(net.now)
 
         pass_time(5)
-        side = {f"m{number:04}" for number in range(20)}
-        net.cut = lambda one, other: (one in side) != (other in side)
+        half = {f"m{number:04}" for number in range(20)}
+        net.cut = lambda sender, receiver: (sender in half) != (receiver in half)
         pass_time(90)
-        counted = sorted({it.count for it in places.values()})
-        net.cut = lambda one, other: False
+        fleet_sizes = sorted({position.count for position in positions.values()})
+        net.cut = lambda sender, receiver: False
         pass_time(60)
-        wrong = (
+        problems = (
             []
-            if counted == [count]
-            else [f"in halves of a split network {counted} fellows were counted, {count} is safe"]
+            if fleet_sizes == [count]
+            else [f"in halves of a partitioned network fleet sizes were {fleet_sizes}, not {count}"]
         )
-        if not net.agreed() or sorted(it.index for it in places.values()) != list(range(count)):
-            wrong.append("the halves do not agree again")
-        return wrong, {"counted_in_the_halves": counted, "agreed_again": net.agreed()}
+        indexes = sorted(position.index for position in positions.values())
+        if not net.agreed() or indexes != list(range(count)):
+            problems.append("the halves do not agree after the partition")
+        return problems, {"counted_in_the_halves": fleet_sizes, "agreed_again": net.agreed()}
+
+    def stall(self):
+        """Stall a member for a minute while it suspects another, which is reachable again soon.
 
-    def stood_still(self):
-        """One stands still for a minute, while it suspects another that answers soon after: it must not take that one for lost."""
+        The stalled member must not declare the other one lost when it continues.
+        """
         net = gossip.settled(20, self.seed + 4)
-        net.cut = lambda one, other: "m0007" in (one, other)
-        watcher = net.members["m0005"].protocol
-        while watcher.table.record_of("m0007").state != MemberState.SUSPECT:
+        net.cut = lambda sender, receiver: "m0007" in (sender, receiver)
+        protocol = net.members["m0005"].protocol
+        while protocol.table.record_of("m0007").state != MemberState.SUSPECT:
             net.step()
         net.stop("m0005")
-        net.cut = lambda one, other: False
+        net.cut = lambda sender, receiver: False
         net.run(net.now / S + 60)
-        before = watcher.counters.suspected
+        before = protocol.counters.suspected
         net.go_on("m0005")
         net.run(net.now / S + 0.9)
-        begun = watcher.counters.suspected - before
+        suspicions = protocol.counters.suspected - before
         net.run(net.now / S + 40)
-        wrong = [f"one that stood still suspected {begun}"] if begun else []
+        problems = [f"a stalled member suspected {suspicions} others"] if suspicions else []
         if net.false_lost:
-            wrong.append(
-                f"one that lives was taken for lost {net.false_lost} times after another had stood still"
+            problems.append(
+                f"after the stall of a member a live one was declared lost {net.false_lost} times"
             )
         if not net.agreed():
-            wrong.append("after it went on not all agree")
-        return wrong, {
-            "suspected_by_it": begun,
+            problems.append("the members do not agree after the stalled one continued")
+        return problems, {
+            "suspected_by_it": suspicions,
             "taken_for_lost": net.false_lost,
             "agreed_again": net.agreed(),
         }
 
-    # On sockets.
+    # Over sockets.
 
     def sockets(self):
-        def stop(day):
-            day.balancers[STOPPED].send(signal.SIGSTOP)
+        """Play a run of twenty balancers with deaths, a stall and forged datagrams."""
 
-        def go_on(day):
-            day.balancers[STOPPED].send(signal.SIGCONT)
+        def stop(run):
+            run.balancers[STOPPED].send(signal.SIGSTOP)
 
-        def lie(day):
-            """Words in the name of one, by a key that is none: all others have left."""
-            to = day.plan.peers(0, 1)
-            sender = MemberRecord("b0-0", day.plan.peers(0, 0), 0, 10**15)
-            rows = [
-                MemberRecord(f"b0-{number}", day.plan.peers(0, number), 0, 10**15, MemberState.LEFT)
+        def resume(run):
+            run.balancers[STOPPED].send(signal.SIGCONT)
+
+        def forge_datagrams(run):
+            """Send datagrams with an unknown key: b0-0 says that all others have left."""
+            destination = run.plan.peers(0, 1)
+            sender = MemberRecord("b0-0", run.plan.peers(0, 0), 0, 10**15)
+            records = [
+                MemberRecord(f"b0-{number}", run.plan.peers(0, number), 0, 10**15, MemberState.LEFT)
                 for number in range(2, 10)
             ]
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as door:
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as client:
                 data = datagram.encode(
-                    Message(MessageType.PING, 1, sender, "b0-1", None, rows),
+                    Message(MessageType.PING, 1, sender, "b0-1", None, records),
                     KeyRing([("k1", "not the secret at all")]),
                 )
                 for _ in range(5):
-                    door.sendto(data, to)
+                    client.sendto(data, destination)
 
-        day = self.day
+        scenario = self.scenario
         variant = Variant(
             name="gossip",
             plant=self.plant,
@@ -233,85 +255,95 @@
                 }
             },
         )
-        made = Day(
-            day,
+        run = Day(
+            scenario,
             variant,
             self.seed,
             self.folder / "gossip",
-            script=[(9.0, stop), (10.0, go_on), (11.0, lie)],
+            script=[(9.0, stop), (10.0, resume), (11.0, forge_datagrams)],
         )
-        result = made.play()
+        result = run.play()
         if result["interrupted"]:
             raise KeyboardInterrupt
         if result["void"]:
-            raise Failed("the day was short of core; this machine is too busy")
-        wrong = [finding["name"] for finding in result["findings"]]
-        fleet = len(made.balancers)
-        living = sorted(key for key in made.balancers if key not in DEAD)
-        missed, left, last, parts = {}, {}, {}, {}
-        start = self.unix_start(made)
-        for tier, number, at, event, rest in lines(made):
-            if at > start + day.seconds:
-                continue  # all are told to leave at once, then
+            raise Failed("the run had too little CPU time; this machine is too busy")
+        problems = [finding["name"] for finding in result["findings"]]
+        fleet = len(run.balancers)
+        living = sorted(key for key in run.balancers if key not in DEAD)
+        lost, left, last_positions, parts = {}, {}, {}, {}
+        start = self.unix_start(run)
+        for tier, number, at, event, fields in log_rows(run):
+            if at > start + scenario.seconds:
+                continue  # all balancers are shut down after the run
             if event == "member":
-                pairs = dict(word.split("=", 1) for word in rest.split())
+                pairs = dict(word.split("=", 1) for word in fields.split())
                 if pairs["state"] in ("lost", "left"):
-                    (missed if pairs["state"] == "lost" else left).setdefault(
+                    (lost if pairs["state"] == "lost" else left).setdefault(
                         pairs["name"], {}
                     ).setdefault((tier, number), at)
             elif event == "fleet_position":
-                last[tier, number] = dict(word.split("=", 1) for word in rest.split())
-            elif event == "part" and "name=gossip" in rest:
-                parts[tier, number] = dict(word.split("=", 1) for word in rest.split())
-        took = sorted(
+                last_positions[tier, number] = dict(word.split("=", 1) for word in fields.split())
+            elif event == "part" and "name=gossip" in fields:
+                parts[tier, number] = dict(word.split("=", 1) for word in fields.split())
+        detection_s = sorted(
             at - start - 5.0
             for number in (3, 6)
-            for key, at in missed.get(f"b0-{number}", {}).items()
+            for key, at in lost.get(f"b0-{number}", {}).items()
             if key[0] == 0
         )
-        fellows = sum(key[0] == 0 for key in living)
-        if len(took) != 2 * fellows:
-            wrong.append(f"{len(took)} of {2 * fellows} words on the dead")
-        false = sorted(set(missed) - {"b0-3", "b0-6"})
-        if false:
-            wrong.append(f"taken for lost though they lived: {false}")
-        # Its next life comes within a second, so some hear of that first.
-        if len(left.get("b0-5", ())) < fellows // 2:
-            wrong.append(
-                f"one that left was told so by {len(left.get('b0-5', ()))} of {fellows - 1}"
+        observers = sum(key[0] == 0 for key in living)
+        if len(detection_s) != 2 * observers:
+            problems.append(
+                f"only {len(detection_s)} of {2 * observers} detections of killed balancers"
+            )
+        falsely_lost = sorted(set(lost) - {"b0-3", "b0-6"})
+        if falsely_lost:
+            problems.append(f"declared lost while alive: {falsely_lost}")
+        # b0-5 restarts within a second, so some receive its new incarnation before the news that it
+        # left.
+        if len(left.get("b0-5", ())) < observers // 2:
+            problems.append(
+                f"{len(left.get('b0-5', ()))} of {observers - 1} were notified that a member left"
             )
         if int(parts.get((0, 1), {}).get("rejected", 0)) < 5:
-            wrong.append("forged words were not denied")
-        there = {int(row["present"]) for key, row in parts.items() if key in living}
-        if there != {fleet - len(DEAD)}:
-            wrong.append(f"at the end {sorted(there)} were there, {fleet - len(DEAD)} are")
+            problems.append("forged datagrams were not rejected")
+        present = {int(row["present"]) for key, row in parts.items() if key in living}
+        if present != {fleet - len(DEAD)}:
+            problems.append(
+                f"at the end {sorted(present)} members were counted, {fleet - len(DEAD)} are alive"
+            )
         for tier in (0, 1):
-            places = sorted(
+            indexes = sorted(
                 int(row["fleet_index"])
                 for key, row in parts.items()
                 if key in living and key[0] == tier and row["fleet_index"] != "None"
             )
-            wanted = [key for key in living if key[0] == tier]
-            counts = {
+            tier_members = [key for key in living if key[0] == tier]
+            fleet_sizes = {
                 int(row["fleet_size"])
                 for key, row in parts.items()
                 if key in living and key[0] == tier
             }
-            if places != list(range(len(wanted))) or counts != {len(wanted)}:
-                wrong.append(
-                    f"tier {tier}: places {places} of {sorted(counts)} for {len(wanted)} balancers"
+            if indexes != list(range(len(tier_members))) or fleet_sizes != {len(tier_members)}:
+                problems.append(
+                    f"tier {tier}: fleet indexes {indexes} and sizes {sorted(fleet_sizes)} "
+                    f"for {len(tier_members)} balancers"
                 )
         figures = result["figures"]
         if figures["goodput"] < 0.95:
-            wrong.append(f"goodput {figures['goodput']}")
-        out = [int(row["datagrams_out"]) for row in parts.values()]
-        return wrong, {
+            problems.append(f"goodput {figures['goodput']}")
+        datagrams_sent = [int(row["datagrams_out"]) for row in parts.values()]
+        return problems, {
             "balancers": fleet,
-            "lost_known_s": [round(took[0], 2), round(took[len(took) // 2], 2), round(took[-1], 2)]
-            if took
+            "lost_known_s": [
+                round(detection_s[0], 2),
+                round(detection_s[len(detection_s) // 2], 2),
+                round(detection_s[-1], 2),
+            ]
+            if detection_s
             else None,
             "period_s": PERIOD_MS / 1000,
-            "datagrams_each": round(mean(out)) if out else 0,
+            "datagrams_each": round(mean(datagrams_sent)) if datagrams_sent else 0,
             "suspected": sum(int(row["suspected"]) for row in parts.values()),
             "goodput": figures["goodput"],
             "wishes": figures["wishes"],
@@ -319,18 +351,19 @@
         }
 
     @staticmethod
-    def unix_start(made):
-        return (made.start + time.time_ns() - time.monotonic_ns()) / S
+    def unix_start(run):
+        """Return the start of the run in Unix seconds."""
+        return (run.start + time.time_ns() - time.monotonic_ns()) / S
 
 
-def lines(made):
-    """Rows of (tier, number, Unix seconds, event, rest) of the balancers' logs, in the order of their lines."""
+def log_rows(run):
+    """Return rows of (tier, number, Unix seconds, event, fields) of the logs, in order."""
     rows = []
-    for (tier, number), balancer in made.balancers.items():
+    for (tier, number), balancer in run.balancers.items():
         with open(balancer.log, encoding="utf-8", errors="replace") as file:
             rows += [
-                (tier, number, unix(found[1]), found[2], found[3])
+                (tier, number, unix(match[1]), match[2], match[3])
                 for line in file
-                if (found := LINE.match(line))
+                if (match := LINE.match(line))
             ]
     return rows
--- a/pepperhook/lab/proofs/repeats.py
+++ b/pepperhook/lab/proofs/repeats.py
@@ -1,4 +1,4 @@
-"""Idempotency keys at the edge."""
+"""Idempotency keys at the entry balancers."""
 
 import statistics
 
@@ -11,21 +11,26 @@
 
 
 class RepeatsProof(Proof):
-    """Copies of sales and holds at the worst moments run once a key, through kills, crashes, hangs and a store that overflows."""
+    """Repeats of requests with an idempotency key are executed once per key, through kills,
+    crashes, hangs and a full store."""
 
     name = "repeats"
     plants = {
-        "evicts-running": "when the store is full what runs is forgotten, too",
-        "record-after": "the record is written after the dispatch",
-        "first-calls-off": "the first client's leaving calls its dispatch off",
-        "all-dispatched": "when the first never ran all that wait are dispatched",
+        "evicts-running": "when the store is full, entries of running requests are evicted, too",
+        "record-after": "the record is written after the attempt",
+        "first-calls-off": "when the first client leaves, the attempt is cancelled",
+        "all-dispatched": "when the first was never executed, all waiting requests are sent",
     }
-    LEAST_KEYS = 10_000  # that came more than once, in full
-    LEAST_AGAIN = 0.2  # tries that were answered from a first result, a key that was served
+    MIN_REPEATED_KEYS = 10_000  # in the full size
+    MIN_REPLAYED = 0.2  # client attempts answered with a stored response, per key that was served
 
-    def variant(self, **more):
-        """Room for about a quarter of the keys that a rush has in their windows."""
-        told = {
+    def variant(self, **options):
+        """Return the variant with idempotency keys.
+
+        Its store has room for about a quarter of the keys that are within their retry window during
+        a rush.
+        """
+        repeats = {
             "entries": 220 if self.full else 120,
             "mb": 4.0,
             "binding_s": 8.0,
@@ -33,46 +38,56 @@
             "journal": "{folder}/journal-{number}",
             "peers": "{folder}/peers-{tier}.toml",
         }
-        return Variant(name="on", operator={"repeats": {**told, **more}}, plant=self.plant)
+        return Variant(name="on", operator={"repeats": {**repeats, **options}}, plant=self.plant)
+
+    def scenario_with(self, seconds, kills, rushes, base, rush, outages=(), pauses=()):
+        """Return the scenario with faults and load; times are in seconds, rates per second.
+
+        ``kills`` has rows (time, balancer), ``rushes`` rows (time, duration) of the rate ``rush``
+        beside ``base``. All upstreams refuse connections at the ``outages`` and pause at the
+        ``pauses``.
+        """
 
-    def day_of(self, seconds, kills, rushes, base, rush, outages=(), stills=()):
-        def trouble(what, at, for_, **more):
-            return experiment.Trouble(what=what, at=at, for_=for_, **more)
+        def fault(kind, at, for_, **options):
+            return experiment.Trouble(what=kind, at=at, for_=for_, **options)
 
-        troubles = [trouble("kill_balancer", at, 0.5, who=[who]) for at, who in kills]
+        faults = [fault("kill_balancer", at, 0.5, who=[balancer]) for at, balancer in kills]
         for at in range(2, int(seconds) - 4, 10):
-            # Slow ones have much under way when a balancer is killed; a crash, a hang and a drain beside them, of which the
-            # first turns away, or lets hang, what others wait for.
-            troubles += [
-                trouble("slow", at, 6.0, who=[0, 1, 5], size=0.1),
-                trouble("hang", at + 6, 1.5, who=[2]),
-                trouble("crash", at + 3, 2.0, who=[3]),
-                trouble("drain", at + 1, 4.0, who=[4]),
+            # Slow upstreams have many requests in flight when a balancer is killed. A crash, a hang
+            # and a drain at the same time reject or block requests that repeats wait for.
+            faults += [
+                fault("slow", at, 6.0, who=[0, 1, 5], size=0.1),
+                fault("hang", at + 6, 1.5, who=[2]),
+                fault("crash", at + 3, 2.0, who=[3]),
+                fault("drain", at + 1, 4.0, who=[4]),
             ]
-        # All stand still: what is out has begun, and where a balancer is killed just then, ends when nobody knows of it any more.
-        troubles += [trouble("pause", at, 0.6, part=1.0) for at in stills]
-        # None takes a connection: operations wait at the gate and are shed, with others waiting for them.
-        troubles += [trouble("refused", at, 0.3, part=1.0) for at in outages]
-        load = [replace(self.day.load[0], rate=base)] + [
+        # All upstreams pause: attempts have started, and if a balancer is killed at that moment,
+        # they end when no process knows of them any more.
+        faults += [fault("pause", at, 0.6, part=1.0) for at in pauses]
+        # No upstream accepts connections: requests are queued and rejected while repeats wait for
+        # them.
+        faults += [fault("refused", at, 0.3, part=1.0) for at in outages]
+        load = [replace(self.scenario.load[0], rate=base)] + [
             Load(rate=rush, at=at, for_=for_) for at, for_ in rushes
         ]
-        return replace(self.day, seconds=seconds, troubles=troubles, load=load)
+        return replace(self.scenario, seconds=seconds, troubles=faults, load=load)
 
     def run(self):
-        rows, results = [], {}
+        """Play the scenario with keys, without them and with a store that has room for all."""
+        runs, results = [], {}
         if self.full:
-            day = self.day_of(
+            scenario = self.scenario_with(
                 120.0,
                 ((9, 0), (26, 1), (45, 0), (62, 1), (83, 0), (104, 1)),
                 ((5, 50), (60, 50)),
                 80.0,
                 70.0,
             )
-            other = self.day_of(30.0, ((9, 0), (17, 1)), ((5, 20),), 80.0, 70.0)
-            # The large one alone: its load is near what two balancers can do here.
-            results = self.side_by_side([(day, self.variant(), "on", {})], 1)
+            short_scenario = self.scenario_with(30.0, ((9, 0), (17, 1)), ((5, 20),), 80.0, 70.0)
+            # The long scenario is played alone: its load is near the capacity of two balancers.
+            results = self.play_concurrently([(scenario, self.variant(), "on", {})], 1)
         else:
-            day = other = self.day_of(
+            scenario = short_scenario = self.scenario_with(
                 13.0,
                 ((4.0, 0), (8.5, 1)),
                 ((1.5, 9),),
@@ -81,14 +96,14 @@
                 (7.0, 12.0),
                 (1.9, 3.5, 8.0, 11.0),
             )
-            rows = [(day, self.variant(), "on", {})]
+            runs = [(scenario, self.variant(), "on", {})]
         if not self.plant:
-            rows += [
-                (other, Variant(name="off"), "off", {}),
-                (other, self.variant(entries=100_000), "roomy", {}),
+            runs += [
+                (short_scenario, Variant(name="off"), "off", {}),
+                (short_scenario, self.variant(entries=100_000), "roomy", {}),
             ]
-        results = {**results, **self.side_by_side(rows, 3)} if rows else results
-        wrong, table = [], []
+        results = {**results, **self.play_concurrently(runs, 3)} if runs else results
+        problems, table = [], []
         for name, result in results.items():
             keys, findings = (
                 result["figures"]["keys"],
@@ -107,51 +122,61 @@
                 }
             )
             if name != "off":
-                wrong += [f"{name}: {finding} {count}" for finding, count in findings.items()]
-        on = table[0]
-        if self.full and on["duplicated"] < self.LEAST_KEYS:
-            wrong.append(f"only {on['duplicated']} keys came more than once")
+                problems += [f"{name}: {finding} {count}" for finding, count in findings.items()]
+        with_keys = table[0]
+        if self.full and with_keys["duplicated"] < self.MIN_REPEATED_KEYS:
+            problems.append(f"only {with_keys['duplicated']} keys were sent more than once")
         if not self.plant:
-            if on["answered_again"] < self.LEAST_AGAIN * on["keys_served"]:
-                wrong.append(f"only {on['answered_again']} tries were answered from a first result")
+            if with_keys["answered_again"] < self.MIN_REPLAYED * with_keys["keys_served"]:
+                problems.append(
+                    f"only {with_keys['answered_again']} attempts got a stored response"
+                )
             if not table[1]["findings"].get("ran twice under one key"):
-                wrong.append("without it nothing ran twice, so the day shows nothing")
-            if not on["keys_only_shed"]:
-                wrong.append("the store did not overflow")
-        figures = {"wrong": wrong, "table": table}
+                problems.append(
+                    "without keys nothing was executed twice: the comparison shows nothing"
+                )
+            if not with_keys["keys_only_shed"]:
+                problems.append("the store was never full")
+        figures = {"wrong": problems, "table": table}
         if self.full and not self.plant:
             figures["cost"] = self.cost()
-            place = self.folder / "journals"
-            place.mkdir()
-            figures["journals"] = journals.measure(place, self.tell)
-        return not wrong, figures
+            journal_folder = self.folder / "journals"
+            journal_folder.mkdir()
+            figures["journals"] = journals.measure(journal_folder, self.report_progress)
+        return not problems, figures
 
     def cost(self, rounds=3):
-        """Keyed operations without troubles or copies: core and time of each, by variant, played in turn."""
-        day = replace(
-            self.day,
+        """Measure the CPU time and latency of keyed requests without faults or repeats.
+
+        The variants are played in turn.
+        """
+        scenario = replace(
+            self.scenario,
             seconds=8.0,
             clients=Clients(duplicates=0),
             load=[Load(rate=150.0)],
-            grades=[replace(grade, work_ms=2.0, spread=0.0) for grade in self.day.grades[1:2]],
+            grades=[replace(grade, work_ms=2.0, spread=0.0) for grade in self.scenario.grades[1:2]],
         )
-        memory = {"entries": 100_000, "binding_s": 600.0}
+        in_memory = {"entries": 100_000, "binding_s": 600.0}
         variants = [
             Variant(name="without"),
-            Variant(name="in memory", operator={"repeats": memory}),
+            Variant(name="in memory", operator={"repeats": in_memory}),
             Variant(
                 name="durable",
-                operator={"repeats": {**memory, "journal": "{folder}/journal-{number}"}},
+                operator={"repeats": {**in_memory, "journal": "{folder}/journal-{number}"}},
             ),
         ]
-        rows = {variant.name: [] for variant in variants}
-        self.parts, self.done = rounds * len(variants), 0
-        for turn in range(rounds):
-            for variant in variants[turn:] + variants[:turn]:
+        samples = {variant.name: [] for variant in variants}
+        self.run_count, self.runs_done = rounds * len(variants), 0
+        for round_number in range(rounds):
+            for variant in variants[round_number:] + variants[:round_number]:
                 result = self.play(
-                    day, variant, f"cost-{variant.name}-{turn}", seed=self.seed + turn
+                    scenario,
+                    variant,
+                    f"cost-{variant.name}-{round_number}",
+                    seed=self.seed + round_number,
                 )
-                rows[variant.name].append(
+                samples[variant.name].append(
                     (
                         result["first_tier_cpu_ms"],
                         result["load"]["served_ms"]["p50"],
@@ -160,23 +185,28 @@
                     )
                 )
         return {
-            name: [round(statistics.median(column), 3) for column in zip(*mine)]
-            for name, mine in rows.items()
+            name: [round(statistics.median(column), 3) for column in zip(*rows)]
+            for name, rows in samples.items()
         }
 
-    def write(self, folder, told):
-        figures = told["figures"]
+    def write(self, folder, result):
+        """Write the measurement's page and plot."""
+        figures = result["figures"]
         lines = [
             "# Idempotency keys, measured",
             "",
-            "Two edge balancers before six upstreams; clients send up to five copies of each sale and hold under one key, at the",
-            "worst moments, to either edge, and 30% of them leave in the middle. Upstreams crash, hang, drain and turn slow, each",
-            "balancer is killed with -9 three times (`on`; the shorter days once), and a rush has four times the keys that the store",
-            "has room for. `off`: without it; `roomy`: with room for all.",
-            f"{SAID} Seed {told['seed']}; `pepperhook lab prove repeats --full --write docs/measurements`.",
+            "Two entry balancers before six upstreams; clients send up to five copies of each sale",
+            "and hold under one key to either balancer, at unfavourable moments, and 30% of them",
+            "leave before the response. Upstreams crash, hang, drain and become slow, each",
+            "balancer is killed with SIGKILL three times (`on`; once in the shorter runs), and a",
+            "rush has four times the keys that the store has room for. `off`: without keys;",
+            "`roomy`: with room for all of them.",
+            f"{SAID} Seed {result['seed']}; "
+            "`pepperhook lab prove repeats --full --write docs/measurements`.",
             "",
-            "| day | keys | came more than once | tries | runs | keys that ran once | answered from a first result | tries shed | "
-            "keys only shed | failed tries | goodput | p50 ms | p99 ms | broken |",
+            "| scenario | keys | sent more than once | client attempts | executions | "
+            "keys executed once | answered with a stored response | attempts rejected | "
+            "keys only rejected | failed attempts | goodput | p50 ms | p99 ms | broken rules |",
             "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
         ]
         for r in figures["table"]:
@@ -191,7 +221,7 @@
         if "cost" in figures:
             lines += [
                 "",
-                "Holds with a key each, no troubles, no copies, medians of three rounds in turn:",
+                "Requests with a key each, no faults, no repeats, medians of three rounds in turn:",
                 "",
                 "| | core ms an operation | p50 ms | p99 ms | resident MB |",
                 "| --- | --- | --- | --- | --- |",
@@ -204,8 +234,8 @@
             writing, reading = figures["journals"]["writing"], figures["journals"]["reading"]
             lines += [
                 "",
-                "The journal beside sqlite3 (WAL, synchronous=FULL), 64 operations waiting at a time, each with a record",
-                "before and one after, groups synced:",
+                "The journal compared with sqlite3 (WAL, synchronous=FULL), 64 requests waiting at",
+                "a time, each with a record before and one after, synced in groups:",
                 "",
                 "| | operations a second | core µs an operation | wait p50 ms | wait p99 ms |",
                 "| --- | --- | --- | --- | --- |",
@@ -217,7 +247,7 @@
             ]
             lines += [
                 "",
-                "From the files to a store that takes operations, bodies of 104 bytes:",
+                "Recovery, from the files to a store that accepts requests, bodies of 104 bytes:",
                 "",
                 "| | entries | seconds | bytes of memory an entry |",
                 "| --- | --- | --- | --- |",
@@ -228,23 +258,23 @@
             ]
             plots = Plots()
             chart, axes = plots.figure(6.0, 3.0)
-            for at, name in enumerate(("own", "sqlite")):
-                mine = [r for r in reading if r["journal"] == name]
+            for position, name in enumerate(("own", "sqlite")):
+                journal_rows = [r for r in reading if r["journal"] == name]
                 axes.plot(
-                    [r["entries"] for r in mine],
-                    [r["seconds"] for r in mine],
+                    [r["entries"] for r in journal_rows],
+                    [r["seconds"] for r in journal_rows],
                     marker="o",
-                    color=LINES[at],
+                    color=LINES[position],
                     label=name,
                 )
             axes.set(
                 xscale="log",
                 yscale="log",
                 xlabel="entries",
-                ylabel="seconds until they are known again",
+                ylabel="seconds until the entries are recovered",
             )
             axes.legend(frameon=False)
             chart.savefig(folder / "repeats-recovery.svg", metadata={"Date": None})
             lines += ["", "![recovery](repeats-recovery.svg)"]
-        lines += ["", f"Holds: {told['holds']}. {'; '.join(figures['wrong'])}"]
+        lines += ["", f"Holds: {result['holds']}. {'; '.join(figures['wrong'])}"]
         (folder / "repeats.md").write_text("\n".join(lines).rstrip() + "\n", encoding="utf-8")
--- a/pepperhook/lab/proofs/replay.py
+++ b/pepperhook/lab/proofs/replay.py
@@ -1,4 +1,4 @@
-"""Captures replay exactly."""
+"""Captures of the policy's calls replay exactly in another process."""
 
 import json
 import os
@@ -15,7 +15,9 @@
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
 
-RUN = """
+# Runs the command line interface, with the defect of `pepperhook.lab.planted` that the first
+# argument names, if any.
+CLI_WITH_DEFECT = """
 import sys
 from pepperhook.lab import planted
 if sys.argv[1]:
@@ -26,17 +28,19 @@
 
 
 class ReplayProof(Proof):
-    """Lab days captured at all balancers replay identically in other processes, and a changed constant is told at its first effect."""
+    """Captures of all balancers replay identically in other processes, and a changed constant is
+    reported at its first effect."""
 
     name = "replay"
     plants = {
-        "clock-read": "the module reads a clock",
-        "set-order": "the module takes its members in the order of a set",
-        "checksum-skipped": "a reader believes blocks whatever their checksum says",
+        "clock-read": "the policy reads a clock",
+        "set-order": "the policy iterates over its subset in the order of a set",
+        "checksum-skipped": "a reader accepts blocks whose checksum does not match",
     }
-    FASTER = 20  # times real time
-    seconds = None  # of a day, where it is not the size's
-    SMALL_KB = 300  # of a captured day that is kept in the repository
+    MIN_SPEED = 20  # times real time
+    seconds = None  # of a run; None: those of the quick or the full size
+    MAX_STORED_KB = 300  # the size limit of a capture in the repository
+    # Replaced constants of the policy: module, text before, text after.
     CHANGES = (
         ("admission", "MAX_QUEUE_TIME = 0.2 ", "MAX_QUEUE_TIME = 0.05 "),
         (
@@ -46,92 +50,104 @@
         ),
     )
 
-    def days(self):
-        day, seconds = self.day, self.seconds or (30.0 if self.full else 9.0)
+    def scenarios(self):
+        """Return the scenarios by name."""
+        base, seconds = self.scenario, self.seconds or (30.0 if self.full else 9.0)
 
-        def trouble(what, at, for_, **more):
-            return experiment.Trouble(what=what, at=seconds * at, for_=seconds * for_, **more)
+        def fault(kind, at, for_, **options):
+            return experiment.Trouble(what=kind, at=seconds * at, for_=seconds * for_, **options)
 
-        days = {
+        faults = {
             "troubled": [
-                trouble("slow", 0.1, 0.3, who=[0], size=0.1),
-                trouble("hang", 0.2, 0.3, who=[1]),
-                trouble("crash", 0.4, 0.3, who=[2]),
-                trouble("discovery_slow", 0.3, 0.4, size=0.4),
-                trouble("errors", 0.6, 0.2, who=[3], size=0.5),
-                trouble("roll_balancers", 0.5, 0.3),
+                fault("slow", 0.1, 0.3, who=[0], size=0.1),
+                fault("hang", 0.2, 0.3, who=[1]),
+                fault("crash", 0.4, 0.3, who=[2]),
+                fault("discovery_slow", 0.3, 0.4, size=0.4),
+                fault("errors", 0.6, 0.2, who=[3], size=0.5),
+                fault("roll_balancers", 0.5, 0.3),
             ]
         }
         if self.full or self.seconds:
-            days["late list"] = [
-                trouble("discovery_lag", 0.1, 0.7, size=3.0),
-                trouble("drain", 0.2, 0.3, who=[0]),
-                trouble("replaced", 0.3, 0.3, who=[1]),
-                trouble("discovery_outage", 0.5, 0.2),
+            faults["late list"] = [
+                fault("discovery_lag", 0.1, 0.7, size=3.0),
+                fault("drain", 0.2, 0.3, who=[0]),
+                fault("replaced", 0.3, 0.3, who=[1]),
+                fault("discovery_outage", 0.5, 0.2),
             ]
-            days["slow below"] = [
-                trouble("slow", 0.2, 0.5, tier=1, part=0.5, size=0.1),
-                trouble("kill_balancer", 0.4, 0.1),
+            # Slow upstreams in the second tier.
+            faults["slow below"] = [
+                fault("slow", 0.2, 0.5, tier=1, part=0.5, size=0.1),
+                fault("kill_balancer", 0.4, 0.1),
             ]
-        return {name: replace(day, seconds=seconds, troubles=rows) for name, rows in days.items()}
+        return {
+            name: replace(base, seconds=seconds, troubles=rows) for name, rows in faults.items()
+        }
 
     def run(self):
+        """Play the scenarios, and replay their captures unchanged and with changes."""
         variant = Variant(
             name="captured",
             plant=self.plant if self.plant != "checksum-skipped" else None,
             operator={"record": {"folder": "{folder}/captures-{tier}-{number}", "segment_s": 3.0}},
         )
-        rows = [(day, variant, name, {}) for name, day in self.days().items()]
-        results = self.side_by_side(rows, 1)
-        wrong = [
+        runs = [(scenario, variant, name, {}) for name, scenario in self.scenarios().items()]
+        results = self.play_concurrently(runs, 1)
+        problems = [
             f"{name}: {finding['name']}"
             for name, result in results.items()
             for finding in result["findings"]
         ]
         files = sorted(self.folder.glob("*/captures-*/*.rec"))
         requests = sum(result["figures"]["wishes"] for result in results.values())
-        told = self.replay(files)
-        same = [row for row in told if row["difference"] is None and not row["states_differ"]]
-        for row in told:
-            if row not in same:
-                found = row["difference"] or {}
-                wrong.append(
-                    f"{Path(row['file']).name}: call {found.get('call')}, by {found.get('stage')}, {row['states_differ']}"
+        replays = self.replay(files)
+        equal = [row for row in replays if row["difference"] is None and not row["states_differ"]]
+        for row in replays:
+            if row not in equal:
+                difference = row["difference"] or {}
+                problems.append(
+                    f"{Path(row['file']).name}: differs at call {difference.get('call')}, in stage "
+                    f"{difference.get('stage')}; differing states: {row['states_differ']}"
                 )
-        calls, took = sum(row["calls"] for row in told), sum(row["took_s"] for row in told)
-        seconds = sum(row["seconds"] for row in told)
-        faster = seconds / max(0.001, took)
-        if not calls or len(files) < 2 * len(rows):
-            wrong.append(f"{len(files)} files and {calls} calls show nothing")
-        if faster < self.FASTER and not self.plant:
-            wrong.append(f"replayed {faster:.1f} times faster than real time")
-        noticed = {}
+        calls = sum(row["calls"] for row in replays)
+        replay_s = sum(row["took_s"] for row in replays)
+        seconds = sum(row["seconds"] for row in replays)
+        speed = seconds / max(0.001, replay_s)
+        if not calls or len(files) < 2 * len(runs):
+            problems.append(f"only {len(files)} captures with {calls} calls, too few for a result")
+        if speed < self.MIN_SPEED and not self.plant:
+            problems.append(f"replayed at only {speed:.1f} times real time")
+        differences = {}
         for name, before, after in self.CHANGES if not self.plant else ():
-            noticed[before.strip()] = self.changed(files, name, before, after)
-            if not any(noticed[before.strip()]):
-                wrong.append(f"{before.strip()}: the change was not noticed in {len(files)} files")
-        wrong += self.spoilt(files)
-        return not wrong, {
-            "wrong": wrong[:12],
+            differences[before.strip()] = self.replay_changed(files, name, before, after)
+            if not any(differences[before.strip()]):
+                problems.append(
+                    f"{before.strip()}: the change made no difference in {len(files)} captures"
+                )
+        problems += self.check_corrupted(files)
+        return not problems, {
+            "wrong": problems[:12],
             "files": len(files),
             "calls": calls,
             "seconds": round(seconds, 1),
-            "times_real_time": round(faster, 1),
+            "times_real_time": round(speed, 1),
             "bytes_an_operation": round(
                 sum(path.stat().st_size for path in files) / max(1, requests)
             ),
             "changed_constant_noticed": {
-                key: sum(map(bool, rows)) for key, rows in noticed.items()
+                key: sum(map(bool, rows)) for key, rows in differences.items()
             },
-            "first": next((row for rows in noticed.values() for row in rows if row), None),
+            "first": next((row for rows in differences.values() for row in rows if row), None),
         }
 
-    def write(self, folder, told):
-        """Small captured days, a file each, as the tests replay them: of each day the largest that is small enough, which
-        begins with its module's birth, so that no later attribute of a module makes it unusable."""
-        again = ReplayProof(False, None, self.seed, self.tell)
-        again.seconds = 7.0
-        again.folder.mkdir(exist_ok=True)
+    def write(self, folder, result):
+        """Write the captures that the tests replay: the largest small one of each scenario.
+
+        Each begins with the creation of its policy rather than with a state, so that it can be
+        replayed after attributes have been added to the policy.
+        """
+        recorded_scenario = ReplayProof(False, None, self.seed, self.report_progress)
+        recorded_scenario.seconds = 7.0
+        recorded_scenario.folder.mkdir(exist_ok=True)
         variant = Variant(
             name="captured",
             operator={
@@ -139,31 +155,34 @@
             },
         )
         try:
-            for name, day in again.days().items():
-                day = replace(day, load=[replace(row, rate=200.0) for row in day.load])
-                again.play(day, variant, name)
+            for name, scenario in recorded_scenario.scenarios().items():
+                loaded = replace(scenario, load=[replace(row, rate=200.0) for row in scenario.load])
+                recorded_scenario.play(loaded, variant, name)
                 files = [
                     path
-                    for path in again.folder.glob(f"{name}-*/captures-*/*.rec")
-                    if path.stat().st_size < self.SMALL_KB * 1024
+                    for path in recorded_scenario.folder.glob(f"{name}-*/captures-*/*.rec")
+                    if path.stat().st_size < self.MAX_STORED_KB * 1024
                 ]
-                most = max(files, key=lambda path: path.stat().st_size)
-                (folder / f"{name.replace(' ', '-')}.rec").write_bytes(most.read_bytes())
+                largest = max(files, key=lambda path: path.stat().st_size)
+                (folder / f"{name.replace(' ', '-')}.rec").write_bytes(largest.read_bytes())
         finally:
-            shutil.rmtree(again.folder, ignore_errors=True)
+            shutil.rmtree(recorded_scenario.folder, ignore_errors=True)
+
+    def replay(self, files, *options):
+        """Replay in another process with another hash seed; return the result of each file.
 
-    def replay(self, files, *more):
-        """In another process, with other hashes of texts."""
-        done = subprocess.run(
+        Raises Failed if the process fails.
+        """
+        process = subprocess.run(
             [
                 sys.executable,
                 "-c",
-                RUN,
+                CLI_WITH_DEFECT,
                 self.plant or "",
                 "record",
                 "replay",
                 "--json",
-                *more,
+                *options,
                 *map(str, files),
             ],
             cwd=ROOT,
@@ -171,18 +190,19 @@
             capture_output=True,
             text=True,
         )
-        if done.returncode not in (0, 1):
-            raise Failed(f"replay: {done.stderr.strip().splitlines()[-1:]}")
-        return [json.loads(line) for line in done.stdout.splitlines()]
+        if process.returncode not in (0, 1):
+            raise Failed(f"replay: {process.stderr.strip().splitlines()[-1:]}")
+        return [json.loads(line) for line in process.stdout.splitlines()]
 
-    def changed(self, files, name, before, after):
+    def replay_changed(self, files, name, before, after):
+        """Replay with one text of a policy module replaced; return the difference in each file."""
         folder = self.folder / "policy"
         shutil.rmtree(folder, ignore_errors=True)
         shutil.copytree(ROOT / "pepperhook" / "policy", folder)
         path = folder / f"{name}.py"
         text = path.read_text(encoding="utf-8")
         if before not in text:
-            raise Failed(f"{name}.py has no {before!r} any more")
+            raise Failed(f"{name}.py does not contain {before!r}")
         path.write_text(text.replace(before, after), encoding="utf-8")
         return [
             row["difference"]
@@ -190,30 +210,31 @@
             for row in self.replay(files, "--policy", str(folder))
         ]
 
-    def spoilt(self, files):
-        """Bits flipped one at a time: all that is whole is given, and nothing else."""
+    def check_corrupted(self, files):
+        """Flip single bits: a reader must return all intact blocks and no others."""
         from pepperhook.container import ContainerReader
         from pepperhook.lab import planted
 
         if self.plant == "checksum-skipped":
             planted.FAULTS[self.plant]()
-        chance, wrong = random.Random(self.seed), []
-        path = self.folder / "spoilt.rec"
+        rng, problems = random.Random(self.seed), []
+        path = self.folder / "corrupted.rec"
         for file in files[:3]:
-            whole = bytearray(file.read_bytes())
+            content = bytearray(file.read_bytes())
             with ContainerReader(file) as reader:
-                good = [(block.offset, block.content) for block in reader.record_blocks()]
-                first = good[0][0]
+                written = [(block.offset, block.content) for block in reader.record_blocks()]
+                first_offset = written[0][0]
             for _ in range(20):
-                at = chance.randrange(first, len(whole))
-                whole[at] ^= 1
-                path.write_bytes(whole)
-                whole[at] ^= 1
+                position = rng.randrange(first_offset, len(content))
+                content[position] ^= 1
+                path.write_bytes(content)
+                content[position] ^= 1  # undo the flip
                 with ContainerReader(path) as reader:
-                    got = [(block.offset, block.content) for block in reader.record_blocks()]
-                if any(row not in good for row in got) or len(got) < len(good) - 1:
-                    wrong.append(
-                        f"{file.name}: a bit flipped at byte {at}: {len(got)} of {len(good)} blocks, or others"
+                    blocks = [(block.offset, block.content) for block in reader.record_blocks()]
+                if any(block not in written for block in blocks) or len(blocks) < len(written) - 1:
+                    problems.append(
+                        f"{file.name}: with a bit flipped at byte {position} {len(blocks)} of "
+                        f"{len(written)} blocks were read, or a block differs"
                     )
                     break
-        return wrong
+        return problems
