--- a/pepperhook/lab/proofs/trace.py
+++ b/pepperhook/lab/proofs/trace.py
@@ -1,4 +1,4 @@
-"""Traces on real processes: what operators are told after a bad evening is what clients and upstreams saw."""
+"""Traces of real processes: they must agree with what clients and upstreams recorded."""
 
 import random
 import re
@@ -11,44 +11,44 @@
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
 
-PARENT = r"^(.+)-\d+[a-z]$"  # as the lab's upstreams name their calls
+PARENT_PATTERN = r"^(.+)-\d+[a-z]$"  # of the request ids that the lab's upstreams give their calls
 KEY = b"the key of this installation"
-AHEAD_NS = {
-    0: 0,
-    1: 10**9,
-}  # what the clocks of a tier are made to be ahead by, before files are merged
+CLOCK_OFFSET_NS = {0: 0, 1: 10**9}  # by tier: how far the clocks are set ahead before the merge
 
 
 class TraceProof(Proof):
-    """Traces of two tiers tell of each operation what its client and its upstreams saw; cut files give all complete records, merged
-    ones are in causal order though clocks differ by a second, stripped ones keep all counts and no original."""
+    """Traces of two tiers agree with the clients and upstreams on each request; truncated files
+    give all complete records, merged files are in causal order although clocks differ by a second,
+    and stripped files keep all counts and no original name."""
 
     name = "trace"
     plants = {
-        "checksum-skipped": "a reader believes blocks whatever their checksum says",
-        "pseudonym-left-out": "ids of what calls were made for are left as they are",
-        "clocks-unmended": "files are merged by the clocks that they have",
-        "reason-of-another": "the decisions' reasons are laid down for the operation before",
+        "checksum-skipped": "a reader accepts blocks whose checksum does not match",
+        "pseudonym-left-out": "ids of parent requests are left without a pseudonym",
+        "clocks-unmended": "files are merged without correcting the clock offsets",
+        "reason-of-another": "the reasons of a decision are recorded for the previous request",
     }
 
-    def shaped(self):
-        day, seconds = self.day, 30.0 if self.full else 9.0
+    def scenario_with_faults(self):
+        """Return the scenario in its size, with its faults."""
+        base, seconds = self.scenario, 30.0 if self.full else 9.0
 
-        def trouble(what, at, for_, **more):
-            return experiment.Trouble(what=what, at=seconds * at, for_=seconds * for_, **more)
+        def fault(kind, at, for_, **options):
+            return experiment.Trouble(what=kind, at=seconds * at, for_=seconds * for_, **options)
 
         return replace(
-            day,
+            base,
             seconds=seconds,
             troubles=[
-                trouble("slow", 0.1, 0.3, who=[0], size=0.1),
-                trouble("errors", 0.2, 0.4, who=[1], size=0.6),
-                trouble("pause", 0.45, 0.08, part=1.0),
-                trouble("hang", 0.6, 0.2, tier=1, who=[0]),
+                fault("slow", 0.1, 0.3, who=[0], size=0.1),
+                fault("errors", 0.2, 0.4, who=[1], size=0.6),
+                fault("pause", 0.45, 0.08, part=1.0),
+                fault("hang", 0.6, 0.2, tier=1, who=[0]),
             ],
         )
 
     def run(self):
+        """Play the scenario with traces, and check the traces in all their forms."""
         from pepperhook.tracing.merge import merge
         from pepperhook.tracing.reader import open_trace_file, read_traces
 
@@ -61,206 +61,226 @@
                 "trace": {
                     "folder": "{folder}/traces-{tier}-{number}",
                     "share": 1.0,
-                    "parent": PARENT,
+                    "parent": PARENT_PATTERN,
                 }
             },
         )
-        result = self.play(self.shaped(), variant, "traced")
+        result = self.play(self.scenario_with_faults(), variant, "traced")
         folder = next(self.folder.glob("traced-*/traces-0-0")).parent
         rows = events.read(folder)
         files = sorted(folder.glob("traces-*/*.trc"))
-        wrong = [finding["name"] for finding in result["findings"]]
-        told = {}
+        problems = [finding["name"] for finding in result["findings"]]
+        traces = {}
         for path in files:
             with open_trace_file(path) as reader:
-                for life in read_traces(reader):
-                    told[reader.metadata.tier, life.id] = life
-        if not told:
-            raise Failed("nothing was traced")
-        wrong += self.compared(rows, told)
-        wrong += self.cut(files)
-        aheads = self.clocks(files)
-        merged = merge(aheads, self.folder / "merged.trc")
+                for trace in read_traces(reader):
+                    traces[reader.metadata.tier, trace.id] = trace
+        if not traces:
+            raise Failed("no request was traced")
+        problems += self.check_against_events(rows, traces)
+        problems += self.check_damaged(files)
+        offset_files = self.offset_clocks(files)
+        merged = merge(offset_files, self.folder / "merged.trc")
         with open_trace_file(self.folder / "merged.trc") as reader:
-            order = list(read_traces(reader))
-        known = {life.id: life for life in order if life.sent}
+            ordered = list(read_traces(reader))
+        by_id = {trace.id: trace for trace in ordered if trace.sent}
         early = sum(
             1
-            for life in order
-            if life.parent in known
-            and life.taken < known[life.parent].taken + 1000 * known[life.parent].sent[0].sent
+            for trace in ordered
+            if trace.parent in by_id
+            and trace.taken < by_id[trace.parent].taken + 1000 * by_id[trace.parent].sent[0].sent
         )
         if early or merged.before_their_dispatch:
-            wrong.append(f"{early} calls come before their dispatch in the merged file")
-        calls = sum(1 for life in order if life.parent)
-        if calls < 100 or [life.taken for life in order] != sorted(life.taken for life in order):
-            wrong.append(f"merged: {calls} calls, or not in order")
-        off = [
+            problems.append(f"{early} requests come before their parent attempt in the merged file")
+        child_requests = sum(1 for trace in ordered if trace.parent)
+        times = [trace.taken for trace in ordered]
+        if child_requests < 100 or times != sorted(times):
+            problems.append(
+                f"merged: only {child_requests} requests with a parent, or not ordered by time"
+            )
+        clock_deviations = [
             (
                 clock.name,
-                clock.ahead - AHEAD_NS[1 if clock.name.startswith("b1") else 0],
+                clock.ahead - CLOCK_OFFSET_NS[1 if clock.name.startswith("b1") else 0],
                 clock.error,
             )
             for clock in merged.clocks
         ]
-        # All balancers of one machine read one clock, so what each is ahead is known: that which was put in, but for the
-        # microseconds between their own settings of it to Unix time.
-        wrong += [
-            f"{name}: {miss / 1e6:.3f} ms beside what it is, told within {error and error / 1e6} ms"
-            for name, miss, error in off
-            if error is not None and abs(miss) > error + 5 * 10**6
+        # All balancers of one machine read one clock, so the offset of each is known: the one that
+        # was added, but for the microseconds between their own conversions to Unix time.
+        problems += [
+            f"{name}: the clock offset is wrong by {deviation / 1e6:.3f} ms, with a stated error "
+            f"of {error and error / 1e6} ms"
+            for name, deviation, error in clock_deviations
+            if error is not None and abs(deviation) > error + 5 * 10**6
         ]
-        wrong += self.stripped(aheads, order)
-        reasons = Counter(f"{life.final}: {life.reason}" for life in told.values() if life.reason)
+        problems += self.check_stripped(offset_files, ordered)
+        reasons = Counter(
+            f"{trace.final}: {trace.reason}" for trace in traces.values() if trace.reason
+        )
         size = sum(path.stat().st_size for path in files)
-        return not wrong, {
-            "wrong": wrong[:12],
-            "lives": len(told),
+        return not problems, {
+            "wrong": problems[:12],
+            "lives": len(traces),
             "files": len(files),
             "calls_matched": sum(clock.pairs for clock in merged.clocks),
             "worst_clock_error_ms": round(
                 max(clock.error or 0 for clock in merged.clocks) / 1e6, 3
             ),
-            "bytes_a_life": round(size / len(told), 1),
+            "bytes_a_life": round(size / len(traces), 1),
             "reasons": dict(reasons.most_common(6)),
         }
 
-    def compared(self, rows, told):
-        """Each client's and upstream's own word against the trace."""
-        wrong = Counter()
-        tries = [row for row in rows if isinstance(row, events.Try) and row.kind == "answer"]
-        works: dict = {}
+    def check_against_events(self, rows, traces):
+        """Compare the traces with the event rows that clients and upstreams wrote."""
+        problems = Counter()
+        client_rows = [row for row in rows if isinstance(row, events.Try) and row.kind == "answer"]
+        executions: dict = {}
         for row in rows:
             if isinstance(row, events.Work):
-                works.setdefault((row.tier, row.id), []).append(row)
+                executions.setdefault((row.tier, row.id), []).append(row)
         finals = {200: "fulfilled", 429: "shed", 503: "shed"}
-        for one in tries:
-            life = told.get((one.tier, one.id))
-            if life is None:
-                # Shed at the door: the module never had it.
-                wrong["answered and not traced"] += one.status == 200
+        for client_row in client_rows:
+            trace = traces.get((client_row.tier, client_row.id))
+            if trace is None:
+                # Rejected before the policy received it.
+                problems["answered but not traced"] += client_row.status == 200
                 continue
-            wrong["another final answer than its client had"] += life.final != finals.get(
-                one.status, "broken off"
+            problems["another outcome than the client recorded"] += trace.final != finals.get(
+                client_row.status, "broken off"
             )
-            wrong["answered later than its client had it"] += (
-                life.answered * 1000 > one.ended - one.sent + 10**7
+            problems["answered later than the client recorded"] += (
+                trace.answered * 1000 > client_row.ended - client_row.sent + 10**7
             )
-            mine = works.get((one.tier, one.id), ())
-            # What was written to an upstream was dispatched; what never came up was too, and no upstream saw it.
-            wrong["fewer dispatches than upstreams saw"] += len(life.sent) < len(mine)
+            work_rows = executions.get((client_row.tier, client_row.id), ())
+            # Each request that an upstream received was an attempt. Attempts that never got a
+            # connection are traced too, and no upstream recorded them.
+            problems["fewer attempts than upstreams recorded"] += len(trace.sent) < len(work_rows)
             names = [
-                f"t{one.tier}-{row.upstream:02d}"
-                for row in sorted(mine, key=lambda row: row.first_byte)
+                f"t{client_row.tier}-{row.upstream:02d}"
+                for row in sorted(work_rows, key=lambda row: row.first_byte)
             ]
-            wrong["other upstreams than saw it"] += [
-                s.upstream for s in life.sent if s.outcome not in ("unconnected", "moot")
+            problems["attempts at other upstreams than those that recorded it"] += [
+                attempt.upstream
+                for attempt in trace.sent
+                if attempt.outcome not in ("unconnected", "moot")
             ][: len(names)] != names
-            served = [row for row in mine if row.outcome == "served"]
-            wrong["a dispatch fulfilled that no upstream served"] += (
-                any(s.outcome == "fulfilled" for s in life.sent) and not served
+            served = [row for row in work_rows if row.outcome == "served"]
+            problems["an attempt succeeded that no upstream served"] += (
+                any(attempt.outcome == "fulfilled" for attempt in trace.sent) and not served
             )
-            wrong["shed or broken off without a reason"] += (
-                life.final in ("shed", "broken off") and not life.reason
+            problems["rejected or failed without a reason"] += (
+                trace.final in ("shed", "broken off") and not trace.reason
             )
-            wrong["dispatched for no reason"] += any(
-                s.drawn is None or s.upstream not in [row[0] for row in s.drawn.pair]
-                for s in life.sent
+            problems["an attempt whose recorded selection does not include its upstream"] += any(
+                attempt.drawn is None
+                or attempt.upstream not in [row[0] for row in attempt.drawn.pair]
+                for attempt in trace.sent
             )
-            wrong["sent again without its being granted"] += any(
-                s.again is None or s.again.verdict != "granted" for s in life.sent[:-1]
+            problems["retried without being granted"] += any(
+                attempt.again is None or attempt.again.verdict != "granted"
+                for attempt in trace.sent[:-1]
             )
-        return [f"{what}: {count} of {len(tries)}" for what, count in wrong.items() if count]
+        return [
+            f"{problem}: {count} of {len(client_rows)}"
+            for problem, count in problems.items()
+            if count
+        ]
 
-    def cut(self, files):
-        """Files cut anywhere, and with bits flipped: every complete record, and nothing that was never written."""
+    def check_damaged(self, files):
+        """Truncate files and flip bits: a reader must return all complete records and no others."""
         from pepperhook.container import BlockType
         from pepperhook.tracing.reader import open_trace_file, read_traces
 
-        chance, wrong = random.Random(self.seed), []
-        path = self.folder / "cut.trc"
+        rng, problems = random.Random(self.seed), []
+        path = self.folder / "damaged.trc"
         for file in files[:4]:
-            whole = file.read_bytes()
+            content = file.read_bytes()
             with open_trace_file(file) as reader:
-                good = list(read_traces(reader))
+                written = list(read_traces(reader))
                 ends = [(block.end_offset, block.block_type) for block in reader.blocks()]
-            first = ends[0][0]
-            for turn in range(40):
-                data, at = bytearray(whole), chance.randrange(first, len(whole))
-                if turn % 2:
-                    data[at] ^= 1 << chance.randrange(8)
+            first_end = ends[0][0]
+            for trial in range(40):
+                data, position = bytearray(content), rng.randrange(first_end, len(content))
+                if trial % 2:
+                    data[position] ^= 1 << rng.randrange(8)
                 else:
-                    del data[at:]
+                    del data[position:]
                 path.write_bytes(data)
                 with open_trace_file(path) as reader:
                     try:
-                        got = list(read_traces(reader))
-                    except Exception as problem:
-                        got = [type(problem).__name__]
+                        read = list(read_traces(reader))
+                    except Exception as error:
+                        read = [type(error).__name__]
                 blocks = sum(kind == BlockType.RECORDS for _, kind in ends)
                 complete = (
-                    sum(kind == BlockType.RECORDS and end <= at for end, kind in ends)
-                    if not turn % 2
+                    sum(kind == BlockType.RECORDS and end <= position for end, kind in ends)
+                    if not trial % 2
                     else blocks - 1
                 )
+                # The number of complete records is estimated from the mean of a block, with a slack
+                # of 2000 records.
                 if (
-                    any(life not in good for life in got)
-                    or len(got) < len(good) * complete // max(1, blocks) - 2000
+                    any(trace not in written for trace in read)
+                    or len(read) < len(written) * complete // max(1, blocks) - 2000
                 ):
-                    wrong.append(
-                        f"{file.name} {'flipped' if turn % 2 else 'cut'} at byte {at}: {len(got)} lives of {len(good)}, "
-                        "or others"
+                    problems.append(
+                        f"{file.name} {'with a flipped bit' if trial % 2 else 'truncated'} at byte "
+                        f"{position}: {len(read)} of {len(written)} traces, or a trace differs"
                     )
                     break
-                if not turn % 2 and complete == blocks and got != good:
-                    wrong.append(
-                        f"{file.name} cut behind its last block: {len(got)} lives of {len(good)}"
+                if not trial % 2 and complete == blocks and read != written:
+                    problems.append(
+                        f"{file.name} truncated after its last block: {len(read)} of "
+                        f"{len(written)} traces"
                     )
                     break
-        return wrong
+        return problems
 
-    def clocks(self, files):
-        """The files again, with the clocks of the second tier a second ahead."""
+    def offset_clocks(self, files):
+        """Write the files again with the clock offsets added, and return the new paths."""
         from pepperhook.tracing.reader import open_trace_file, read_traces
         from pepperhook.tracing.trace_file import append_trace, replacing_trace_file
 
-        out = []
+        paths = []
         for file in files:
             with open_trace_file(file) as reader:
                 path = self.folder / f"ahead-{file.name}"
                 with replacing_trace_file(path, reader.metadata) as writer:
-                    for life in read_traces(reader):
-                        append_trace(
-                            writer, replace(life, taken=life.taken + AHEAD_NS[reader.metadata.tier])
-                        )
-            out.append(path)
-        return out
+                    for trace in read_traces(reader):
+                        offset_ns = CLOCK_OFFSET_NS[reader.metadata.tier]
+                        append_trace(writer, replace(trace, taken=trace.taken + offset_ns))
+            paths.append(path)
+        return paths
 
-    def stripped(self, files, order):
+    def check_stripped(self, files, traces):
+        """Check that stripped files keep all counts and no id or tenant of the originals."""
         from pepperhook.tracing.reader import open_trace_file, read_traces
         from pepperhook.tracing.strip import strip
         from pepperhook.tracing.summary import Summary
 
-        wrong, raw, counts = [], b"", [Summary(), Summary()]
-        for at, (path, _) in enumerate(strip(files, self.folder / "stripped", KEY)):
+        problems, raw, summaries = [], b"", [Summary(), Summary()]
+        for position, (path, _) in enumerate(strip(files, self.folder / "stripped", KEY)):
             with open_trace_file(path) as reader:
                 raw += b"".join(block.content for block in reader.blocks())
-                for life in read_traces(reader):
-                    counts[1].add(life)
-            with open_trace_file(files[at]) as reader:
-                for life in read_traces(reader):
-                    counts[0].add(life)
-        before, after = (made.to_dict(0) for made in counts)
+                for trace in read_traces(reader):
+                    summaries[1].add(trace)
+            with open_trace_file(files[position]) as reader:
+                for trace in read_traces(reader):
+                    summaries[0].add(trace)
+        before, after = (summary.to_dict(0) for summary in summaries)
         for key in "grades", "reasons", "again", "upstreams":
             if before[key] != after[key]:
-                wrong.append(f"stripped: other figures by {key}")
-        # Ids of the lab begin with the seed in hexadecimal and a point; no pseudonym has one.
-        left = set(re.findall(rb"%x\.[0-9a-f]+" % self.seed, raw))
-        left |= {
+                problems.append(f"stripped: the figures by {key} differ")
+        # Ids of the lab begin with the seed in hexadecimal and a dot; no pseudonym contains a dot.
+        originals = set(re.findall(rb"%x\.[0-9a-f]+" % self.seed, raw))
+        originals |= {
             name
-            for name in {life.customer.encode() for life in order if life.customer}
+            for name in {trace.customer.encode() for trace in traces if trace.customer}
             if name in raw
         }
-        if left:
-            wrong.append(f"stripped: {len(left)} originals are left, such as {sorted(left)[0]!r}")
-        return wrong
+        if originals:
+            problems.append(
+                f"stripped: {len(originals)} originals remain, such as {sorted(originals)[0]!r}"
+            )
+        return problems
