--- a/tests/lab/test_discovery_stand_in.py
+++ b/tests/lab/test_discovery_stand_in.py
@@ -321,7 +321,10 @@
     ("longest_watch_s = 'long'", "discovery.longest_watch_s: expected `float"),
     ("waiting = -1", "discovery.waiting: expected `int` >= 0"),
     ("call_per_s = 1", "discovery.call_per_s: is not known; 'calls_per_s' is"),
-    ("[[troubles]]\nwhat = 'discovery_refused'\nat = 1\nsize = 2", "troubles[0].size: a fraction"),
+    (
+        "[[troubles]]\nwhat = 'discovery_refused'\nat = 1\nsize = 2",
+        "troubles[0].size: must be a fraction of the calls, at most 1",
+    ),
     ("[[troubles]]\nwhat = 'discovery_silent'\nat = 1", "troubles[0].what: invalid enum value"),
 ]
 
