--- a/pepperhook/cli/lab_measurements.py
+++ b/pepperhook/cli/lab_measurements.py
@@ -45,9 +45,9 @@
     Sends to a server that does no work. No measurement of the lab can exceed this rate.
     """
     require_lab()
-    from pepperhook.lab import null
+    from pepperhook.lab import load_generator_limit
 
-    result = null.measure(rate, seconds)
+    result = load_generator_limit.measure(rate, seconds)
     if as_json:
         print_json(result)
     else:
@@ -77,14 +77,14 @@
     Compares HTTP/1.1 and HTTP/2 on both sides of a balancer, one combination after another.
     """
     require_lab()
-    from pepperhook.lab import speed as speed_measurement
+    from pepperhook.lab import throughput
 
     with (
         tempfile.TemporaryDirectory(prefix="pepperhook-speed-") as folder,
         reporting_void_run("speed"),
         show_progress(as_json) as update,
     ):
-        result = speed_measurement.measure(rounds, seconds, seed, Path(folder), update)
+        result = throughput.measure(rounds, seconds, seed, Path(folder), update)
     if as_json:
         print_json(result)
         return
@@ -119,14 +119,14 @@
     Measures it while all members join at once, while they get a new version, and while idle.
     """
     require_lab()
-    from pepperhook.lab import controlload
+    from pepperhook.lab import control_benchmark
 
     counts = _parse_member_counts(members)
     with tempfile.TemporaryDirectory(prefix="pepperhook-control-") as folder:
         try:
             with show_progress(as_json) as update:
-                rows = controlload.measure(counts, folder, port, update)
-        except (OSError, controlload.Failed) as error:
+                rows = control_benchmark.measure(counts, folder, port, update)
+        except (OSError, control_benchmark.Failed) as error:
             raise CommandFailedError(f"control-load: {error}") from error
     if as_json:
         print_json(rows)
@@ -194,12 +194,12 @@
     Generates a large trace first, and then summarizes it.
     """
     require_lab()
-    from pepperhook.lab import tracesize
+    from pepperhook.lab import trace_summary_benchmark
 
     with tempfile.TemporaryDirectory(prefix="pepperhook-trace-") as folder:
         try:
             with show_progress(as_json) as update:
-                result = tracesize.measure(megabytes, seed, folder, update)
+                result = trace_summary_benchmark.measure(megabytes, seed, folder, update)
         except (OSError, RuntimeError) as error:
             raise CommandFailedError(f"trace-size: {error}") from error
     if as_json:
--- a/pepperhook/cli/lab_soak.py
+++ b/pepperhook/cli/lab_soak.py
@@ -49,10 +49,10 @@
     one is void because the machine had too little CPU time.
     """
     require_lab()
-    from pepperhook.lab import planted
+    from pepperhook.lab import defects
     from pepperhook.lab.soak import run
 
-    if plant is not None and plant not in planted.FAULTS:
+    if plant is not None and plant not in defects.DEFECTS:
         raise InvalidInputError(f"no fault has the name {plant!r}")
     numbers = _parse_seeds(seeds)
     verdicts = []
--- a/pepperhook/cli/lab_support.py
+++ b/pepperhook/cli/lab_support.py
@@ -26,7 +26,7 @@
 
     Such a run has no verdict, so it shows no fault of the balancer.
     """
-    from pepperhook.lab.day import Failed
+    from pepperhook.lab.scenario_run import Failed
 
     try:
         yield
@@ -37,7 +37,7 @@
 @contextmanager
 def reporting_failed_run(name: str) -> Iterator[None]:
     """Report a run that was aborted as a failure."""
-    from pepperhook.lab.day import Failed
+    from pepperhook.lab.scenario_run import Failed
 
     try:
         yield
--- a/pepperhook/lab/audit.py
+++ b/pepperhook/lab/audit.py
@@ -74,14 +74,14 @@
 class Auditor:
     """Checks the rows of one run against the rules and computes its figures."""
 
-    def __init__(self, day, rows, start, blind=()):
+    def __init__(self, scenario, rows, start, blind=()):
         """Index the rows.
 
         ``start`` is the start of the run in monotonic nanoseconds. Findings whose names are in
         ``blind`` are not reported. This injects a defect, to test that a scenario notices an
         auditor that fails.
         """
-        self.day, self.start, self.blind = day, start, blind
+        self.scenario, self.start, self.blind = scenario, start, blind
         self.examples, self.excused = defaultdict(list), Counter()
         rows_by_type = defaultdict(list)
         for row in rows:
@@ -101,7 +101,7 @@
         for works in self.works_by_id.values():
             works.sort(key=lambda work: work.came)
         # Indexes by idempotency key (the id of the first attempt), where clients send duplicates.
-        self.has_duplicates = day.clients.duplicates > 0
+        self.has_duplicates = scenario.clients.duplicates > 0
         self.first_ids = (
             {attempt.id: attempt.first for attempt in self.attempts if not attempt.tier}
             if self.has_duplicates
@@ -270,7 +270,7 @@
                 elif executed and (
                     effect == "at_most_once"
                     or effect == "deduplicated"
-                    and self.day.grades[attempt.grade].group != "all"
+                    and self.scenario.service_classes[attempt.grade].group != "all"
                 ):
                     self.add_finding(
                         2,
@@ -281,7 +281,7 @@
 
     def effect(self, grade):
         """Return the effect of a service class, given by its index."""
-        return self.day.grades[grade].effect
+        return self.scenario.service_classes[grade].effect
 
     # Rule 2: only what is safe to repeat runs more than once.
 
@@ -293,8 +293,8 @@
         """
         if len(works) < 2:
             return
-        grade = self.day.grades[works[0].grade]
-        first_run, parallel_permitted = None, self.day.permissions.get("parallelTries", False)
+        grade = self.scenario.service_classes[works[0].grade]
+        first_run, parallel_permitted = None, self.scenario.permissions.get("parallelTries", False)
         # Whether the balancer was killed between the first two attempts. That excuses the second
         # even if the upstream had answered: the answer may have been lost with the balancer.
         killed_between = any(
@@ -363,7 +363,7 @@
         Also check that no balancer cancelled work while another request with the key was waiting
         for its answer.
         """
-        grade = self.day.grades[works[0].grade]
+        grade = self.scenario.service_classes[works[0].grade]
         if grade.effect == "idempotent":
             return
         executed = [work for work in works if work.began]
@@ -432,7 +432,7 @@
         entries = defaultdict(list)
         for row in sorted(self.list_entries, key=lambda row: row.at):
             entries[row.tier, row.caller, row.upstream].append(row)
-        grace = int(self.day.safety.get("drainGraceUs", 300_000)) * 1000 + TOLD_NS
+        grace = int(self.scenario.safety.get("drainGraceUs", 300_000)) * 1000 + TOLD_NS
         for work in self.works:
             rows = entries.get((work.tier, work.caller, work.upstream))
             if not rows:
@@ -483,7 +483,7 @@
         They are the earnings of its service class within the latency objective (without one, the
         time limit), the late earnings after it, and 0 if the request was not served.
         """
-        grade = self.day.grades[first.grade]
+        grade = self.scenario.service_classes[first.grade]
         if served_at is None:
             return 0.0
         return (
@@ -495,7 +495,7 @@
     def figures(self):
         """Return the figures of the run by name."""
         requests = self.requests()
-        possible = sum(self.day.grades[first.grade].earnings for first, _ in requests)
+        possible = sum(self.scenario.service_classes[first.grade].earnings for first, _ in requests)
         earned = sum(self.earned(*request) for request in requests)
         entry_attempts = [attempt for attempt in self.attempts if not attempt.tier]
         outcomes = Counter(outcome(attempt) for attempt in entry_attempts)
@@ -512,10 +512,12 @@
         }
         # The calls that one client request causes at a tier, without retries.
         calls, amplification = 1, {}
-        for number, tier in enumerate(self.day.tiers):
+        for number, tier in enumerate(self.scenario.tiers):
             amplification[str(number)] = ratio(received[number], len(requests) * calls)
             calls *= max(1, tier.calls)
-        figures["dispatches"] = {str(tier): received[tier] for tier in range(len(self.day.tiers))}
+        figures["dispatches"] = {
+            str(tier): received[tier] for tier in range(len(self.scenario.tiers))
+        }
         figures["amplification"] = amplification
         figures["work_s"] = round(sum(work.worked for work in self.works) / S, 3)
         wasted = [work for work in self.works if work.outcome != "served" and work.worked]
@@ -536,15 +538,20 @@
         figures["cold"] = self.cold_starts()
         figures["shortest_leave_ms"] = self.shortest_shutdown_ms()
         figures["worst_ten_seconds"] = self.worst_window_goodput()
-        for field, count in ("customer", len(self.day.customers)), ("grade", len(self.day.grades)):
-            definitions = getattr(self.day, field + "s")
+        for field, definitions in (
+            ("customer", self.scenario.tenants),
+            ("grade", self.scenario.service_classes),
+        ):
             goodputs = {}
-            for index in range(count):
+            for index in range(len(definitions)):
                 members = [request for request in requests if getattr(request[0], field) == index]
                 if members:
                     goodputs[definitions[index].name] = ratio(
                         sum(self.earned(*request) for request in members),
-                        sum(self.day.grades[request[0].grade].earnings for request in members),
+                        sum(
+                            self.scenario.service_classes[request[0].grade].earnings
+                            for request in members
+                        ),
                     )
             figures[f"goodput_by_{field}"] = goodputs
             figures[f"worst_{field}"] = (
@@ -714,7 +721,7 @@
 
     def by_second(self):
         """Return earnings, outcomes and attempts received per tier, by second of the run."""
-        count = int(self.day.seconds) + 1
+        count = int(self.scenario.seconds) + 1
         series = {
             name: [0.0] * count
             for name in ("earned", "possible", "served", "shed", "failed", "gone", "lost")
@@ -722,13 +729,13 @@
         for first, served_at in self.requests():
             second = min(count - 1, max(0, (first.intended - self.start) // S))
             series["earned"][second] += self.earned(first, served_at)
-            series["possible"][second] += self.day.grades[first.grade].earnings
+            series["possible"][second] += self.scenario.service_classes[first.grade].earnings
         for attempt in self.attempts:
             if not attempt.tier:
                 series[outcome(attempt)][
                     min(count - 1, max(0, (attempt.intended - self.start) // S))
                 ] += 1
-        for tier in range(len(self.day.tiers)):
+        for tier in range(len(self.scenario.tiers)):
             series[f"dispatches_{tier}"] = [0] * count
         for work in self.works:
             series[f"dispatches_{work.tier}"][
@@ -739,7 +746,7 @@
     def worst_window_goodput(self):
         """Return the lowest goodput of any window of the run; None without any request."""
         series, worst = self.by_second(), None
-        for second in range(max(1, int(self.day.seconds) - WORST_WINDOW_S + 1)):
+        for second in range(max(1, int(self.scenario.seconds) - WORST_WINDOW_S + 1)):
             possible = sum(series["possible"][second : second + WORST_WINDOW_S])
             if possible:
                 share = sum(series["earned"][second : second + WORST_WINDOW_S]) / possible
--- a/pepperhook/lab/call_queue.py
+++ b/pepperhook/lab/call_queue.py
@@ -41,7 +41,7 @@
         return cls(
             call_cost_s,
             1 / settings.lines_per_s if settings.lines_per_s else 0.0,
-            settings.waiting * call_cost_s if settings.waiting else inf,
+            settings.max_waiting * call_cost_s if settings.max_waiting else inf,
             settings.timeout_s,
         )
 
--- a/pepperhook/lab/controlload.py
+++ b/pepperhook/lab/control_benchmark.py
@@ -25,7 +25,7 @@
 KEYS = KeyRing([("k1", SECRET)])
 LEASE_S, HEARTBEAT_S, TIMEOUT_S = 10.0, 2.0, 120.0
 UPSTREAMS = 300  # reported by each member
-GRADES = 30  # service classes in the document
+SERVICE_CLASSES = 30  # service classes in the document
 SERVE = "import sys\nfrom pepperhook.cli import main\nmain(sys.argv[1:])"
 
 
@@ -152,7 +152,9 @@
         """Add a version with this latency objective in ms; return its number. Raises Failed."""
         document = {
             "version": 1,
-            "grades": {f"g{number}": {"goal_ms": objective_ms} for number in range(GRADES)},
+            "grades": {
+                f"g{number}": {"goal_ms": objective_ms} for number in range(SERVICE_CLASSES)
+            },
         }
         status, answer = await self.call(
             "POST",
@@ -239,13 +241,13 @@
     return now.user + now.system - before.user - before.system
 
 
-def measure(counts, folder, port, tell=lambda *_: None) -> list[dict]:
+def measure(counts, folder, port, report_progress=lambda *_: None) -> list[dict]:
     """Return a row of figures for each number of members. Raises Failed."""
     import psutil
 
     rows = []
     for at, count in enumerate(counts):
-        tell(f"{count} members", at / len(counts))
+        report_progress(f"{count} members", at / len(counts))
         run_folder = Path(folder) / str(count)
         run_folder.mkdir(parents=True)
         (run_folder / "keys").write_text(f"k1 {SECRET}\n")
--- a/pepperhook/lab/planted.py
+++ b/pepperhook/lab/defects.py
@@ -1,4 +1,4 @@
-"""Run a balancer with an injected defect: ``python -m pepperhook.lab.planted FAULT``.
+"""Run a balancer with an injected defect: ``python -m pepperhook.lab.defects DEFECT``.
 
 A scenario that is played with one of its defects must fail, which shows that its checks detect it.
 """
@@ -634,7 +634,7 @@
     datagram.hmac = AcceptingHmac  # type: ignore[attr-defined]
 
 
-FAULTS = {
+DEFECTS = {
     "incarnation-ignored": incarnation_ignored,
     "suspected-for-ever": suspected_for_ever,
     "falls-in-a-half": falls_in_a_half,
@@ -689,7 +689,7 @@
 
 def main(arguments):
     """Inject the defect named by the first argument and run the balancer."""
-    FAULTS[arguments[0]]()
+    DEFECTS[arguments[0]]()
     return program.main()
 
 
--- a/pepperhook/lab/demo.py
+++ b/pepperhook/lab/demo.py
@@ -14,7 +14,7 @@
 from rich.table import Table
 
 from pepperhook.lab import audit, events, experiment, matrix, report
-from pepperhook.lab.day import Day, store
+from pepperhook.lab.scenario_run import ScenarioRun, write_atomically
 
 DAY = Path(__file__).parent / "days" / "demo.toml"
 S = 10**9
@@ -38,13 +38,13 @@
                 yield self.decoder.decode(line)
 
 
-class LiveRun(Day):
+class LiveRun(ScenarioRun):
     """A run with a live display."""
 
     live = None
 
-    def bring_up(self, load=True):
-        super().bring_up(load)
+    def start_processes(self, load=True):
+        super().start_processes(load)
         # ``tries``: clients' requests of the last two seconds; ``works``: attempts by tier.
         self.tail, self.tries, self.works, self.on = Tail(self.folder), deque(), Counter(), []
 
@@ -61,7 +61,7 @@
         at = (now - self.start) / S
         counts = Counter(audit.outcome(attempt) for attempt in self.tries)
         table = Table(
-            title=f"pepperhook demo, second {max(0, at):.0f} of {self.day.seconds:.0f}",
+            title=f"pepperhook demo, second {max(0, at):.0f} of {self.scenario.seconds:.0f}",
             title_justify="left",
         )
         for name in ("figure", "now"):
@@ -71,17 +71,18 @@
             "  ".join(f"{name} {counts[name] / 2:.0f}" for name in matrix.OUTCOMES),
         )
         in_burst = any(
-            load.at and load.at <= at < load.at + (load.for_ or 0) for load in self.day.load
+            load.start_s and load.start_s <= at < load.start_s + (load.duration_s or 0)
+            for load in self.scenario.load
         )
         faults = [
-            f"{t.what} of upstream {t.tier}.{t.who[0] if t.who else 'all'}"
-            for t in self.day.troubles
-            if t.at <= at < t.at + t.for_
+            f"{t.type} of upstream {t.tier}.{t.target_numbers[0] if t.target_numbers else 'all'}"
+            for t in self.scenario.faults
+            if t.start_s <= at < t.start_s + t.duration_s
         ] + (["a burst of load"] if in_burst else [])
         table.add_row("faults", ", ".join(faults) or "none")
         table.add_row(
             "attempts so far by tier",
-            "  ".join(f"{t}: {self.works[t]}" for t in range(len(self.day.tiers))),
+            "  ".join(f"{t}: {self.works[t]}" for t in range(len(self.scenario.tiers))),
         )
         for name, text in self.balancer_rows():
             table.add_row(name, text)
@@ -92,7 +93,7 @@
         texts = {}
         with open(self.balancers[0, 0].log, encoding="utf-8", errors="replace") as file:
             file.seek(max(0, file.seek(0, 2) - 4000))
-            from pepperhook.lab.day import LINE
+            from pepperhook.lab.scenario_run import LINE
 
             for line in file.read().splitlines()[1:]:
                 pairs = dict(LINE.findall(line))
@@ -107,9 +108,9 @@
                     )
         return sorted(texts.items(), key=lambda row: (row[0] != "retry budget", row[0]))
 
-    def along(self):
-        self.tell = self.show
-        super().along()
+    def run_actions(self):
+        self.report_progress = self.show
+        super().run_actions()
 
     def show(self, _text, share):
         """Update the live display, if there is one."""
@@ -119,19 +120,27 @@
 
 def run(seconds, folder):
     """Run the demo, scaled to ``seconds``, and return the path of its report."""
-    day = experiment.read(DAY)
-    scale = seconds / day.seconds
-    day = replace(
-        day,
+    scenario = experiment.read(DAY)
+    scale = seconds / scenario.seconds
+    scenario = replace(
+        scenario,
         seconds=float(seconds),
-        troubles=[replace(t, at=t.at * scale, for_=t.for_ * scale) for t in day.troubles],
+        faults=[
+            replace(t, start_s=t.start_s * scale, duration_s=t.duration_s * scale)
+            for t in scenario.faults
+        ],
         load=[
-            replace(row, at=row.at * scale, for_=row.for_ and row.for_ * scale) for row in day.load
+            replace(
+                row,
+                start_s=row.start_s * scale,
+                duration_s=row.duration_s and row.duration_s * scale,
+            )
+            for row in scenario.load
         ],
     )
-    variant = day.variants[0]
+    variant = scenario.variants[0]
     folder.mkdir(parents=True, exist_ok=True)
-    demo = LiveRun(day, variant, day.seed, folder / f"{variant.name}-{day.seed}")
+    demo = LiveRun(scenario, variant, scenario.seed, folder / f"{variant.name}-{scenario.seed}")
     console = Console(stderr=True)
     console.print(
         "Starting three tiers, a balancer for each caller, a discovery service and clients, all on "
@@ -140,9 +149,9 @@
     with Live(console=console, refresh_per_second=4, transient=not console.is_terminal) as live:
         demo.live = live if console.is_terminal else None
         result = demo.play()
-    store(folder / "experiment.json", msgspec.json.encode(day))
-    summary = matrix.summary(day, [result])
-    report.write(folder, day, [result], summary)
+    write_atomically(folder / "experiment.json", msgspec.json.encode(scenario))
+    summary = matrix.summary(scenario, [result])
+    report.write(folder, scenario, [result], summary)
     figures = result["figures"]
     console.print(
         f"{figures['wishes']} requests, {figures['served']:.1%} served, "
--- a/pepperhook/lab/discovery.py
+++ b/pepperhook/lab/discovery.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from pepperhook.lab import chance, events, experiment, wire
+from pepperhook.lab import events, experiment, http1, random_draws
 from pepperhook.lab.call_queue import CallQueue
 from pepperhook.lab.instances import GONE, READY, Timeline, host_name
 
 S = 10**9
-# A row with a health state that the protocol does not define, sent if odd_rows is set.
+# A row with a health state that the protocol does not define, sent if adds_unknown_state is set.
 UNKNOWN_STATE_ROW = {"host": "odd", "dial": "127.0.0.1:9", "health": "warming"}
 
 
@@ -29,8 +29,8 @@
         # rows: (number, health state, start in Unix ms) by host name; seq: the list's version.
         self.plan, self.tier, self.rows, self.seq = plan, tier, {}, 1
         self.log = []  # (seq, host) of each change
-        started_ms = 0 if not plan.day.cold else int(time.time() * 1000)
-        for number in range(plan.day.tiers[tier].upstreams):
+        started_ms = 0 if not plan.scenario.cold else int(time.time() * 1000)
+        for number in range(plan.scenario.tiers[tier].upstreams):
             self.rows[host_name(tier, number)] = (number, READY, started_ms)
         self.changed = asyncio.Event()
 
@@ -67,8 +67,8 @@
             rows.append(
                 {
                     "host": name,
-                    "dial": "{}:{}".format(*self.plan.dial(self.tier, number, caller)),
-                    "site": experiment.zone(self.plan.day, number),
+                    "dial": "{}:{}".format(*self.plan.connect_address(self.tier, number, caller)),
+                    "site": experiment.zone_name(self.plan.scenario, number),
                     "class": "m",
                     "block": number % 3,
                     "health": state,
@@ -76,7 +76,7 @@
                     "born_ms": started_ms,
                 }
             )
-        if self.plan.day.discovery.odd_rows and rows:
+        if self.plan.scenario.discovery.adds_unknown_state and rows:
             rows.append(UNKNOWN_STATE_ROW)
         states = [self.rows[name][:2] for name in names]
         if is_whole_list:
@@ -84,7 +84,7 @@
             listed = {number for number, _ in states}
             states += [
                 (n, GONE)
-                for n in range(self.plan.day.tiers[self.tier].upstreams)
+                for n in range(self.plan.scenario.tiers[self.tier].upstreams)
                 if n not in listed
             ]
         return {"seq": self.seq, "whole": is_whole_list, "hosts": rows}, states
@@ -95,7 +95,7 @@
 
     def __init__(self, plan, book):
         self.plan, self.book, self.tasks, self.servers = plan, book, set(), {}
-        self.catalogs = [Catalog(plan, tier) for tier in range(len(plan.day.tiers))]
+        self.catalogs = [Catalog(plan, tier) for tier in range(len(plan.scenario.tiers))]
         # slow: seconds a call takes, 0 for the usual time; lag: delay of list changes in seconds;
         # active_address: index of the address that answers.
         self.down, self.slow, self.lag, self.active_address = False, 0.0, 0.0, 0
@@ -114,8 +114,8 @@
     async def listen(self, address_index):
         """Listen for each tier and caller; ``address_index`` is 0 before a move and 1 after it."""
         servers = self.servers[address_index] = []
-        for tier in range(len(self.plan.day.tiers)):
-            for caller in range(experiment.callers(self.plan.day, tier)):
+        for tier in range(len(self.plan.scenario.tiers)):
+            for caller in range(experiment.caller_count(self.plan.scenario, tier)):
                 servers.append(
                     await asyncio.start_server(
                         lambda reader, writer, tier=tier, caller=caller: self.serve(
@@ -127,12 +127,12 @@
 
     def begin(self, start):
         """Schedule all changes and faults; ``start`` is in monotonic nanoseconds."""
-        self.queue = CallQueue.of(self.plan.day.discovery)
+        self.queue = CallQueue.of(self.plan.scenario.discovery)
         for tier, catalog in enumerate(self.catalogs):
-            for listing in Timeline.of(self.plan.day, tier).listings:
+            for listing in Timeline.of(self.plan.scenario, tier).listings:
                 self.spawn(self.change(start, catalog, listing))
-        for fault in self.plan.day.troubles:
-            if fault.what in experiment.OF_DISCOVERY:
+        for fault in self.plan.scenario.faults:
+            if fault.type in experiment.DISCOVERY_FAULTS:
                 self.spawn(self.run_fault(start, fault))
 
     def spawn(self, coroutine):
@@ -154,29 +154,29 @@
 
     async def run_fault(self, start, fault):
         """Begin one fault at its time and end it; a move does not end."""
-        await self.until(start, fault.at)
-        self.book.add(events.Happened(time.monotonic_ns(), fault.what, -1, -1))
-        if fault.what == "discovery_outage":
+        await self.until(start, fault.start_s)
+        self.book.add(events.Happened(time.monotonic_ns(), fault.type, -1, -1))
+        if fault.type == "discovery_outage":
             self.down = True
             for writer in list(self.writers):
                 writer.transport.abort()
-        elif fault.what == "discovery_slow":
+        elif fault.type == "discovery_slow":
             self.slow = fault.size or 0.5
-        elif fault.what == "discovery_lag":
+        elif fault.type == "discovery_lag":
             self.lag = fault.size or 3.0
-        elif fault.what == "discovery_refused":
+        elif fault.type == "discovery_refused":
             self.refused = fault.size or 1.0
-        elif fault.what == "discovery_silence":
+        elif fault.type == "discovery_silence":
             self.is_silent = True
         else:  # discovery_move: the service answers at another address from now on
             await self.listen(1)
             self.active_address = 1
             return
-        await self.until(start, fault.at + fault.for_)
-        self.book.add(events.Happened(time.monotonic_ns(), fault.what, -1, -1, False))
-        if fault.what == "discovery_refused":
+        await self.until(start, fault.start_s + fault.duration_s)
+        self.book.add(events.Happened(time.monotonic_ns(), fault.type, -1, -1, False))
+        if fault.type == "discovery_refused":
             self.refused = 0.0
-        elif fault.what == "discovery_silence":
+        elif fault.type == "discovery_silence":
             self.is_silent, self.silence_ended_at = False, time.monotonic()
         else:
             self.down, self.slow, self.lag = False, 0.0, 0.0
@@ -188,7 +188,7 @@
     async def serve(self, reader, writer, tier, caller, address_index):
         """Serve one connection until it ends."""
         self.writers.add(writer)
-        messages = wire.Messages()
+        messages = http1.Messages()
         if self.down:
             self.book.add(events.Asked(tier, caller, time.monotonic_ns(), False, False))
         try:
@@ -202,7 +202,7 @@
                         while await reader.read(65536):
                             pass  # until the caller closes the connection
                         return
-        except (wire.Broken, ConnectionError, ValueError, asyncio.CancelledError):
+        except (http1.Broken, ConnectionError, ValueError, asyncio.CancelledError):
             pass
         finally:
             self.writers.discard(writer)
@@ -237,15 +237,15 @@
             )
         )
         if is_unavailable:
-            retry_after_s = self.plan.day.discovery.retry_after_s
+            retry_after_s = self.plan.scenario.discovery.retry_after_s
             writer.write(
-                wire.answer(
+                http1.answer(
                     503, more=b"Retry-After: %d\r\n" % retry_after_s if retry_after_s else b""
                 )
             )
             return True
         document, states = catalog.told(since, caller)
-        writer.write(wire.answer(200, msgspec.json.encode(document)))
+        writer.write(http1.answer(200, msgspec.json.encode(document)))
         now = time.monotonic_ns()
         for number, state in states:
             self.book.add(events.Told(tier, caller, now, number, state))
@@ -254,11 +254,11 @@
     def count_and_check_refusal(self, caller):
         """Count a poll and return whether a fault refuses it, at random by the plan's seed."""
         self.polls += 1
-        return chance.share(self.plan.seed, "discovery", caller, self.polls) < self.refused
+        return random_draws.share(self.plan.seed, "discovery", caller, self.polls) < self.refused
 
     async def wait_for_change(self, catalog, since, wait_s, caller):
         """Keep a watch open until the list changes, it times out or the service goes down."""
-        wait_s = min(wait_s, self.plan.day.discovery.longest_watch_s or inf)
+        wait_s = min(wait_s, self.plan.scenario.discovery.longest_watch_s or inf)
         deadline, watch = time.monotonic() + wait_s, object()
         self.open_watches[watch] = events.Held(catalog.tier, caller, time.monotonic_ns(), 0)
         try:
@@ -288,14 +288,14 @@
                 return False
             await asyncio.sleep(admission.answer_at - now)
             return admission.is_in_time
-        settings = self.plan.day.discovery
-        if settings.waiting and self.waiting_polls >= settings.waiting:
+        settings = self.plan.scenario.discovery
+        if settings.max_waiting and self.waiting_polls >= settings.max_waiting:
             return False
         self.waiting_polls += 1
         try:
             async with self.call_lock:
                 # The service handles one call at a time, of all tiers and callers.
-                await asyncio.sleep(self.slow or settings.answer_ms / 1000)
+                await asyncio.sleep(self.slow or settings.call_duration_ms / 1000)
         finally:
             self.waiting_polls -= 1
         return True
--- a/pepperhook/lab/crooked.py
+++ b/pepperhook/lab/faulty_balancers.py
@@ -1,4 +1,4 @@
-"""Run a deliberately faulty balancer: ``python -m pepperhook.lab.crooked WAY``.
+"""Run a deliberately faulty balancer: ``python -m pepperhook.lab.faulty_balancers WAY``.
 
 Each way breaks one rule, so that a scenario can show that the auditor reports it. ``honest`` breaks
 none; it is a minimal balancer that makes one attempt per request, to the upstreams in turn.
@@ -10,7 +10,7 @@
 import signal
 import sys
 
-from pepperhook.lab import chance, wire
+from pepperhook.lab import http1, random_draws
 
 # Kind of fault: the finding that the auditor must report.
 WAYS = {
@@ -30,7 +30,7 @@
 
 
 class Attempt:
-    """One attempt, an exchange of `wire.Pool`.
+    """One attempt, an exchange of `http1.Pool`.
 
     ``result`` is a future of (status, body, whether the request was never executed). The pool reads
     and sets ``over`` (the attempt has ended), ``link`` (its connection) and ``fresh`` (whether that
@@ -110,8 +110,8 @@
             try:
                 reader, writer = await asyncio.open_connection(*self.discovery)
                 query = "" if since is None else f"?since={since}&timeout_ms=2000"
-                writer.write(wire.message(b"GET", f"/catalog/members{query}".encode(), []))
-                messages = wire.Messages()
+                writer.write(http1.message(b"GET", f"/catalog/members{query}".encode(), []))
+                messages = http1.Messages()
                 while (message := messages.next()) is None:
                     data = await reader.read(65536)
                     if not data:
@@ -138,7 +138,7 @@
         self.states[dial] = state
         if dial not in self.pools:
             host = address(dial)
-            self.pools[dial] = wire.Pool(lambda: host)
+            self.pools[dial] = http1.Pool(lambda: host)
 
     def select(self):
         """Return the address of the next upstream, or None when none is ready."""
@@ -150,13 +150,13 @@
 
     async def serve(self, reader, writer):
         """Handle the requests of one client connection."""
-        messages = wire.Messages()
+        messages = http1.Messages()
         try:
             while data := await reader.read(65536):
                 messages.feed(data)
                 while (message := messages.next()) is not None:
                     await self.handle(writer, *message)
-        except (wire.Broken, ConnectionError):
+        except (http1.Broken, ConnectionError):
             pass
         finally:
             writer.close()
@@ -165,12 +165,12 @@
         """Handle one request; a fraction, chosen by the request id, is handled faultily."""
         path = head.start[1]
         if path == b"/_health":
-            writer.write(wire.answer(200 if self.states else 503))
+            writer.write(http1.answer(200 if self.states else 503))
             return
         request_id = head.headers[b"x-request-id"]
         service_class = self.service_classes[path.split(b"/")[1].decode()]
         limit_s = head.number(b"x-timeout-ms", 1000) / 1000
-        is_faulty = chance.share("crooked", request_id) < 1 / FAULTY_ONE_IN
+        is_faulty = random_draws.share("crooked", request_id) < 1 / FAULTY_ONE_IN
         way = self.way if is_faulty else None
         is_unsafe = service_class["effect"] == "at_most_once"
         headers = [
@@ -179,18 +179,18 @@
             if name.lower() in head.headers
         ]
         headers.append((b"X-Timeout-Ms", b"%d" % max(1, int(limit_s * 1000))))
-        data = wire.message(head.start[0], path, headers, body)
+        data = http1.message(head.start[0], path, headers, body)
 
         def send(dial=None):
             dial = dial or self.select()
             return Attempt(self.pools[dial], data, limit_s) if dial else None
 
         if way == "invents":
-            writer.write(wire.answer(200, b"0.0.made-up.1\n"))
+            writer.write(http1.answer(200, b"0.0.made-up.1\n"))
             return
         first = send()
         if first is None:
-            writer.write(wire.answer(503, b"shed\n"))
+            writer.write(http1.answer(503, b"shed\n"))
             return
         if way == "overlaps":
             second = send()
@@ -207,11 +207,11 @@
         if way == "late":
             await asyncio.sleep(limit_s + 0.06)
         if way == "sheds-what-ran" and is_unsafe:
-            writer.write(wire.answer(503, b"shed\n"))
+            writer.write(http1.answer(503, b"shed\n"))
         elif status == 200:
-            writer.write(wire.answer(200, response) * (2 if way == "twice" else 1))
+            writer.write(http1.answer(200, response) * (2 if way == "twice" else 1))
         else:
-            writer.write(wire.answer(503 if never_executed else 500))
+            writer.write(http1.answer(503 if never_executed else 500))
 
 
 def address(text):
--- a/pepperhook/lab/wire2.py
+++ b/pepperhook/lab/http2.py
@@ -1,4 +1,4 @@
-"""The HTTP/2 of the stand-ins: a pool with the interface of wire.Pool, and the server side."""
+"""The HTTP/2 of the stand-ins: a pool with the interface of http1.Pool, and the server side."""
 
 import asyncio
 import socket
@@ -11,7 +11,7 @@
 import h2.settings
 
 from pepperhook.http2.connection import Http2Connection
-from pepperhook.lab import wire
+from pepperhook.lab import http1
 
 PREFACE = b"PRI * HTTP/2.0"
 MAX_CONNECTIONS = 4  # per pool, as clients keep few connections for a long time
@@ -112,8 +112,8 @@
             stream[0].lost("the connection ended")
 
 
-class Pool2(wire.Pool):
-    """A wire.Pool for HTTP/2, with few connections of many streams."""
+class Pool2(http1.Pool):
+    """A http1.Pool for HTTP/2, with few connections of many streams."""
 
     def __init__(self, where, on_unsolicited=None, on_excess=None):
         super().__init__(where, on_unsolicited, on_excess)
@@ -227,7 +227,7 @@
                 stream = self.streams[number]
                 try:
                     self.upstream.handle_request(stream, stream, b"")
-                except (wire.Broken, ValueError) as problem:
+                except (http1.Broken, ValueError) as problem:
                     self.upstream.record_event("bad message", text=str(problem))
                     self.h2.reset_stream(number, Codes.PROTOCOL_ERROR)
             elif kind is h2.events.StreamReset and number in self.streams:
@@ -247,7 +247,7 @@
 class ServerStream:
     """One stream of an HTTP/2 connection.
 
-    It has the parts of ServerConnection, wire.Head and a transport that Upstream uses.
+    It has the parts of ServerConnection, http1.Head and a transport that Upstream uses.
     """
 
     def __init__(self, connection, number, headers):
@@ -276,11 +276,11 @@
 
         A malformed one is sent as a response whose body is shorter than its content length.
         """
-        messages = wire.Messages()
+        messages = http1.Messages()
         messages.feed(data)
         try:
             response = messages.next()
-        except wire.Broken:
+        except http1.Broken:
             response = None
         if response is not None and (
             messages.buffer or b"content-length" not in response[0].headers
--- a/pepperhook/lab/instances.py
+++ b/pepperhook/lab/instances.py
@@ -14,7 +14,7 @@
 from math import inf
 
 from pepperhook.lab import experiment
-from pepperhook.lab.experiment import Experiment, Trouble
+from pepperhook.lab.experiment import Experiment, Fault
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
 # Default time from the start of a drain until the upstream rejects requests, and from the start of
@@ -182,23 +182,27 @@
     is_release: bool = False  # for END: only if this fault drains the running instance
 
 
-def _changes(fault: Trouble, index: int, at: float, ends_at: float) -> Iterator[Change]:
+def _changes(fault: Fault, index: int, at: float, ends_at: float) -> Iterator[Change]:
     """Yield the changes that one fault makes at one place."""
     grace_s = fault.size or DRAIN_GRACE_S
-    if fault.what == "drain":
-        yield Change(at, Transition.DRAIN, index, fault.at)
+    if fault.type == "drain":
+        yield Change(at, Transition.DRAIN, index, fault.start_s)
         if at + grace_s < ends_at:
-            yield Change(at + grace_s, Transition.REJECT, index, fault.at)
-        yield Change(ends_at, Transition.SERVE, index, fault.at)
+            yield Change(at + grace_s, Transition.REJECT, index, fault.start_s)
+        yield Change(ends_at, Transition.SERVE, index, fault.start_s)
         return
-    if fault.what == "released":
-        yield Change(at, Transition.DRAIN, index, fault.at)
-        yield Change(at + grace_s, Transition.END, index, fault.at, is_release=True)
+    if fault.type == "released":
+        yield Change(at, Transition.DRAIN, index, fault.start_s)
+        yield Change(at + grace_s, Transition.END, index, fault.start_s, is_release=True)
         ends_at = max(ends_at, at + grace_s + RESTART_S)
     else:
-        yield Change(at, Transition.END, index, fault.at)
+        yield Change(at, Transition.END, index, fault.start_s)
     yield Change(
-        ends_at, Transition.START, index, fault.at, has_new_host_name=fault.what in REPLACING_FAULTS
+        ends_at,
+        Transition.START,
+        index,
+        fault.start_s,
+        has_new_host_name=fault.type in REPLACING_FAULTS,
     )
 
 
@@ -210,13 +214,13 @@
     listings: list[Listing]
 
     @classmethod
-    def of(cls, day: Experiment, tier: int) -> Timeline:
+    def of(cls, scenario: Experiment, tier: int) -> Timeline:
         """Return the timeline of a tier; all times are in seconds since the start of the run."""
         changes: dict[int, list[Change]] = {}
-        for index, fault in enumerate(day.troubles):
-            if fault.tier != tier or fault.what not in LIFECYCLE_FAULTS:
+        for index, fault in enumerate(scenario.faults):
+            if fault.tier != tier or fault.type not in LIFECYCLE_FAULTS:
                 continue
-            for number, at, ends_at in experiment.moments(day, fault):
+            for number, at, ends_at in experiment.fault_periods(scenario, fault):
                 changes.setdefault(number, []).extend(_changes(fault, index, at, ends_at))
         places = []
         for number, rows in changes.items():
@@ -227,7 +231,7 @@
         return cls(
             sorted((step for place in places for step in place.steps), key=lambda row: row.at),
             sorted(
-                (row for place in places for row in place.listings(day.discovery.notice_s)),
+                (row for place in places for row in place.listings(scenario.discovery.notice_s)),
                 key=lambda row: row.at,
             ),
         )
--- a/pepperhook/lab/journals.py
+++ b/pepperhook/lab/journals.py
@@ -203,14 +203,16 @@
     }
 
 
-def measure(folder, tell, counts=(10_000, 100_000, 1_000_000), requests=20_000, rounds=3):
+def measure(
+    folder, report_progress, counts=(10_000, 100_000, 1_000_000), requests=20_000, rounds=3
+):
     """Measure writing, then recovery by the number of entries.
 
     The journals alternate in writing, so that a disk that slows down affects both.
     """
     writing = {"own": [], "sqlite": []}
     for turn in range(rounds):
-        tell(f"writing, round {turn + 1} of {rounds}", turn / rounds / 2)
+        report_progress(f"writing, round {turn + 1} of {rounds}", turn / rounds / 2)
         pairs = [
             ("own", lambda: open_journal(folder / f"w{turn}")),
             ("sqlite", lambda: Sqlite(folder / f"w{turn}.db")),
@@ -227,7 +229,7 @@
         "reading": reading,
     }
     for at, count in enumerate(counts):
-        tell(f"reading {count:,} entries", 0.5 + at / len(counts) / 2)
+        report_progress(f"reading {count:,} entries", 0.5 + at / len(counts) / 2)
         count_folder = folder / str(count)
         count_folder.mkdir()
         fill(count_folder, count)
--- a/pepperhook/lab/load.py
+++ b/pepperhook/lab/load_generator.py
@@ -1,4 +1,4 @@
-"""Load generator: ``python -m pepperhook.lab.load PLAN FOLDER``.
+"""Load generator: ``python -m pepperhook.lab.load_generator PLAN FOLDER``.
 
 It runs an open loop from a seeded arrival process, closed-loop clients and misbehaving clients.
 Latency counts from the intended send time. A generator that waits for a slow balancer before it
@@ -16,7 +16,7 @@
 import numpy
 from hdrh.histogram import HdrHistogram
 
-from pepperhook.lab import chance, events, wire
+from pepperhook.lab import events, http1, random_draws
 from pepperhook.lab.experiment import Plan
 
 MS, S = 10**6, 10**9
@@ -33,39 +33,45 @@
 AFTER_LOSS = 200
 
 
-def arrivals(day, seed):
-    """Return the open loop's arrivals as sorted arrays: (ns, grade, customer, balancer).
+def arrivals(scenario, seed):
+    """Return the open loop's arrivals as sorted arrays: (ns, service_class, tenant, balancer).
 
-    Customer and balancer are -1 where none is given. Arrivals are a Poisson process, thinned on
+    Tenant and balancer are -1 where none is given. Arrivals are a Poisson process, thinned on
     ramps; the number of requests in a burst is geometrically distributed.
     """
     parts = []
-    for index, load in enumerate(day.load):
+    for index, load in enumerate(scenario.load):
         rng = numpy.random.default_rng([seed, index])
-        ends = day.seconds if load.for_ is None else min(day.seconds, load.at + load.for_)
-        duration, peak_rate = ends - load.at, max(load.rate, load.to or 0.0)
+        ends = (
+            scenario.seconds
+            if load.duration_s is None
+            else min(scenario.seconds, load.start_s + load.duration_s)
+        )
+        duration, peak_rate = ends - load.start_s, max(load.rate, load.end_rate or 0.0)
         if duration <= 0 or not peak_rate:
             continue
         times = numpy.sort(rng.uniform(0, duration, rng.poisson(peak_rate / load.burst * duration)))
-        if load.to is not None:
-            rate = load.rate + (load.to - load.rate) * times / duration
+        if load.end_rate is not None:
+            rate = load.rate + (load.end_rate - load.rate) * times / duration
             times = times[rng.uniform(0, peak_rate, len(times)) < rate]
         if load.burst > 1:
             times = numpy.repeat(times, rng.geometric(1 / load.burst, len(times)))
-        names = [g.name for g in day.grades], [c.name for c in day.customers]
-        grades = (
-            numpy.full(len(times), names[0].index(load.grade))
-            if load.grade
-            else rng.choice(len(day.grades), len(times), p=shares(day.grades))
+        names = [g.name for g in scenario.service_classes], [c.name for c in scenario.tenants]
+        service_classes = (
+            numpy.full(len(times), names[0].index(load.service_class))
+            if load.service_class
+            else rng.choice(
+                len(scenario.service_classes), len(times), p=shares(scenario.service_classes)
+            )
         )
-        if load.customer:
-            customers = numpy.full(len(times), names[1].index(load.customer))
-        elif day.customers:
-            customers = rng.choice(len(day.customers), len(times), p=shares(day.customers))
+        if load.tenant:
+            tenants = numpy.full(len(times), names[1].index(load.tenant))
+        elif scenario.tenants:
+            tenants = rng.choice(len(scenario.tenants), len(times), p=shares(scenario.tenants))
         else:
-            customers = numpy.full(len(times), -1)
+            tenants = numpy.full(len(times), -1)
         to = numpy.full(len(times), -1 if load.balancer is None else load.balancer)
-        parts.append(((load.at + times) * S, grades, customers, to))
+        parts.append(((load.start_s + times) * S, service_classes, tenants, to))
     if not parts:
         return tuple(numpy.array([], dtype=int) for _ in range(4))
     joined = [numpy.concatenate(part) for part in zip(*parts)]
@@ -88,14 +94,16 @@
     """
 
     def __init__(self, plan):
-        self.seed, self.config = plan.seed, plan.day.front
-        self.addresses = [plan.balancer(0, number) for number in range(plan.day.tiers[0].balancers)]
+        self.seed, self.config = plan.seed, plan.scenario.front
+        self.addresses = [
+            plan.balancer(0, number) for number in range(plan.scenario.tiers[0].balancers)
+        ]
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
         self.alive = list(self.addresses)
         self.last_healthy_at = dict.fromkeys(self.addresses, time.monotonic())
         self.turn = 0
         ranked = sorted(
-            self.addresses, key=lambda address: chance.share(plan.seed, "rank", address)
+            self.addresses, key=lambda address: random_draws.share(plan.seed, "rank", address)
         )
         self.weights = {
             address: (rank + 1) ** -self.config.skew for rank, address in enumerate(ranked)
@@ -108,7 +116,7 @@
         self.turn += 1
         if not self.config.skew:
             return self.alive[self.turn % len(self.alive)]
-        drawn = chance.share(self.seed, "deal", self.turn) * sum(
+        drawn = random_draws.share(self.seed, "deal", self.turn) * sum(
             self.weights[address] for address in self.alive
         )
         for address in self.alive:
@@ -158,8 +166,8 @@
         "id",
         "first",  # id of the first try; its own unless it is a retry or a copy
         "number",  # 0: first try; else the number of the retry or copy
-        "grade",
-        "customer",
+        "service_class",
+        "tenant",
         "intended",
         "sent",
         "limit",
@@ -179,16 +187,16 @@
 
     data: bytes  # the message as sent, kept for sending it again on a new connection
 
-    def __init__(self, load, identity, first, number, grade, customer, intended, to=-1):
-        self.load, self.id, self.first, self.number, self.grade = (
+    def __init__(self, load, identity, first, number, service_class, tenant, intended, to=-1):
+        self.load, self.id, self.first, self.number, self.service_class = (
             load,
             identity,
             first,
             number,
-            grade,
+            service_class,
         )
-        self.customer, self.intended, self.sent, self.future = customer, intended, 0, None
-        self.limit, self.to, self.pool = load.limits[grade], to, load.pools[to]
+        self.tenant, self.intended, self.sent, self.future = tenant, intended, 0, None
+        self.limit, self.to, self.pool = load.limits[service_class], to, load.pools[to]
         self.link, self.fresh, self.over, self.resent, self.leaves_early = (
             None,
             False,
@@ -202,28 +210,32 @@
         """Send the request and start its timer."""
         load = self.load
         load.open += 1
-        name, method = load.targets[self.grade]
+        name, method = load.targets[self.service_class]
         headers = [
             (b"X-Request-ID", self.id.encode()),
             (b"X-Timeout-Ms", b"%d" % (self.limit // MS)),
         ]
-        if self.customer >= 0:
-            headers.append((b"X-Tenant-Id", load.customers[self.customer]))
+        if self.tenant >= 0:
+            headers.append((b"X-Tenant-Id", load.tenants[self.tenant]))
         if self.number:
             headers.append((b"X-Retried", b"1"))
-        if load.day.clients.duplicates and not self.number and load.has_effect[self.grade]:
+        if (
+            load.scenario.clients.duplicates
+            and not self.number
+            and load.has_effect[self.service_class]
+        ):
             load.duplicate(self)
-        if load.keyed[self.grade]:
+        if load.keyed[self.service_class]:
             headers.append((b"Idempotency-Key", self.first.encode()))
         self.sent = time.monotonic_ns()
         patience = load.patience if load.patience is not None else self.limit + 2 * SLACK_NS
-        leave = load.day.clients.leave
-        if leave and (draw := chance.share(load.plan.seed, "leave", self.id)) < leave:
+        leave = load.scenario.clients.leave_fraction
+        if leave and (draw := random_draws.share(load.plan.seed, "leave", self.id)) < leave:
             # Drawn by the request's id, so it is the same for HTTP/1.1 and HTTP/2.
             self.leaves_early = True
             patience = self.limit * draw / leave / 3
         self.timer = load.loop.call_later(patience / S, self.on_timeout)
-        self.pool.ask(self, method, name, headers, load.bodies[self.grade])
+        self.pool.ask(self, method, name, headers, load.bodies[self.service_class])
 
     def written(self):
         """Set the send time: the client's time limit counts from sending, after connecting."""
@@ -248,10 +260,14 @@
             return
         self.done("lost", 0, "", why)
         load = self.load
-        if load.day.clients.duplicates and load.has_effect[self.grade] and self.number < AFTER_LOSS:
+        if (
+            load.scenario.clients.duplicates
+            and load.has_effect[self.service_class]
+            and self.number < AFTER_LOSS
+        ):
             # Like a client whose connection broke: send a copy at once, and another when a killed
             # balancer may be running again.
-            for wait in 0.05, 2.2 + chance.share(load.plan.seed, "lost", self.id):
+            for wait in 0.05, 2.2 + random_draws.share(load.plan.seed, "lost", self.id):
                 load.loop.call_later(
                     wait, load.copy, self, AFTER_LOSS + 2 * self.number + int(wait)
                 )
@@ -283,8 +299,8 @@
                 self.id,
                 self.first,
                 self.number,
-                self.grade,
-                self.customer,
+                self.service_class,
+                self.tenant,
                 self.intended,
                 self.sent,
                 now,
@@ -308,36 +324,39 @@
     """The clients of one run."""
 
     def __init__(self, plan, folder, where=None):
-        self.plan, self.day, self.folder, self.loop = (
+        self.plan, self.scenario, self.folder, self.loop = (
             plan,
-            plan.day,
+            plan.scenario,
             folder,
             asyncio.get_running_loop(),
         )
         self.book = events.Book(f"{folder}/clients.rows")
         self.front = Front(plan)
-        make = wire.Pool
-        if plan.day.clients.protocol == "h2":
-            from pepperhook.lab.wire2 import Pool2 as make
+        make = http1.Pool
+        if plan.scenario.clients.protocol == "h2":
+            from pepperhook.lab.http2 import Pool2 as make
         self.pools = {-1: make(where or self.front.next_address, self.unasked, self.unasked)}
         for number, address in enumerate(self.front.addresses):
             self.pools[number] = make(lambda address=address: address, self.unasked, self.unasked)
-        grades = plan.day.grades
-        self.limits = [int((g.client_limit_ms or g.time_limit_ms) * MS) for g in grades]
+        service_classes = plan.scenario.service_classes
+        self.limits = [int((g.client_limit_ms or g.time_limit_ms) * MS) for g in service_classes]
         self.targets = [  # (path, method) by service class
             (b"/" + g.name.encode(), b"GET" if g.effect == "idempotent" else b"POST")
-            for g in grades
+            for g in service_classes
         ]
         self.bodies = [
-            b"x" * max(2, g.body_bytes) if g.effect != "idempotent" else b"" for g in grades
+            b"x" * max(2, g.body_bytes) if g.effect != "idempotent" else b""
+            for g in service_classes
         ]
-        self.has_effect = [g.effect != "idempotent" for g in grades]
+        self.has_effect = [g.effect != "idempotent" for g in service_classes]
         self.keyed = [
-            g.effect == "deduplicated" or g.effect == "at_most_once" and plan.day.clients.duplicates
-            for g in grades
+            g.effect == "deduplicated"
+            or g.effect == "at_most_once"
+            and plan.scenario.clients.duplicates
+            for g in service_classes
         ]
-        self.customers = [c.name.encode() for c in plan.day.customers]
-        clients = plan.day.clients
+        self.tenants = [c.name.encode() for c in plan.scenario.tenants]
+        clients = plan.scenario.clients
         self.patience = None if clients.patience_ms is None else int(clients.patience_ms * MS)
         self.latency, self.served, self.lateness = (HdrHistogram(1, 60 * 10**6, 3) for _ in "abc")
         self.open, self.count, self.tasks, self.ends = 0, 0, set(), None
@@ -356,7 +375,7 @@
 
     def failed(self, exchange, after_s):
         """Schedule a client's retry, which is a new request to the balancer."""
-        clients = self.day.clients
+        clients = self.scenario.clients
         if (
             exchange.number >= clients.retries
             or exchange.future is not None
@@ -367,7 +386,7 @@
             clients.backoff_ms
             / 1000
             * 2**exchange.number
-            * (0.5 + chance.share(self.plan.seed, "back", exchange.id))
+            * (0.5 + random_draws.share(self.plan.seed, "back", exchange.id))
         )
         self.loop.call_later(max(wait, after_s), self.again, exchange)
 
@@ -379,8 +398,8 @@
             f"{exchange.first}r{number}",
             exchange.first,
             number,
-            exchange.grade,
-            exchange.customer,
+            exchange.service_class,
+            exchange.tenant,
             time.monotonic_ns(),
             exchange.to,
         ).begin()
@@ -394,10 +413,10 @@
         """
 
         def draw(*names):
-            return chance.share(self.plan.seed, "copy", exchange.id, *names)
+            return random_draws.share(self.plan.seed, "copy", exchange.id, *names)
 
         limit = exchange.limit / S
-        for number in range(int(draw() * (self.day.clients.duplicates + 1))):
+        for number in range(int(draw() * (self.scenario.clients.duplicates + 1))):
             kind, position = int(draw(number) * 6), draw(number, "at")
             if kind == 2:
                 exchange.copies_at_end += 1
@@ -421,24 +440,24 @@
                 f"{exchange.first}k{number}",
                 exchange.first,
                 COPY + number,
-                exchange.grade,
-                exchange.customer,
+                exchange.service_class,
+                exchange.tenant,
                 time.monotonic_ns(),
                 exchange.to,
             ).begin()
 
     async def play(self, start):
         """Send all requests of the run, then wait for the last responses."""
-        self.ends = start + int(self.day.seconds * S)
+        self.ends = start + int(self.scenario.seconds * S)
         self.spawn(self.front.watch())
         self.spawn(self.write())
-        for number in range(self.day.clients.closed):
+        for number in range(self.scenario.clients.closed_loop_clients):
             self.spawn(self.closed(start, number))
-        for kind, count in self.day.clients.bad.items():
+        for kind, count in self.scenario.clients.misbehaving.items():
             for number in range(count):
                 self.spawn(self.bad(start, kind, number))
-        times, grades, customers, to = (
-            part.tolist() for part in arrivals(self.day, self.plan.seed)
+        times, service_classes, tenants, to = (
+            part.tolist() for part in arrivals(self.scenario, self.plan.seed)
         )
         seed_hex, index, total = f"{self.plan.seed:x}", 0, len(times)
         while index < total:
@@ -450,8 +469,8 @@
                     identity,
                     identity,
                     0,
-                    grades[index],
-                    customers[index],
+                    service_classes[index],
+                    tenants[index],
                     start + times[index],
                     to[index],
                 ).begin()
@@ -468,11 +487,11 @@
         longest = (
             (max(self.limits) + 2 * SLACK_NS) / S
             + AFTER_S
-            + (2.0 if self.day.clients.duplicates else 0.0)
+            + (2.0 if self.scenario.clients.duplicates else 0.0)
         )
         stop = time.monotonic() + longest
         quiet = time.monotonic() + (
-            2.0 if self.day.clients.duplicates else 0.0
+            2.0 if self.scenario.clients.duplicates else 0.0
         )  # copies are still scheduled
         while (self.open or time.monotonic() < quiet) and time.monotonic() < stop:
             await asyncio.sleep(0.02)
@@ -493,21 +512,23 @@
         while time.monotonic_ns() < self.ends:
             turn += 1
             identity = f"{self.plan.seed:x}c{number:x}.{turn:x}"
-            draw = chance.share(self.plan.seed, "grade", identity)
-            grade = int(numpy.searchsorted(numpy.cumsum(shares(self.day.grades)), draw))
+            draw = random_draws.share(self.plan.seed, "grade", identity)
+            service_class = int(
+                numpy.searchsorted(numpy.cumsum(shares(self.scenario.service_classes)), draw)
+            )
             exchange = Exchange(
                 self,
                 identity,
                 identity,
                 0,
-                grade,
-                -1 if not self.customers else number % len(self.customers),
+                service_class,
+                -1 if not self.tenants else number % len(self.tenants),
                 time.monotonic_ns(),
             )
             exchange.future = self.loop.create_future()
             exchange.begin()
             await exchange.future
-            await asyncio.sleep(self.day.clients.think_ms / 1000)
+            await asyncio.sleep(self.scenario.clients.think_ms / 1000)
 
     async def bad(self, start, kind, number):
         """Run a misbehaving client; its messages aren't requests of the run and aren't audited."""
@@ -518,7 +539,7 @@
             turn += 1
             identity = f"bad-{kind}-{number}-{turn}".encode()
             headers = [(b"X-Request-ID", identity), (b"X-Timeout-Ms", b"500")]
-            valid = wire.message(method, name, headers, b"{}" if method == b"POST" else b"")
+            valid = http1.message(method, name, headers, b"{}" if method == b"POST" else b"")
             data, wait = {
                 "mute": (valid * 20, 2.0),  # requests whose responses are never read
                 "half": (valid[: len(valid) // 2], 2.0),  # half a request
@@ -594,7 +615,7 @@
 def main(arguments):
     import uvloop
 
-    from pepperhook.lab.stage import begin
+    from pepperhook.lab.stand_ins import begin
 
     plan, folder = arguments[:2]
     address = (arguments[2], int(arguments[3])) if len(arguments) > 2 else None
--- a/pepperhook/lab/null.py
+++ b/pepperhook/lab/load_generator_limit.py
@@ -8,16 +8,16 @@
 import time
 from pathlib import Path
 
-from pepperhook.lab import wire
-from pepperhook.lab.day import Day
-from pepperhook.lab.experiment import Experiment, Grade, Load, Tier, Variant
+from pepperhook.lab import http1
+from pepperhook.lab.experiment import Experiment, Load, ServiceClass, Tier, Variant
+from pepperhook.lab.scenario_run import ScenarioRun
 
 
 class Responder(asyncio.Protocol):
     """Responds to each message immediately."""
 
     def connection_made(self, transport):
-        self.transport, self.messages = transport, wire.Messages()
+        self.transport, self.messages = transport, http1.Messages()
 
     def data_received(self, data):
         self.messages.feed(data)
@@ -25,12 +25,12 @@
             self.transport.write(ANSWER)
 
 
-ANSWER = wire.answer(200, b"0.0.null.1\n")
+ANSWER = http1.answer(200, b"0.0.null.1\n")
 
 
 async def serve(host, port):
     """Run the responder until stdin closes."""
-    from pepperhook.lab.stage import begin
+    from pepperhook.lab.stand_ins import begin
 
     server = await asyncio.get_running_loop().create_server(Responder, host, port)
     _, ended = await begin()
@@ -44,29 +44,33 @@
     The result also has the load generator's own lateness.
     """
     folder = Path(tempfile.mkdtemp(prefix="pepperhook-null-"))
-    day = Experiment(
+    scenario = Experiment(
         version=1,
         name="null",
         seconds=float(seconds),
-        grades=[Grade(name="look", time_limit_ms=1000)],
+        service_classes=[ServiceClass(name="look", time_limit_ms=1000)],
         tiers=[Tier()],
         load=[Load(rate=float(rate))],
     )
-    run = Day(day, Variant(name="null"), 1, folder)
+    run = ScenarioRun(scenario, Variant(name="null"), 1, folder)
     address = run.plan.balancer(0, 0)
     try:
         run.plan.write(folder / "plan.json")
-        responder = run.stage(address[0], address[1], module="pepperhook.lab.null")
-        run.ready(responder)
-        load = run.load = run.stage(address[0], address[1], module="pepperhook.lab.load")
-        run.ready(load)
+        responder = run.start_stand_in(
+            address[0], address[1], module="pepperhook.lab.load_generator_limit"
+        )
+        run.wait_until_ready(responder)
+        load = run.load = run.start_stand_in(
+            address[0], address[1], module="pepperhook.lab.load_generator"
+        )
+        run.wait_until_ready(load)
         start = time.monotonic_ns() + 10**8
-        for process in run.stages:
+        for process in run.stand_ins:
             process.stdin.write(b"%d\n" % start)
             process.stdin.flush()
         load.wait(seconds + 30)
     finally:
-        for process in run.stages:
+        for process in run.stand_ins:
             process.stdin.close()
             try:
                 process.wait(5)
--- a/pepperhook/lab/matrix.py
+++ b/pepperhook/lab/matrix.py
@@ -10,7 +10,7 @@
 import numpy
 
 from pepperhook.lab import experiment
-from pepperhook.lab.day import Day, Worktrees, store
+from pepperhook.lab.scenario_run import ScenarioRun, Worktrees, write_atomically
 
 BLOCK_S = 5  # seconds drawn together by the bootstrap, as consecutive seconds are correlated
 DRAWS = 2000  # bootstrap resamples
@@ -19,17 +19,17 @@
 OUTCOMES = ("served", "shed", "failed", "gone", "lost")
 
 
-def play(day, folder, seed, repeats, only, tell):
+def play(scenario, folder, seed, repeats, only, report_progress):
     """Run the experiment and return the results.
 
-    ``only`` has the names of the variants to run, all if empty; ``tell(text, share)`` reports
-    progress.
+    ``only`` has the names of the variants to run, all if empty; ``report_progress(text, share)``
+    reports progress.
 
     Each result is stored as soon as its run is over; an interrupt skips the remaining runs.
     """
-    variants = [v for v in day.variants if not only or v.name in only]
+    variants = [v for v in scenario.variants if not only or v.name in only]
     folder.mkdir(parents=True, exist_ok=True)
-    store(folder / "experiment.json", msgspec.json.encode(day))
+    write_atomically(folder / "experiment.json", msgspec.json.encode(scenario))
     worktrees, results, count = Worktrees(), [], repeats * len(variants)
     try:
         for round_number in range(repeats):
@@ -42,13 +42,13 @@
                     len(results) / count,
                     f"{variant.name}, seed {seed + round_number}",
                 )
-                run = Day(
-                    day,
+                run = ScenarioRun(
+                    scenario,
                     variant,
                     seed + round_number,
                     folder / f"{variant.name}-{seed + round_number}",
                     worktrees,
-                    lambda what, share, done_share=done_share, label=label: tell(
+                    lambda what, share, done_share=done_share, label=label: report_progress(
                         f"{label}: {what}", done_share + share / count
                     ),
                 )
@@ -70,11 +70,13 @@
 
 def read(folder):
     """Return the experiment and the results in a folder. Raises OSError or ValueError."""
-    day = msgspec.json.decode((folder / "experiment.json").read_bytes(), type=experiment.Experiment)
+    scenario = msgspec.json.decode(
+        (folder / "experiment.json").read_bytes(), type=experiment.Experiment
+    )
     paths = sorted(folder.glob("*/result.json"))
     if not paths:
         raise ValueError("no result.json is in it")
-    return day, [json.loads(path.read_text()) for path in paths]
+    return scenario, [json.loads(path.read_text()) for path in paths]
 
 
 def usable(results):
@@ -184,13 +186,13 @@
     }
 
 
-def summary(day, results):
+def summary(scenario, results):
     """Return a machine-readable summary, with a row per variant.
 
     Each is compared with the first variant that has results.
     """
     by_name, rows, first = by_variant(results), [], None
-    for variant in day.variants:
+    for variant in scenario.variants:
         by_seed = by_name.get(variant.name)
         if not by_seed:
             continue
@@ -204,7 +206,7 @@
             str(t): round(
                 float(numpy.mean([r["figures"]["amplification"][str(t)] or 0 for r in runs])), 4
             )
-            for t in range(len(day.tiers))
+            for t in range(len(scenario.tiers))
         }
         rows.append(
             {
@@ -234,8 +236,8 @@
         )
     void = [f"{r['variant']}, seed {r['seed']}" for r in results if r["void"]]
     return {
-        "experiment": day.name,
-        "seconds": day.seconds,
+        "experiment": scenario.name,
+        "seconds": scenario.seconds,
         "variants": rows,
         "void": void,
         "interrupted": any(r["interrupted"] for r in results),
--- a/pepperhook/lab/network.py
+++ b/pepperhook/lab/network.py
@@ -9,7 +9,7 @@
 from collections import deque
 from contextlib import suppress
 
-from pepperhook.lab import events, experiment, wire
+from pepperhook.lab import events, experiment, http1
 
 S = 10**9
 
@@ -127,7 +127,7 @@
     def shut(self):
         """Make new connections time out, as if the target were unreachable."""
         self.server.close()
-        self.fillers = wire.fill_backlog(self.address)
+        self.fillers = http1.fill_backlog(self.address)
 
     async def reopen(self):
         """Accept connections again."""
@@ -155,21 +155,21 @@
 
     async def open(self):
         """Open the relays of all tiers that have a network."""
-        for tier, settings in enumerate(self.plan.day.tiers):
-            for number in range(settings.upstreams if settings.network else 0):
-                for caller in range(experiment.callers(self.plan.day, tier)):
+        for tier, settings in enumerate(self.plan.scenario.tiers):
+            for number in range(settings.upstreams if settings.has_relays else 0):
+                for caller in range(experiment.caller_count(self.plan.scenario, tier)):
                     relay = Relay(self, self.plan.upstream(tier, number, caller))
                     await relay.open(self.plan.relay(tier, number, caller))
                     relay.ends = (
-                        experiment.zone(self.plan.day, number),
-                        experiment.zone(self.plan.day, caller),
+                        experiment.zone_name(self.plan.scenario, number),
+                        experiment.zone_name(self.plan.scenario, caller),
                     )
                     self.relays.setdefault((tier, number), []).append(relay)
 
     def begin(self, start):
         """Schedule the network faults; ``start`` is the run's start in monotonic nanoseconds."""
-        for fault in self.plan.day.troubles:
-            if fault.what in experiment.OF_NETWORK:
+        for fault in self.plan.scenario.faults:
+            if fault.type in experiment.NETWORK_FAULTS:
                 self.spawn(self.run_fault(start, fault))
 
     async def run_fault(self, start, fault):
@@ -179,34 +179,37 @@
         """
         chosen = [
             relay
-            for number in experiment.targets(self.plan.day, fault)
+            for number in experiment.fault_targets(self.plan.scenario, fault)
             for relay in self.relays[fault.tier, number]
             if fault.zone is None or self.crosses(relay, fault)
         ]
-        for at, on in (fault.at, True), (fault.at + fault.for_, False):
+        for at, on in (fault.start_s, True), (fault.start_s + fault.duration_s, False):
             await asyncio.sleep(max(0, start + int(at * S) - time.monotonic_ns()) / S)
-            self.book.add(events.Happened(time.monotonic_ns(), fault.what, fault.tier, -1, on))
+            self.book.add(events.Happened(time.monotonic_ns(), fault.type, fault.tier, -1, on))
             for relay in chosen:
                 self.set(relay, fault, on)
-                if fault.what == "net_apart":
+                if fault.type == "net_apart":
                     relay.shut() if on else await relay.reopen()
 
     def crosses(self, relay, fault):
         """Whether exactly one of its upstream and its caller is in the fault's zone."""
-        return sum(end == experiment.zone(self.plan.day, fault.zone) for end in relay.ends) == 1
+        return (
+            sum(end == experiment.zone_name(self.plan.scenario, fault.zone) for end in relay.ends)
+            == 1
+        )
 
     @staticmethod
     def set(relay, fault, on):
         """Apply a fault to a relay, or end it."""
-        if fault.what == "net_delay":
+        if fault.type == "net_delay":
             relay.delay_s = (fault.size or 0.05) if on else 0.0
-        elif fault.what == "net_deaf":
+        elif fault.type == "net_deaf":
             relay.deaf = on
-        elif fault.what == "net_mute":
+        elif fault.type == "net_mute":
             relay.mute = on
-        elif fault.what in ("net_silence", "net_apart"):
+        elif fault.type in ("net_silence", "net_apart"):
             relay.silent = on
-        if fault.what == "net_cut" or not on and fault.what != "net_delay":
+        if fault.type == "net_cut" or not on and fault.type != "net_delay":
             # At the end of a fault its half-open connections are reset.
             relay.cut()
 
--- a/pepperhook/lab/proofs/amplification.py
+++ b/pepperhook/lab/proofs/amplification.py
@@ -2,7 +2,7 @@
 
 from msgspec.structs import replace
 
-from pepperhook.lab import planted
+from pepperhook.lab import defects
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
 from pepperhook.lab.report import LINES, SAID, Plots
@@ -33,7 +33,9 @@
         )
         runs, pepperhook_variant = (
             [],
-            Variant(name="pepperhook", plant=self.plant if self.plant in planted.FAULTS else None),
+            Variant(
+                name="pepperhook", defect=self.plant if self.plant in defects.DEFECTS else None
+            ),
         )
         for chance, depth in cases:
             scenario = self.scenario_with(chance, depth)
@@ -147,7 +149,9 @@
 
     def scenario_with(self, chance, depth):
         """Return the scenario with ``depth`` tiers that fail with the given chance."""
-        tier = replace(self.scenario.tiers[0], fail=chance, fail_sticks=self.plant == "stuck")
+        tier = replace(
+            self.scenario.tiers[0], failure_rate=chance, failures_are_sticky=self.plant == "stuck"
+        )
         tiers = [replace(tier, upstreams=4) for _ in range(depth)]
         # Enough requests that the variance of the amplification, since each request is a branching
         # process, stays well under the tolerance.
--- a/pepperhook/lab/proofs/auditor.py
+++ b/pepperhook/lab/proofs/auditor.py
@@ -2,7 +2,7 @@
 
 from msgspec.structs import replace
 
-from pepperhook.lab import crooked, planted
+from pepperhook.lab import defects, faulty_balancers
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
 
@@ -31,16 +31,18 @@
         """Play one run of pepperhook and one of each faulty balancer."""
         blind = self.BLIND.get(self.plant, ())
         long_scenario = replace(self.scenario, seconds=60.0 if self.full else self.scenario.seconds)
-        policy_defect = self.plant if self.plant in planted.FAULTS else None
+        policy_defect = self.plant if self.plant in defects.DEFECTS else None
         correct_variant = Variant(
             name="pepperhook",
-            crooked="loses" if self.plant == "crooked" else None,
-            plant=policy_defect,
+            faulty_balancer="loses" if self.plant == "crooked" else None,
+            defect=policy_defect,
         )
         runs = [(long_scenario, correct_variant, "pepperhook", {})]
         # The faulty balancers do not run the policy: its defects can show only in the first run.
-        for way in () if policy_defect else crooked.WAYS:
-            runs.append((self.scenario, Variant(name=way, crooked=way), way, {"blind": blind}))
+        for way in () if policy_defect else faulty_balancers.WAYS:
+            runs.append(
+                (self.scenario, Variant(name=way, faulty_balancer=way), way, {"blind": blind})
+            )
         results = self.play_concurrently(runs, 4)
         findings = {
             name: {f["name"]: f["count"] for f in result["findings"]}
@@ -48,7 +50,7 @@
         }
         missed = [
             way
-            for way, finding in crooked.WAYS.items()
+            for way, finding in faulty_balancers.WAYS.items()
             if not policy_defect and finding and finding not in findings[way]
         ]
         is_clean = not findings["pepperhook"] and not findings.get("honest")
--- a/pepperhook/lab/proofs/base.py
+++ b/pepperhook/lab/proofs/base.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from pepperhook.lab import experiment
-from pepperhook.lab.day import ROOT, Day, Failed
+from pepperhook.lab.scenario_run import ROOT, Failed, ScenarioRun
 
 
 def void_reason(result):
@@ -91,7 +91,7 @@
         **options: Any,
     ) -> dict[str, Any]:
         """Play one run and return its result, void or not."""
-        result = Day(
+        result = ScenarioRun(
             scenario, variant, self.seed if seed is None else seed, self.folder / name, **options
         ).play()
         if result["interrupted"]:
--- a/pepperhook/lab/proofs/chain.py
+++ b/pepperhook/lab/proofs/chain.py
@@ -31,7 +31,7 @@
         return [self.seed, self.seed + 1, self.seed + 2] if self.full else [self.seed]
 
     def variant_with_context(self, **options):
-        """Return the variant that forwards the context; ``circle`` is set for the loop scenario.
+        """Return the variant that forwards the context; ``is_loop`` is set for the loop scenario.
 
         Its requests return to the first tier, which therefore is not configured as an entry.
         """
@@ -46,13 +46,13 @@
                 {
                     "chain": {
                         "service": f"tier{tier}",
-                        "entry": tier == 0 and not options.get("circle"),
+                        "entry": tier == 0 and not options.get("is_loop"),
                     }
                 }
                 for tier in range(3)
             ],
-            plant=self.plant,
-            **{key: value for key, value in options.items() if key != "circle"},
+            defect=self.plant,
+            **{key: value for key, value in options.items() if key != "is_loop"},
         )
 
     def scenarios(self):
@@ -64,29 +64,40 @@
         def with_fault(kind, **options):
             return replace(
                 base,
-                troubles=[
-                    experiment.Trouble(what=kind, at=1.0, for_=seconds - 2.0, tier=2, **options)
+                faults=[
+                    experiment.Fault(
+                        type=kind, start_s=1.0, duration_s=seconds - 2.0, tier=2, **options
+                    )
                 ],
             )
 
         scenarios = {
-            f"fail {chance:g}": replace(base, tiers=[*base.tiers[:2], replace(last, fail=chance)])
+            f"fail {chance:g}": replace(
+                base, tiers=[*base.tiers[:2], replace(last, failure_rate=chance)]
+            )
             for chance in self.FAILURES
         }
         # The whole last tier nearly stalls, repeatedly. It cancels work whose balancer has closed
         # the connection, so after its client has left work goes on only while a balancer waits.
         cancelling = replace(
-            last, heeds_leaving=True, machine=replace(last.machine, cancel_stops=True)
+            last, cancels_on_disconnect=True, machine=replace(last.machine, cancel_stops=True)
         )
         scenarios["slow"] = replace(
             base,
             tiers=[*base.tiers[:2], cancelling],
-            troubles=[
-                experiment.Trouble(what="slow", at=float(at), for_=1.2, tier=2, part=1.0, size=0.02)
+            faults=[
+                experiment.Fault(
+                    type="slow",
+                    start_s=float(at),
+                    duration_s=1.2,
+                    tier=2,
+                    target_fraction=1.0,
+                    size=0.02,
+                )
                 for at in range(1, int(seconds) - 1, 3)
             ],
         )
-        scenarios["hung"] = with_fault("hang", part=0.45)
+        scenarios["hung"] = with_fault("hang", target_fraction=0.45)
         # Two entry balancers with one service class each: only the tiers behind them choose between
         # requests of high and low value. The lower tiers have shorter latency objectives. With one
         # objective for all tiers the admission queues of the entries, whose size follows from the
@@ -94,34 +105,37 @@
         # no requests to choose from.
         classes = [
             replace(
-                grade,
+                service_class,
                 goal_ms=700.0,
                 inner_goal_ms=80.0,
                 client_limit_ms=1200.0,
                 time_limit_ms=1500.0,
             )
-            for grade in base.grades
+            for service_class in base.service_classes
         ]
         scenarios["overloaded"] = replace(
             base,
-            grades=classes,
+            service_classes=classes,
             tiers=[
                 replace(base.tiers[0], balancers=2),
                 base.tiers[1],
                 replace(cancelling, machine=replace(cancelling.machine, cores=0.25)),
             ],
             load=[
-                replace(base.load[0], rate=300.0, grade="look", balancer=0),
-                replace(base.load[0], rate=60.0, grade="sale", balancer=1),
+                replace(base.load[0], rate=300.0, service_class="look", balancer=0),
+                replace(base.load[0], rate=60.0, service_class="sale", balancer=1),
             ],
         )
         scenarios["forged"] = replace(base, load=[replace(base.load[0], rate=80.0)])
-        circle = replace(base.grades[0], name="circle", share=1.0)
+        circle = replace(base.service_classes[0], name="circle", share=1.0)
         scenarios["loops"] = replace(
             base,
-            grades=[*base.grades, circle],
+            service_classes=[*base.service_classes, circle],
             load=[replace(base.load[0], rate=60.0)],
-            tiers=[*base.tiers[:2], replace(last, circle="circle", tells_time=False)],
+            tiers=[
+                *base.tiers[:2],
+                replace(last, loop_service_class="circle", forwards_remaining_time=False),
+            ],
         )
         return scenarios
 
@@ -130,7 +144,7 @@
         scenarios = self.scenarios()
         runs, off = [], Variant(name="off")
         others = {
-            "half": self.variant_with_context(carry=["pass", "drop"]),
+            "half": self.variant_with_context(header_handling=["pass", "drop"]),
             "naive": Variant(name="naive", module="retries", options={"retries": 3}),
             "budget": Variant(name="budget", module="budget", options={"retries": 3}),
         }
@@ -141,7 +155,7 @@
                 runs.append(
                     (
                         scenarios[name],
-                        self.variant_with_context(carry=carry, circle=name == "loops"),
+                        self.variant_with_context(header_handling=carry, is_loop=name == "loops"),
                         f"{name}: on {seed}",
                         {"seed": seed},
                     )
--- a/pepperhook/lab/proofs/control.py
+++ b/pepperhook/lab/proofs/control.py
@@ -9,19 +9,19 @@
 
 from msgspec.structs import replace
 
-from pepperhook.lab import planted
-from pepperhook.lab.day import ROOT, Day, Failed, unix
-from pepperhook.lab.experiment import Trouble, Variant
+from pepperhook.lab import defects
+from pepperhook.lab.experiment import Fault, Variant
 from pepperhook.lab.proofs.base import Proof
+from pepperhook.lab.scenario_run import ROOT, Failed, ScenarioRun, parse_log_time
 
 SECRET = "the secret of this installation"
-# Runs the command line interface, with the defect of `pepperhook.lab.planted` that the first
+# Runs the command line interface, with the defect of `pepperhook.lab.defects` that the first
 # argument names, if any.
 CLI_WITH_DEFECT = """
 import sys
-from pepperhook.lab import planted
+from pepperhook.lab import defects
 if sys.argv[1]:
-    planted.FAULTS[sys.argv[1]]()
+    defects.DEFECTS[sys.argv[1]]()
 from pepperhook.cli import main
 main(sys.argv[2:])
 """
@@ -30,7 +30,7 @@
 CONTROL_PLANE_DEFECTS = ("lease-forever",)
 
 
-class ControlledDay(Day):
+class ControlledScenarioRun(ScenarioRun):
     """A run with a control plane, in which the defect ``plant`` may be injected."""
 
     def __init__(self, *arguments, plant=None, **options):
@@ -88,15 +88,15 @@
                 time.sleep(0.1)
         raise Failed(f"the control plane does not answer: {last_error}")
 
-    def bring_up(self, load=True):
+    def start_processes(self, load=True):
         """Start the control plane before the other processes."""
         self.start_control_plane()
         self.request("GET", "/v1/members")
-        super().bring_up(load)
+        super().start_processes(load)
 
-    def take_down(self):
+    def stop_processes(self):
         """Stop the control plane after the other processes."""
-        super().take_down()
+        super().stop_processes()
         if self.control_plane is not None and self.control_plane.poll() is None:
             self.control_plane.terminate()
             try:
@@ -112,7 +112,7 @@
             if os.path.exists(balancer.log):
                 with open(balancer.log, encoding="utf-8", errors="replace") as file:
                     rows += [
-                        (tier, number, unix(match[1]), match[2], match[3])
+                        (tier, number, parse_log_time(match[1]), match[2], match[3])
                         for line in file
                         if (match := LINE.match(line))
                     ]
@@ -228,16 +228,16 @@
         scenario = self.scenario = replace(
             scenario,
             seconds=seconds,
-            troubles=[
-                Trouble(what="kill_balancer", at=10.4, for_=1.6, who=[1, 4, 7]),
+            faults=[
+                Fault(type="kill_balancer", start_s=10.4, duration_s=1.6, target_numbers=[1, 4, 7]),
                 # A balancer that is not restarted: its lease expires.
-                Trouble(what="kill_balancer", at=8.0, for_=seconds, who=[9]),
+                Fault(type="kill_balancer", start_s=8.0, duration_s=seconds, target_numbers=[9]),
             ],
         )
         variant = Variant(
             name="controlled",
-            plant=self.plant
-            if self.plant in planted.FAULTS
+            defect=self.plant
+            if self.plant in defects.DEFECTS
             and self.plant not in CONTROL_PLANE_DEFECTS + ("half-version",)
             else None,
             operator={
@@ -248,13 +248,13 @@
                 }
             },
         )
-        run = ControlledDay(
+        run = ControlledScenarioRun(
             scenario,
             variant,
             self.seed,
             self.folder / "controlled",
             plant=self.plant if self.plant in CONTROL_PLANE_DEFECTS else None,
-            script=self.script(responses),
+            extra_actions=self.script(responses),
         )
         run.variant = replace(
             variant, operator={"control": {**variant.operator["control"], "address": run.address}}
@@ -357,7 +357,7 @@
         from pepperhook.key_ring import KeyRing
 
         if self.plant == "half-version":
-            planted.FAULTS[self.plant]()
+            defects.DEFECTS[self.plant]()
         version = sign_version(
             Version(
                 number=1,
--- a/pepperhook/lab/proofs/customers.py
+++ b/pepperhook/lab/proofs/customers.py
@@ -25,7 +25,11 @@
                 self.scenario,
                 seconds=15.0,
                 load=[
-                    replace(row, at=row.at / 2, for_=row.for_ and row.for_ / 2)
+                    replace(
+                        row,
+                        start_s=row.start_s / 2,
+                        duration_s=row.duration_s and row.duration_s / 2,
+                    )
                     for row in self.scenario.load
                 ],
             )
@@ -44,7 +48,7 @@
         self.run_count = 2
         unlimited_result = self.play(scenario, Variant(name="unlimited"), "unlimited")
         limited_result = self.play(scenario, limited, "limited")
-        quiet = [tenant.name for tenant in scenario.customers if tenant.name != "loud"]
+        quiet = [tenant.name for tenant in scenario.tenants if tenant.name != "loud"]
         during = {
             name: self.goodput_during_rush(scenario, result)
             for name, result in (("unlimited", unlimited_result), ("limited", limited_result))
@@ -80,7 +84,7 @@
     def goodput_during_rush(scenario, result):
         """Return the share of the possible earnings during the last load row, the rush."""
         rush, seconds = scenario.load[-1], result["seconds"]
-        rush_seconds = range(int(rush.at), int(rush.at + rush.for_))
+        rush_seconds = range(int(rush.start_s), int(rush.start_s + rush.duration_s))
         return round(
             sum(seconds["earned"][second] for second in rush_seconds)
             / max(1, sum(seconds["possible"][second] for second in rush_seconds)),
--- a/pepperhook/lab/proofs/discovery_overload.py
+++ b/pepperhook/lab/proofs/discovery_overload.py
@@ -45,7 +45,7 @@
     def run(self) -> tuple[bool, dict[str, Any]]:
         """Play the scenario once and check its result."""
         scenario = evenly_loaded(self.scenario if self.full else reduced(self.scenario))
-        result = self.play(scenario, Variant(name="pepperhook", plant=self.plant), "overload")
+        result = self.play(scenario, Variant(name="pepperhook", defect=self.plant), "overload")
         audit = EndpointAudit(events.read(self.folder / self.run_name))
         checks = OverloadChecks(scenario, audit, result["start"])
         findings = {finding["name"]: finding["count"] for finding in result["findings"]}
@@ -97,7 +97,7 @@
             discovery,
             calls_per_s=(discovery.calls_per_s or 0) * fraction,
             lines_per_s=(discovery.lines_per_s or 0) * fraction,
-            waiting=discovery.waiting // QUICK_DIVISOR,
+            max_waiting=discovery.max_waiting // QUICK_DIVISOR,
         ),
     )
 
@@ -107,11 +107,11 @@
 
     def __init__(self, scenario: Experiment, audit: EndpointAudit, start: int) -> None:
         """Compute what the checks need; ``start`` is on the machine's monotonic clock, in ns."""
-        outage = next(fault for fault in scenario.troubles if fault.what == "discovery_outage")
+        outage = next(fault for fault in scenario.faults if fault.type == "discovery_outage")
         self.scenario, self.audit, self.start = scenario, audit, start
         self.ends_at = start + int(scenario.seconds * SECOND)
-        self.outage_at = start + int(outage.at * SECOND)
-        self.reachable_from = self.outage_at + int(outage.for_ * SECOND)
+        self.outage_at = start + int(outage.start_s * SECOND)
+        self.reachable_from = self.outage_at + int(outage.duration_s * SECOND)
         self.balancers = scenario.tiers[0].balancers
         self.calls_per_s = scenario.discovery.calls_per_s or 0.0
         grace_us = int(scenario.safety["drainGraceUs"])
--- a/pepperhook/lab/proofs/h2.py
+++ b/pepperhook/lab/proofs/h2.py
@@ -2,7 +2,7 @@
 
 from msgspec.structs import replace
 
-from pepperhook.lab import experiment, h2memory
+from pepperhook.lab import experiment, request_memory
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
 from pepperhook.lab.report import SAID
@@ -37,7 +37,7 @@
         return Variant(
             name=upstreams,
             operator={"h2": {"upstreams": upstreams}},
-            plant=self.plant,
+            defect=self.plant,
             settings={"permissions": {"cancel": True}},
         )
 
@@ -46,8 +46,8 @@
         base = self.scenario
         seconds = 30.0 if self.full else 8.0
         classes = [
-            replace(grade, body_bytes=3000 if grade.effect == "at_most_once" else 0)
-            for grade in base.grades
+            replace(service_class, body_bytes=3000 if service_class.effect == "at_most_once" else 0)
+            for service_class in base.service_classes
         ]
         # No retries, since whether one is made depends on timing: each request fails or succeeds by
         # its id alone.
@@ -56,28 +56,32 @@
             seconds=seconds,
             load=[replace(base.load[0], rate=60.0)],
             max_dispatches=1,
-            grades=classes,
-            troubles=[
-                experiment.Trouble(what=kind, at=0.0, for_=seconds + 5, part=1.0, size=size)
+            service_classes=classes,
+            faults=[
+                experiment.Fault(
+                    type=kind, start_s=0.0, duration_s=seconds + 5, target_fraction=1.0, size=size
+                )
                 for kind, size in self.SCRIPTED
             ],
         )
 
-        def fault(kind, at, for_, **options):
-            return experiment.Trouble(what=kind, at=seconds * at, for_=seconds * for_, **options)
+        def fault(kind, at, duration, **options):
+            return experiment.Fault(
+                type=kind, start_s=seconds * at, duration_s=seconds * duration, **options
+            )
 
         timed = replace(
             base,
             seconds=seconds,
-            grades=classes,
-            troubles=[
-                fault("slow", 0.1, 0.2, who=[0], size=0.1),
-                fault("hang", 0.25, 0.2, who=[1]),
-                fault("crash", 0.4, 0.15, who=[2]),
-                fault("drain", 0.6, 0.15, who=[3]),
-                fault("errors", 0.75, 0.15, who=[4], size=0.5),
+            service_classes=classes,
+            faults=[
+                fault("slow", 0.1, 0.2, target_numbers=[0], size=0.1),
+                fault("hang", 0.25, 0.2, target_numbers=[1]),
+                fault("crash", 0.4, 0.15, target_numbers=[2]),
+                fault("drain", 0.6, 0.15, target_numbers=[3]),
+                fault("errors", 0.75, 0.15, target_numbers=[4], size=0.5),
             ],
-            clients=replace(base.clients, leave=0.05),
+            clients=replace(base.clients, leave_fraction=0.05),
         )
         return {"scripted": scripted, "timed": timed}
 
@@ -131,7 +135,7 @@
         ]
         figures = {"wrong": problems, "table": table}
         if self.full and not self.plant:
-            figures["memory"] = h2memory.measure(
+            figures["memory"] = request_memory.measure(
                 self.scenarios()["timed"], self.variant("http/1.1"), self.seed, self.folder
             )
         return not problems, figures
--- a/pepperhook/lab/proofs/mass.py
+++ b/pepperhook/lab/proofs/mass.py
@@ -2,10 +2,10 @@
 
 from msgspec.structs import replace
 
-from pepperhook.lab import experiment, planted
-from pepperhook.lab.day import ROOT
+from pepperhook.lab import defects, experiment
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
+from pepperhook.lab.scenario_run import ROOT
 
 # A release, a restart of most front balancers at once, the loss of a zone.
 SCENARIOS = ("roll", "herd", "zone")
@@ -49,7 +49,7 @@
     def run(self):
         """Play each scenario once and check its figures."""
         variant = Variant(
-            name="pepperhook", plant=self.plant if self.plant in planted.FAULTS else None
+            name="pepperhook", defect=self.plant if self.plant in defects.DEFECTS else None
         )
         seed_shift = self.seed - self.scenario.seed
         runs = [
@@ -105,7 +105,7 @@
         return holds, {
             "probe_waits": waits,
             "probe_wait_spread": round(spread, 3),
-            "balancers": sum(experiment.callers(runs[0][0], tier) for tier in range(2)),
+            "balancers": sum(experiment.caller_count(runs[0][0], tier) for tier in range(2)),
             "days": reports,
         }
 
@@ -125,13 +125,17 @@
         scenario,
         tiers=tiers,
         load=load,
-        discovery=replace(scenario.discovery, answer_ms=scenario.discovery.answer_ms * 2),
-        troubles=[
+        discovery=replace(
+            scenario.discovery, call_duration_ms=scenario.discovery.call_duration_ms * 2
+        ),
+        faults=[
             fault
-            if fault.who is None
+            if fault.target_numbers is None
             else replace(
-                fault, who=[n for n in fault.who if n < tiers[fault.tier].upstreams] or [0]
+                fault,
+                target_numbers=[n for n in fault.target_numbers if n < tiers[fault.tier].upstreams]
+                or [0],
             )
-            for fault in scenario.troubles
+            for fault in scenario.faults
         ],
     )
--- a/pepperhook/lab/proofs/membership.py
+++ b/pepperhook/lab/proofs/membership.py
@@ -8,10 +8,10 @@
 from statistics import mean
 
 from pepperhook.key_ring import KeyRing
-from pepperhook.lab import gossip, planted
-from pepperhook.lab.day import Day, Failed, unix
+from pepperhook.lab import defects, gossip
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
+from pepperhook.lab.scenario_run import Failed, ScenarioRun, parse_log_time
 from pepperhook.membership import datagram, fleet_position
 from pepperhook.membership.messages import MemberRecord, MemberState, Message, MessageType
 from pepperhook.membership.settings import NS_PER_S as S
@@ -43,7 +43,7 @@
     def run(self):
         """Run the simulations, and then the run over sockets unless they detected a defect."""
         if self.plant:
-            planted.FAULTS[self.plant]()
+            defects.DEFECTS[self.plant]()
         problems, figures = [], {}
         for name, simulate in (
             ("deaths", self.deaths),
@@ -243,7 +243,7 @@
         scenario = self.scenario
         variant = Variant(
             name="gossip",
-            plant=self.plant,
+            defect=self.plant,
             operator={
                 "gossip": {
                     "listen": "{peer}",
@@ -255,12 +255,12 @@
                 }
             },
         )
-        run = Day(
+        run = ScenarioRun(
             scenario,
             variant,
             self.seed,
             self.folder / "gossip",
-            script=[(9.0, stop), (10.0, resume), (11.0, forge_datagrams)],
+            extra_actions=[(9.0, stop), (10.0, resume), (11.0, forge_datagrams)],
         )
         result = run.play()
         if result["interrupted"]:
@@ -362,7 +362,7 @@
     for (tier, number), balancer in run.balancers.items():
         with open(balancer.log, encoding="utf-8", errors="replace") as file:
             rows += [
-                (tier, number, unix(match[1]), match[2], match[3])
+                (tier, number, parse_log_time(match[1]), match[2], match[3])
                 for line in file
                 if (match := LINE.match(line))
             ]
--- a/pepperhook/lab/proofs/repeats.py
+++ b/pepperhook/lab/proofs/repeats.py
@@ -38,7 +38,7 @@
             "journal": "{folder}/journal-{number}",
             "peers": "{folder}/peers-{tier}.toml",
         }
-        return Variant(name="on", operator={"repeats": {**repeats, **options}}, plant=self.plant)
+        return Variant(name="on", operator={"repeats": {**repeats, **options}}, defect=self.plant)
 
     def scenario_with(self, seconds, kills, rushes, base, rush, outages=(), pauses=()):
         """Return the scenario with faults and load; times are in seconds, rates per second.
@@ -48,29 +48,31 @@
         ``pauses``.
         """
 
-        def fault(kind, at, for_, **options):
-            return experiment.Trouble(what=kind, at=at, for_=for_, **options)
+        def fault(kind, at, duration, **options):
+            return experiment.Fault(type=kind, start_s=at, duration_s=duration, **options)
 
-        faults = [fault("kill_balancer", at, 0.5, who=[balancer]) for at, balancer in kills]
+        faults = [
+            fault("kill_balancer", at, 0.5, target_numbers=[balancer]) for at, balancer in kills
+        ]
         for at in range(2, int(seconds) - 4, 10):
             # Slow upstreams have many requests in flight when a balancer is killed. A crash, a hang
             # and a drain at the same time reject or block requests that repeats wait for.
             faults += [
-                fault("slow", at, 6.0, who=[0, 1, 5], size=0.1),
-                fault("hang", at + 6, 1.5, who=[2]),
-                fault("crash", at + 3, 2.0, who=[3]),
-                fault("drain", at + 1, 4.0, who=[4]),
+                fault("slow", at, 6.0, target_numbers=[0, 1, 5], size=0.1),
+                fault("hang", at + 6, 1.5, target_numbers=[2]),
+                fault("crash", at + 3, 2.0, target_numbers=[3]),
+                fault("drain", at + 1, 4.0, target_numbers=[4]),
             ]
         # All upstreams pause: attempts have started, and if a balancer is killed at that moment,
         # they end when no process knows of them any more.
-        faults += [fault("pause", at, 0.6, part=1.0) for at in pauses]
+        faults += [fault("pause", at, 0.6, target_fraction=1.0) for at in pauses]
         # No upstream accepts connections: requests are queued and rejected while repeats wait for
         # them.
-        faults += [fault("refused", at, 0.3, part=1.0) for at in outages]
+        faults += [fault("refused", at, 0.3, target_fraction=1.0) for at in outages]
         load = [replace(self.scenario.load[0], rate=base)] + [
-            Load(rate=rush, at=at, for_=for_) for at, for_ in rushes
+            Load(rate=rush, start_s=at, duration_s=duration) for at, duration in rushes
         ]
-        return replace(self.scenario, seconds=seconds, troubles=faults, load=load)
+        return replace(self.scenario, seconds=seconds, faults=faults, load=load)
 
     def run(self):
         """Play the scenario with keys, without them and with a store that has room for all."""
@@ -155,7 +157,10 @@
             seconds=8.0,
             clients=Clients(duplicates=0),
             load=[Load(rate=150.0)],
-            grades=[replace(grade, work_ms=2.0, spread=0.0) for grade in self.scenario.grades[1:2]],
+            service_classes=[
+                replace(service_class, work_ms=2.0, spread=0.0)
+                for service_class in self.scenario.service_classes[1:2]
+            ],
         )
         in_memory = {"entries": 100_000, "binding_s": 600.0}
         variants = [
--- a/pepperhook/lab/proofs/replay.py
+++ b/pepperhook/lab/proofs/replay.py
@@ -11,17 +11,17 @@
 from msgspec.structs import replace
 
 from pepperhook.lab import experiment
-from pepperhook.lab.day import ROOT, Failed
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
+from pepperhook.lab.scenario_run import ROOT, Failed
 
-# Runs the command line interface, with the defect of `pepperhook.lab.planted` that the first
+# Runs the command line interface, with the defect of `pepperhook.lab.defects` that the first
 # argument names, if any.
 CLI_WITH_DEFECT = """
 import sys
-from pepperhook.lab import planted
+from pepperhook.lab import defects
 if sys.argv[1]:
-    planted.FAULTS[sys.argv[1]]()
+    defects.DEFECTS[sys.argv[1]]()
 from pepperhook.cli import main
 main(sys.argv[2:])
 """
@@ -54,40 +54,40 @@
         """Return the scenarios by name."""
         base, seconds = self.scenario, self.seconds or (30.0 if self.full else 9.0)
 
-        def fault(kind, at, for_, **options):
-            return experiment.Trouble(what=kind, at=seconds * at, for_=seconds * for_, **options)
+        def fault(kind, at, duration, **options):
+            return experiment.Fault(
+                type=kind, start_s=seconds * at, duration_s=seconds * duration, **options
+            )
 
         faults = {
             "troubled": [
-                fault("slow", 0.1, 0.3, who=[0], size=0.1),
-                fault("hang", 0.2, 0.3, who=[1]),
-                fault("crash", 0.4, 0.3, who=[2]),
+                fault("slow", 0.1, 0.3, target_numbers=[0], size=0.1),
+                fault("hang", 0.2, 0.3, target_numbers=[1]),
+                fault("crash", 0.4, 0.3, target_numbers=[2]),
                 fault("discovery_slow", 0.3, 0.4, size=0.4),
-                fault("errors", 0.6, 0.2, who=[3], size=0.5),
+                fault("errors", 0.6, 0.2, target_numbers=[3], size=0.5),
                 fault("roll_balancers", 0.5, 0.3),
             ]
         }
         if self.full or self.seconds:
             faults["late list"] = [
                 fault("discovery_lag", 0.1, 0.7, size=3.0),
-                fault("drain", 0.2, 0.3, who=[0]),
-                fault("replaced", 0.3, 0.3, who=[1]),
+                fault("drain", 0.2, 0.3, target_numbers=[0]),
+                fault("replaced", 0.3, 0.3, target_numbers=[1]),
                 fault("discovery_outage", 0.5, 0.2),
             ]
             # Slow upstreams in the second tier.
             faults["slow below"] = [
-                fault("slow", 0.2, 0.5, tier=1, part=0.5, size=0.1),
+                fault("slow", 0.2, 0.5, tier=1, target_fraction=0.5, size=0.1),
                 fault("kill_balancer", 0.4, 0.1),
             ]
-        return {
-            name: replace(base, seconds=seconds, troubles=rows) for name, rows in faults.items()
-        }
+        return {name: replace(base, seconds=seconds, faults=rows) for name, rows in faults.items()}
 
     def run(self):
         """Play the scenarios, and replay their captures unchanged and with changes."""
         variant = Variant(
             name="captured",
-            plant=self.plant if self.plant != "checksum-skipped" else None,
+            defect=self.plant if self.plant != "checksum-skipped" else None,
             operator={"record": {"folder": "{folder}/captures-{tier}-{number}", "segment_s": 3.0}},
         )
         runs = [(scenario, variant, name, {}) for name, scenario in self.scenarios().items()]
@@ -213,10 +213,10 @@
     def check_corrupted(self, files):
         """Flip single bits: a reader must return all intact blocks and no others."""
         from pepperhook.container import ContainerReader
-        from pepperhook.lab import planted
+        from pepperhook.lab import defects
 
         if self.plant == "checksum-skipped":
-            planted.FAULTS[self.plant]()
+            defects.DEFECTS[self.plant]()
         rng, problems = random.Random(self.seed), []
         path = self.folder / "corrupted.rec"
         for file in files[:3]:
--- a/pepperhook/lab/proofs/trace.py
+++ b/pepperhook/lab/proofs/trace.py
@@ -6,10 +6,10 @@
 
 from msgspec.structs import replace
 
-from pepperhook.lab import events, experiment, planted
-from pepperhook.lab.day import Failed
+from pepperhook.lab import defects, events, experiment
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
+from pepperhook.lab.scenario_run import Failed
 
 PARENT_PATTERN = r"^(.+)-\d+[a-z]$"  # of the request ids that the lab's upstreams give their calls
 KEY = b"the key of this installation"
@@ -33,17 +33,19 @@
         """Return the scenario in its size, with its faults."""
         base, seconds = self.scenario, 30.0 if self.full else 9.0
 
-        def fault(kind, at, for_, **options):
-            return experiment.Trouble(what=kind, at=seconds * at, for_=seconds * for_, **options)
+        def fault(kind, at, duration, **options):
+            return experiment.Fault(
+                type=kind, start_s=seconds * at, duration_s=seconds * duration, **options
+            )
 
         return replace(
             base,
             seconds=seconds,
-            troubles=[
-                fault("slow", 0.1, 0.3, who=[0], size=0.1),
-                fault("errors", 0.2, 0.4, who=[1], size=0.6),
-                fault("pause", 0.45, 0.08, part=1.0),
-                fault("hang", 0.6, 0.2, tier=1, who=[0]),
+            faults=[
+                fault("slow", 0.1, 0.3, target_numbers=[0], size=0.1),
+                fault("errors", 0.2, 0.4, target_numbers=[1], size=0.6),
+                fault("pause", 0.45, 0.08, target_fraction=1.0),
+                fault("hang", 0.6, 0.2, tier=1, target_numbers=[0]),
             ],
         )
 
@@ -53,10 +55,10 @@
         from pepperhook.tracing.reader import open_trace_file, read_traces
 
         if self.plant in ("checksum-skipped", "pseudonym-left-out", "clocks-unmended"):
-            planted.FAULTS[self.plant]()
+            defects.DEFECTS[self.plant]()
         variant = Variant(
             name="traced",
-            plant="reason-of-another" if self.plant == "reason-of-another" else None,
+            defect="reason-of-another" if self.plant == "reason-of-another" else None,
             operator={
                 "trace": {
                     "folder": "{folder}/traces-{tier}-{number}",
--- a/pepperhook/lab/chance.py
+++ b/pepperhook/lab/random_draws.py
@@ -17,14 +17,15 @@
     return crc32(b"%d" % crc32(" ".join(map(str, names)).encode())) / 2**32
 
 
-def work_ns(seed, identity, grade):
+def work_ns(seed, identity, service_class):
     """Return the work of one request in ns: lognormal around the service class's median."""
-    median = grade.work_ms * 1e6
-    if not grade.spread:
+    median = service_class.work_ms * 1e6
+    if not service_class.spread:
         return int(median)
     return int(
         median
         * exp(
-            grade.spread * NORMAL.inv_cdf(min(1 - 1e-9, max(1e-9, share(seed, "work", identity))))
+            service_class.spread
+            * NORMAL.inv_cdf(min(1 - 1e-9, max(1e-9, share(seed, "work", identity))))
         )
     )
--- a/pepperhook/lab/report.py
+++ b/pepperhook/lab/report.py
@@ -12,8 +12,8 @@
 import numpy
 
 from pepperhook.lab import events
-from pepperhook.lab.day import store
 from pepperhook.lab.matrix import OUTCOMES
+from pepperhook.lab.scenario_run import write_atomically
 
 OUTCOME_COLOURS = {
     "served": "#3b7d4f",
@@ -29,15 +29,15 @@
 SAID = "Figures are of stand-in clients, upstreams and lists on one machine's loopback."
 
 
-def write(folder, day, results, summary):
+def write(folder, scenario, results, summary):
     """Write the reports of an experiment into its folder, in all three formats.
 
     ``results`` are the results of its runs, and ``summary`` is their summary by ``matrix``.
     """
     folder = Path(folder)
-    store(folder / "report.json", json.dumps(summary, indent=1).encode())
-    store(folder / "report.md", markdown(day, summary).encode())
-    store(folder / "report.html", page(folder, day, results, summary).encode())
+    write_atomically(folder / "report.json", json.dumps(summary, indent=1).encode())
+    write_atomically(folder / "report.md", markdown(scenario, summary).encode())
+    write_atomically(folder / "report.html", page(folder, scenario, results, summary).encode())
 
 
 def table(summary):
@@ -79,13 +79,13 @@
     return column_names, rows
 
 
-def markdown(day, summary):
+def markdown(scenario, summary):
     """Return the report as Markdown."""
     column_names, rows = table(summary)
     lines = [
-        f"# {day.name}",
+        f"# {scenario.name}",
         "",
-        f"{day.seconds:g} s per run. {SAID}",
+        f"{scenario.seconds:g} s per run. {SAID}",
         "",
         "| " + " | ".join(column_names) + " |",
         "| " + " | ".join("---" for _ in column_names) + " |",
@@ -129,30 +129,32 @@
         return f'<img alt="" src="data:image/svg+xml;base64,{base64.b64encode(svg.getvalue()).decode()}">'
 
 
-def mark_faults_and_load_changes(axes, day):
+def mark_faults_and_load_changes(axes, scenario):
     """Mark faults and changes of load as bands, each with its name above it."""
-    for trouble in day.troubles:
+    for fault in scenario.faults:
         axes.axvspan(
-            trouble.at,
-            min(day.seconds, trouble.at + trouble.for_),
+            fault.start_s,
+            min(scenario.seconds, fault.start_s + fault.duration_s),
             color="#888888",
             alpha=0.16,
             lw=0,
         )
         axes.text(
-            trouble.at,
+            fault.start_s,
             1.01,
-            f" {trouble.what.replace('_', ' ')}",
+            f" {fault.type.replace('_', ' ')}",
             transform=axes.get_xaxis_transform(),
             fontsize=7,
             va="bottom",
         )
-    for load in day.load:
-        if load.at:
-            ends = day.seconds if load.for_ is None else load.at + load.for_
-            axes.axvspan(load.at, min(ends, day.seconds), color="#d9a441", alpha=0.13, lw=0)
+    for load in scenario.load:
+        if load.start_s:
+            ends = scenario.seconds if load.duration_s is None else load.start_s + load.duration_s
+            axes.axvspan(
+                load.start_s, min(ends, scenario.seconds), color="#d9a441", alpha=0.13, lw=0
+            )
             axes.text(
-                load.at,
+                load.start_s,
                 1.01,
                 " load change",
                 transform=axes.get_xaxis_transform(),
@@ -161,10 +163,10 @@
             )
 
 
-def outcomes(plots, day, result):
+def outcomes(plots, scenario, result):
     """Return a figure of the outcomes of client attempts over time, for one run."""
     figure, axes = plots.figure()
-    seconds = numpy.arange(int(day.seconds))
+    seconds = numpy.arange(int(scenario.seconds))
     counts = [numpy.array(result["seconds"][name][: len(seconds)]) for name in OUTCOMES]
     axes.stackplot(
         seconds,
@@ -173,18 +175,18 @@
         labels=OUTCOMES,
         step="post",
     )
-    mark_faults_and_load_changes(axes, day)
-    axes.set(ylabel="client attempts per second", xlabel="seconds", xlim=(0, day.seconds))
+    mark_faults_and_load_changes(axes, scenario)
+    axes.set(ylabel="client attempts per second", xlabel="seconds", xlim=(0, scenario.seconds))
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
     return plots.embed(figure)
 
 
-def goodput(plots, day, results):
+def goodput(plots, scenario, results):
     """Return a figure of the goodput over time, one line per variant."""
     figure, axes = plots.figure()
     for index, result in enumerate(results):
         earned, possible = (
-            numpy.array(result["seconds"][name][: int(day.seconds)])
+            numpy.array(result["seconds"][name][: int(scenario.seconds)])
             for name in ("earned", "possible")
         )
         with numpy.errstate(invalid="ignore"):
@@ -194,8 +196,10 @@
                 lw=1.3,
                 label=result["variant"],
             )
-    mark_faults_and_load_changes(axes, day)
-    axes.set(ylabel="goodput by earnings", xlabel="seconds", ylim=(0, 1.05), xlim=(0, day.seconds))
+    mark_faults_and_load_changes(axes, scenario)
+    axes.set(
+        ylabel="goodput by earnings", xlabel="seconds", ylim=(0, 1.05), xlim=(0, scenario.seconds)
+    )
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
     return plots.embed(figure)
 
@@ -217,7 +221,7 @@
     return plots.embed(figure)
 
 
-def amplification(plots, day, summary):
+def amplification(plots, scenario, summary):
     """Return a bar chart of the amplification of each variant by tier."""
     figure, axes = plots.figure(height=2.6)
     width = 0.8 / max(1, len(summary["variants"]))
@@ -233,8 +237,8 @@
     axes.axhline(1, color="#444444", lw=0.8)
     axes.set(
         ylabel="attempts received / requests",
-        xticks=numpy.arange(len(day.tiers)) + 0.4 - width / 2,
-        xticklabels=[f"tier {tier}" for tier in range(len(day.tiers))],
+        xticks=numpy.arange(len(scenario.tiers)) + 0.4 - width / 2,
+        xticklabels=[f"tier {tier}" for tier in range(len(scenario.tiers))],
     )
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
     return plots.embed(figure)
@@ -258,7 +262,7 @@
     return plots.embed(figure)
 
 
-def budget_and_in_flight_plots(plots, day, folder, result):
+def budget_and_in_flight_plots(plots, scenario, folder, result):
     """Return plots of B and f and of the attempts in flight by upstream, for one run.
 
     The values come from the balancers' logs. Returns "" if they logged none.
@@ -288,12 +292,12 @@
             ls=":",
             label=f"f, tier {tier}" if is_labelled else None,
         )
-    mark_faults_and_load_changes(axes, day)
-    axes.set(ylabel="B, f", xlabel="seconds", xlim=(0, day.seconds))
+    mark_faults_and_load_changes(axes, scenario)
+    axes.set(ylabel="B, f", xlabel="seconds", xlim=(0, scenario.seconds))
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
     budget_figure = plots.embed(figure)
     figure, axes = plots.figure()
-    for tier in range(len(day.tiers)):
+    for tier in range(len(scenario.tiers)):
         # One line per upstream: the attempts that all balancers of the tier have in flight there,
         # as logged each second.
         sums = {}
@@ -312,13 +316,13 @@
                 color=LINES[tier % len(LINES)],
                 label=None if number else f"tier {tier}, each upstream",
             )
-    mark_faults_and_load_changes(axes, day)
-    axes.set(ylabel="attempts in flight", xlabel="seconds", xlim=(0, day.seconds))
+    mark_faults_and_load_changes(axes, scenario)
+    axes.set(ylabel="attempts in flight", xlabel="seconds", xlim=(0, scenario.seconds))
     axes.legend(loc="upper left", bbox_to_anchor=(1, 1), fontsize=8, frameon=False)
     return budget_figure + plots.embed(figure)
 
 
-def page(folder, day, results, summary):
+def page(folder, scenario, results, summary):
     """Return the report as an HTML page, with figures of the first run of each variant."""
     plots = Plots()
     first_runs = [
@@ -333,7 +337,7 @@
     cells = "".join(
         "<tr>" + "".join(f"<td>{html.escape(cell)}</td>" for cell in row) + "</tr>" for row in rows
     )
-    parts = [f"<h1>{html.escape(day.name)}</h1><p>{day.seconds:g} s per run. {SAID}"]
+    parts = [f"<h1>{html.escape(scenario.name)}</h1><p>{scenario.seconds:g} s per run. {SAID}"]
     if summary["interrupted"]:
         parts.append(" <b>Interrupted: this covers only what had been run.</b>")
     parts.append(
@@ -342,18 +346,18 @@
         + f"</tr>{cells}</table>"
     )
     if first_runs:
-        parts += ["<h2>Goodput over time</h2>", goodput(plots, day, first_runs)]
+        parts += ["<h2>Goodput over time</h2>", goodput(plots, scenario, first_runs)]
         for result in first_runs:
             parts += [
                 f"<h2>{html.escape(result['variant'])}: outcomes</h2>",
-                outcomes(plots, day, result),
-                budget_and_in_flight_plots(plots, day, Path(folder), result),
+                outcomes(plots, scenario, result),
+                budget_and_in_flight_plots(plots, scenario, Path(folder), result),
             ]
         parts += [
             "<h2>Latency of served answers</h2>",
             latencies(plots, first_runs),
             "<h2>Amplification by tier</h2>",
-            amplification(plots, day, summary),
+            amplification(plots, scenario, summary),
         ]
         if len(summary["variants"]) > 1:
             parts += ["<h2>Goodput against the first variant</h2>", comparison(plots, summary)]
@@ -365,7 +369,9 @@
                     + "<br>".join(html.escape(text) for text in finding["examples"])
                     + "</p>"
                 )
-    return PAGE_TEMPLATE.replace("TITLE", html.escape(day.name)).replace("BODY", "\n".join(parts))
+    return PAGE_TEMPLATE.replace("TITLE", html.escape(scenario.name)).replace(
+        "BODY", "\n".join(parts)
+    )
 
 
 PAGE_TEMPLATE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>TITLE</title><style>
--- a/pepperhook/lab/h2memory.py
+++ b/pepperhook/lab/request_memory.py
@@ -11,7 +11,7 @@
 import psutil
 from msgspec.structs import replace
 
-from pepperhook.lab.day import Day
+from pepperhook.lab.scenario_run import ScenarioRun
 
 COUNT, STREAMS_PER_CONNECTION = 1000, 100  # requests, and streams per HTTP/2 connection
 SETTLE_S = 0.8  # until the memory is read; the balancer drops incomplete requests after 2 s
@@ -65,12 +65,12 @@
     return round((after - before) / 1024 / COUNT, 2)
 
 
-def measure(day, variant, seed, folder):
+def measure(scenario, variant, seed, folder):
     """Return the KB of memory per connection and per stream, each of a new balancer process."""
     figures = {}
     for name, open_all in ("connection", open_connections), ("stream", open_streams):
-        run = Day(
-            replace(day, seconds=1.0, troubles=[]),
+        run = ScenarioRun(
+            replace(scenario, seconds=1.0, faults=[]),
             variant,
             seed,
             folder / f"memory-{name}",
@@ -78,7 +78,7 @@
         )
         run.folder.mkdir(parents=True, exist_ok=True)
         try:
-            run.bring_up(load=False)
+            run.start_processes(load=False)
             balancer = run.balancers[0, 0]
             time.sleep(0.5)
             figures[f"kb_a_{name}"] = asyncio.run(
@@ -87,5 +87,5 @@
                 )
             )
         finally:
-            run.take_down()
+            run.stop_processes()
     return figures
--- a/pepperhook/lab/day.py
+++ b/pepperhook/lab/scenario_run.py
@@ -1,6 +1,7 @@
 """Run one scenario: start stand-ins, balancers and load, inject faults, stop them, and audit.
 
-Day owns every process and ends each one by its own handle, also when the run is interrupted.
+ScenarioRun owns every process and ends each one by its own handle, also when the run is
+interrupted.
 """
 
 import json
@@ -21,7 +22,7 @@
 
 from pepperhook.lab import audit, events, experiment
 from pepperhook.lab.instances import Timeline, Transition
-from pepperhook.lab.load import healthy
+from pepperhook.lab.load_generator import healthy
 
 S = 10**9
 READY_S = 30  # startup timeout of every process
@@ -118,21 +119,21 @@
 class Balancer:
     """One balancer process, which can be stopped and started again."""
 
-    def __init__(self, day, tier, number):
-        self.day, self.tier, self.number, self.process = day, tier, number, None
+    def __init__(self, run, tier, number):
+        self.run, self.tier, self.number, self.process = run, tier, number, None
         # ``moved``: 1 if it uses the discovery service's second address; ``begun``: monotonic
         # seconds of the last start.
         self.cpu_s, self.rss_mb, self.moved, self.start_cpu_s, self.begun = 0.0, 0.0, 0, 0.0, 0.0
-        self.log = f"{day.folder}/balancer-{tier}-{number}.log"
+        self.log = f"{run.folder}/balancer-{tier}-{number}.log"
 
     def configure(self):
         """Write the configuration file and return its path."""
-        day, plan = self.day, self.day.plan
-        path = f"{day.folder}/balancer-{self.tier}-{self.number}.json"
+        run, plan = self.run, self.run.plan
+        path = f"{run.folder}/balancer-{self.tier}-{self.number}.json"
         config = {
             "seed": f"{plan.seed * 1000 + self.tier * 100 + self.number:x}",
-            "limits": {"sockets": day.sockets},
-            "settings": plan.settings(self.tier, self.number, day.variant.settings),
+            "limits": {"sockets": run.sockets},
+            "settings": plan.settings(self.tier, self.number, run.variant.settings),
             "discovery": "{}:{}".format(*plan.discovery(self.tier, self.number, self.moved)),
         }
         with open(path, "w", encoding="utf-8") as file:
@@ -145,7 +146,7 @@
         That is a deliberately faulty stand-in, a baseline policy, a balancer with an injected
         defect, or another revision.
         """
-        day, plan, variant = self.day, self.day.plan, self.day.variant
+        run, plan, variant = self.run, self.run.plan, self.run.variant
         environ = {
             **os.environ,
             "LB_NAME": f"b{self.tier}-{self.number}",
@@ -155,10 +156,15 @@
         }
         environ.pop("LB_OPERATOR", None)
         if variant.operator is not None:
-            environ["LB_OPERATOR"] = day.operator_file(self.tier, self.number)
+            environ["LB_OPERATOR"] = run.operator_file(self.tier, self.number)
         command, folder = [sys.executable, "-m", "pepperhook"], None
-        if variant.crooked:
-            command = [sys.executable, "-m", "pepperhook.lab.crooked", variant.crooked]
+        if variant.faulty_balancer:
+            command = [
+                sys.executable,
+                "-m",
+                "pepperhook.lab.faulty_balancers",
+                variant.faulty_balancer,
+            ]
         elif variant.module != "pepperhook":
             command = [
                 sys.executable,
@@ -167,10 +173,10 @@
                 variant.module,
                 *(f"{key}={value}" for key, value in variant.options.items()),
             ]
-        elif variant.plant:
-            command = [sys.executable, "-m", "pepperhook.lab.planted", variant.plant]
+        elif variant.defect:
+            command = [sys.executable, "-m", "pepperhook.lab.defects", variant.defect]
         elif variant.revision:
-            folder = day.worktrees.at(variant.revision)
+            folder = run.worktrees.at(variant.revision)
         self.start_cpu_s, self.begun = 0.0, time.monotonic()
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
@@ -209,38 +215,47 @@
             self.process.wait()
 
 
-class Day:
+class ScenarioRun:
     """One run of a scenario with one variant and one seed.
 
-    ``day`` is the experiment. ``tell(text, share)`` reports progress. ``blind`` has the names of
-    findings that the auditor ignores, for the check that it can fail. ``sockets`` is the balancers'
-    limit of sockets. ``script`` has additional actions: rows of (seconds, callable); each callable
-    gets this Day.
+    ``scenario`` is the experiment. ``report_progress(text, share)`` reports progress. ``blind`` has
+    the names of findings that the auditor ignores, for the check that it can fail. ``sockets`` is
+    the balancers' limit of sockets. ``extra_actions`` has additional actions: rows of (seconds,
+    callable); each callable gets this ScenarioRun.
     """
 
     def __init__(
         self,
-        day,
+        scenario,
         variant,
         seed,
         folder,
         worktrees=None,
-        tell=None,
+        report_progress=None,
         blind=(),
         sockets=1024,
-        script=(),
+        extra_actions=(),
     ):
         # An absolute path, as balancers of another revision run in another working directory.
-        self.day, self.variant, self.folder = day, variant, Path(folder).resolve()
-        if variant.carry:
-            day = self.day = replace(
-                day, tiers=[replace(tier, carry=list(variant.carry)) for tier in day.tiers]
+        self.scenario, self.variant, self.folder = scenario, variant, Path(folder).resolve()
+        if variant.header_handling:
+            scenario = self.scenario = replace(
+                scenario,
+                tiers=[
+                    replace(tier, header_handling=list(variant.header_handling))
+                    for tier in scenario.tiers
+                ],
             )
-        block, self.block_lock = experiment.free_block()
-        self.plan = experiment.Plan(day, seed, block)
-        # ``own``: close the worktrees at the end.
-        self.worktrees, self.own = worktrees or Worktrees(), worktrees is None
-        self.tell, self.stages, self.balancers, self.start = tell or (lambda *_: None), [], {}, 0
+        block, self.block_lock = experiment.reserve_block()
+        self.plan = experiment.Plan(scenario, seed, block)
+        # ``owns_worktrees``: close the worktrees at the end.
+        self.worktrees, self.owns_worktrees = worktrees or Worktrees(), worktrees is None
+        self.report_progress, self.stand_ins, self.balancers, self.start = (
+            report_progress or (lambda *_: None),
+            [],
+            {},
+            0,
+        )
         # ``book``: event rows of this process.
         self.book, self.load, self.blind, self.sockets, self.cores = (
             None,
@@ -249,7 +264,7 @@
             sockets,
             Cores(),
         )
-        self.script = list(script)
+        self.extra_actions = list(extra_actions)
 
     def operator_file(self, tier, number):
         """Write the operator's file of one balancer and return its path."""
@@ -266,7 +281,7 @@
             **{f"peer_{first}": "{}:{}".format(*self.plan.peers(0, first)) for first in range(3)},
         }
         path = self.folder / f"operator-{tier}-{number}.toml"
-        store(path, tomli_w.dumps(filled(document, placeholders)).encode())
+        write_atomically(path, tomli_w.dumps(fill_placeholders(document, placeholders)).encode())
         return str(path)
 
     def peers_file(self, tier):
@@ -275,11 +290,13 @@
             '[[members]]\nname = "b{}-{}"\naddress = "{}:{}"\n'.format(
                 tier, number, *self.plan.peers(tier, number)
             )
-            for number in range(experiment.callers(self.day, tier))
+            for number in range(experiment.caller_count(self.scenario, tier))
+        )
+        write_atomically(
+            self.folder / f"peers-{tier}.toml", f"version = 1\nepoch = 1\n{rows}".encode()
         )
-        store(self.folder / f"peers-{tier}.toml", f"version = 1\nepoch = 1\n{rows}".encode())
 
-    def stage(self, *arguments, module="pepperhook.lab.stage"):
+    def start_stand_in(self, *arguments, module="pepperhook.lab.stand_ins"):
         """Start a stand-in process and return it.
 
         Its arguments are the plan, the folder and ``arguments``.
@@ -300,10 +317,10 @@
                 cwd=ROOT,
                 start_new_session=True,
             )
-        self.stages.append(process)
+        self.stand_ins.append(process)
         return process
 
-    def ready(self, process):
+    def wait_until_ready(self, process):
         """Wait until a stand-in reports that it is ready. Raises Failed."""
         line = process.stdout.readline()
         if line.strip() != b"ready":
@@ -322,48 +339,50 @@
             old.unlink()
         interrupted = False
         try:
-            self.bring_up()
+            self.start_processes()
             try:
-                self.along()
+                self.run_actions()
             except KeyboardInterrupt:
                 interrupted = True
         finally:
             with uninterrupted():
-                self.take_down()
+                self.stop_processes()
         with uninterrupted():
             return self.result(interrupted)
 
-    def bring_up(self, load=True):
+    def start_processes(self, load=True):
         """Start all processes, wait until they are ready and set the start time. Raises Failed."""
         self.plan.write(self.folder / "plan.json")
         self.book = events.Book(self.folder / "day.rows")
-        self.tell("starting the fleet", 0.0)
-        stand_ins = [self.stage("discovery")]
-        stand_ins += [self.stage("upstreams", tier) for tier in range(len(self.day.tiers))]
-        if any(tier.network for tier in self.day.tiers):
-            stand_ins.append(self.stage("relays"))
+        self.report_progress("starting the fleet", 0.0)
+        stand_ins = [self.start_stand_in("discovery")]
+        stand_ins += [
+            self.start_stand_in("upstreams", tier) for tier in range(len(self.scenario.tiers))
+        ]
+        if any(tier.has_relays for tier in self.scenario.tiers):
+            stand_ins.append(self.start_stand_in("relays"))
         for process in stand_ins:
-            self.ready(process)
-        for tier in range(len(self.day.tiers)):
+            self.wait_until_ready(process)
+        for tier in range(len(self.scenario.tiers)):
             self.peers_file(tier)
-            for number in range(experiment.callers(self.day, tier)):
+            for number in range(experiment.caller_count(self.scenario, tier)):
                 balancer = self.balancers[tier, number] = Balancer(self, tier, number)
                 balancer.begin()
         if load:
-            self.load = self.stage(module="pepperhook.lab.load")
-            self.ready(self.load)
-        self.healthy(self.balancers.values())
+            self.load = self.start_stand_in(module="pepperhook.lab.load_generator")
+            self.wait_until_ready(self.load)
+        self.wait_until_healthy(self.balancers.values())
         for balancer in self.balancers.values():
             # CPU time of the startup isn't part of any request's cost. In a short run half a second
             # of it would be divided among few requests.
             balancer.measure()
             balancer.start_cpu_s = balancer.cpu_s
         self.start = time.monotonic_ns() + S // 5
-        for process in self.stages:
+        for process in self.stand_ins:
             process.stdin.write(b"%d\n" % self.start)
             process.stdin.flush()
 
-    def healthy(self, balancers):
+    def wait_until_healthy(self, balancers):
         """Wait until the balancers pass their health checks. Raises Failed."""
         import asyncio
 
@@ -381,38 +400,40 @@
                     )
                 time.sleep(0.02)
 
-    def steps(self):
+    def actions(self):
         """Return the actions of this process during the run: sorted rows of (seconds, callable)."""
         rows = []
-        for tier in range(1, len(self.day.tiers)):
+        for tier in range(1, len(self.scenario.tiers)):
             rows += self.lifecycles(tier)
-        for trouble in self.day.troubles:
-            periods = list(experiment.moments(self.day, trouble))
-            if trouble.what == "kill_balancer":
+        for fault in self.scenario.faults:
+            periods = list(experiment.fault_periods(self.scenario, fault))
+            if fault.type == "kill_balancer":
                 for number, begin_s, ends in periods:
-                    balancer = self.balancers[trouble.tier, number]
+                    balancer = self.balancers[fault.tier, number]
                     rows.append((begin_s, lambda b=balancer: self.kill(b)))
-                    rows.append((ends, lambda b=balancer: self.again(b)))
-            elif trouble.what in ("term_balancer", "roll_balancers"):
+                    rows.append((ends, lambda b=balancer: self.restart(b)))
+            elif fault.type in ("term_balancer", "roll_balancers"):
                 for index, (number, begin_s, _) in enumerate(periods):
                     begin_s += (
-                        trouble.for_ * index / len(periods)
-                        if trouble.what == "roll_balancers"
+                        fault.duration_s * index / len(periods)
+                        if fault.type == "roll_balancers"
                         else 0
                     )
-                    balancer = self.balancers[trouble.tier, number]
-                    rows.append((begin_s, lambda b=balancer: self.term(b)))
-            elif trouble.what == "hup_balancer":
+                    balancer = self.balancers[fault.tier, number]
+                    rows.append((begin_s, lambda b=balancer: self.terminate(b)))
+            elif fault.type == "hup_balancer":
                 for number, begin_s, _ in periods:
                     rows.append(
-                        (begin_s, lambda b=self.balancers[trouble.tier, number]: self.hup(b))
+                        (begin_s, lambda b=self.balancers[fault.tier, number]: self.reload(b))
                     )
-            elif trouble.what == "discovery_move":
-                rows.append((trouble.at + 0.1, self.move))
-        rows += [(begin_s, lambda work=work: work(self)) for begin_s, work in self.script]
-        rows += [(begin_s, self.sample) for begin_s in range(1, int(self.day.seconds) + 1)]
+            elif fault.type == "discovery_move":
+                rows.append((fault.start_s + 0.1, self.move_discovery))
+        rows += [(begin_s, lambda work=work: work(self)) for begin_s, work in self.extra_actions]
+        rows += [(begin_s, self.sample) for begin_s in range(1, int(self.scenario.seconds) + 1)]
         # Actions due after the end of the run are left out: the load is over by then.
-        return sorted((row for row in rows if row[0] <= self.day.seconds), key=lambda row: row[0])
+        return sorted(
+            (row for row in rows if row[0] <= self.scenario.seconds), key=lambda row: row[0]
+        )
 
     def lifecycles(self, tier):
         """Return the kills and starts of a later tier's balancers.
@@ -420,7 +441,7 @@
         Each balancer goes down and comes back with the upstream whose calls it carries.
         """
         rows, ended = [], {}
-        for step in Timeline.of(self.day, tier - 1).steps:
+        for step in Timeline.of(self.scenario, tier - 1).steps:
             balancer = self.balancers[tier, step.number]
             if step.transition is Transition.END:
                 ended[step.number] = step.at
@@ -430,20 +451,24 @@
                 rows.append((at, lambda b=balancer: b.begin()))
         return rows
 
-    def along(self):
+    def run_actions(self):
         """Run the scenario's actions, each at its time, then wait for the load. Raises Failed."""
-        for at, work in self.steps():
+        for at, work in self.actions():
             while (left := self.start / S + at - time.monotonic()) > 0:
-                self.tell(
+                self.report_progress(
                     "playing",
-                    min(1.0, max(0.0, time.monotonic() - self.start / S) / self.day.seconds),
+                    min(1.0, max(0.0, time.monotonic() - self.start / S) / self.scenario.seconds),
                 )
                 time.sleep(min(left, 0.25))
                 if self.load.poll() is not None:
                     raise Failed("the load ended before the run: see stands.log")
             work()
-        longest = max(grade.time_limit_ms for grade in self.day.grades) / 1000 + 4
-        self.tell("waiting for the last responses", 1.0)
+        longest = (
+            max(service_class.time_limit_ms for service_class in self.scenario.service_classes)
+            / 1000
+            + 4
+        )
+        self.report_progress("waiting for the last responses", 1.0)
         for balancer in self.balancers.values():
             balancer.measure()
         try:
@@ -451,41 +476,41 @@
         except subprocess.TimeoutExpired:
             raise Failed("the load did not end") from None
 
-    def happened(self, what, balancer, on=True):
+    def record_event(self, what, balancer, on=True):
         """Write an event row about a balancer; ``on``: whether it begins or ends."""
         self.book.add(
             events.Happened(time.monotonic_ns(), what, balancer.tier, balancer.number, on)
         )
 
     def kill(self, balancer):
-        self.happened("balancer killed", balancer)
+        self.record_event("balancer killed", balancer)
         balancer.end()
 
-    def again(self, balancer):
+    def restart(self, balancer):
         """Start a balancer again if it has ended."""
         if balancer.process.poll() is not None:
             balancer.begin()
-            self.happened("balancer begun", balancer)
+            self.record_event("balancer begun", balancer)
 
-    def term(self, balancer):
+    def terminate(self, balancer):
         """Send SIGTERM and start the balancer again at its address once it has exited.
 
         Waits in a thread, so that later actions aren't delayed.
         """
-        self.happened("balancer told to leave", balancer)
+        self.record_event("balancer told to leave", balancer)
 
         def roll():
             balancer.end(signal.SIGTERM)
-            self.happened("balancer left", balancer)
-            self.again(balancer)
+            self.record_event("balancer left", balancer)
+            self.restart(balancer)
 
         threading.Thread(target=roll, daemon=True).start()
 
-    def hup(self, balancer):
-        self.happened("balancer told to read again", balancer)
+    def reload(self, balancer):
+        self.record_event("balancer told to read again", balancer)
         balancer.send(signal.SIGHUP)
 
-    def move(self):
+    def move_discovery(self):
         """Make all balancers use the discovery service's second address."""
         for balancer in self.balancers.values():
             balancer.moved = 1
@@ -500,25 +525,25 @@
                 for b in self.balancers.values()
                 if b.process
             ]
-            + [(" ".join(["stand-in", *process.args[5:]]), process) for process in self.stages]
+            + [(" ".join(["stand-in", *process.args[5:]]), process) for process in self.stand_ins]
         )
-        if self.variant.module == "pepperhook" and not self.variant.crooked:
+        if self.variant.module == "pepperhook" and not self.variant.faulty_balancer:
             for balancer in self.balancers.values():
                 # Not during startup: until the signal handler is installed, SIGUSR1 ends the
                 # process.
                 if time.monotonic() - balancer.begun > 1.5:
                     balancer.send(signal.SIGUSR1)
 
-    def take_down(self):
+    def stop_processes(self):
         """Stop all processes and close the files."""
         for balancer in self.balancers.values():
             balancer.send(signal.SIGTERM)
         for balancer in self.balancers.values():
             if balancer.process is not None:
                 balancer.end(signal.SIGTERM)
-        for process in self.stages:
+        for process in self.stand_ins:
             process.stdin.close()
-        for process in self.stages:
+        for process in self.stand_ins:
             try:
                 process.wait(10)
             except subprocess.TimeoutExpired:
@@ -526,13 +551,13 @@
                 process.wait()
             process.stdout.close()
         if self.book is not None:
-            self.samples()
+            self.record_samples()
             self.book.close()
         self.block_lock.close()
-        if self.own:
+        if self.owns_worktrees:
             self.worktrees.close()
 
-    def samples(self):
+    def record_samples(self):
         """Convert the counters that the balancers logged into event rows, for the report alone."""
         offset = time.time_ns() - time.monotonic_ns()
         for balancer in self.balancers.values():
@@ -543,7 +568,7 @@
                 for line in file:
                     pairs = dict(LINE.findall(line))
                     if pairs.get("event") == "budget":
-                        at = int(unix(pairs["time"]) * 1e9) - offset
+                        at = int(parse_log_time(pairs["time"]) * 1e9) - offset
                         sample = events.Sample(
                             balancer.tier,
                             balancer.number,
@@ -560,7 +585,7 @@
     def result(self, interrupted):
         """Audit the event rows, store the result and return it."""
         rows = events.read(self.folder)
-        report = audit.Auditor(self.day, rows, self.start, self.blind).judge()
+        report = audit.Auditor(self.scenario, rows, self.start, self.blind).judge()
         load = json.loads(path.read_text()) if (path := self.folder / "load.json").exists() else {}
         # ``wishes`` counts requests without their clients' retries.
         requests = max(1, report.figures.get("wishes", 0))
@@ -576,7 +601,7 @@
             b.cpu_s - b.start_cpu_s for b in self.balancers.values() if b.tier == 0
         )
         result = {
-            "experiment": self.day.name,
+            "experiment": self.scenario.name,
             "variant": self.variant.name,
             "seed": self.plan.seed,
             "start": self.start,
@@ -593,16 +618,16 @@
             "first_tier_cpu_ms": round(first_tier_cpu_s * 1000 / requests, 3),
             **msgspec.to_builtins(report),
         }
-        store(self.folder / "result.json", msgspec.json.encode(result))
+        write_atomically(self.folder / "result.json", msgspec.json.encode(result))
         return result
 
 
-def filled(tree, placeholders):
+def fill_placeholders(tree, placeholders):
     """Return a parsed file with the placeholders in its strings replaced for one balancer."""
     if isinstance(tree, dict):
-        return {key: filled(value, placeholders) for key, value in tree.items()}
+        return {key: fill_placeholders(value, placeholders) for key, value in tree.items()}
     if isinstance(tree, list):
-        return [filled(value, placeholders) for value in tree]
+        return [fill_placeholders(value, placeholders) for value in tree]
     return tree.format(**placeholders) if isinstance(tree, str) and "{" in tree else tree
 
 
@@ -622,7 +647,7 @@
         signal.signal(signal.SIGINT, before)
 
 
-def unix(text):
+def parse_log_time(text):
     """Return the Unix time in seconds of a log line's timestamp."""
     import calendar
 
@@ -630,7 +655,7 @@
     return calendar.timegm(time.strptime(at, "%Y-%m-%dT%H:%M:%S")) + int(ms or 0) / 1000
 
 
-def store(path, data):
+def write_atomically(path, data):
     """Write a file atomically, also across a crash."""
     path = Path(path)
     fresh = path.with_name(f".{path.name}.{os.getpid()}")
--- a/pepperhook/lab/soak/draw.py
+++ b/pepperhook/lab/soak/draw.py
@@ -9,11 +9,11 @@
     Clients,
     Discovery,
     Experiment,
+    Fault,
     Front,
-    Grade,
     Load,
+    ServiceClass,
     Tier,
-    Trouble,
     Variant,
 )
 from pepperhook.lab.machine import Spec
@@ -31,7 +31,7 @@
 SECOND_TIER_PROBABILITY = 0.3
 INVALID_FILE_PROBABILITY = 0.5
 ODD_ROWS_PROBABILITY = 0.5
-# Kinds of faults (``Trouble.what``) with the range of their size, whose unit depends on the kind;
+# Kinds of faults (``Fault.type``) with the range of their size, whose unit depends on the kind;
 # None: the fault has no size.
 FAULTS: dict[str, tuple[float, float] | None] = {
     "crash": None,
@@ -106,7 +106,7 @@
 def draw(seed: int, seconds: float, plant: str | None = None) -> SoakRun:
     """Return the run of a seed; the same arguments always give the same run.
 
-    ``plant`` names a defect of ``pepperhook.lab.planted`` to inject into the balancers.
+    ``plant`` names a defect of ``pepperhook.lab.defects`` to inject into the balancers.
     """
     rng = random.Random(f"soak {seed}")
     tiers = _draw_tiers(rng)
@@ -117,17 +117,17 @@
         seed=seed,
         max_dispatches=rng.choice((2, 3, 4)),
         zones=rng.choice((1, 1, 2)),
-        grades=_draw_grades(rng),
+        service_classes=_draw_service_classes(rng),
         tiers=tiers,
         load=[Load(rate=rng.uniform(40.0, 100.0), burst=rng.choice((1.0, 1.0, 3.0)))],
         clients=Clients(
             protocol=rng.choice(("http/1.1", "http/1.1", "h2")),
             retries=rng.choice((0, 1, 2)),
-            leave=rng.choice((0.0, 0.2, 0.5)),
+            leave_fraction=rng.choice((0.0, 0.2, 0.5)),
         ),
         front=Front(notice_s=FRONT_NOTICE_S),
-        discovery=Discovery(odd_rows=_has_odd_rows(seed)),
-        troubles=_draw_faults(rng, seconds, len(tiers)),
+        discovery=Discovery(adds_unknown_state=_adds_unknown_state(seed)),
+        faults=_draw_faults(rng, seconds, len(tiers)),
     )
     balancers = tiers[0].balancers
     has_crowd = rng.random() < CROWD_PROBABILITY
@@ -144,7 +144,7 @@
     )
 
 
-def _has_odd_rows(seed: int) -> bool:
+def _adds_unknown_state(seed: int) -> bool:
     """Return whether the endpoint list has rows in a state that balancers do not know.
 
     A separate generator keeps the other draws of each seed as they are.
@@ -160,17 +160,17 @@
         upstreams=rng.randint(3, 5),
         balancers=rng.randint(1, 3),
         machine=machine(),
-        network=True,
+        has_relays=True,
     )
-    second = Tier(upstreams=rng.randint(2, 3), machine=machine(), network=True)
+    second = Tier(upstreams=rng.randint(2, 3), machine=machine(), has_relays=True)
     return [first, second] if rng.random() < SECOND_TIER_PROBABILITY else [first]
 
 
-def _draw_grades(rng: random.Random) -> list[Grade]:
+def _draw_service_classes(rng: random.Random) -> list[ServiceClass]:
     limit_ms = rng.choice((600.0, 1000.0, 1500.0))
     return [
-        Grade(name="look", time_limit_ms=limit_ms, work_ms=WORK_MS, spread=0.5, share=4.0),
-        Grade(
+        ServiceClass(name="look", time_limit_ms=limit_ms, work_ms=WORK_MS, spread=0.5, share=4.0),
+        ServiceClass(
             name="hold",
             effect="deduplicated",
             key_ttl_ms=3000.0,
@@ -179,7 +179,7 @@
             work_ms=WORK_MS,
             share=3.0,
         ),
-        Grade(
+        ServiceClass(
             name="sale",
             effect="at_most_once",
             time_limit_ms=limit_ms,
@@ -190,7 +190,7 @@
     ]
 
 
-def _draw_faults(rng: random.Random, seconds: float, tiers: int) -> list[Trouble]:
+def _draw_faults(rng: random.Random, seconds: float, tiers: int) -> list[Fault]:
     faults = []
     last_start_s = max(FIRST_FAULT_AFTER_S + 0.1, seconds - LAST_FAULT_BEFORE_END_S)
     for _ in range(rng.randint(MIN_FAULTS, MAX_FAULTS)):
@@ -198,12 +198,12 @@
         sizes = FAULTS[kind]
         tier = rng.randrange(tiers)
         faults.append(
-            Trouble(
-                what=kind,
-                at=round(rng.uniform(FIRST_FAULT_AFTER_S, last_start_s), 2),
-                for_=round(rng.uniform(0.6, 3.5), 2),
+            Fault(
+                type=kind,
+                start_s=round(rng.uniform(FIRST_FAULT_AFTER_S, last_start_s), 2),
+                duration_s=round(rng.uniform(0.6, 3.5), 2),
                 tier=tier,
-                who=None if kind.startswith(FLEET_WIDE_PREFIXES) else [rng.randrange(2)],
+                target_numbers=None if kind.startswith(FLEET_WIDE_PREFIXES) else [rng.randrange(2)],
                 size=0.0 if sizes is None else round(rng.uniform(*sizes), 3),
             )
         )
@@ -213,7 +213,7 @@
 def _draw_variant(rng: random.Random, plant: str | None) -> Variant:
     operator: dict[str, Any] = {"h2": {"upstreams": rng.choice(("http/1.1", "h2"))}}
     settings = {"discovery": rng.choice(("ask", "push")), "permissions": {"cancel": True}}
-    return Variant(name="soak", operator=operator, settings=settings, plant=plant)
+    return Variant(name="soak", operator=operator, settings=settings, defect=plant)
 
 
 def _draw_restarts(rng: random.Random, seconds: float, balancers: int) -> list[Restart]:
--- a/pepperhook/lab/soak/judge.py
+++ b/pepperhook/lab/soak/judge.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from pepperhook.lab.audit import STAMPED_LATE
-from pepperhook.lab.soak.play import Problem, SoakDay
+from pepperhook.lab.soak.play import Problem, SoakScenarioRun
 from pepperhook.lab.soak.resources import Resources
 from pepperhook.server.app import CONNECTION_KB, PROCESS_MB, SocketBudget
 
@@ -34,16 +34,16 @@
     excused: dict[str, int] = {}  # number of excused audit findings by name
 
 
-def judge(day: SoakDay, result: dict[str, Any]) -> Verdict:
+def judge(scenario_run: SoakScenarioRun, result: dict[str, Any]) -> Verdict:
     """Return the verdict of a completed run."""
     problems: dict[str, list[str]] = {}
     for finding in result["findings"]:
         problems[f"rule {finding['rule']}: {finding['name']}"] = finding["examples"]
     for name, example in [
-        *day.problems,
-        *_resource_problems(day),
-        *_logged_faults(day),
-        *_lost_sighups(day),
+        *scenario_run.problems,
+        *_resource_problems(scenario_run),
+        *_logged_faults(scenario_run),
+        *_lost_sighups(scenario_run),
     ]:
         problems.setdefault(name, []).append(example)
     void = ""
@@ -58,38 +58,38 @@
     if excused.get(STAMPED_LATE, 0) > MAX_EXCUSED_SHARE * requests:
         void = f"excused too often: {STAMPED_LATE}, {excused[STAMPED_LATE]} of {requests}"
     return Verdict(
-        seed=day.run.seed,
+        seed=scenario_run.run.seed,
         holds=not problems,
         void=void,
         requests=requests,
         problems=problems,
-        played=_summary(day),
+        played=_summary(scenario_run),
         excused=excused,
     )
 
 
-def _summary(day: SoakDay) -> dict[str, Any]:
-    run = day.run
+def _summary(scenario_run: SoakScenarioRun) -> dict[str, Any]:
+    run = scenario_run.run
     return {
         "tiers": [[tier.balancers, tier.upstreams] for tier in run.experiment.tiers],
         "clients": run.experiment.clients.protocol,
-        "faults": [trouble.what for trouble in run.experiment.troubles],
+        "faults": [fault.type for fault in run.experiment.faults],
         "restarts": len(run.restarts),
-        "odd_rows": run.experiment.discovery.odd_rows,
+        "odd_rows": run.experiment.discovery.adds_unknown_state,
         "signals": sum(len(series.names) for series in run.signals),
         "crowd": 0 if run.crowd is None else run.crowd.clients,
     }
 
 
-def _resource_problems(day: SoakDay) -> Iterable[Problem]:
+def _resource_problems(scenario_run: SoakScenarioRun) -> Iterable[Problem]:
     # After a restart, ``before`` was measured on the previous process. The figures are comparable,
     # as all processes of a balancer start in the same way.
-    for key, after in day.resources_after.items():
-        before = day.resources_before.get(key)
+    for key, after in scenario_run.resources_after.items():
+        before = scenario_run.resources_before.get(key)
         if before is None:
             yield "not measured", f"balancer {key}"
             continue
-        yield from compare(f"balancer {key[0]}.{key[1]}", before, after, day.sockets)
+        yield from compare(f"balancer {key[0]}.{key[1]}", before, after, scenario_run.sockets)
 
 
 def compare(label: str, before: Resources, after: Resources, sockets: int) -> Iterable[Problem]:
@@ -119,9 +119,9 @@
     return float(PROCESS_MB + clients * CONNECTION_KB / KB_PER_MB)
 
 
-def _logged_faults(day: SoakDay) -> Iterable[Problem]:
+def _logged_faults(scenario_run: SoakScenarioRun) -> Iterable[Problem]:
     """Yield the first internal error that each balancer logged."""
-    for balancer in day.balancers.values():
+    for balancer in scenario_run.balancers.values():
         path = Path(balancer.log)
         if path.exists():
             match = FAULT_EVENT.search(path.read_text(errors="replace"))
@@ -129,10 +129,10 @@
                 yield "fault in the log", f"{path.name}: {match.group(0)[:200]}"
 
 
-def _lost_sighups(day: SoakDay) -> Iterable[Problem]:
+def _lost_sighups(scenario_run: SoakScenarioRun) -> Iterable[Problem]:
     """Yield a problem for each balancer whose last reload is not that of its last SIGHUP."""
-    for number, pid in day.signalled_pids.items():
-        balancer = day.balancers[0, number]
+    for number, pid in scenario_run.signalled_pids.items():
+        balancer = scenario_run.balancers[0, number]
         if balancer.process.pid != pid:
             continue  # restarted after the signals
         text = Path(balancer.log).read_text(errors="replace")
--- a/pepperhook/lab/soak/play.py
+++ b/pepperhook/lab/soak/play.py
@@ -11,7 +11,7 @@
 
 import psutil
 
-from pepperhook.lab import day as lab_day
+from pepperhook.lab import scenario_run
 from pepperhook.lab.soak.crowd import IdleClients
 from pepperhook.lab.soak.draw import IDLE_CLOSE_S, Restart, SignalSeries, SoakRun
 from pepperhook.lab.soak.leaving_clients import KeepAliveClients, open_http2_during_drain
@@ -31,7 +31,7 @@
 Problem = tuple[str, str]  # name and example
 
 
-class SoakDay(lab_day.Day):
+class SoakScenarioRun(scenario_run.ScenarioRun):
     """A lab scenario with restarts, signals and idle clients; checks the balancer processes."""
 
     def __init__(self, run: SoakRun, folder: Path) -> None:
@@ -50,7 +50,7 @@
             run.seed,
             folder,
             sockets=run.sockets,
-            script=[*self._timeline()],
+            extra_actions=[*self._timeline()],
         )
 
     def _timeline(self) -> list[tuple[float, Callable[[Any], None]]]:
@@ -81,7 +81,7 @@
         """Connect the idle clients to the balancers of the first tier."""
         crowd = self.run.crowd
         assert crowd is not None
-        for number in range(self.day.tiers[0].balancers):
+        for number in range(self.scenario.tiers[0].balancers):
             address = self.plan.balancer(0, number)
             self.idle_clients.connect(address, crowd.clients, int(crowd.clients * crowd.begun))
 
@@ -91,11 +91,14 @@
         if restart.balancer in self.restarts_in_progress or balancer.process.poll() is not None:
             return
         self.restarts_in_progress.add(restart.balancer)
-        self.happened("balancer told to leave", balancer)
+        self.record_event("balancer told to leave", balancer)
         self.spawn(lambda: self._perform_restart(balancer, restart))
 
     def _perform_restart(self, balancer: Any, restart: Restart) -> None:
-        longest_s = max(grade.time_limit_ms for grade in self.day.grades) / MS_PER_S
+        longest_s = (
+            max(service_class.time_limit_ms for service_class in self.scenario.service_classes)
+            / MS_PER_S
+        )
         address = self.plan.balancer(0, balancer.number)
         # With idle clients connected, the balancer closes some connections to make room,
         # which the keep-alive clients would report.
@@ -117,9 +120,9 @@
             balancer.process.kill()
             balancer.process.wait()
         self.check_exit(balancer)
-        self.happened("balancer left", balancer)
+        self.record_event("balancer left", balancer)
         balancer.begin()
-        self.happened("balancer begun", balancer)
+        self.record_event("balancer begun", balancer)
         if restart.starting_ms is not None:
             time.sleep(restart.starting_ms / MS_PER_S)
             _send_sighup_and_sigusr1(balancer)
@@ -148,7 +151,7 @@
         import asyncio
 
         deadline = balancer.begun + READY_S
-        while not asyncio.run(lab_day.healthy(self.plan.balancer(0, balancer.number))):
+        while not asyncio.run(scenario_run.healthy(self.plan.balancer(0, balancer.number))):
             if time.monotonic() > deadline or balancer.process.poll() is not None:
                 self.add_problem("not ready in time", f"balancer {balancer.number}")
                 return
@@ -171,7 +174,7 @@
         number = 0
         for name in series.names:
             if name == "SIGHUP":
-                lab_day.store(
+                scenario_run.write_atomically(
                     path, json.dumps(_reload_config(valid, series, number, sighup_count)).encode()
                 )
                 number += 1
@@ -181,10 +184,10 @@
 
     # Start and end of the run.
 
-    def along(self) -> None:
-        """Run the timeline (called by ``Day``) between two measurements of the balancers."""
+    def run_actions(self) -> None:
+        """Run the timeline between two measurements of the balancers."""
         self.resources_before = self._measure_all()
-        super().along()
+        super().run_actions()
         for thread in self.background_threads:
             thread.join(READY_S + 5)
         self.idle_clients.close()
@@ -208,10 +211,10 @@
                 continue  # the process has ended, which is checked separately
         return resources
 
-    def take_down(self) -> None:
+    def stop_processes(self) -> None:
         """Stop all processes, and check the exit codes of the balancers."""
         self.idle_clients.close()
-        super().take_down()
+        super().stop_processes()
         for balancer in self.balancers.values():
             if balancer.process is not None:
                 self.check_exit(balancer)
--- a/pepperhook/lab/soak/run.py
+++ b/pepperhook/lab/soak/run.py
@@ -7,10 +7,10 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from pepperhook.lab.day import Failed
+from pepperhook.lab.scenario_run import Failed
 from pepperhook.lab.soak.draw import draw
 from pepperhook.lab.soak.judge import Verdict, judge
-from pepperhook.lab.soak.play import SoakDay
+from pepperhook.lab.soak.play import SoakScenarioRun
 
 MAX_RUNS = 3  # per seed; a run is repeated if it is void, such as for lack of CPU time
 KEPT = "soak"  # subfolder of the results folder
@@ -34,16 +34,16 @@
 
 def _run_once(seed: int, seconds: float, run_folder: Path, plant: str | None) -> Verdict:
     run = draw(seed, seconds, plant)
-    day = SoakDay(run, run_folder)
+    scenario_run = SoakScenarioRun(run, run_folder)
     try:
-        result = day.play()
+        result = scenario_run.play()
     except Failed as error:
         return Verdict(
             seed, False, "", 0, {"could not be played": [str(error)]}, {}, str(run_folder)
         )
     if result["interrupted"]:
         raise KeyboardInterrupt
-    verdict = judge(day, result)
+    verdict = judge(scenario_run, result)
     verdict.folder = str(run_folder)
     (run_folder / "verdict.json").write_text(json.dumps(verdict.problems, indent=1))
     return verdict
--- a/pepperhook/lab/stage.py
+++ b/pepperhook/lab/stand_ins.py
@@ -1,6 +1,6 @@
 """The processes of a run's stand-ins.
 
-Usage: ``python -m pepperhook.lab.stage PLAN FOLDER upstreams TIER | discovery | relays``.
+Usage: ``python -m pepperhook.lab.stand_ins PLAN FOLDER upstreams TIER | discovery | relays``.
 
 Each process prints "ready" to standard output, then reads the run's start from standard input (in
 nanoseconds of the monotonic clock) and injects its part of the scheduled faults. It ends when its
@@ -18,14 +18,16 @@
 STALL_NS = 50 * 10**6  # a third of audit.TOLD_NS, the time allowed for reading a list
 
 
-class Stage:
+class TierState:
     """Shared state of a tier's upstreams: plan, event rows and request counts."""
 
     def __init__(self, plan, folder, tier):
-        self.plan, self.day, self.tier = plan, plan.day, tier
+        self.plan, self.scenario, self.tier = plan, plan.scenario, tier
         self.book = events.Book(f"{folder}/upstreams-{tier}.rows")
-        self.callers = experiment.callers(plan.day, tier)
-        self.grades = {grade.name: at for at, grade in enumerate(plan.day.grades)}
+        self.callers = experiment.caller_count(plan.scenario, tier)
+        self.service_classes = {
+            service_class.name: at for at, service_class in enumerate(plan.scenario.service_classes)
+        }
         # deliveries: how often each request id has reached the tier.
         self.deliveries, self.tasks = {}, set()
 
@@ -60,23 +62,25 @@
     """Run all upstreams of one tier."""
     from pepperhook.lab.upstream import Upstream
 
-    stage = Stage(plan, folder, tier)
-    tier_upstreams = [Upstream(stage, number) for number in range(plan.day.tiers[tier].upstreams)]
+    tier_state = TierState(plan, folder, tier)
+    tier_upstreams = [
+        Upstream(tier_state, number) for number in range(plan.scenario.tiers[tier].upstreams)
+    ]
     for upstream in tier_upstreams:
-        await upstream.start(plan.day.cold)
+        await upstream.start(plan.scenario.cold)
     start, ended = await begin()
     tasks = [
         asyncio.create_task(run_fault(*row))
-        for row in fault_changes(plan.day, tier, start, tier_upstreams)
+        for row in fault_changes(plan.scenario, tier, start, tier_upstreams)
     ]
     tasks += [
         asyncio.create_task(run_transition(start, tier_upstreams[row.number], row))
-        for row in instances.Timeline.of(plan.day, tier).steps
+        for row in instances.Timeline.of(plan.scenario, tier).steps
     ]
-    tasks.append(asyncio.create_task(note_stalls(stalls.upstreams(tier), stage.book)))
+    tasks.append(asyncio.create_task(note_stalls(stalls.upstreams(tier), tier_state.book)))
     while not ended.done():
         await asyncio.wait([ended], timeout=0.5)
-        stage.book.flush()
+        tier_state.book.flush()
         for upstream in tier_upstreams:
             upstream.close_idle_connections()
     for task in tasks:
@@ -84,14 +88,14 @@
     for upstream in tier_upstreams:
         await upstream.close()
     await asyncio.sleep(0)
-    stage.book.close()
+    tier_state.book.close()
 
 
-def fault_changes(day, tier, start, tier_upstreams):
+def fault_changes(scenario, tier, start, tier_upstreams):
     """Yield each start and end of a fault as (time in ns, upstream, fault, whether it starts)."""
-    for fault in day.troubles:
-        if fault.what in experiment.OF_UPSTREAMS and fault.tier == tier:
-            for number, begins, ends in experiment.moments(day, fault):
+    for fault in scenario.faults:
+        if fault.type in experiment.UPSTREAM_FAULTS and fault.tier == tier:
+            for number, begins, ends in experiment.fault_periods(scenario, fault):
                 for at, on in (begins, True), (ends, False):
                     yield start + int(at * S), tier_upstreams[number], fault, on
 
--- a/pepperhook/lab/speed.py
+++ b/pepperhook/lab/throughput.py
@@ -11,9 +11,9 @@
 
 from msgspec.structs import replace
 
-from pepperhook.lab.day import Day, Failed
-from pepperhook.lab.experiment import Clients, Experiment, Grade, Load, Tier, Variant
+from pepperhook.lab.experiment import Clients, Experiment, Load, ServiceClass, Tier, Variant
 from pepperhook.lab.machine import Spec
+from pepperhook.lab.scenario_run import Failed, ScenarioRun
 
 PAIRINGS = {
     "1-1": ("http/1.1", "http/1.1"),
@@ -26,14 +26,16 @@
 WORK_MS = 0.5  # of each request, at an upstream
 
 
-def day(seconds, **more):
+def make_experiment(seconds, **more):
     """Return the experiment, without its load."""
     machine = Spec(cores=64.0, slots=1000, queue=1000)
     return Experiment(
         version=1,
         name="speed",
         seconds=float(seconds),
-        grades=[Grade(name="look", time_limit_ms=2000, goal_ms=1000, work_ms=WORK_MS)],
+        service_classes=[
+            ServiceClass(name="look", time_limit_ms=2000, goal_ms=1000, work_ms=WORK_MS)
+        ],
         tiers=[Tier(upstreams=UPSTREAMS, machine=machine)],
         **more,
     )
@@ -44,7 +46,7 @@
     clients, upstreams = PAIRINGS[pairing]
     experiment = replace(experiment, clients=replace(experiment.clients, protocol=clients))
     operator = None if pairing == "1-1" else {"h2": {"upstreams": upstreams}}
-    result = Day(experiment, Variant(name=pairing, operator=operator), seed, folder).play()
+    result = ScenarioRun(experiment, Variant(name=pairing, operator=operator), seed, folder).play()
     if result["interrupted"]:
         raise KeyboardInterrupt
     if result["findings"]:
@@ -53,7 +55,7 @@
     return result, cpu / experiment.seconds
 
 
-def measure(rounds, seconds, seed, folder, tell):
+def measure(rounds, seconds, seed, folder, report_progress):
     """Return the figures by pairing: medians over the rounds, and the ratios to 1-1 in each round.
 
     Raises Failed.
@@ -61,9 +63,11 @@
     names, rows = list(PAIRINGS), {name: [] for name in PAIRINGS}
     for round_number in range(rounds):
         for at, name in enumerate(names[round_number % 4 :] + names[: round_number % 4]):
-            tell(f"round {round_number + 1} of {rounds}: {name}", (round_number + at / 4) / rounds)
+            report_progress(
+                f"round {round_number + 1} of {rounds}: {name}", (round_number + at / 4) / rounds
+            )
             saturated, cores = run_pairing(
-                day(seconds, clients=Clients(closed=CLIENTS)),
+                make_experiment(seconds, clients=Clients(closed_loop_clients=CLIENTS)),
                 name,
                 seed + round_number,
                 folder / f"{name}-{round_number}-full",
@@ -76,7 +80,7 @@
             figures = saturated["figures"]
             rate = figures["wishes"] * figures["served"] / seconds / cores
             half_rate, half_rate_cores = run_pairing(
-                day(seconds, load=[Load(rate=rate / 2)]),
+                make_experiment(seconds, load=[Load(rate=rate / 2)]),
                 name,
                 seed + round_number,
                 folder / f"{name}-{round_number}-half",
--- a/pepperhook/lab/tracesize.py
+++ b/pepperhook/lab/trace_summary_benchmark.py
@@ -15,12 +15,12 @@
 from pepperhook.tracing import records
 
 S = 10**9
-GRADES = ("look", "hold", "sale")
+SERVICE_CLASSES = ("look", "hold", "sale")
 OUTCOMES = (records.RequestOutcome.SERVED,) * 6 + (
     records.RequestOutcome.REJECTED,
     records.RequestOutcome.FAILED,
 )
-CUSTOMERS = 1_000_000
+TENANTS = 1_000_000
 UPSTREAMS = 300
 # VmHWM is the peak memory of this program alone. The peak in rusage would include the memory that
 # its parent had when the process was started.
@@ -32,7 +32,7 @@
 """
 
 
-def make(path, megabytes: float, seed: int, tell=lambda *_: None) -> int:
+def make(path, megabytes: float, seed: int, report_progress=lambda *_: None) -> int:
     """Write a trace of about this size and return its number of request traces.
 
     Ids are random like those of real clients; there are a million tenants.
@@ -72,8 +72,8 @@
             trace = records.RequestTrace(
                 f"{rng.getrandbits(128):032x}",
                 "",
-                GRADES[traces % 3],
-                f"c{rng.randrange(CUSTOMERS)}",
+                SERVICE_CLASSES[traces % 3],
+                f"c{rng.randrange(TENANTS)}",
                 accepted_ns,
                 2_000_000,
                 1_000_000,
@@ -96,19 +96,19 @@
             )
             writer.append(records.encode(trace), accepted_ns, records.index_keys(trace))
             traces += 1
-        tell("writing", min(1.0, writer.size / max_bytes))
+        report_progress("writing", min(1.0, writer.size / max_bytes))
     writer.close()
     return traces
 
 
-def measure(megabytes: float, seed: int, folder, tell=lambda *_: None) -> dict:
+def measure(megabytes: float, seed: int, folder, report_progress=lambda *_: None) -> dict:
     """Return the figures of one summary.
 
     Raises OSError if the disk is full, RuntimeError if the summary failed.
     """
     path = Path(folder) / "large.trc"
-    traces = make(path, megabytes, seed, tell)
-    tell("summarizing", 0.5)
+    traces = make(path, megabytes, seed, report_progress)
+    report_progress("summarizing", 0.5)
     begun = time.monotonic()
     done = subprocess.run(
         [sys.executable, "-c", SUMMARY, str(path)], capture_output=True, text=True
--- a/pepperhook/lab/tracecost.py
+++ b/pepperhook/lab/tracecost.py
@@ -32,7 +32,7 @@
 MODES: dict[str, float | None] = {"off": None, "sampled, 1%": 0.01, "whole": 1.0}
 
 Record = list[Any]
-Tell = Callable[[str, float], None]
+ReportProgress = Callable[[str, float], None]
 
 
 class Run(NamedTuple):
@@ -91,7 +91,10 @@
 
 
 def measure(
-    path: str | Path, revision: str | None = None, rounds: int = 7, tell: Tell = lambda *_: None
+    path: str | Path,
+    revision: str | None = None,
+    rounds: int = 7,
+    report_progress: ReportProgress = lambda *_: None,
 ) -> dict[str, Any]:
     """Return the microseconds per request in each mode, and a trace's bytes before compression."""
     records = read(path)
@@ -101,7 +104,7 @@
     for turn in range(rounds):
         first = turn % len(names)
         for name in names[first:] + names[:first]:
-            tell(name, turn / rounds)
+            report_progress(name, turn / rounds)
             gc.collect()
             if build is not None and name not in MODES:
                 runs[name].append(play_revision(build, path))
--- a/pepperhook/lab/upstream.py
+++ b/pepperhook/lab/upstream.py
@@ -12,7 +12,7 @@
 from contextlib import suppress
 from typing import Any
 
-from pepperhook.lab import chance, events, machine, wire
+from pepperhook.lab import events, http1, machine, random_draws
 from pepperhook.lab.instances import LIFECYCLE_FAULTS, Transition
 from pepperhook.lab.machine import Job
 
@@ -39,7 +39,7 @@
         "failed",
         "first_byte",
         "disconnected_at",
-        "grade",
+        "service_class",
         "id",
         "job",
         "limit",
@@ -58,7 +58,7 @@
     failed: bool  # a call to the next tier failed
     first_byte: int
     disconnected_at: int  # when its connection ended; 0: it has not
-    grade: int  # index of its service class
+    service_class: int  # index of its service class
     id: str
     job: Job
     limit: int
@@ -74,7 +74,7 @@
             upstream,
             caller,
             None,
-            wire.Messages(),
+            http1.Messages(),
         )
         self.open, self.first_byte, self.idle_at = None, 0, 0
 
@@ -84,7 +84,7 @@
         if len(upstream.connections) >= upstream.spec.connections or upstream.down:
             return transport.abort()
         upstream.connections.add(self)
-        upstream.stage.book.add(
+        upstream.tier_state.book.add(
             events.Connected(upstream.tier, upstream.number, self.caller, upstream.now())
         )
         upstream.machine.charge(upstream.now(), upstream.spec.connect_work_ms * MS)
@@ -98,7 +98,7 @@
             self.first_byte = upstream.now()
             if data.startswith(b"PRI * HTTP/2.0"):
                 # HTTP/2 with prior knowledge.
-                from pepperhook.lab.wire2 import Http2ServerConnection
+                from pepperhook.lab.http2 import Http2ServerConnection
 
                 connection, self.open = Http2ServerConnection(upstream, self.caller), None
                 upstream.connections.discard(self)
@@ -111,11 +111,11 @@
         try:
             while (request := self.messages.next()) is not None:
                 if self.open is not None:
-                    raise wire.Broken("a second request before the response")
+                    raise http1.Broken("a second request before the response")
                 upstream.handle_request(self, *request)
-        except (wire.Broken, ValueError) as problem:
+        except (http1.Broken, ValueError) as problem:
             upstream.record_event("bad message", text=str(problem))
-            self.transport.write(wire.answer(400))
+            self.transport.write(http1.answer(400))
             self.transport.close()
 
     def abort(self):
@@ -137,9 +137,14 @@
 class Upstream:
     """One stand-in upstream process and its faults."""
 
-    def __init__(self, stage, number):
-        self.stage, self.number, self.tier, self.day = stage, number, stage.tier, stage.day
-        self.spec = stage.day.tiers[stage.tier].machine
+    def __init__(self, tier_state, number):
+        self.tier_state, self.number, self.tier, self.scenario = (
+            tier_state,
+            number,
+            tier_state.tier,
+            tier_state.scenario,
+        )
+        self.spec = tier_state.scenario.tiers[tier_state.tier].machine
         self.machine, self.connections, self.servers = None, set(), []
         self.down, self.unready, self.draining = True, False, False
         self.fails_checks = False  # health checks fail: true from the start of a drain
@@ -147,15 +152,17 @@
         self.timer, self.pool, self.fillers, self.malformed_count = None, None, [], 0
         self.calls, self.first_chain_header = set(), None
         self.open_attempts = set()  # attempts whose event row has not been written
-        carry = self.day.tiers[self.tier].carry
-        self.carry = carry[number % len(carry)]
+        carry = self.scenario.tiers[self.tier].header_handling
+        self.header_handling = carry[number % len(carry)]
 
     def now(self):
         return time.monotonic_ns()
 
     def record_event(self, what, on=True, text=""):
         """Record an event of this upstream; ``on`` is False if it is the end of a fault."""
-        self.stage.book.add(events.Happened(self.now(), what, self.tier, self.number, on, text))
+        self.tier_state.book.add(
+            events.Happened(self.now(), what, self.tier, self.number, on, text)
+        )
 
     def fault_applies(self, kind, name):
         """Whether an active fault of this kind applies to the attempt or connection with this name.
@@ -168,8 +175,8 @@
             return fault is not None
         # If all upstreams have the fault, the result depends on the name alone, so a request has
         # the same outcome at each of them.
-        scope = "all" if fault.part == 1 else self.number
-        return chance.share(self.stage.plan.seed, kind, scope, name) < fault.size
+        scope = "all" if fault.target_fraction == 1 else self.number
+        return random_draws.share(self.tier_state.plan.seed, kind, scope, name) < fault.size
 
     # Process lifecycle.
 
@@ -180,15 +187,15 @@
         if cold:
             self.record_event("up cold")
         # circle: the last tier calls tier 0, for attempts of that service class.
-        settings, last = self.day.tiers[self.tier], self.tier + 1 == len(self.day.tiers)
-        if self.pool is None and settings.calls and (not last or settings.circle):
+        settings, last = self.scenario.tiers[self.tier], self.tier + 1 == len(self.scenario.tiers)
+        if self.pool is None and settings.calls and (not last or settings.loop_service_class):
             address = (
-                self.stage.plan.balancer(0, 0)
+                self.tier_state.plan.balancer(0, 0)
                 if last
-                else self.stage.plan.balancer(self.tier + 1, self.number)
+                else self.tier_state.plan.balancer(self.tier + 1, self.number)
             )
-            self.pool = wire.Pool(
-                lambda: address, self.stage.record_unsolicited, self.stage.record_excess
+            self.pool = http1.Pool(
+                lambda: address, self.tier_state.record_unsolicited, self.tier_state.record_excess
             )
         await self.listen()
 
@@ -197,8 +204,8 @@
         if self.servers:
             return  # an overlapping fault that ended earlier has already reopened it
         loop = asyncio.get_running_loop()
-        for caller in range(self.stage.callers):
-            address = self.stage.plan.upstream(self.tier, self.number, caller)
+        for caller in range(self.tier_state.callers):
+            address = self.tier_state.plan.upstream(self.tier, self.number, caller)
             for _ in range(50):
                 try:
                     self.servers.append(
@@ -246,21 +253,27 @@
     # Requests.
 
     def handle_request(self, connection, head, body):
-        """Handle one request; raise wire.Broken if it names no service class or has no id."""
-        now, stage = self.now(), self.stage
+        """Handle one request; raise http1.Broken if it names no service class or has no id."""
+        now, tier_state = self.now(), self.tier_state
         path, request_id = head.start[1], head.headers.get(b"x-request-id")
         if path in (b"/ping", b"/_load"):
-            stage.book.add(events.Probe(self.tier, self.number, connection.caller, now))
+            tier_state.book.add(events.Probe(self.tier, self.number, connection.caller, now))
             connection.transport.write(self.told_load(path))
             return None
         name = path.split(b"/", 2)[1].partition(b"?")[0].decode()
-        if request_id is None or name not in stage.grades:
-            raise wire.Broken("no request id, or a path that names no service class")
+        if request_id is None or name not in tier_state.service_classes:
+            raise http1.Broken("no request id, or a path that names no service class")
         attempt = Attempt()
-        attempt.connection, attempt.id, attempt.grade, attempt.first_byte, attempt.arrived_at = (
+        (
+            attempt.connection,
+            attempt.id,
+            attempt.service_class,
+            attempt.first_byte,
+            attempt.arrived_at,
+        ) = (
             connection,
             request_id.decode(),
-            stage.grades[name],
+            tier_state.service_classes[name],
             connection.first_byte,
             now,
         )
@@ -268,7 +281,7 @@
         attempt.limit = (
             limit * MS
             if limit is not None
-            else int(self.day.grades[attempt.grade].time_limit_ms * MS)
+            else int(self.scenario.service_classes[attempt.service_class].time_limit_ms * MS)
         )
         attempt.chain_header, attempt.chain_results = head.headers.get(CHAIN_HEADER), []
         if attempt.chain_header is not None:
@@ -281,12 +294,19 @@
             attempt.nonce,
             attempt.is_recorded,
         ) = 0, False, 0, 0, "", False
-        attempt.delivery = stage.deliveries[attempt.id] = stage.deliveries.get(attempt.id, 0) + 1
+        attempt.delivery = tier_state.deliveries[attempt.id] = (
+            tier_state.deliveries.get(attempt.id, 0) + 1
+        )
         attempt.deadline = now + attempt.limit
         connection.open = attempt
         self.open_attempts.add(attempt)
         attempt.job = Job(
-            chance.work_ns(stage.plan.seed, attempt.id, self.day.grades[attempt.grade]), attempt
+            random_draws.work_ns(
+                tier_state.plan.seed,
+                attempt.id,
+                self.scenario.service_classes[attempt.service_class],
+            ),
+            attempt,
         )
         if self.on.get("hang") is not None and self.fault_applies(
             "hang", f"{attempt.id} {attempt.delivery}"
@@ -294,11 +314,11 @@
             return None
         if self.draining or self.unready:
             return self.respond(
-                attempt, "turned away", wire.answer(503, b"draining\n", NOT_PROCESSED)
+                attempt, "turned away", http1.answer(503, b"draining\n", NOT_PROCESSED)
             )
         if self.fault_applies("errors", f"{attempt.id} {attempt.delivery}"):
             attempt.began = now
-            return self.respond(attempt, "error", wire.answer(500, b"error\n"))
+            return self.respond(attempt, "error", http1.answer(500, b"error\n"))
         admission = self.machine.arrive(now, attempt.job)
         if self.machine.fell:
             # Overload while cold crashes the process; it restarts cold.
@@ -307,22 +327,22 @@
             )
             self.crash()
             asyncio.get_running_loop().call_later(
-                RESTART_AFTER_OVERLOAD_S, lambda: stage.spawn(self.start(cold=True))
+                RESTART_AFTER_OVERLOAD_S, lambda: tier_state.spawn(self.start(cold=True))
             )
             return None
         if admission == machine.TURNED_AWAY:
-            return self.respond(attempt, "turned away", wire.answer(503, b"full\n", NOT_PROCESSED))
+            return self.respond(attempt, "turned away", http1.answer(503, b"full\n", NOT_PROCESSED))
         self.set_timer()
 
     def told_load(self, path):
         """Return the response to a health check (``/ping``) or a load query (``/_load``)."""
         if path == b"/ping":
-            return wire.answer(503 if self.fails_checks or self.unready else 200, b"pong\n")
+            return http1.answer(503 if self.fails_checks or self.unready else 200, b"pong\n")
         if "lost_report" in self.on:
-            return wire.answer(503)
+            return http1.answer(503)
         if "stale_report" not in self.on or not hasattr(self, "stale"):
             self.stale = self.machine.report(self.now())
-        return wire.answer(200, events.msgspec.json.encode(self.stale))
+        return http1.answer(200, events.msgspec.json.encode(self.stale))
 
     def set_timer(self):
         """Set the timer for the machine's next event."""
@@ -346,14 +366,16 @@
     def on_work_done(self, attempt):
         """Handle the end of the work here: call the next tier, or respond."""
         attempt.began = attempt.job.began
-        settings = self.day.tiers[self.tier]
-        # heeds_leaving: work stops when the client disconnects.
-        if attempt.disconnected_at and settings.heeds_leaving:
+        settings = self.scenario.tiers[self.tier]
+        # cancels_on_disconnect: work stops when the client disconnects.
+        if attempt.disconnected_at and settings.cancels_on_disconnect:
             self.machine.free(self.now(), attempt.job)
             return self.record(attempt, "given up", attempt.disconnected_at)
-        last = self.tier + 1 == len(self.day.tiers)
+        last = self.tier + 1 == len(self.scenario.tiers)
         if self.pool is not None and (
-            not last or settings.circle == self.day.grades[attempt.grade].name
+            not last
+            or settings.loop_service_class
+            == self.scenario.service_classes[attempt.service_class].name
         ):
             attempt.calls = settings.calls
             for number in range(attempt.calls):
@@ -375,24 +397,24 @@
 
     def reply(self, attempt):
         """Release the slot and respond: served, error, or as an active fault requires."""
-        settings, now = self.day.tiers[self.tier], self.now()
+        settings, now = self.scenario.tiers[self.tier], self.now()
         self.machine.free(now, attempt.job)
         fails_at_random = (
-            settings.fail
-            and chance.share(
-                self.stage.plan.seed,
+            settings.failure_rate
+            and random_draws.share(
+                self.tier_state.plan.seed,
                 "fail",
                 self.tier,
                 attempt.id,
-                0 if settings.fail_sticks else attempt.delivery,
+                0 if settings.failures_are_sticky else attempt.delivery,
             )
-            < settings.fail
+            < settings.failure_rate
         )
         if attempt.disconnected_at:
             return self.record(attempt, "given up", attempt.disconnected_at)  # the client has left
-        if fails_at_random or attempt.failed and not settings.hide_failures:
+        if fails_at_random or attempt.failed and not settings.responds_ok_on_failure:
             return self.respond(
-                attempt, "error", wire.answer(500, b"error\n", self.chain_result_headers(attempt))
+                attempt, "error", http1.answer(500, b"error\n", self.chain_result_headers(attempt))
             )
         attempt.nonce = f"{self.tier}.{self.number}.{attempt.id}.{attempt.delivery}"
         body = attempt.nonce.encode() + b"\n"
@@ -401,7 +423,7 @@
         if self.fault_applies("spoilt", f"{attempt.id} {attempt.delivery}"):
             attempt.nonce = ""
             return self.respond(attempt, "spoilt", self.make_malformed_response(body))
-        self.respond(attempt, "served", wire.answer(200, body, self.chain_result_headers(attempt)))
+        self.respond(attempt, "served", http1.answer(200, body, self.chain_result_headers(attempt)))
 
     def chain_result_headers(self, attempt):
         """Return the next tier's chain results as header lines, unchanged."""
@@ -416,15 +438,15 @@
         # bytes; half: the connection closes in the middle.
         kinds = ("short", "noise", "no_length", "two_lengths", "large", "half")
         self.malformed_count += 1
-        kind = self.on["spoilt"].kind or kinds[self.malformed_count % len(kinds)]
-        valid = wire.answer(200, body)
+        kind = self.on["spoilt"].malformation or kinds[self.malformed_count % len(kinds)]
+        valid = http1.answer(200, body)
         return {
-            "short": wire.answer(200, body + b"x" * 40)[:-40],
+            "short": http1.answer(200, body + b"x" * 40)[:-40],
             "noise": b"\x00\xffnoise\r\n\r\n" + valid,
             "no_length": b"HTTP/1.1 200 OK\r\n\r\n" + body,
             "two_lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n"
             + body,
-            "large": wire.answer(200, b"x" * 70000),
+            "large": http1.answer(200, b"x" * 70000),
             "half": valid[: len(valid) // 2],
         }[kind]
 
@@ -447,13 +469,13 @@
         self.open_attempts.discard(attempt)
         began = attempt.began or attempt.job.began
         worked = int(attempt.job.work) if began and outcome not in ("hung", "turned away") else 0
-        self.stage.book.add(
+        self.tier_state.book.add(
             events.Work(
                 self.tier,
                 self.number,
                 attempt.connection.caller,
                 attempt.id,
-                attempt.grade,
+                attempt.service_class,
                 attempt.first_byte,
                 attempt.arrived_at,
                 ended,
@@ -477,7 +499,7 @@
             return self.record(attempt, "reset", attempt.disconnected_at)
         if attempt.job.state is None:
             return self.record(attempt, "hung", attempt.disconnected_at)
-        if not self.day.tiers[self.tier].heeds_leaving:
+        if not self.scenario.tiers[self.tier].cancels_on_disconnect:
             attempt.job.abandoned = True
             return None
         began = attempt.job.began
@@ -503,7 +525,7 @@
 
     async def apply_fault(self, fault, on):
         """Begin or end one fault."""
-        what, now = fault.what, self.now()
+        what, now = fault.type, self.now()
         self.record_event(what, on)
         if on:
             self.on[what] = fault
@@ -532,9 +554,9 @@
             if on:
                 self.refuse_connections()
                 if what == "unconnectable":
-                    for caller in range(self.stage.callers):
-                        self.fillers += wire.fill_backlog(
-                            self.stage.plan.upstream(self.tier, self.number, caller)
+                    for caller in range(self.tier_state.callers):
+                        self.fillers += http1.fill_backlog(
+                            self.tier_state.plan.upstream(self.tier, self.number, caller)
                         )
             else:
                 self.fillers = [filler.close() for filler in self.fillers][:0]
@@ -567,20 +589,20 @@
 class Call:
     """One request to the next tier's balancer.
 
-    Its time limit is the parent attempt's remaining time, or with ``tells_time`` off the service
-    class's whole limit, in both cases less MARGIN_MS. It implements the exchange interface that
-    wire.Pool describes.
+    Its time limit is the parent attempt's remaining time, or with ``forwards_remaining_time`` off
+    the service class's whole limit, in both cases less MARGIN_MS. It implements the exchange
+    interface that http1.Pool describes.
     """
 
     def __init__(self, upstream, parent, number):
         self.upstream, self.parent, self.over, self.link = upstream, parent, False, None
         self.id = f"{parent.id}-{parent.delivery}{'abcdefgh'[number]}"
         self.begun = upstream.now()
-        forwards_limit = upstream.day.tiers[upstream.tier].tells_time
+        forwards_limit = upstream.scenario.tiers[upstream.tier].forwards_remaining_time
         self.limit = (
             parent.deadline - self.begun
             if forwards_limit
-            else int(upstream.day.grades[parent.grade].time_limit_ms * MS)
+            else int(upstream.scenario.service_classes[parent.service_class].time_limit_ms * MS)
         ) - MARGIN_MS * MS
         self.timer = None
 
@@ -589,27 +611,30 @@
         if self.limit < 2 * MS:
             # The request is never sent, and finish records none with this note.
             return self.finish("gone", 0, b"", "no time left")
-        grade = self.upstream.day.grades[self.parent.grade]
-        method = b"GET" if grade.effect == "idempotent" else b"POST"
+        service_class = self.upstream.scenario.service_classes[self.parent.service_class]
+        method = b"GET" if service_class.effect == "idempotent" else b"POST"
         headers = [
             (b"X-Request-ID", self.id.encode()),
             (b"X-Timeout-Ms", b"%d" % (self.limit // MS)),
         ]
-        if grade.effect == "deduplicated":
+        if service_class.effect == "deduplicated":
             headers.append((b"Idempotency-Key", self.id.encode()))
         headers += [(CHAIN_HEADER, value) for value in self.chain_headers()]
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(self.limit / S + 0.1, self.on_timeout)
         self.upstream.pool.send(
             self,
-            wire.message(
-                method, f"/{grade.name}".encode(), headers, b"{}" if method == b"POST" else b""
+            http1.message(
+                method,
+                f"/{service_class.name}".encode(),
+                headers,
+                b"{}" if method == b"POST" else b"",
             ),
         )
 
     def chain_headers(self):
         """Return the chain headers to send, as the tier's ``carry`` setting says."""
-        mode, value = self.upstream.carry, self.parent.chain_header
+        mode, value = self.upstream.header_handling, self.parent.chain_header
         if value is None or mode == "drop":
             return []
         if mode == "copy":
@@ -619,11 +644,11 @@
         return [value] * (2 if mode == "twice" else 1)
 
     def written(self):
-        """Do nothing; wire.Pool calls it when a new connection is established."""
+        """Do nothing; http1.Pool calls it when a new connection is established."""
 
     def answered(self, status, body, headers):
         """Handle the response."""
-        if CHAIN_RESULT_HEADER in headers and self.upstream.carry != "drop":
+        if CHAIN_RESULT_HEADER in headers and self.upstream.header_handling != "drop":
             self.parent.chain_results.append(headers[CHAIN_RESULT_HEADER])
         self.finish("answer", status, body)
 
@@ -656,14 +681,14 @@
         upstream = self.upstream
         upstream.calls.discard(self)
         if note != "no time left":
-            upstream.stage.book.add(
+            upstream.tier_state.book.add(
                 events.Try(
                     upstream.tier + 1,
                     upstream.number,
                     self.id,
                     self.id,
                     0,
-                    self.parent.grade,
+                    self.parent.service_class,
                     -1,
                     self.begun,
                     self.begun,
--- a/tests/cli/test_lab.py
+++ b/tests/cli/test_lab.py
@@ -7,16 +7,16 @@
 
 import pepperhook.lab
 from pepperhook.lab import (
-    controlload,
-    day,
+    control_benchmark,
     demo,
     experiment,
+    load_generator_limit,
     matrix,
-    null,
     proofs,
     report,
-    speed,
-    tracesize,
+    scenario_run,
+    throughput,
+    trace_summary_benchmark,
 )
 from tests.cli.commands import actual_output, command_of, expected_outputs
 
@@ -47,7 +47,7 @@
         self.update("first part", 0.75)
         self.update("second part", 1.0)
         if self.plant == "busy":
-            raise day.Failed("this machine is too busy")
+            raise scenario_run.Failed("this machine is too busy")
         return {"proof": "fake", "holds": self.plant is None, "full": self.full, "seed": self.seed}
 
 
@@ -75,7 +75,7 @@
     if folder.name == "nothing":
         return []
     if folder.name == "failed":
-        raise day.Failed("no balancer came up")
+        raise scenario_run.Failed("no balancer came up")
     return [{"folder": folder.name, "seed": seed, "repeats": repeats, "only": list(only)}]
 
 
@@ -98,7 +98,7 @@
 def measure_control(counts, _folder, port, update):
     update("members", 0.5)
     if port == 1:
-        raise controlload.Failed("the service did not come up")
+        raise control_benchmark.Failed("the service did not come up")
     return [{"members": count, "port": port} for count in counts]
 
 
@@ -110,7 +110,7 @@
 
 def measure_speed(rounds, seconds, seed, _folder, _update):
     if seed == 0:
-        raise day.Failed("something else was the bottleneck")
+        raise scenario_run.Failed("something else was the bottleneck")
     pairings = {"1-2": {**PAIRING, "core_ms_ratios": [0.9, 1.25, 1.3]}}
     return {"rounds": rounds, "seconds": seconds, "pairings": pairings}
 
@@ -141,10 +141,12 @@
     monkeypatch.setattr(matrix, "compare", compare)
     monkeypatch.setattr(report, "write", lambda *_: None)
     monkeypatch.setattr(report, "markdown", lambda *_: "| variant |")
-    monkeypatch.setattr(null, "measure", lambda rate, s: {"asked_per_s": rate, "seconds": s})
-    monkeypatch.setattr(speed, "measure", measure_speed)
-    monkeypatch.setattr(controlload, "measure", measure_control)
-    monkeypatch.setattr(tracesize, "measure", measure_trace_size)
+    monkeypatch.setattr(
+        load_generator_limit, "measure", lambda rate, s: {"asked_per_s": rate, "seconds": s}
+    )
+    monkeypatch.setattr(throughput, "measure", measure_speed)
+    monkeypatch.setattr(control_benchmark, "measure", measure_control)
+    monkeypatch.setattr(trace_summary_benchmark, "measure", measure_trace_size)
     fake_trace_cost = SimpleNamespace(measure=measure_trace_cost)
     monkeypatch.setattr(pepperhook.lab, "tracecost", fake_trace_cost, raising=False)
     monkeypatch.setattr(demo, "run", show_demo)
--- a/tests/control_plane/test_service.py
+++ b/tests/control_plane/test_service.py
@@ -20,7 +20,7 @@
 from pepperhook.control_plane.rollout_statistics import RequestCounts
 from pepperhook.domain import EndpointUpdate, UpstreamState
 from pepperhook.key_ring import KeyRing
-from pepperhook.lab import controlload
+from pepperhook.lab import control_benchmark
 from pepperhook.server.extensions import Extensions
 from tests.control_plane.helpers import (
     KEYS,
@@ -292,7 +292,7 @@
 
 
 def test_control_load_measurement_has_a_row_for_each_number_of_members(tmp_path):
-    [row] = controlload.measure([6], tmp_path, free_port())
+    [row] = control_benchmark.measure([6], tmp_path, free_port())
 
     assert row["members"] == 6
     assert row["version_at_all_s"] >= row["version_at_half_s"] > 0
--- a/tests/lab/experiments.py
+++ b/tests/lab/experiments.py
@@ -3,7 +3,7 @@
 from pepperhook import tomlfile
 from pepperhook.lab import experiment
 from pepperhook.lab.experiment import Experiment
-from tests.test_lab import DAY as EXPERIMENT
+from tests.test_lab import EXPERIMENT
 
 ZONED_EXPERIMENT = EXPERIMENT.replace('name = "t"', 'name = "t"\nzones = 2')
 
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -4,7 +4,7 @@
 
 from pepperhook.lab import audit, events
 from pepperhook.units import MILLISECOND, SECOND
-from tests.test_lab import day as make_experiment
+from tests.test_lab import make_experiment
 from tests.test_lab import one as make_attempt_row
 from tests.test_lab import work as make_work_row
 
--- a/tests/lab/test_cores.py
+++ b/tests/lab/test_cores.py
@@ -4,7 +4,7 @@
 import io
 from types import SimpleNamespace
 
-from pepperhook.lab.day import MAX_STOLEN, Cores
+from pepperhook.lab.scenario_run import MAX_STOLEN, Cores
 
 PID = 7
 NO_PID = 2**22 + 1
