--- a/tests/lab/test_discovery_overload.py
+++ b/tests/lab/test_discovery_overload.py
@@ -6,15 +6,15 @@
 from pepperhook.actions import WatchEndpoints
 from pepperhook.balancer import Balancer
 from pepperhook.domain import PollFailure, Upstream, UpstreamState
-from pepperhook.lab import events, experiment, planted
-from pepperhook.lab.day import ROOT
+from pepperhook.lab import defects, events, experiment
 from pepperhook.lab.endpoint_audit import EndpointAudit, quantile
 from pepperhook.lab.experiment import Experiment
 from pepperhook.lab.proofs import PROOFS
 from pepperhook.lab.proofs.discovery_overload import OverloadChecks, evenly_loaded, reduced
+from pepperhook.lab.scenario_run import ROOT
 from pepperhook.policy import endpoints
 from pepperhook.poll_backoff import PollBackoff
-from tests.test_lab import DAY
+from tests.test_lab import EXPERIMENT
 from tests.world import settings
 
 S, MS = 10**9, 10**6
@@ -176,7 +176,7 @@
     monkeypatch.setattr(PollBackoff, "next_poll", PollBackoff.next_poll)
     for name in ("poll_failed", "is_stale"):
         monkeypatch.setattr(endpoints.Endpoints, name, getattr(endpoints.Endpoints, name))
-    return lambda name: planted.FAULTS[name]()
+    return lambda name: defects.DEFECTS[name]()
 
 
 def fleet(size, now):
@@ -240,9 +240,9 @@
 
 def test_each_defect_of_the_scenario_can_be_injected():
     proof = PROOFS["discovery-overload"]
-    assert len(proof.plants) >= 2 and set(proof.plants) <= set(planted.FAULTS)
+    assert len(proof.plants) >= 2 and set(proof.plants) <= set(defects.DEFECTS)
 
 
 def test_drain_fault_takes_a_size_from_the_experiment_file():
-    text = DAY + "[[troubles]]\nwhat = 'drain'\nat = 1\nsize = 0.2\n"
-    assert tomlfile.decode(text, Experiment).troubles[0].size == 0.2
+    text = EXPERIMENT + "[[troubles]]\nwhat = 'drain'\nat = 1\nsize = 0.2\n"
+    assert tomlfile.decode(text, Experiment).faults[0].size == 0.2
--- a/tests/lab/test_discovery_stand_in.py
+++ b/tests/lab/test_discovery_stand_in.py
@@ -10,8 +10,8 @@
 from pepperhook.lab import events, experiment
 from pepperhook.lab.call_queue import Admission, CallQueue
 from pepperhook.lab.discovery import Discovery
-from pepperhook.lab.experiment import Experiment, Plan, Trouble
-from tests.test_lab import DAY
+from pepperhook.lab.experiment import Experiment, Fault, Plan
+from tests.test_lab import EXPERIMENT
 from tests.world import loopback
 
 POLL_WHOLE_LIST = "GET /catalog/members HTTP/1.1\r\nHost: list\r\n\r\n"
@@ -82,7 +82,7 @@
 
 def test_queue_is_built_from_the_settings_and_there_is_none_without_a_capacity():
     assert CallQueue.of(experiment.Discovery()) is None
-    settings = experiment.Discovery(calls_per_s=8.0, lines_per_s=80.0, waiting=4)
+    settings = experiment.Discovery(calls_per_s=8.0, lines_per_s=80.0, max_waiting=4)
     assert CallQueue.of(settings) == CallQueue(1 / 8, 1 / 80, 4 / 8, 2.0)
     assert CallQueue.of(experiment.Discovery(calls_per_s=8.0)).max_backlog_s == inf
 
@@ -131,7 +131,7 @@
 
     def __init__(self, folder, settings=""):
         self.folder = folder
-        run = tomlfile.decode(DAY + "[discovery]\n" + settings, Experiment)
+        run = tomlfile.decode(EXPERIMENT + "[discovery]\n" + settings, Experiment)
         experiment.check(run)
         self.book = events.Book(folder / "x.rows")
         self.service = Discovery(Plan(run, 1, 30), self.book)
@@ -151,7 +151,9 @@
         # Discovery.run_fault waits twice: for the begin and for the end.
         gates = iter([begins, ends])
         self.service.until = lambda *_: next(gates).wait()
-        work = asyncio.ensure_future(self.service.run_fault(0, Trouble(what=what, at=0, size=size)))
+        work = asyncio.ensure_future(
+            self.service.run_fault(0, Fault(type=what, start_s=0, size=size))
+        )
         begins.set()
         await asyncio.sleep(0)
         return work, ends
@@ -288,7 +290,7 @@
 
 @loopback
 async def test_poll_before_the_start_of_the_run_is_not_limited_by_the_capacity(tmp_path):
-    run = tomlfile.decode(DAY + "[discovery]\ncalls_per_s = 0.001\n", Experiment)
+    run = tomlfile.decode(EXPERIMENT + "[discovery]\ncalls_per_s = 0.001\n", Experiment)
     service = Discovery(Plan(run, 1, 30), events.Book(tmp_path / "x.rows"))
     caller = Caller(service)
     caller.poll(POLL_WHOLE_LIST)
@@ -332,7 +334,7 @@
 @pytest.mark.parametrize(("text", "message"), INVALID_SETTINGS)
 def test_invalid_discovery_settings_are_refused_with_a_one_line_message(tmp_path, text, message):
     path = tmp_path / "run.toml"
-    path.write_text(DAY + "[discovery]\n" + text + "\n")
+    path.write_text(EXPERIMENT + "[discovery]\n" + text + "\n")
     with pytest.raises(tomlfile.TomlFileError) as problem:
         experiment.read(path)
     assert message in str(problem.value) and str(path) in str(problem.value)
--- a/tests/lab/test_goaway.py
+++ b/tests/lab/test_goaway.py
@@ -11,7 +11,7 @@
 
 from hyperframe.frame import GoAwayFrame
 
-from pepperhook.lab.wire2 import Link2
+from pepperhook.lab.http2 import Link2
 from tests.http2.frames import SETTINGS, data_frame
 from tests.http2.frames import headers_frame as make_headers_frame
 
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from pepperhook.lab import load
+from pepperhook.lab import load_generator
 from pepperhook.lab.experiment import Plan
 from tests.lab.experiments import EXPERIMENT, read_experiment
 
@@ -10,7 +10,7 @@
 def make_front():
     """Return a front before four balancers, with a skew of one."""
     text = EXPERIMENT.replace("upstreams = 4", "upstreams = 4\nbalancers = 4")
-    return load.Front(Plan(read_experiment(text + "[front]\nskew = 1.0\n"), 3, 30))
+    return load_generator.Front(Plan(read_experiment(text + "[front]\nskew = 1.0\n"), 3, 30))
 
 
 def test_requests_are_distributed_by_the_skew():
--- a/tests/lab/test_scenario_runs.py
+++ b/tests/lab/test_scenario_runs.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from pepperhook.lab.day import Failed
 from pepperhook.lab.proofs.base import Proof
+from pepperhook.lab.scenario_run import Failed
 
 CORE_WAIT = {"who": "balancer 0.1", "worst_ms": 400, "stolen": 0.07}
 
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from pepperhook.lab import experiment, planted
+from pepperhook.lab import defects, experiment
 from pepperhook.lab.audit import STAMPED_LATE
 from pepperhook.lab.soak import judge, run
 from pepperhook.lab.soak.draw import MAX_FAULTS, MIN_FAULTS, draw
@@ -39,7 +39,7 @@
 
     for soak_run in runs:
         experiment.check(soak_run.experiment)
-        assert MIN_FAULTS <= len(soak_run.experiment.troubles) <= MAX_FAULTS
+        assert MIN_FAULTS <= len(soak_run.experiment.faults) <= MAX_FAULTS
         assert soak_run.restarts and soak_run.signals
         for series in soak_run.signals:
             sighups = series.names.count("SIGHUP")
@@ -156,17 +156,17 @@
         "goaway-for-present-only",
         "drain-heard-late",
         "odd-row-costs-list",
-    } <= set(planted.FAULTS)
+    } <= set(defects.DEFECTS)
 
 
 def test_run_with_too_many_findings_excused_by_stalls_is_void():
     def verdict_with(excused):
-        day = SimpleNamespace(
+        scenario_run = SimpleNamespace(
             run=draw(1, 30.0), problems=[], resources_after={}, balancers={}, signalled_pids={}
         )
         figures = {"tries": 1000}
         result = {"findings": [], "void": False, "figures": figures, "excused": excused}
-        return judge.judge(day, result)
+        return judge.judge(scenario_run, result)
 
     few, many = verdict_with({STAMPED_LATE: 3}), verdict_with({STAMPED_LATE: 4})
 
--- a/tests/lab/test_stalls.py
+++ b/tests/lab/test_stalls.py
@@ -22,10 +22,10 @@
 
 import pytest
 
-from pepperhook.lab import audit, events, stage
+from pepperhook.lab import audit, events, stand_ins
 from pepperhook.lab.endpoint_audit import EndpointAudit
 from pepperhook.lab.stalls import BACKLOG_NS, Stalls, upstreams
-from tests.test_lab import day as make_experiment
+from tests.test_lab import make_experiment
 from tests.test_lab import one as make_attempt_row
 from tests.test_lab import told as make_told_row
 from tests.test_lab import work as make_work_row
@@ -121,7 +121,7 @@
 
 async def test_stand_in_records_a_stall_of_its_event_loop(tmp_path):
     book = events.Book(tmp_path / "a.rows")
-    monitor = asyncio.create_task(stage.note_stalls(UPSTREAMS, book))
+    monitor = asyncio.create_task(stand_ins.note_stalls(UPSTREAMS, book))
     await asyncio.sleep(0.05)
     rows_before = len(book.rows)
 
--- a/tests/lab/test_upstream.py
+++ b/tests/lab/test_upstream.py
@@ -5,18 +5,20 @@
 
 from pepperhook.lab import events
 from pepperhook.lab.machine import Machine
-from pepperhook.lab.stage import Stage
+from pepperhook.lab.stand_ins import TierState
 from pepperhook.lab.upstream import Attempt, Call, Upstream
 from tests.server.balancers import wait_until
 from tests.server.peers import always
-from tests.test_lab import day as make_experiment
+from tests.test_lab import make_experiment
 
 
 def make_upstream(directory):
     """Return a stand-in of the first tier, whose calls to the next tier get no response."""
-    stage = Stage(SimpleNamespace(day=make_experiment(), seed=1, upstream=None), directory, 0)
-    stage.plan.seed = 1
-    upstream = Upstream(stage, 0)
+    tier_state = TierState(
+        SimpleNamespace(scenario=make_experiment(), seed=1, upstream=None), directory, 0
+    )
+    tier_state.plan.seed = 1
+    upstream = Upstream(tier_state, 0)
     upstream.machine, upstream.down = Machine(upstream.spec, time.monotonic_ns()), False
     upstream.pool = SimpleNamespace(send=always(None), drop=always(None))
     return upstream
@@ -57,7 +59,7 @@
     next_machine = upstream.machine = Machine(upstream.spec, time.monotonic_ns())
     call.finish("lost", 0, b"")
     upstream.on_call_ended(attempt, False)
-    upstream.stage.book.close()
+    upstream.tier_state.book.close()
 
     rows = [row for row in events.read(tmp_path) if isinstance(row, events.Work)]
     assert [row.outcome for row in rows] == ["reset"]
--- a/tests/lab/test_zones.py
+++ b/tests/lab/test_zones.py
@@ -41,15 +41,15 @@
 
 
 def test_fault_of_a_zone_affects_only_upstreams_and_balancers_in_that_zone(zoned):
-    targets = [experiment.targets(zoned, fault) for fault in zoned.troubles]
+    targets = [experiment.fault_targets(zoned, fault) for fault in zoned.faults]
 
     assert targets == [[1, 3], [0, 1, 2, 3], [0, 2]]
 
 
 def test_release_reaches_one_upstream_after_another(zoned):
-    release = zoned.troubles[1]
+    release = zoned.faults[1]
 
-    assert list(experiment.moments(zoned, release)) == [
+    assert list(experiment.fault_periods(zoned, release)) == [
         (0, 1, 3),
         (1, 1.5, 3.5),
         (2, 2, 4),
@@ -73,7 +73,7 @@
 
 
 def test_released_upstream_drains_leaves_and_returns_under_another_id(plan):
-    listings = [row for row in Timeline.of(plan.day, 0).listings if row.number == 0]
+    listings = [row for row in Timeline.of(plan.scenario, 0).listings if row.number == 0]
 
     assert [(row.at, row.number, row.host, row.state) for row in listings] == [
         (1, 0, "t0-00", "draining"),
@@ -98,7 +98,7 @@
 )
 def test_connection_crosses_a_zones_border_if_one_end_is_in_the_zone(ends, crosses):
     network = Network(Plan(make_zoned_experiment(), 1, 30), None)
-    fault = experiment.Trouble(what="net_apart", at=1, zone=1)  # zone 1 is "b"
+    fault = experiment.Fault(type="net_apart", start_s=1, zone=1)  # zone 1 is "b"
     relay = Relay(network, None)
     relay.ends = ends
 
--- a/tests/server/peers.py
+++ b/tests/server/peers.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from pepperhook.lab import wire
+from pepperhook.lab import http1
 
 
 class ScriptedPeer:
@@ -81,7 +81,7 @@
 
 def make_response(status=200, body=b"done", headers=b""):
     """Return the bytes of a response; ``headers``: complete header lines."""
-    return wire.answer(status, body, headers)
+    return http1.answer(status, body, headers)
 
 
 def header_value(head, name):
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -13,15 +13,15 @@
 
 from pepperhook import tomlfile
 from pepperhook.lab import events, experiment
-from pepperhook.lab.day import Day
-from pepperhook.lab.experiment import Experiment, Trouble, Variant
+from pepperhook.lab.experiment import Experiment, Fault, Variant
 from pepperhook.lab.machine import Job, Machine
 from pepperhook.lab.network import Network, Relay, Side
-from pepperhook.lab.stage import Stage
+from pepperhook.lab.scenario_run import ScenarioRun
+from pepperhook.lab.stand_ins import TierState
 from pepperhook.lab.upstream import Upstream
 from tests.world import loopback
 
-DAY = """version = 1
+EXPERIMENT = """version = 1
 name = "troubles"
 seconds = 6
 seed = 9
@@ -80,17 +80,21 @@
 def played(tmp_path_factory):
     """Run the first scenario; return the experiment, the result and the event rows."""
     text = (
-        DAY
+        EXPERIMENT
         + OTHER_FAULTS
         + "".join(
             f'[[troubles]]\nwhat = "{what}"\nat = 1.5\nfor = 2\nwho = [{who}]\n'
             for what, who in UPSTREAM_FAULTS
         )
     )
-    day = tomlfile.decode(text, Experiment)
-    experiment.check(day, text=text)
+    scenario = tomlfile.decode(text, Experiment)
+    experiment.check(scenario, text=text)
     folder = tmp_path_factory.mktemp("day")
-    return day, Day(day, Variant(name="pepperhook"), 9, folder).play(), events.read(folder)
+    return (
+        scenario,
+        ScenarioRun(scenario, Variant(name="pepperhook"), 9, folder).play(),
+        events.read(folder),
+    )
 
 
 def test_no_rule_is_broken_under_all_faults(played):
@@ -102,9 +106,9 @@
 
 
 def test_each_fault_begins_ends_and_has_an_effect(played):
-    day, _, rows = played
+    scenario, _, rows = played
     recorded = {(row.what, row.on) for row in rows if isinstance(row, events.Happened)}
-    for what in {trouble.what for trouble in day.troubles} - {"kill_balancer", "discovery_move"}:
+    for what in {fault.type for fault in scenario.faults} - {"kill_balancer", "discovery_move"}:
         assert (what, True) in recorded and (what, False) in recorded, what
     assert ("balancer killed", True) in recorded and ("discovery_move", True) in recorded
     works = [row for row in rows if isinstance(row, events.Work)]
@@ -142,7 +146,7 @@
 # Faults of draining, crowding, the network and the discovery service; no misbehaving clients (the
 # replacement of ``bad`` comments its entries out).
 SECOND_SCENARIO = (
-    DAY.replace("upstreams = 12", "upstreams = 8")
+    EXPERIMENT.replace("upstreams = 12", "upstreams = 8")
     .replace("rate = 200", "rate = 100")
     .replace("[clients]", "[clients]\nclosed = 3\nthink_ms = 40")
     .replace("seconds = 6", "seconds = 8")
@@ -175,11 +179,11 @@
         + (f"who = {who}\n" if who else "")
         for what, who, at, long, size in SECOND_FAULTS
     )
-    day = tomlfile.decode(text, Experiment)
-    experiment.check(day, text=text)
+    scenario = tomlfile.decode(text, Experiment)
+    experiment.check(scenario, text=text)
     folder = tmp_path_factory.mktemp("second")
-    result = Day(day, Variant(name="pepperhook"), 9, folder).play()
-    return day, result, events.read(folder), folder
+    result = ScenarioRun(scenario, Variant(name="pepperhook"), 9, folder).play()
+    return scenario, result, events.read(folder), folder
 
 
 def since_start(result, at):
@@ -320,8 +324,10 @@
 
 
 def test_load_reports_can_be_stale_or_lost(tmp_path):
-    stage = Stage(SimpleNamespace(day=tomlfile.decode(DAY, Experiment)), tmp_path, 0)
-    upstream = Upstream(stage, 0)
+    tier_state = TierState(
+        SimpleNamespace(scenario=tomlfile.decode(EXPERIMENT, Experiment)), tmp_path, 0
+    )
+    upstream = Upstream(tier_state, 0)
     upstream.machine = Machine(upstream.spec, time.monotonic_ns())
 
     def poll():
@@ -329,16 +335,16 @@
         return int(head.split()[1]), json.loads(body)["outstanding"] if body else None
 
     assert poll() == (200, 0)
-    upstream.on["stale_report"] = Trouble(what="stale_report", at=0)
+    upstream.on["stale_report"] = Fault(type="stale_report", start_s=0)
     upstream.machine.arrive(time.monotonic_ns(), Job(S, None))
     assert poll() == (200, 0)
     del upstream.on["stale_report"]
     assert poll() == (200, 1)
-    upstream.on["lost_report"] = Trouble(what="lost_report", at=0)
+    upstream.on["lost_report"] = Fault(type="lost_report", start_s=0)
     assert poll() == (503, None)
     del upstream.on["lost_report"]
     assert poll() == (200, 1)
-    stage.book.close()
+    tier_state.book.close()
 
 
 @loopback
@@ -365,7 +371,7 @@
 
     reader, writer, answer = await exchange_byte()
     assert answer == b"x"
-    Network.set(relay, Trouble(what="net_cut", at=0), True)
+    Network.set(relay, Fault(type="net_cut", start_s=0), True)
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
         await reader.readexactly(1)
     writer.close()
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -15,11 +15,11 @@
 
 import psutil
 
-from pepperhook.lab import day
+from pepperhook.lab import scenario_run
 from tests.programs import free_port, write_config
 from tests.world import Peer, Running, answer, hosts, loopback
 
-ROOT = Path(day.ROOT)
+ROOT = Path(scenario_run.ROOT)
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 # The started interpreter imports this as sitecustomize before any project code. An audit hook
 # rejects restricted calls; splice and sendfile raise no audit event and are replaced by functions
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,17 +14,17 @@
     baselines,
     events,
     experiment,
-    load,
+    http1,
+    load_generator,
     machine,
     matrix,
-    wire,
 )
 from pepperhook.lab.experiment import Experiment, Plan
 from pepperhook.lab.instances import Timeline
 from pepperhook.lab.machine import MS, Job, Machine, S, Spec
 from tests.world import World
 
-DAY = """version = 1
+EXPERIMENT = """version = 1
 name = "t"
 seconds = 4
 [[grades]]
@@ -50,10 +50,10 @@
 """
 
 
-def day(more=""):
+def make_experiment(more=""):
     """Return the checked experiment, with ``more`` at the end of its file."""
-    parsed = tomlfile.decode(DAY + more, Experiment)
-    experiment.check(parsed, text=DAY + more)
+    parsed = tomlfile.decode(EXPERIMENT + more, Experiment)
+    experiment.check(parsed, text=EXPERIMENT + more)
     return parsed
 
 
@@ -174,29 +174,35 @@
     ("version = 2", "line 1: version: invalid enum value 2"),
     ("a = 1\nb = \n", "line 2"),
     (
-        DAY + "[[troubles]]\nwhat = 'crash'\nat = 9\n",
+        EXPERIMENT + "[[troubles]]\nwhat = 'crash'\nat = 9\n",
         "line 26: troubles[0].at: the run lasts 4 seconds",
     ),
     (
-        DAY + "[[troubles]]\nwhat = 'crush'\nat = 1\n",
+        EXPERIMENT + "[[troubles]]\nwhat = 'crush'\nat = 1\n",
         "line 25: troubles[0].what: invalid enum value 'crush'",
     ),
     (
-        DAY + "[[troubles]]\nwhat = 'slow'\nat = 1\nwho = [7]\n",
+        EXPERIMENT + "[[troubles]]\nwhat = 'slow'\nat = 1\nwho = [7]\n",
         "line 27: troubles[0].who: there are 4 targets",
     ),
-    (DAY + "[[troubles]]\nwhat = 'net_cut'\nat = 1\n", "troubles[0].what: needs `network = true`"),
     (
-        DAY + "[[load]]\nrate = 1\ncustomer = 'bo'\n",
+        EXPERIMENT + "[[troubles]]\nwhat = 'net_cut'\nat = 1\n",
+        "troubles[0].what: needs `network = true`",
+    ),
+    (
+        EXPERIMENT + "[[load]]\nrate = 1\ncustomer = 'bo'\n",
         "line 26: load[1].customer: no customer has the name 'bo'",
     ),
-    (DAY + "[[load]]\nrate = -1\n", "line 25: load[1].rate: expected `float` >= 0"),
+    (EXPERIMENT + "[[load]]\nrate = -1\n", "line 25: load[1].rate: expected `float` >= 0"),
     (
-        DAY + "[[variants]]\nname = 'x'\nmodule = 'nobody'\n",
+        EXPERIMENT + "[[variants]]\nname = 'x'\nmodule = 'nobody'\n",
         "line 26: variants[0].module: no policy has",
     ),
-    (DAY + "[[tiers]]\nbalancers = 3\n", "line 25: tiers[2].balancers: only the first tier"),
-    (DAY + "[clients]\nretires = 1\n", "line 25: clients.retires: is not known; 'retries' is"),
+    (EXPERIMENT + "[[tiers]]\nbalancers = 3\n", "line 25: tiers[2].balancers: only the first tier"),
+    (
+        EXPERIMENT + "[clients]\nretires = 1\n",
+        "line 25: clients.retires: is not known; 'retries' is",
+    ),
 ]
 
 
@@ -214,15 +220,15 @@
 
 
 def test_plan_survives_its_file_and_has_distinct_loopback_addresses(tmp_path):
-    plan = Plan(day(), 5, 33)
+    plan = Plan(make_experiment(), 5, 33)
     plan.write(tmp_path / "plan.json")
     restored = Plan.read(tmp_path / "plan.json")
-    assert msgspec.to_builtins(restored.day) == msgspec.to_builtins(plan.day) and (
+    assert msgspec.to_builtins(restored.scenario) == msgspec.to_builtins(plan.scenario) and (
         restored.seed,
         restored.block,
     ) == (5, 33)
     addresses = [
-        plan.dial(tier, n, c)
+        plan.connect_address(tier, n, c)
         for tier, count, callers in ((0, 4, 1), (1, 2, 4))
         for n in range(count)
         for c in range(callers)
@@ -236,29 +242,33 @@
 
 
 def test_arrivals_depend_on_the_seed_and_have_the_requested_rate():
-    experiment_with_ramp = day(
+    experiment_with_ramp = make_experiment(
         '[[load]]\nrate = 0\nto = 400\n[[load]]\nrate = 50\nat = 2\nfor = 1\nburst = 5\ncustomer = "ann"\n'
     )
-    times, grades, customers, _ = load.arrivals(experiment_with_ramp, 3)
+    times, service_classes, tenants, _ = load_generator.arrivals(experiment_with_ramp, 3)
     assert all(
         (part == other).all()
         for part, other in zip(
-            (times, grades, customers), load.arrivals(experiment_with_ramp, 3)[:3]
+            (times, service_classes, tenants), load_generator.arrivals(experiment_with_ramp, 3)[:3]
         )
     )
     assert (
-        len(times) != len(load.arrivals(experiment_with_ramp, 4)[0])
+        len(times) != len(load_generator.arrivals(experiment_with_ramp, 4)[0])
         and (times[1:] >= times[:-1]).all()
     )
     # 400 steady, 800 on the ramp and 50 in bursts, within five standard deviations of a Poisson
     # count with bursts.
     assert abs(len(times) - 1250) < 5 * 45
     in_first_half = (times < 2 * S).sum()
-    assert in_first_half < 0.45 * len(times) and set(grades) == {0, 1, 2} and set(customers) == {0}
+    assert (
+        in_first_half < 0.45 * len(times)
+        and set(service_classes) == {0, 1, 2}
+        and set(tenants) == {0}
+    )
 
 
 def test_endpoint_list_changes_with_the_injected_faults():
-    experiment_with_faults = day("""[[troubles]]
+    experiment_with_faults = make_experiment("""[[troubles]]
 what = "crash"
 at = 1
 for = 2
@@ -291,10 +301,10 @@
 def test_messages_are_parsed_alike_however_the_bytes_are_split(seed):
     chance = random.Random(seed)
     sent = [
-        wire.message(b"POST", b"/x", [(b"X-Request-ID", b"%d" % n)], b"y" * n)
+        http1.message(b"POST", b"/x", [(b"X-Request-ID", b"%d" % n)], b"y" * n)
         for n in range(0, 90, 7)
     ]
-    stream, messages, received = b"".join(sent), wire.Messages(), []
+    stream, messages, received = b"".join(sent), http1.Messages(), []
     while stream:
         cut = chance.randrange(1, 60)
         messages.feed(stream[:cut])
@@ -307,9 +317,9 @@
         b"GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n",
         b"GET / HTTP/1.1\r\nno colon\r\n\r\n",
     ):
-        messages = wire.Messages()
+        messages = http1.Messages()
         messages.feed(malformed)
-        with pytest.raises(wire.Broken):
+        with pytest.raises(http1.Broken):
             messages.next()
 
 
@@ -481,7 +491,9 @@
 @pytest.mark.parametrize("name", CASES)
 def test_auditor_names_each_fault_and_no_other(name):
     expected, rows = CASES[name]
-    findings = [finding.name for finding in audit.Auditor(day(), rows, 0).judge().findings]
+    findings = [
+        finding.name for finding in audit.Auditor(make_experiment(), rows, 0).judge().findings
+    ]
     assert findings == ([expected] if expected else [])
 
 
@@ -495,7 +507,7 @@
         one(identity="c", kind="gone", status=0),
         work(identity="c", outcome="given up", took=400, gone=130),
     ]
-    figures = audit.Auditor(day(), rows, 0).judge().figures
+    figures = audit.Auditor(make_experiment(), rows, 0).judge().figures
     assert (figures["wishes"], figures["tries"], figures["goodput"]) == (3, 4, round(1 / 3, 4))
     assert (figures["shed"], figures["failed"], figures["gone"]) == (0.25, 0.25, 0.25)
     # Three attempts reached the first tier's upstreams, for three requests.
@@ -571,7 +583,7 @@
     # Guards against renames of a class or method that would leave a defect without effect; only the
     # defect's scenario would show that.
     code = (
-        "from pepperhook.lab import planted\nfor plant in planted.FAULTS.values():\n    plant()\n"
+        "from pepperhook.lab import defects\nfor plant in defects.DEFECTS.values():\n    plant()\n"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
     assert done.returncode == 0, done.stderr.splitlines()[-1:]
--- a/tests/tracing/test_summary.py
+++ b/tests/tracing/test_summary.py
@@ -7,7 +7,7 @@
 from click.testing import CliRunner
 
 from pepperhook.cli import main
-from pepperhook.lab import tracesize
+from pepperhook.lab import trace_summary_benchmark
 from pepperhook.tracing.heavy_hitters import SpaceSaving
 from tests.tracing.traces import request_trace, summary_of
 
@@ -48,7 +48,7 @@
 
 
 def test_trace_size_measurement_summarizes_every_record_written(tmp_path):
-    figures = tracesize.measure(0.3, 4, tmp_path)
+    figures = trace_summary_benchmark.measure(0.3, 4, tmp_path)
 
     # Records are written in batches of 2000.
     assert figures["lives"] == figures["summed"] >= 2000
