--- a/pepperhook/lab/demo.py
+++ b/pepperhook/lab/demo.py
@@ -16,7 +16,7 @@
 from pepperhook.lab import audit, events, experiment, matrix, report
 from pepperhook.lab.scenario_run import ScenarioRun, write_atomically
 
-DAY = Path(__file__).parent / "days" / "demo.toml"
+EXPERIMENT_PATH = Path(__file__).parent / "days" / "demo.toml"
 S = 10**9
 
 
@@ -120,7 +120,7 @@
 
 def run(seconds, folder):
     """Run the demo, scaled to ``seconds``, and return the path of its report."""
-    scenario = experiment.read(DAY)
+    scenario = experiment.read(EXPERIMENT_PATH)
     scale = seconds / scenario.seconds
     scenario = replace(
         scenario,
--- a/pepperhook/lab/proofs/chain.py
+++ b/pepperhook/lab/proofs/chain.py
@@ -150,12 +150,14 @@
         }
         names = list(scenarios) if self.full else ["fail 0.3", "hung", "forged", "loops"]
         for name in names:
-            carry = ["change"] if name == "forged" else []
+            header_handling = ["change"] if name == "forged" else []
             for seed in self.seeds if name != "loops" else self.seeds[:1]:
                 runs.append(
                     (
                         scenarios[name],
-                        self.variant_with_context(header_handling=carry, is_loop=name == "loops"),
+                        self.variant_with_context(
+                            header_handling=header_handling, is_loop=name == "loops"
+                        ),
                         f"{name}: on {seed}",
                         {"seed": seed},
                     )
--- a/pepperhook/lab/upstream.py
+++ b/pepperhook/lab/upstream.py
@@ -152,8 +152,8 @@
         self.timer, self.pool, self.fillers, self.malformed_count = None, None, [], 0
         self.calls, self.first_chain_header = set(), None
         self.open_attempts = set()  # attempts whose event row has not been written
-        carry = self.scenario.tiers[self.tier].header_handling
-        self.header_handling = carry[number % len(carry)]
+        header_handling = self.scenario.tiers[self.tier].header_handling
+        self.header_handling = header_handling[number % len(header_handling)]
 
     def now(self):
         return time.monotonic_ns()
@@ -633,7 +633,7 @@
         )
 
     def chain_headers(self):
-        """Return the chain headers to send, as the tier's ``carry`` setting says."""
+        """Return the chain headers to send, as the tier's ``header_handling`` setting says."""
         mode, value = self.upstream.header_handling, self.parent.chain_header
         if value is None or mode == "drop":
             return []
