--- a/pepperhook/lab/audit.py
+++ b/pepperhook/lab/audit.py
@@ -18,7 +18,8 @@
 
 from msgspec import Struct
 
-from pepperhook.lab.stalls import Stalls, upstreams
+from pepperhook.lab import events
+from pepperhook.lab.stalls import Stalls, upstream_process_name
 
 MS, S = 10**6, 10**9  # nanoseconds
 # An answer may arrive this long after its time limit: 50 ms for the platform, the rest for the
@@ -74,36 +75,42 @@
 class Auditor:
     """Checks the rows of one run against the rules and computes its figures."""
 
-    def __init__(self, day, rows, start, blind=()):
+    def __init__(self, day, rows, start, suppressed_findings=()):
         """Index the rows.
 
         ``start`` is the start of the run in monotonic nanoseconds. Findings whose names are in
-        ``blind`` are not reported. This injects a defect, to test that a scenario notices an
+        ``suppressed_findings`` are not reported. This injects a defect, to test that a scenario notices an
         auditor that fails.
         """
-        self.day, self.start, self.blind = day, start, blind
+        self.day, self.start, self.suppressed_findings = day, start, suppressed_findings
         self.examples, self.excused = defaultdict(list), Counter()
         rows_by_type = defaultdict(list)
         for row in rows:
-            rows_by_type[type(row).__name__].append(row)
-        self.attempts, self.list_entries = rows_by_type["Try"], rows_by_type["Told"]
+            rows_by_type[type(row)].append(row)
+        self.attempts, self.list_entries = (
+            rows_by_type[events.Attempt],
+            rows_by_type[events.EndpointListEntry],
+        )
         self.polls, self.probes, self.connections = (
-            rows_by_type["Asked"],
-            rows_by_type["Probe"],
-            rows_by_type["Connected"],
+            rows_by_type[events.EndpointListPoll],
+            rows_by_type[events.Probe],
+            rows_by_type[events.AcceptedConnection],
+        )
+        self.works, self.duplicate_works = split_duplicates(rows_by_type[events.UpstreamWork])
+        self.events, self.extra = (
+            rows_by_type[events.StateChange],
+            rows_by_type[events.UnexpectedBytes],
         )
-        self.works, self.duplicate_works = split_duplicates(rows_by_type["Work"])
-        self.events, self.extra = rows_by_type["Happened"], rows_by_type["Extra"]
-        self.stalls = Stalls(rows_by_type["Stall"])
+        self.stalls = Stalls(rows_by_type[events.Stall])
         self.works_by_id = defaultdict(list)
         for work in self.works:
             self.works_by_id[work.tier, work.id].append(work)
         for works in self.works_by_id.values():
-            works.sort(key=lambda work: work.came)
+            works.sort(key=lambda work: work.arrived_at)
         # Indexes by idempotency key (the id of the first attempt), where clients send duplicates.
         self.has_duplicates = day.clients.duplicates > 0
         self.first_ids = (
-            {attempt.id: attempt.first for attempt in self.attempts if not attempt.tier}
+            {attempt.id: attempt.first_id for attempt in self.attempts if not attempt.tier}
             if self.has_duplicates
             else {}
         )
@@ -113,23 +120,23 @@
                 self.works_by_key[self.first_ids.get(work.id, work.id)].append(work)
         for attempt in self.attempts if self.has_duplicates else ():
             if not attempt.tier:
-                self.attempts_by_key[attempt.first].append(attempt)
+                self.attempts_by_key[attempt.first_id].append(attempt)
         # Times at which each process died, by (kind, tier, number).
         self.deaths = defaultdict(list)
         for row in sorted(self.events, key=lambda row: row.at):
-            if row.what == "balancer killed":
-                self.deaths["balancer", row.tier, row.who].append(row.at)
-            elif row.on and row.what in FATAL_FAULTS or row.what == "fell over":
-                self.deaths["upstream", row.tier, row.who].append(row.at)
+            if row.name == "balancer killed":
+                self.deaths["balancer", row.tier, row.process_number].append(row.at)
+            elif row.is_start and row.name in FATAL_FAULTS or row.name == "fell over":
+                self.deaths["upstream", row.tier, row.process_number].append(row.at)
         # Times of the faults at whose start an upstream resets its open connections.
         self.upstream_resets = sorted(
             row.at
             for row in self.events
-            if row.what in ("refused", "unconnectable", "unready") and row.on
+            if row.name in ("refused", "unconnectable", "unready") and row.is_start
         )
-        self.balancer_kills = sorted(row.at for row in self.events if row.what == "balancer killed")
+        self.balancer_kills = sorted(row.at for row in self.events if row.name == "balancer killed")
 
-    def judge(self):
+    def audit(self):
         """Check all rules and return the report."""
         for attempt in self.attempts:
             self.check_answer(attempt)
@@ -139,7 +146,7 @@
                 0,
                 "a stand-in wrote one dispatch twice",
                 f"{work.id}, {work.outcome} at {work.upstream}",
-                work.came,
+                work.arrived_at,
             )
         for row in self.extra:
             self.add_finding(
@@ -151,32 +158,35 @@
         for (tier, request_id), works in self.works_by_id.items():
             self.check_repeats(tier, request_id, works)
         for key, works in self.works_by_key.items():
-            self.check_key(key, sorted(works, key=lambda work: work.came))
+            self.check_key(key, sorted(works, key=lambda work: work.arrived_at))
         for key, attempts in self.attempts_by_key.items():
             bodies = {
                 attempt.body
                 for attempt in attempts
                 if attempt.kind == "answer" and attempt.status == 200
             }
-            if len(bodies) > 1 and self.effect(attempts[0].grade) != "idempotent":
+            if len(bodies) > 1 and self.effect(attempts[0].service_class) != "idempotent":
                 self.add_finding(
                     2,
                     "answers to one key differ",
                     f"{key}: {', '.join(sorted(bodies))}",
-                    attempts[0].sent,
+                    attempts[0].sent_at,
                 )
         self.check_drains()
         for row in self.events:
-            if row.what == "fell over":
+            if row.name == "fell over":
                 # While it was still cold, the upstream was offered more work than it can stand.
                 self.add_finding(
-                    4, "pushed over cold", f"upstream {row.tier}.{row.who}: {row.text}", row.at
+                    4,
+                    "pushed over cold",
+                    f"upstream {row.tier}.{row.process_number}: {row.details}",
+                    row.at,
                 )
-            elif row.what == "bad message":
+            elif row.name == "bad message":
                 self.add_finding(
                     1,
                     "bad message to an upstream",
-                    f"upstream {row.tier}.{row.who}: {row.text}",
+                    f"upstream {row.tier}.{row.process_number}: {row.details}",
                     row.at,
                 )
         findings = [
@@ -187,7 +197,7 @@
 
     def add_finding(self, rule, name, text, at):
         """Record one violation that happened at ``at``, unless its name is suppressed."""
-        if name in self.blind:
+        if name in self.suppressed_findings:
             return
         self.examples[rule, name].append((at, f"{(at - self.start) / S:.3f} s: {text}"))
 
@@ -213,7 +223,7 @@
         if attempt.caller < 0:
             names = [name for name in self.deaths if name[:2] == ("balancer", attempt.tier)]
         return any(
-            self.is_near_death(attempt.sent, attempt.ended, self.deaths.get(name, ()))
+            self.is_near_death(attempt.sent_at, attempt.ended_at, self.deaths.get(name, ()))
             for name in names
         )
 
@@ -230,18 +240,21 @@
                     1,
                     "lost",
                     f"{label}: {attempt.kind} {attempt.note}",
-                    attempt.ended or attempt.sent,
+                    attempt.ended_at or attempt.sent_at,
                 )
         elif attempt.kind == "answer":
-            if attempt.ended - attempt.sent > attempt.limit + LATE_ANSWER_TOLERANCE_NS:
-                late_ms = (attempt.ended - attempt.sent - attempt.limit) / MS
+            if (
+                attempt.ended_at - attempt.sent_at
+                > attempt.time_limit_ns + LATE_ANSWER_TOLERANCE_NS
+            ):
+                late_ms = (attempt.ended_at - attempt.sent_at - attempt.time_limit_ns) / MS
                 self.add_finding(
-                    1, "late", f"{label}: {late_ms:.0f} ms past its time limit", attempt.ended
+                    1, "late", f"{label}: {late_ms:.0f} ms past its time limit", attempt.ended_at
                 )
             if attempt.status == 200:
                 candidates = self.works_by_id.get((attempt.tier, attempt.id), ()) or (
-                    self.works_by_key.get(attempt.first, ())
-                    if not attempt.tier and self.effect(attempt.grade) != "idempotent"
+                    self.works_by_key.get(attempt.first_id, ())
+                    if not attempt.tier and self.effect(attempt.service_class) != "idempotent"
                     else ()
                 )
                 if not any(work.nonce == attempt.body and work.nonce for work in candidates):
@@ -249,18 +262,18 @@
                         1,
                         "invented",
                         f"{label}: no upstream produced {attempt.body[:60]!r} for it",
-                        attempt.ended,
+                        attempt.ended_at,
                     )
             elif attempt.status in (429, 503):
-                effect = self.effect(attempt.grade)
+                effect = self.effect(attempt.service_class)
                 executed = [
                     work
                     for work in self.works_by_id.get((attempt.tier, attempt.id), ())
                     if work.outcome != "turned away"
                 ]
                 if executed and self.is_near_death(
-                    executed[0].came,
-                    attempt.ended,
+                    executed[0].arrived_at,
+                    attempt.ended_at,
                     self.deaths.get(("balancer", attempt.tier, executed[0].caller), ()),
                 ):
                     # The first balancer was killed, the client itself sent the request again, and
@@ -270,13 +283,13 @@
                 elif executed and (
                     effect == "at_most_once"
                     or effect == "deduplicated"
-                    and self.day.grades[attempt.grade].group != "all"
+                    and self.day.grades[attempt.service_class].group != "all"
                 ):
                     self.add_finding(
                         2,
                         "shed what may have run",
                         f"{label}: {executed[0].outcome} at {executed[0].upstream}",
-                        attempt.ended,
+                        attempt.ended_at,
                     )
 
     def effect(self, grade):
@@ -293,21 +306,21 @@
         """
         if len(works) < 2:
             return
-        grade = self.day.grades[works[0].grade]
+        grade = self.day.grades[works[0].service_class]
         first_run, parallel_permitted = None, self.day.permissions.get("parallelTries", False)
         # Whether the balancer was killed between the first two attempts. That excuses the second
         # even if the upstream had answered: the answer may have been lost with the balancer.
         killed_between = any(
-            row.what == "balancer killed"
-            and (row.tier, row.who) == (tier, works[0].caller)
-            and works[0].came - CLOSE_DETECTION_NS // 3 <= row.at <= works[1].came
+            row.name == "balancer killed"
+            and (row.tier, row.process_number) == (tier, works[0].caller)
+            and works[0].arrived_at - CLOSE_DETECTION_NS // 3 <= row.at <= works[1].arrived_at
             for row in self.events
         )
         deaths = self.deaths.get(("balancer", tier, works[0].caller), ())
         if (
             killed_between
             or works[0].outcome == "given up"
-            and self.is_near_death(works[0].came, works[-1].came, deaths)
+            and self.is_near_death(works[0].arrived_at, works[-1].arrived_at, deaths)
         ):
             # The client sent the request again on a new connection, as clients do when a kept-alive
             # connection closes before any byte of the answer was read.
@@ -325,10 +338,13 @@
             if (
                 previous is not None
                 and not parallel_permitted
-                and work.came < previous.ended - slack
+                and work.arrived_at < previous.ended_at - slack
             ):
                 self.add_finding(
-                    2, "overlap", f"{label}: at {previous.upstream} and {work.upstream}", work.came
+                    2,
+                    "overlap",
+                    f"{label}: at {previous.upstream} and {work.upstream}",
+                    work.arrived_at,
                 )
             if first_run is not None and grade.effect == "at_most_once":
                 self.add_finding(
@@ -336,23 +352,26 @@
                     "ran twice",
                     f"{label}: {first_run.outcome} at {first_run.upstream}, "
                     f"again at {work.upstream}",
-                    work.came,
+                    work.arrived_at,
                 )
             elif first_run is not None and grade.effect == "deduplicated":
-                if work.came > first_run.came + grade.key_ttl_ms * MS + CLOSE_DETECTION_NS:
-                    late_ms = (work.came - first_run.came) / MS
+                if (
+                    work.arrived_at
+                    > first_run.arrived_at + grade.key_ttl_ms * MS + CLOSE_DETECTION_NS
+                ):
+                    late_ms = (work.arrived_at - first_run.arrived_at) / MS
                     self.add_finding(
                         2,
                         "repeated outside its window",
                         f"{label}: after {late_ms:.0f} ms",
-                        work.came,
+                        work.arrived_at,
                     )
                 if grade.group == "cell" and work.upstream % CELLS != first_run.upstream % CELLS:
                     self.add_finding(
                         2,
                         "repeated outside its group",
                         f"{label}: {first_run.upstream}, {work.upstream}",
-                        work.came,
+                        work.arrived_at,
                     )
             if work.outcome != "turned away" and first_run is None:
                 first_run = work
@@ -363,10 +382,10 @@
         Also check that no balancer cancelled work while another request with the key was waiting
         for its answer.
         """
-        grade = self.day.grades[works[0].grade]
+        grade = self.day.grades[works[0].service_class]
         if grade.effect == "idempotent":
             return
-        executed = [work for work in works if work.began]
+        executed = [work for work in works if work.work_started_at]
         if grade.effect == "deduplicated":
             # The same id may be sent again within its group and window, where upstreams deduplicate
             # it by its key; check_repeats checks that. Here only different ids under one key count,
@@ -377,40 +396,48 @@
                 if work.id not in {earlier.id for earlier in executed[:index]}
             ]
         for previous, work in zip(executed, executed[1:]):
-            if grade.effect == "at_most_once" or work.came < previous.came + grade.key_ttl_ms * MS:
+            if (
+                grade.effect == "at_most_once"
+                or work.arrived_at < previous.arrived_at + grade.key_ttl_ms * MS
+            ):
                 self.add_finding(
                     2,
                     "ran twice under one key",
                     f"{key} ({grade.effect}): {previous.id} at {previous.upstream}, "
-                    f"{(work.came - previous.came) / MS:.0f} ms later {work.id} at {work.upstream}",
-                    work.came,
+                    f"{(work.arrived_at - previous.arrived_at) / MS:.0f} ms later {work.id} at {work.upstream}",
+                    work.arrived_at,
                 )
         for work in executed:
             attempts = [
                 attempt
                 for attempt in self.attempts_by_key[key]
-                if attempt.sent < work.gone_at - CLOSE_DETECTION_NS // 3
+                if attempt.sent_at < work.caller_left_at - CLOSE_DETECTION_NS // 3
             ]
             # An upstream that resets its connections ends the work itself; that is no cancellation.
-            reset_index = bisect_left(self.upstream_resets, work.gone_at - CLOSE_DETECTION_NS)
+            reset_index = bisect_left(
+                self.upstream_resets, work.caller_left_at - CLOSE_DETECTION_NS
+            )
             if (
                 reset_index < len(self.upstream_resets)
-                and self.upstream_resets[reset_index] <= work.gone_at + CLOSE_DETECTION_NS
+                and self.upstream_resets[reset_index] <= work.caller_left_at + CLOSE_DETECTION_NS
             ):
                 continue
             # At the time limit of the earliest client attempt the balancer cancels in any case.
             if (
-                work.gone_at
+                work.caller_left_at
                 and work.outcome != "reset"
                 and attempts
-                and work.gone_at
-                < min(attempt.sent + attempt.limit for attempt in attempts) - 2 * CLOSE_DETECTION_NS
-                and not (self.is_near_death(work.came, work.gone_at, self.balancer_kills))
+                and work.caller_left_at
+                < min(attempt.sent_at + attempt.time_limit_ns for attempt in attempts)
+                - 2 * CLOSE_DETECTION_NS
+                and not (
+                    self.is_near_death(work.arrived_at, work.caller_left_at, self.balancer_kills)
+                )
             ):
                 waiting = [
                     attempt
                     for attempt in attempts
-                    if attempt.ended > work.gone_at - CLOSE_DETECTION_NS // 3
+                    if attempt.ended_at > work.caller_left_at - CLOSE_DETECTION_NS // 3
                     and attempt.kind == "answer"
                 ]
                 if waiting:
@@ -418,7 +445,7 @@
                         2,
                         "called off though a repeat waited",
                         f"{work.id}: {waiting[0].id} was waiting",
-                        work.gone_at,
+                        work.caller_left_at,
                     )
 
     # Rule 3: a balancer sends nothing to an upstream that it knows to be draining or gone.
@@ -437,8 +464,8 @@
             rows = entries.get((work.tier, work.caller, work.upstream))
             if not rows:
                 continue
-            latest = work.first_byte
-            earliest = self.stalls.earliest(upstreams(work.tier), latest)
+            latest = work.first_byte_at
+            earliest = self.stalls.earliest_arrival(upstream_process_name(work.tier), latest)
             if was_listed_ready(rows, latest, latest, grace):
                 continue
             if was_listed_ready(rows, earliest, latest, grace):
@@ -466,15 +493,15 @@
         for attempt in self.attempts:
             if attempt.tier:
                 continue
-            request = requests.setdefault(attempt.first, [None, None])
+            request = requests.setdefault(attempt.first_id, [None, None])
             if not attempt.number:
                 request[0] = attempt
             if (
                 attempt.kind == "answer"
                 and attempt.status == 200
-                and (request[1] is None or attempt.ended < request[1])
+                and (request[1] is None or attempt.ended_at < request[1])
             ):
-                request[1] = attempt.ended
+                request[1] = attempt.ended_at
         return [(first, served_at) for first, served_at in requests.values() if first is not None]
 
     def earned(self, first, served_at):
@@ -483,19 +510,19 @@
         They are the earnings of its service class within the latency objective (without one, the
         time limit), the late earnings after it, and 0 if the request was not served.
         """
-        grade = self.day.grades[first.grade]
+        grade = self.day.grades[first.service_class]
         if served_at is None:
             return 0.0
         return (
             grade.earnings
-            if served_at - first.intended <= (grade.goal_ms or grade.time_limit_ms) * MS
+            if served_at - first.scheduled_at <= (grade.goal_ms or grade.time_limit_ms) * MS
             else grade.late_earnings
         )
 
     def figures(self):
         """Return the figures of the run by name."""
         requests = self.requests()
-        possible = sum(self.day.grades[first.grade].earnings for first, _ in requests)
+        possible = sum(self.day.grades[first.service_class].earnings for first, _ in requests)
         earned = sum(self.earned(*request) for request in requests)
         entry_attempts = [attempt for attempt in self.attempts if not attempt.tier]
         outcomes = Counter(outcome(attempt) for attempt in entry_attempts)
@@ -517,11 +544,14 @@
             calls *= max(1, tier.calls)
         figures["dispatches"] = {str(tier): received[tier] for tier in range(len(self.day.tiers))}
         figures["amplification"] = amplification
-        figures["work_s"] = round(sum(work.worked for work in self.works) / S, 3)
-        wasted = [work for work in self.works if work.outcome != "served" and work.worked]
-        figures["wasted_work_s"] = round(sum(work.worked for work in wasted) / S, 3)
+        figures["work_s"] = round(sum(work.work_ns for work in self.works) / S, 3)
+        wasted = [work for work in self.works if work.outcome != "served" and work.work_ns]
+        figures["wasted_work_s"] = round(sum(work.work_ns for work in wasted) / S, 3)
         figures["after_client_left"] = sum(
-            bool(work.gone_at and work.work_ended > work.gone_at + CLOSE_DETECTION_NS)
+            bool(
+                work.caller_left_at
+                and work.work_ended_at > work.caller_left_at + CLOSE_DETECTION_NS
+            )
             for work in self.works
         )
         outlived = self.outlived_ns()
@@ -536,18 +566,23 @@
         figures["cold"] = self.cold_starts()
         figures["shortest_leave_ms"] = self.shortest_shutdown_ms()
         figures["worst_ten_seconds"] = self.worst_window_goodput()
-        for field, count in ("customer", len(self.day.customers)), ("grade", len(self.day.grades)):
-            definitions = getattr(self.day, field + "s")
+        for name, field, definitions in (
+            ("customer", "tenant", self.day.customers),
+            ("grade", "service_class", self.day.grades),
+        ):
             goodputs = {}
-            for index in range(count):
+            for index, definition in enumerate(definitions):
                 members = [request for request in requests if getattr(request[0], field) == index]
                 if members:
-                    goodputs[definitions[index].name] = ratio(
+                    goodputs[definition.name] = ratio(
                         sum(self.earned(*request) for request in members),
-                        sum(self.day.grades[request[0].grade].earnings for request in members),
+                        sum(
+                            self.day.grades[request[0].service_class].earnings
+                            for request in members
+                        ),
                     )
-            figures[f"goodput_by_{field}"] = goodputs
-            figures[f"worst_{field}"] = (
+            figures[f"goodput_by_{name}"] = goodputs
+            figures[f"worst_{name}"] = (
                 min(goodputs.items(), key=lambda item: item[1]) if goodputs else None
             )
         return figures
@@ -591,10 +626,10 @@
         """
         signalled, spans = {}, []
         for row in sorted(self.events, key=lambda row: row.at):
-            balancer = row.tier, row.who
-            if row.what == "balancer told to leave":
+            balancer = row.tier, row.process_number
+            if row.name == "balancer told to leave":
                 signalled[balancer] = row.at
-            elif row.what == "balancer left" and balancer in signalled:
+            elif row.name == "balancer left" and balancer in signalled:
                 spans.append(row.at - signalled.pop(balancer))
         return round(min(spans) / MS) if spans else None
 
@@ -605,10 +640,10 @@
         the same span, of the tier's upstreams that had never been down before its end.
         """
         arrivals, first_down = defaultdict(list), defaultdict(lambda: float("inf"))
-        for work in sorted(self.works, key=lambda work: work.first_byte):
-            arrivals[work.tier, work.upstream].append(work.first_byte)
-        starts = [row for row in self.events if row.what == "up cold"]
-        for upstream, at in [((row.tier, row.who), row.at) for row in starts] + [
+        for work in sorted(self.works, key=lambda work: work.first_byte_at):
+            arrivals[work.tier, work.upstream].append(work.first_byte_at)
+        starts = [row for row in self.events if row.name == "up cold"]
+        for upstream, at in [((row.tier, row.process_number), row.at) for row in starts] + [
             (process[1:], times[0])
             for process, times in self.deaths.items()
             if process[0] == "upstream"
@@ -623,13 +658,17 @@
         for row in starts:
             until = min(
                 [row.at + COLD_START_NS]
-                + [at for at in self.deaths.get(("upstream", row.tier, row.who), ()) if at > row.at]
+                + [
+                    at
+                    for at in self.deaths.get(("upstream", row.tier, row.process_number), ())
+                    if at > row.at
+                ]
             )
             warm = [
                 other for other in arrivals if other[0] == row.tier and first_down[other] > until
             ]
             if warm:
-                sent += count_between((row.tier, row.who), row.at, until)
+                sent += count_between((row.tier, row.process_number), row.at, until)
                 sent_to_warm += sum(count_between(other, row.at, until) for other in warm) / len(
                     warm
                 )
@@ -647,9 +686,9 @@
         """
         counts = Counter()
         for key, attempts in self.attempts_by_key.items():
-            if self.effect(attempts[0].grade) == "idempotent":
+            if self.effect(attempts[0].service_class) == "idempotent":
                 continue
-            runs = sum(work.began > 0 for work in self.works_by_key.get(key, ()))
+            runs = sum(work.work_started_at > 0 for work in self.works_by_key.get(key, ()))
             served_answers = sum(outcome(attempt) == "served" for attempt in attempts)
             counts.update(
                 {
@@ -682,13 +721,13 @@
             if not tier and not parent_id:
                 # A client request has no parent. Its allowance is fixed and the same at all tiers.
                 allowance = RETRY_ALLOWANCE
-            elif 0 < number <= len(parents) and parents[number - 1].tries >= 0:
-                allowance = parents[number - 1].tries
+            elif 0 < number <= len(parents) and parents[number - 1].remaining_retries >= 0:
+                allowance = parents[number - 1].remaining_retries
             else:
                 continue
-            count += sum(work.tries > allowance for work in works)
+            count += sum(work.remaining_retries > allowance for work in works)
             # Only counts where the attempts carry a request context header (tries >= 0).
-            count += len(works) - 1 > allowance and works[0].tries >= 0
+            count += len(works) - 1 > allowance and works[0].remaining_retries >= 0
         return count
 
     def outlived_ns(self):
@@ -698,16 +737,16 @@
         longer than CLOSE_DETECTION_NS are left out.
         """
         ends = {
-            attempt.id: attempt.ended
+            attempt.id: attempt.ended_at
             for attempt in self.attempts
-            if not attempt.tier and attempt.ended
+            if not attempt.tier and attempt.ended_at
         }
         spans = []
         for work in self.works:
             end = ends.get(work.id.partition("-")[0])
             if (
                 end is not None
-                and (overrun := max(work.ended, work.work_ended) - end) > CLOSE_DETECTION_NS
+                and (overrun := max(work.ended_at, work.work_ended_at) - end) > CLOSE_DETECTION_NS
             ):
                 spans.append(overrun)
         return spans
@@ -720,19 +759,19 @@
             for name in ("earned", "possible", "served", "shed", "failed", "gone", "lost")
         }
         for first, served_at in self.requests():
-            second = min(count - 1, max(0, (first.intended - self.start) // S))
+            second = min(count - 1, max(0, (first.scheduled_at - self.start) // S))
             series["earned"][second] += self.earned(first, served_at)
-            series["possible"][second] += self.day.grades[first.grade].earnings
+            series["possible"][second] += self.day.grades[first.service_class].earnings
         for attempt in self.attempts:
             if not attempt.tier:
                 series[outcome(attempt)][
-                    min(count - 1, max(0, (attempt.intended - self.start) // S))
+                    min(count - 1, max(0, (attempt.scheduled_at - self.start) // S))
                 ] += 1
         for tier in range(len(self.day.tiers)):
             series[f"dispatches_{tier}"] = [0] * count
         for work in self.works:
             series[f"dispatches_{work.tier}"][
-                min(count - 1, max(0, (work.came - self.start) // S))
+                min(count - 1, max(0, (work.arrived_at - self.start) // S))
             ] += 1
         return series
 
@@ -754,7 +793,14 @@
     """
     known, distinct, duplicates = set(), [], []
     for work in works:
-        identity = work.tier, work.upstream, work.caller, work.id, work.first_byte, work.came
+        identity = (
+            work.tier,
+            work.upstream,
+            work.caller,
+            work.id,
+            work.first_byte_at,
+            work.arrived_at,
+        )
         (duplicates if identity in known else distinct).append(work)
         known.add(identity)
     return distinct, duplicates
--- a/pepperhook/lab/day.py
+++ b/pepperhook/lab/day.py
@@ -212,7 +212,7 @@
 class Day:
     """One run of a scenario with one variant and one seed.
 
-    ``day`` is the experiment. ``tell(text, share)`` reports progress. ``blind`` has the names of
+    ``day`` is the experiment. ``tell(text, share)`` reports progress. ``suppressed_findings`` has the names of
     findings that the auditor ignores, for the check that it can fail. ``sockets`` is the balancers'
     limit of sockets. ``script`` has additional actions: rows of (seconds, callable); each callable
     gets this Day.
@@ -226,7 +226,7 @@
         folder,
         worktrees=None,
         tell=None,
-        blind=(),
+        suppressed_findings=(),
         sockets=1024,
         script=(),
     ):
@@ -241,11 +241,11 @@
         # ``own``: close the worktrees at the end.
         self.worktrees, self.own = worktrees or Worktrees(), worktrees is None
         self.tell, self.stages, self.balancers, self.start = tell or (lambda *_: None), [], {}, 0
-        # ``book``: event rows of this process.
-        self.book, self.load, self.blind, self.sockets, self.cores = (
+        # ``event_log``: event rows of this process.
+        self.event_log, self.load, self.suppressed_findings, self.sockets, self.cores = (
             None,
             None,
-            blind,
+            suppressed_findings,
             sockets,
             Cores(),
         )
@@ -336,7 +336,7 @@
     def bring_up(self, load=True):
         """Start all processes, wait until they are ready and set the start time. Raises Failed."""
         self.plan.write(self.folder / "plan.json")
-        self.book = events.Book(self.folder / "day.rows")
+        self.event_log = events.EventLog(self.folder / "day.rows")
         self.tell("starting the fleet", 0.0)
         stand_ins = [self.stage("discovery")]
         stand_ins += [self.stage("upstreams", tier) for tier in range(len(self.day.tiers))]
@@ -453,8 +453,8 @@
 
     def happened(self, what, balancer, on=True):
         """Write an event row about a balancer; ``on``: whether it begins or ends."""
-        self.book.add(
-            events.Happened(time.monotonic_ns(), what, balancer.tier, balancer.number, on)
+        self.event_log.add(
+            events.StateChange(time.monotonic_ns(), what, balancer.tier, balancer.number, on)
         )
 
     def kill(self, balancer):
@@ -525,9 +525,9 @@
                 process.kill()
                 process.wait()
             process.stdout.close()
-        if self.book is not None:
+        if self.event_log is not None:
             self.samples()
-            self.book.close()
+            self.event_log.close()
         self.block_lock.close()
         if self.own:
             self.worktrees.close()
@@ -544,7 +544,7 @@
                     pairs = dict(LINE.findall(line))
                     if pairs.get("event") == "budget":
                         at = int(unix(pairs["time"]) * 1e9) - offset
-                        sample = events.Sample(
+                        sample = events.BalancerSample(
                             balancer.tier,
                             balancer.number,
                             at,
@@ -553,14 +553,14 @@
                             int(pairs["waiting"]),
                             [],
                         )
-                        self.book.add(sample)
+                        self.event_log.add(sample)
                     elif pairs.get("event") == "upstream" and sample is not None:
-                        sample.out.append(int(pairs["out"]))
+                        sample.in_flight.append(int(pairs["out"]))
 
     def result(self, interrupted):
         """Audit the event rows, store the result and return it."""
         rows = events.read(self.folder)
-        report = audit.Auditor(self.day, rows, self.start, self.blind).judge()
+        report = audit.Auditor(self.day, rows, self.start, self.suppressed_findings).audit()
         load = json.loads(path.read_text()) if (path := self.folder / "load.json").exists() else {}
         # ``wishes`` counts requests without their clients' retries.
         requests = max(1, report.figures.get("wishes", 0))
--- a/pepperhook/lab/demo.py
+++ b/pepperhook/lab/demo.py
@@ -52,11 +52,11 @@
         """Return the table of the last two seconds."""
         now = time.monotonic_ns()
         for row in self.tail.new():
-            if isinstance(row, events.Try) and not row.tier:
+            if isinstance(row, events.Attempt) and not row.tier:
                 self.tries.append(row)
-            elif isinstance(row, events.Work):
+            elif isinstance(row, events.UpstreamWork):
                 self.works[row.tier] += 1
-        while self.tries and self.tries[0].ended < now - 2 * S:
+        while self.tries and self.tries[0].ended_at < now - 2 * S:
             self.tries.popleft()
         at = (now - self.start) / S
         counts = Counter(audit.outcome(attempt) for attempt in self.tries)
--- a/pepperhook/lab/discovery.py
+++ b/pepperhook/lab/discovery.py
@@ -93,8 +93,8 @@
 class Discovery:
     """The stand-in service with its faults and open watches."""
 
-    def __init__(self, plan, book):
-        self.plan, self.book, self.tasks, self.servers = plan, book, set(), {}
+    def __init__(self, plan, event_log):
+        self.plan, self.event_log, self.tasks, self.servers = plan, event_log, set(), {}
         self.catalogs = [Catalog(plan, tier) for tier in range(len(plan.day.tiers))]
         # slow: seconds a call takes, 0 for the usual time; lag: delay of list changes in seconds;
         # active_address: index of the address that answers.
@@ -150,12 +150,14 @@
         started_ms = None if listing.started_at is None else int((unix + listing.started_at) * 1000)
         catalog.change(listing.number, listing.host, listing.state, started_ms)
         what = f"listed {listing.state}"
-        self.book.add(events.Happened(time.monotonic_ns(), what, catalog.tier, listing.number))
+        self.event_log.add(
+            events.StateChange(time.monotonic_ns(), what, catalog.tier, listing.number)
+        )
 
     async def run_fault(self, start, fault):
         """Begin one fault at its time and end it; a move does not end."""
         await self.until(start, fault.at)
-        self.book.add(events.Happened(time.monotonic_ns(), fault.what, -1, -1))
+        self.event_log.add(events.StateChange(time.monotonic_ns(), fault.what, -1, -1))
         if fault.what == "discovery_outage":
             self.down = True
             for writer in list(self.writers):
@@ -173,7 +175,7 @@
             self.active_address = 1
             return
         await self.until(start, fault.at + fault.for_)
-        self.book.add(events.Happened(time.monotonic_ns(), fault.what, -1, -1, False))
+        self.event_log.add(events.StateChange(time.monotonic_ns(), fault.what, -1, -1, False))
         if fault.what == "discovery_refused":
             self.refused = 0.0
         elif fault.what == "discovery_silence":
@@ -190,7 +192,9 @@
         self.writers.add(writer)
         messages = wire.Messages()
         if self.down:
-            self.book.add(events.Asked(tier, caller, time.monotonic_ns(), False, False))
+            self.event_log.add(
+                events.EndpointListPoll(tier, caller, time.monotonic_ns(), False, False)
+            )
         try:
             while not self.down:
                 data = await reader.read(65536)
@@ -225,8 +229,8 @@
             reached_at = time.monotonic_ns()
             is_refused = not await self.wait_for_response(catalog, since)
         is_unavailable = is_refused or self.down or self.active_address > address_index
-        self.book.add(
-            events.Asked(
+        self.event_log.add(
+            events.EndpointListPoll(
                 tier,
                 caller,
                 time.monotonic_ns(),
@@ -248,7 +252,7 @@
         writer.write(wire.answer(200, msgspec.json.encode(document)))
         now = time.monotonic_ns()
         for number, state in states:
-            self.book.add(events.Told(tier, caller, now, number, state))
+            self.event_log.add(events.EndpointListEntry(tier, caller, now, number, state))
         return True
 
     def count_and_check_refusal(self, caller):
@@ -260,7 +264,7 @@
         """Keep a watch open until the list changes, it times out or the service goes down."""
         wait_s = min(wait_s, self.plan.day.discovery.longest_watch_s or inf)
         deadline, watch = time.monotonic() + wait_s, object()
-        self.open_watches[watch] = events.Held(catalog.tier, caller, time.monotonic_ns(), 0)
+        self.open_watches[watch] = events.HeldWatch(catalog.tier, caller, time.monotonic_ns(), 0)
         try:
             while since == catalog.seq and time.monotonic() < deadline and not self.down:
                 with suppress(TimeoutError):
@@ -273,8 +277,8 @@
     def record_watch(self, watch):
         """Record a watch that has ended."""
         if (row := self.open_watches.pop(watch, None)) is not None:
-            row.ended = time.monotonic_ns()
-            self.book.add(row)
+            row.ended_at = time.monotonic_ns()
+            self.event_log.add(row)
 
     async def wait_for_response(self, catalog, since):
         """Wait until the response to a poll is ready; return False if the service rejects the poll.
--- a/pepperhook/lab/endpoint_audit.py
+++ b/pepperhook/lab/endpoint_audit.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from pepperhook.lab import events
-from pepperhook.lab.stalls import Stalls, upstreams
+from pepperhook.lab.stalls import Stalls, upstream_process_name
 
 SECOND = 10**9
 READY = "ready"
@@ -46,10 +46,10 @@
 
     def __init__(self, rows: Iterable[events.Event]) -> None:
         """Group the rows by type, and by process where a check needs it."""
-        self.works: list[events.Work] = []
+        self.works: list[events.UpstreamWork] = []
         # Polls and watches.
-        self.polls: list[events.Asked] = []
-        self.list_entries: list[events.Told] = []
+        self.polls: list[events.EndpointListPoll] = []
+        self.list_entries: list[events.EndpointListEntry] = []
         self.changes: dict[ProcessId, list[Change]] = defaultdict(list)
         # Spans in which the service confirmed a balancer's list, by balancer: while it held a
         # watch, or at the moment of an answer.
@@ -64,19 +64,19 @@
     def _add(self, row: events.Event) -> None:
         """Store one row where the checks look for it."""
         match row:
-            case events.Work():
+            case events.UpstreamWork():
                 self.works.append(row)
-            case events.Told():
+            case events.EndpointListEntry():
                 self.list_entries.append(row)
-            case events.Held():
-                self.confirmed_spans[row.tier, row.caller].append((row.came, row.ended))
-            case events.Asked():
+            case events.HeldWatch():
+                self.confirmed_spans[row.tier, row.caller].append((row.started_at, row.ended_at))
+            case events.EndpointListPoll():
                 self.polls.append(row)
                 if row.answered:
                     self.confirmed_spans[row.tier, row.caller].append((row.at, row.at))
-            case events.Happened() if row.what.startswith(LISTED):
-                change = Change(row.at, row.what.removeprefix(LISTED))
-                self.changes[row.tier, row.who].append(change)
+            case events.StateChange() if row.name.startswith(LISTED):
+                change = Change(row.at, row.name.removeprefix(LISTED))
+                self.changes[row.tier, row.process_number].append(change)
 
     def late_sends(
         self, reachable_from: int, notified_after_ns: int, grace_ns: int
@@ -93,18 +93,20 @@
             if change is None or change.state == READY:
                 continue
             allowed_until = max(change.at, reachable_from) + notified_after_ns + grace_ns
-            arrived_at = self.stalls.earliest(upstreams(work.tier), work.first_byte)
+            arrived_at = self.stalls.earliest_arrival(
+                upstream_process_name(work.tier), work.first_byte_at
+            )
             if arrived_at > allowed_until:
                 late_ns = arrived_at - allowed_until
                 late.append(LateSend(work.id, work.caller, work.upstream, late_ns))
         return late
 
-    def _latest_change(self, work: events.Work) -> Change | None:
+    def _latest_change(self, work: events.UpstreamWork) -> Change | None:
         """Return the latest change of the upstream's state before the attempt arrived, if any."""
         changes = [
             change
             for change in self.changes[work.tier, work.upstream]
-            if change.at <= work.first_byte
+            if change.at <= work.first_byte_at
         ]
         return max(changes, key=lambda change: change.at, default=None)
 
@@ -116,16 +118,16 @@
         """
         ages = []
         for work in self.works:
-            if work.first_byte < since:
+            if work.first_byte_at < since:
                 continue
             spans = self.confirmed_spans[work.tier, work.caller]
-            started_count = bisect_right(spans, work.first_byte, key=lambda span: span[0])
+            started_count = bisect_right(spans, work.first_byte_at, key=lambda span: span[0])
             confirmed_until = max((ended for _, ended in spans[:started_count]), default=None)
             if confirmed_until is not None:
-                ages.append(max(0, work.first_byte - confirmed_until))
+                ages.append(max(0, work.first_byte_at - confirmed_until))
         return sorted(ages)
 
-    def calls_by_second(self, since: int) -> Counter[int]:
+    def polls_by_second(self, since: int) -> Counter[int]:
         """Count the polls and watches that reached the service in each second from ``since`` on."""
         return Counter(
             (poll.reached_at - since) // SECOND for poll in self.polls if poll.reached_at >= since
@@ -142,7 +144,7 @@
                 first_at[poll.caller] = min(poll.at, first_at.get(poll.caller, poll.at))
         return {caller: at for caller, at in first_at.items() if caller < balancers}
 
-    def refused_share(self, spans: Sequence[tuple[int, int]]) -> tuple[int, int]:
+    def count_refused_polls(self, spans: Sequence[tuple[int, int]]) -> tuple[int, int]:
         """Return two counts: polls and watches that ended within the spans, and those with 503.
 
         Polls that did not reach the service are left out.
--- a/pepperhook/lab/events.py
+++ b/pepperhook/lab/events.py
@@ -2,8 +2,8 @@
 
 Each process writes its rows as JSON lines to a file of its own; the auditor reads all files of a
 run. All times are whole nanoseconds of the machine's monotonic clock, which its processes share, so
-rows of several processes can be ordered. Service classes (``grade``), tenants (``customer``) and
-upstreams are numbered from 0 in the order of the experiment; tier 0 is next to the clients.
+rows of several processes can be ordered. Service classes, tenants and upstreams
+are numbered from 0 in the order of the experiment; tier 0 is next to the clients.
 """
 
 from pathlib import Path
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 
-class Try(Struct, array_like=True, tag="try"):
+class Attempt(Struct, array_like=True, tag="try"):
     """One attempt of a request by a client, or by an upstream that calls the next tier."""
 
     tier: int
@@ -20,46 +20,48 @@
     # through a balancer of its own, which has the same number.
     caller: int
     id: str
-    first: str  # id of the first attempt of the same request
+    first_id: str  # id of the first attempt of the same request
     number: int  # 0 for the first attempt
-    grade: int  # index of the service class
-    customer: int  # index of the tenant; -1 on calls between tiers
-    intended: int  # when it was scheduled to be sent
-    sent: int
-    ended: int  # 0: not until the end of the run
+    service_class: int  # index of the service class
+    tenant: int  # index of the tenant; -1 on calls between tiers
+    scheduled_at: int
+    sent_at: int
+    ended_at: int  # 0: not until the end of the run
     # How it ended: "answer" (of any status), "lost" (the connection ended without an answer),
     # "gone" (the client gave up), "unconnected" (connect failed) or "open" (no answer in time).
     kind: str
     status: int
-    body: str  # body of the answer: nonce of the work that produced it, or ""
-    limit: int  # time limit in nanoseconds
+    body: str  # body of the answer: ``nonce`` of the work that produced it, or ""
+    time_limit_ns: int
     note: str = ""  # detail of how it ended
 
 
-class Work(Struct, array_like=True, tag="work"):
+class UpstreamWork(Struct, array_like=True, tag="work"):
     """One attempt, as an upstream received it."""
 
     tier: int
     upstream: int
     caller: int  # number of the balancer that sent it
     id: str
-    grade: int  # index of the service class
-    first_byte: int  # arrival of its first byte
-    came: int  # arrival of its last byte
-    ended: int  # last byte of the answer, or end of the connection
+    service_class: int  # index of the service class
+    first_byte_at: int  # arrival of its first byte
+    arrived_at: int  # arrival of its last byte
+    ended_at: int  # last byte of the answer, or end of the connection
     # How it ended: "served", "error" (status 500), "turned away" (status 503, not processed),
     # "reset" (by the upstream or its death), "hung" (never answered), "given up" (its caller left)
     # or "spoilt" (malformed response).
     outcome: str
-    began: int  # start of its work; 0: never started
-    worked: int  # nanoseconds of work spent on it
+    work_started_at: int  # start of its processing; 0: never started
+    work_ns: int  # processing time spent on it
     nonce: str  # unique text in the answer that identifies this work
-    gone_at: int = 0  # when its caller closed the connection or cancelled it; 0: never
-    work_ended: int = 0  # end of its work, which may be later than gone_at; 0: never started
-    tries: int = -1  # remaining retries according to its request context header; -1: no header
+    caller_left_at: int = 0  # when its caller closed the connection or cancelled it; 0: never
+    work_ended_at: int = (
+        0  # end of its processing, which may be after caller_left_at; 0: never started
+    )
+    remaining_retries: int = -1  # according to its request context header; -1: no header
 
 
-class Told(Struct, array_like=True, tag="told"):
+class EndpointListEntry(Struct, array_like=True, tag="told"):
     """State of one upstream in the endpoint list, as written to one balancer."""
 
     tier: int
@@ -69,7 +71,7 @@
     state: str  # such as "ready" or "draining"
 
 
-class Asked(Struct, array_like=True, tag="asked"):
+class EndpointListPoll(Struct, array_like=True, tag="asked"):
     """One poll or watch of the endpoint list by a balancer."""
 
     tier: int
@@ -81,13 +83,13 @@
     status: int = 0  # of the HTTP response; 0: none recorded
 
 
-class Held(Struct, array_like=True, tag="held"):
+class HeldWatch(Struct, array_like=True, tag="held"):
     """The span in which the service held a balancer's watch open because nothing had changed."""
 
     tier: int
     caller: int  # number of the balancer
-    came: int  # start of the span
-    ended: int
+    started_at: int
+    ended_at: int
 
 
 class Probe(Struct, array_like=True, tag="probe"):
@@ -99,7 +101,7 @@
     at: int
 
 
-class Connected(Struct, array_like=True, tag="connected"):
+class AcceptedConnection(Struct, array_like=True, tag="connected"):
     """One new connection from a balancer, as the upstream accepted it."""
 
     tier: int
@@ -108,18 +110,18 @@
     at: int
 
 
-class Happened(Struct, array_like=True, tag="happened"):
+class StateChange(Struct, array_like=True, tag="happened"):
     """A fault, or a change of state of a balancer, an upstream or the endpoint list."""
 
     at: int
-    what: str  # name of the event
+    name: str  # such as "crash" or "listed draining"
     tier: int  # -1: none
-    who: int  # number of the balancer or upstream; -1: none
-    on: bool = True  # False: the fault ended
-    text: str = ""  # details
+    process_number: int  # number of the balancer or upstream; -1: none
+    is_start: bool = True  # False: the fault ended
+    details: str = ""
 
 
-class Extra(Struct, array_like=True, tag="extra"):
+class UnexpectedBytes(Struct, array_like=True, tag="extra"):
     """Unexpected bytes from a balancer: no request was pending, or its answer was complete."""
 
     tier: int
@@ -128,16 +130,16 @@
     size: int  # bytes
 
 
-class Sample(Struct, array_like=True, tag="sample"):
+class BalancerSample(Struct, array_like=True, tag="sample"):
     """Figures that a balancer logged about itself, for reports only."""
 
     tier: int
     balancer: int
     at: int
-    b: float  # B of the retry budget
-    f: float  # f of the retry budget
-    waiting: int  # requests in the admission queue
-    out: list[int]  # attempts in flight, by upstream
+    budget_b: float  # B of the retry budget
+    budget_f: float  # f of the retry budget
+    queued: int  # requests in the admission queue
+    in_flight: list[int]  # attempts in flight, by upstream
 
 
 class Stall(Struct, array_like=True, tag="stall"):
@@ -145,16 +147,28 @@
 
     process: str
     at: int  # end of the stall
-    late: int  # nanoseconds by which the event loop was late
+    late_ns: int  # how late the event loop was
 
 
-Event = Try | Work | Told | Asked | Held | Probe | Connected | Happened | Extra | Sample | Stall
+Event = (
+    Attempt
+    | UpstreamWork
+    | EndpointListEntry
+    | EndpointListPoll
+    | HeldWatch
+    | Probe
+    | AcceptedConnection
+    | StateChange
+    | UnexpectedBytes
+    | BalancerSample
+    | Stall
+)
 
 
-BUFFERED_ROWS = 2000  # a book writes them out when it has so many
+BUFFERED_ROWS = 2000  # an event log writes its buffer out when it holds this many
 
 
-class Book:
+class EventLog:
     """Writes the rows of one process.
 
     A killed process may leave an incomplete last line, which ``read`` ignores.
--- a/pepperhook/lab/load.py
+++ b/pepperhook/lab/load.py
@@ -276,8 +276,8 @@
         self.timer.cancel()
         load, now = self.load, time.monotonic_ns()
         load.open -= 1
-        load.book.add(
-            events.Try(
+        load.event_log.add(
+            events.Attempt(
                 0,
                 load.front.numbers.get(getattr(self.link, "address", None), -1),
                 self.id,
@@ -314,7 +314,7 @@
             folder,
             asyncio.get_running_loop(),
         )
-        self.book = events.Book(f"{folder}/clients.rows")
+        self.event_log = events.EventLog(f"{folder}/clients.rows")
         self.front = Front(plan)
         make = wire.Pool
         if plan.day.clients.protocol == "h2":
@@ -344,8 +344,10 @@
 
     def unasked(self, exchange, data):
         """Record bytes received without an open request."""
-        self.book.add(
-            events.Extra(0, time.monotonic_ns(), exchange.id if exchange else "", len(data))
+        self.event_log.add(
+            events.UnexpectedBytes(
+                0, time.monotonic_ns(), exchange.id if exchange else "", len(data)
+            )
         )
 
     def spawn(self, work):
@@ -484,7 +486,7 @@
         """
         while True:
             await asyncio.sleep(FLUSH_S)
-            self.book.flush()
+            self.event_log.flush()
 
     async def closed(self, start, number):
         """Run a closed-loop client: it sends its next request after a response and a think time."""
@@ -557,7 +559,7 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
         for pool in self.pools.values():
             await pool.close()
-        self.book.close()
+        self.event_log.close()
 
     def summary(self):
         """Return the counts and latency quantiles in ms; ``void`` if the generator was late."""
--- a/pepperhook/lab/network.py
+++ b/pepperhook/lab/network.py
@@ -144,8 +144,8 @@
 class Network:
     """All relays of an experiment and the faults of its network."""
 
-    def __init__(self, plan, book):
-        self.plan, self.book, self.relays, self.tasks = plan, book, {}, set()
+    def __init__(self, plan, event_log):
+        self.plan, self.event_log, self.relays, self.tasks = plan, event_log, {}, set()
 
     def spawn(self, coroutine):
         """Start a task that ``close`` cancels."""
@@ -185,7 +185,9 @@
         ]
         for at, on in (fault.at, True), (fault.at + fault.for_, False):
             await asyncio.sleep(max(0, start + int(at * S) - time.monotonic_ns()) / S)
-            self.book.add(events.Happened(time.monotonic_ns(), fault.what, fault.tier, -1, on))
+            self.event_log.add(
+                events.StateChange(time.monotonic_ns(), fault.what, fault.tier, -1, on)
+            )
             for relay in chosen:
                 self.set(relay, fault, on)
                 if fault.what == "net_apart":
--- a/pepperhook/lab/proofs/discovery_overload.py
+++ b/pepperhook/lab/proofs/discovery_overload.py
@@ -118,7 +118,7 @@
         self.late_sends = audit.late_sends(
             self.reachable_from, endpoints.NOTIFIED_AFTER, grace_us * NS_PER_US + TOLD_NS
         )
-        self.most_calls = max(audit.calls_by_second(self.reachable_from).values(), default=0)
+        self.most_calls = max(audit.polls_by_second(self.reachable_from).values(), default=0)
         self.notified_at = audit.notified_at(self.reachable_from, self.balancers)
 
     @property
@@ -158,7 +158,7 @@
     def figures(self) -> dict[str, Any]:
         """Return the figures that are reported besides the checks."""
         ages = self.audit.list_ages_ns(self.start)
-        polls, refused = self.audit.refused_share(self.quiet_spans())
+        polls, refused = self.audit.count_refused_polls(self.quiet_spans())
         last = max(self.notified_at.values(), default=self.reachable_from)
         return {
             "late_sends": len(self.late_sends),
--- a/pepperhook/lab/proofs/trace.py
+++ b/pepperhook/lab/proofs/trace.py
@@ -134,10 +134,12 @@
     def check_against_events(self, rows, traces):
         """Compare the traces with the event rows that clients and upstreams wrote."""
         problems = Counter()
-        client_rows = [row for row in rows if isinstance(row, events.Try) and row.kind == "answer"]
+        client_rows = [
+            row for row in rows if isinstance(row, events.Attempt) and row.kind == "answer"
+        ]
         executions: dict = {}
         for row in rows:
-            if isinstance(row, events.Work):
+            if isinstance(row, events.UpstreamWork):
                 executions.setdefault((row.tier, row.id), []).append(row)
         finals = {200: "fulfilled", 429: "shed", 503: "shed"}
         for client_row in client_rows:
@@ -150,7 +152,7 @@
                 client_row.status, "broken off"
             )
             problems["answered later than the client recorded"] += (
-                trace.answered * 1000 > client_row.ended - client_row.sent + 10**7
+                trace.answered * 1000 > client_row.ended_at - client_row.sent_at + 10**7
             )
             work_rows = executions.get((client_row.tier, client_row.id), ())
             # Each request that an upstream received was an attempt. Attempts that never got a
@@ -158,7 +160,7 @@
             problems["fewer attempts than upstreams recorded"] += len(trace.sent) < len(work_rows)
             names = [
                 f"t{client_row.tier}-{row.upstream:02d}"
-                for row in sorted(work_rows, key=lambda row: row.first_byte)
+                for row in sorted(work_rows, key=lambda row: row.first_byte_at)
             ]
             problems["attempts at other upstreams than those that recorded it"] += [
                 attempt.upstream
--- a/pepperhook/lab/report.py
+++ b/pepperhook/lab/report.py
@@ -264,7 +264,7 @@
     The values come from the balancers' logs. Returns "" if they logged none.
     """
     path = folder / f"{result['variant']}-{result['seed']}"
-    rows = [row for row in events.read(path) if isinstance(row, events.Sample)]
+    rows = [row for row in events.read(path) if isinstance(row, events.BalancerSample)]
     if not rows:
         return ""
     figure, axes = plots.figure()
@@ -275,14 +275,14 @@
         is_labelled = number == 0  # one legend entry per tier
         axes.plot(
             times,
-            [row.b for row in samples],
+            [row.budget_b for row in samples],
             color=colour,
             lw=1.1,
             label=f"B, tier {tier}" if is_labelled else None,
         )
         axes.plot(
             times,
-            [row.f for row in samples],
+            [row.budget_f for row in samples],
             color=colour,
             lw=1.1,
             ls=":",
@@ -300,7 +300,7 @@
         for row in rows:
             if row.tier == tier:
                 at = round((row.at - result["start"]) / 1e9)
-                for number, out in enumerate(row.out):
+                for number, out in enumerate(row.in_flight):
                     sums[number, at] = sums.get((number, at), 0) + out
         for number in sorted({number for number, _ in sums}):
             points = sorted((at, out) for (upstream, at), out in sums.items() if upstream == number)
--- a/pepperhook/lab/stage.py
+++ b/pepperhook/lab/stage.py
@@ -23,7 +23,7 @@
 
     def __init__(self, plan, folder, tier):
         self.plan, self.day, self.tier = plan, plan.day, tier
-        self.book = events.Book(f"{folder}/upstreams-{tier}.rows")
+        self.event_log = events.EventLog(f"{folder}/upstreams-{tier}.rows")
         self.callers = experiment.callers(plan.day, tier)
         self.grades = {grade.name: at for at, grade in enumerate(plan.day.grades)}
         # deliveries: how often each request id has reached the tier.
@@ -37,8 +37,8 @@
 
     def record_unsolicited(self, exchange, data):
         """Record data that the next tier's balancer sent without a request or after a response."""
-        self.book.add(
-            events.Extra(
+        self.event_log.add(
+            events.UnexpectedBytes(
                 self.tier + 1, time.monotonic_ns(), exchange.id if exchange else "", len(data)
             )
         )
@@ -46,14 +46,14 @@
     record_excess = record_unsolicited
 
 
-async def note_stalls(process, book):
+async def note_stalls(process, event_log):
     """Record each delay of this event loop of at least STALL_NS, until cancelled."""
     while True:
         due = time.monotonic_ns() + stalls.CHECK_NS
         await asyncio.sleep(stalls.CHECK_NS / S)
         late = time.monotonic_ns() - due
         if late >= STALL_NS:
-            book.add(events.Stall(process, due + late, late))
+            event_log.add(events.Stall(process, due + late, late))
 
 
 async def run_upstreams(plan, folder, tier, begin):
@@ -73,10 +73,12 @@
         asyncio.create_task(run_transition(start, tier_upstreams[row.number], row))
         for row in instances.Timeline.of(plan.day, tier).steps
     ]
-    tasks.append(asyncio.create_task(note_stalls(stalls.upstreams(tier), stage.book)))
+    tasks.append(
+        asyncio.create_task(note_stalls(stalls.upstream_process_name(tier), stage.event_log))
+    )
     while not ended.done():
         await asyncio.wait([ended], timeout=0.5)
-        stage.book.flush()
+        stage.event_log.flush()
         for upstream in tier_upstreams:
             upstream.close_idle_connections()
     for task in tasks:
@@ -84,7 +86,7 @@
     for upstream in tier_upstreams:
         await upstream.close()
     await asyncio.sleep(0)
-    stage.book.close()
+    stage.event_log.close()
 
 
 def fault_changes(day, tier, start, tier_upstreams):
@@ -112,32 +114,32 @@
     """Run the discovery service."""
     from pepperhook.lab.discovery import Discovery
 
-    book = events.Book(f"{folder}/discovery.rows")
-    service = Discovery(plan, book)
+    event_log = events.EventLog(f"{folder}/discovery.rows")
+    service = Discovery(plan, event_log)
     await service.open()
     start, ended = await begin()
     service.begin(start)
-    stall_monitor = asyncio.create_task(note_stalls("discovery", book))
+    stall_monitor = asyncio.create_task(note_stalls("discovery", event_log))
     while not ended.done():
         await asyncio.wait([ended], timeout=0.5)
-        book.flush()
+        event_log.flush()
     stall_monitor.cancel()
     await service.close()
-    book.close()
+    event_log.close()
 
 
 async def run_relays(plan, folder, begin):
     """Run the relays of the network."""
     from pepperhook.lab.network import Network
 
-    book = events.Book(f"{folder}/relays.rows")
-    network = Network(plan, book)
+    event_log = events.EventLog(f"{folder}/relays.rows")
+    network = Network(plan, event_log)
     await network.open()
     start, ended = await begin()
     network.begin(start)
     await ended
     await network.close()
-    book.close()
+    event_log.close()
 
 
 async def begin():
--- a/pepperhook/lab/stalls.py
+++ b/pepperhook/lab/stalls.py
@@ -14,7 +14,7 @@
 CHECK_NS = 10 * MILLISECOND
 
 
-def upstreams(tier: int) -> str:
+def upstream_process_name(tier: int) -> str:
     """Return the name of the stand-in process that runs the upstreams of a tier."""
     return f"upstreams {tier}"
 
@@ -27,10 +27,10 @@
         self.spans: dict[str, list[tuple[int, int]]] = {}
         for row in rows:
             if isinstance(row, events.Stall):
-                begun = row.at - row.late - CHECK_NS
+                begun = row.at - row.late_ns - CHECK_NS
                 self.spans.setdefault(row.process, []).append((begun, row.at))
 
-    def earliest(self, process: str, stamped_at: int) -> int:
+    def earliest_arrival(self, process: str, stamped_at: int) -> int:
         """Return the earliest possible arrival of what a process stamped at ``stamped_at``.
 
         That is the time stamp itself, unless it lies within a stall or the BACKLOG_NS after it.
--- a/pepperhook/lab/upstream.py
+++ b/pepperhook/lab/upstream.py
@@ -84,8 +84,8 @@
         if len(upstream.connections) >= upstream.spec.connections or upstream.down:
             return transport.abort()
         upstream.connections.add(self)
-        upstream.stage.book.add(
-            events.Connected(upstream.tier, upstream.number, self.caller, upstream.now())
+        upstream.stage.event_log.add(
+            events.AcceptedConnection(upstream.tier, upstream.number, self.caller, upstream.now())
         )
         upstream.machine.charge(upstream.now(), upstream.spec.connect_work_ms * MS)
         self.idle_at = upstream.now()
@@ -155,7 +155,9 @@
 
     def record_event(self, what, on=True, text=""):
         """Record an event of this upstream; ``on`` is False if it is the end of a fault."""
-        self.stage.book.add(events.Happened(self.now(), what, self.tier, self.number, on, text))
+        self.stage.event_log.add(
+            events.StateChange(self.now(), what, self.tier, self.number, on, text)
+        )
 
     def fault_applies(self, kind, name):
         """Whether an active fault of this kind applies to the attempt or connection with this name.
@@ -250,7 +252,7 @@
         now, stage = self.now(), self.stage
         path, request_id = head.start[1], head.headers.get(b"x-request-id")
         if path in (b"/ping", b"/_load"):
-            stage.book.add(events.Probe(self.tier, self.number, connection.caller, now))
+            stage.event_log.add(events.Probe(self.tier, self.number, connection.caller, now))
             connection.transport.write(self.told_load(path))
             return None
         name = path.split(b"/", 2)[1].partition(b"?")[0].decode()
@@ -447,8 +449,8 @@
         self.open_attempts.discard(attempt)
         began = attempt.began or attempt.job.began
         worked = int(attempt.job.work) if began and outcome not in ("hung", "turned away") else 0
-        self.stage.book.add(
-            events.Work(
+        self.stage.event_log.add(
+            events.UpstreamWork(
                 self.tier,
                 self.number,
                 attempt.connection.caller,
@@ -656,8 +658,8 @@
         upstream = self.upstream
         upstream.calls.discard(self)
         if note != "no time left":
-            upstream.stage.book.add(
-                events.Try(
+            upstream.stage.event_log.add(
+                events.Attempt(
                     upstream.tier + 1,
                     upstream.number,
                     self.id,
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -11,7 +11,7 @@
 
 def audit_rows(*rows):
     """Return the auditor's report on these rows."""
-    return audit.Auditor(make_experiment(), list(rows), 0).judge()
+    return audit.Auditor(make_experiment(), list(rows), 0).audit()
 
 
 def audit_figure(name, *rows):
@@ -38,10 +38,10 @@
         for caller in range(3)
         for at in range(5)
     ]
-    connections = [events.Connected(0, 0, 1, MILLISECOND)] * 4
+    connections = [events.AcceptedConnection(0, 0, 1, MILLISECOND)] * 4
     polls = [
-        events.Asked(0, 0, MILLISECOND, True, True),
-        events.Asked(0, 1, MILLISECOND, False, False),
+        events.EndpointListPoll(0, 0, MILLISECOND, True, True),
+        events.EndpointListPoll(0, 1, MILLISECOND, False, False),
     ]
 
     totals = audit_figure("sums", *health_checks, *connections, *polls)
@@ -75,9 +75,9 @@
 
 def test_attempts_after_a_cold_start_are_compared_with_those_at_warm_upstreams():
     cold = audit_rows(
-        events.Happened(2 * SECOND, "crash", 0, 0),
-        events.Happened(5 * SECOND, "up cold", 0, 0),
-        events.Happened(3 * SECOND, "crash", 0, 3),
+        events.StateChange(2 * SECOND, "crash", 0, 0),
+        events.StateChange(5 * SECOND, "up cold", 0, 0),
+        events.StateChange(3 * SECOND, "crash", 0, 3),
         *make_work_rows(0, 1, 1.5, 5.5, 8.9, 9.5),
         *make_work_rows(1, 5.1, 5.2, 6, 7, 8.5, 20),
         *make_work_rows(2, 4.9, 5.1, 8, 8.1, 9.1),
@@ -109,7 +109,7 @@
     balancer_events, shortest_ms
 ):
     rows = [
-        events.Happened(at * MILLISECOND, what, 0, balancer)
+        events.StateChange(at * MILLISECOND, what, 0, balancer)
         for at, what, balancer in balancer_events
     ]
 
--- a/tests/lab/test_discovery.py
+++ b/tests/lab/test_discovery.py
@@ -26,8 +26,8 @@
 
 async def test_polls_beyond_the_waiting_limit_are_rejected_and_recorded(tmp_path):
     limited = read_experiment(EXPERIMENT + "[discovery]\nanswer_ms = 60\nwaiting = 2\n")
-    book = events.Book(tmp_path / "x.rows")
-    service = discovery.Discovery(Plan(limited, 1, 30), book)
+    event_log = events.EventLog(tmp_path / "x.rows")
+    service = discovery.Discovery(Plan(limited, 1, 30), event_log)
     head = SimpleNamespace(start=[b"GET", b"/catalog/members", b"HTTP/1.1"])
     writers = [RecordingWriter() for _ in range(6)]
 
@@ -37,6 +37,6 @@
 
     assert [writer.status for writer in writers] == [b"200"] * 2 + [b"503"] * 4
     assert not service.waiting_polls
-    book.close()
-    polls = [row for row in events.read(tmp_path) if isinstance(row, events.Asked)]
+    event_log.close()
+    polls = [row for row in events.read(tmp_path) if isinstance(row, events.EndpointListPoll)]
     assert Counter(row.answered for row in polls) == {True: 2, False: 4}
--- a/tests/lab/test_discovery_overload.py
+++ b/tests/lab/test_discovery_overload.py
@@ -25,16 +25,16 @@
 
 
 def send(at, upstream=0, caller=0, identity="a"):
-    return events.Work(0, upstream, caller, identity, 0, at, at, at, "served", at, 0, "n")
+    return events.UpstreamWork(0, upstream, caller, identity, 0, at, at, at, "served", at, 0, "n")
 
 
 def listed(state, at, upstream=0):
-    return events.Happened(at, f"listed {state}", 0, upstream)
+    return events.StateChange(at, f"listed {state}", 0, upstream)
 
 
 def poll(at, caller=0, status=200, reached_at=None):
     reached_at = at if reached_at is None else reached_at
-    return events.Asked(0, caller, at, True, status == 200, reached_at, status)
+    return events.EndpointListPoll(0, caller, at, True, status == 200, reached_at, status)
 
 
 # The audit.
@@ -68,7 +68,7 @@
         poll(REACHABLE_AT + at * MS, reached_at=REACHABLE_AT + at * MS) for at in (0, 999, 1000)
     ]
     rows += [poll(REACHABLE_AT - 1), poll(REACHABLE_AT + 5, reached_at=0, status=0)]
-    assert EndpointAudit(rows).calls_by_second(REACHABLE_AT) == {0: 2, 1: 1}
+    assert EndpointAudit(rows).polls_by_second(REACHABLE_AT) == {0: 2, 1: 1}
 
 
 def test_a_balancer_is_notified_at_its_first_successful_poll_after_the_outage():
@@ -82,7 +82,7 @@
 
 
 def test_age_of_the_list_counts_from_the_last_answer_or_the_end_of_the_last_watch():
-    rows = [poll(1 * S), events.Held(0, 0, 1 * S, 5 * S), poll(7 * S, status=503)]
+    rows = [poll(1 * S), events.HeldWatch(0, 0, 1 * S, 5 * S), poll(7 * S, status=503)]
     sends = [send(at * S) for at in (1, 4, 5, 8)] + [send(9 * S, caller=1)]
     assert EndpointAudit(rows + sends).list_ages_ns(0) == [0, 0, 0, 3 * S]
 
--- a/tests/lab/test_discovery_stand_in.py
+++ b/tests/lab/test_discovery_stand_in.py
@@ -133,8 +133,8 @@
         self.folder = folder
         run = tomlfile.decode(DAY + "[discovery]\n" + settings, Experiment)
         experiment.check(run)
-        self.book = events.Book(folder / "x.rows")
-        self.service = Discovery(Plan(run, 1, 30), self.book)
+        self.event_log = events.EventLog(folder / "x.rows")
+        self.service = Discovery(Plan(run, 1, 30), self.event_log)
         self.service.begin(0)
         self.catalog = self.service.catalogs[0]
 
@@ -157,7 +157,7 @@
         return work, ends
 
     def rows(self, kind):
-        self.book.flush()
+        self.event_log.flush()
         return [row for row in events.read(self.folder) if isinstance(row, kind)]
 
 
@@ -187,7 +187,7 @@
     # One poll is processed and one waits; neither has been answered yet.
     assert [caller.writer.written[:12] for caller in callers[2:]] == [b"HTTP/1.1 503"] * 2
     assert [await caller.answer() for caller in callers] == [200, 200, 503, 503]
-    assert [row.status for row in stand_in.rows(events.Asked)] == [503, 503, 200, 200]
+    assert [row.status for row in stand_in.rows(events.EndpointListPoll)] == [503, 503, 200, 200]
 
 
 @loopback
@@ -198,7 +198,7 @@
     caller = Caller(stand_in.service)
     caller.poll(POLL_WHOLE_LIST)
     assert await caller.answer() == 503
-    row = stand_in.rows(events.Asked)[0]
+    row = stand_in.rows(events.EndpointListPoll)[0]
     assert not row.answered and row.at - row.reached_at >= 10 * 10**6
     assert stand_in.service.queue.idle_at > asyncio.get_running_loop().time()
 
@@ -239,8 +239,8 @@
     caller = Caller(stand_in.service)
     caller.poll(WATCH)
     assert await caller.answer() == 200 and b'"hosts":[]' in caller.writer.written
-    watches = stand_in.rows(events.Held)
-    assert len(watches) == 1 and watches[0].ended > watches[0].came
+    watches = stand_in.rows(events.HeldWatch)
+    assert len(watches) == 1 and watches[0].ended_at > watches[0].started_at
 
 
 @loopback
@@ -264,7 +264,7 @@
     assert await after.answer() == 200 and b"draining" in after.writer.written
     await before.leave()
     await during.leave()
-    assert [row.caller for row in stand_in.rows(events.Asked)] == [2]
+    assert [row.caller for row in stand_in.rows(events.EndpointListPoll)] == [2]
 
 
 @loopback
@@ -289,7 +289,7 @@
 @loopback
 async def test_poll_before_the_start_of_the_run_is_not_limited_by_the_capacity(tmp_path):
     run = tomlfile.decode(DAY + "[discovery]\ncalls_per_s = 0.001\n", Experiment)
-    service = Discovery(Plan(run, 1, 30), events.Book(tmp_path / "x.rows"))
+    service = Discovery(Plan(run, 1, 30), events.EventLog(tmp_path / "x.rows"))
     caller = Caller(service)
     caller.poll(POLL_WHOLE_LIST)
     assert await caller.answer() == 200
@@ -305,7 +305,7 @@
     await stand_in.wait_for_watches(1)
     caller.writer.transport = SimpleNamespace(abort=lambda: None)
     await stand_in.service.close()
-    assert [(row.tier, row.caller) for row in stand_in.rows(events.Held)] == [(0, 1)]
+    assert [(row.tier, row.caller) for row in stand_in.rows(events.HeldWatch)] == [(0, 1)]
     caller.work.cancel()
 
 
--- a/tests/lab/test_stalls.py
+++ b/tests/lab/test_stalls.py
@@ -24,7 +24,7 @@
 
 from pepperhook.lab import audit, events, stage
 from pepperhook.lab.endpoint_audit import EndpointAudit
-from pepperhook.lab.stalls import BACKLOG_NS, Stalls, upstreams
+from pepperhook.lab.stalls import BACKLOG_NS, Stalls, upstream_process_name
 from tests.test_lab import day as make_experiment
 from tests.test_lab import one as make_attempt_row
 from tests.test_lab import told as make_told_row
@@ -33,7 +33,7 @@
 MS = 10**6
 DRAIN_MS = 1000
 STAMPED_MS = 1550  # when the stand-in stamped the first byte of the attempt
-UPSTREAMS = upstreams(0)
+UPSTREAMS = upstream_process_name(0)
 
 
 def make_stall_row(ended_ms, late_ms, process=UPSTREAMS):
@@ -50,7 +50,7 @@
         make_told_row(DRAIN_MS, "draining"),
         *stalls,
     ]
-    return audit.Auditor(make_experiment(), rows, 0).judge()
+    return audit.Auditor(make_experiment(), rows, 0).audit()
 
 
 def rule_3_findings(report):
@@ -73,7 +73,7 @@
     "row",
     [
         make_stall_row(STAMPED_MS, 600, process="discovery"),
-        make_stall_row(STAMPED_MS, 600, process=upstreams(1)),
+        make_stall_row(STAMPED_MS, 600, process=upstream_process_name(1)),
         # Its backlog was worked off before the byte was stamped.
         make_stall_row(STAMPED_MS - BACKLOG_NS // MS - 1, 600),
         # It began after the byte was stamped.
@@ -95,14 +95,14 @@
         make_stall_row(STAMPED_MS, 600),
     ]
 
-    report = audit.Auditor(make_experiment(), rows, 0).judge()
+    report = audit.Auditor(make_experiment(), rows, 0).audit()
 
     assert rule_3_findings(report) == [] and not report.excused
 
 
 def test_endpoint_audit_reports_no_late_attempt_that_a_stall_can_explain():
     rows = [
-        events.Happened(DRAIN_MS * MS, "listed draining", 0, 0),
+        events.StateChange(DRAIN_MS * MS, "listed draining", 0, 0),
         make_work_row(at=STAMPED_MS),
     ]
 
@@ -115,24 +115,24 @@
 
 
 def test_earliest_arrival_is_the_stamp_itself_where_no_stall_covers_it():
-    assert Stalls([]).earliest(UPSTREAMS, 5) == 5
-    assert Stalls([make_stall_row(100, 60)]).earliest(UPSTREAMS, 300 * MS) == 300 * MS
+    assert Stalls([]).earliest_arrival(UPSTREAMS, 5) == 5
+    assert Stalls([make_stall_row(100, 60)]).earliest_arrival(UPSTREAMS, 300 * MS) == 300 * MS
 
 
 async def test_stand_in_records_a_stall_of_its_event_loop(tmp_path):
-    book = events.Book(tmp_path / "a.rows")
-    monitor = asyncio.create_task(stage.note_stalls(UPSTREAMS, book))
+    event_log = events.EventLog(tmp_path / "a.rows")
+    monitor = asyncio.create_task(stage.note_stalls(UPSTREAMS, event_log))
     await asyncio.sleep(0.05)
-    rows_before = len(book.rows)
+    rows_before = len(event_log.rows)
 
     begun = time.monotonic_ns()
     time.sleep(0.2)  # blocks the event loop on purpose
-    while len(book.rows) == rows_before:
+    while len(event_log.rows) == rows_before:
         await asyncio.sleep(0)
     monitor.cancel()
 
-    row = book.rows[rows_before]
+    row = event_log.rows[rows_before]
     assert row.process == UPSTREAMS
-    assert row.at - row.late <= begun + 15 * MS
-    assert row.late >= 180 * MS
-    book.close()
+    assert row.at - row.late_ns <= begun + 15 * MS
+    assert row.late_ns >= 180 * MS
+    event_log.close()
--- a/tests/lab/test_upstream.py
+++ b/tests/lab/test_upstream.py
@@ -57,9 +57,9 @@
     next_machine = upstream.machine = Machine(upstream.spec, time.monotonic_ns())
     call.finish("lost", 0, b"")
     upstream.on_call_ended(attempt, False)
-    upstream.stage.book.close()
+    upstream.stage.event_log.close()
 
-    rows = [row for row in events.read(tmp_path) if isinstance(row, events.Work)]
+    rows = [row for row in events.read(tmp_path) if isinstance(row, events.UpstreamWork)]
     assert [row.outcome for row in rows] == ["reset"]
     assert next_machine.held == 0
     assert not upstream.open_attempts
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -103,24 +103,26 @@
 
 def test_each_fault_begins_ends_and_has_an_effect(played):
     day, _, rows = played
-    recorded = {(row.what, row.on) for row in rows if isinstance(row, events.Happened)}
+    recorded = {(row.name, row.is_start) for row in rows if isinstance(row, events.StateChange)}
     for what in {trouble.what for trouble in day.troubles} - {"kill_balancer", "discovery_move"}:
         assert (what, True) in recorded and (what, False) in recorded, what
     assert ("balancer killed", True) in recorded and ("discovery_move", True) in recorded
-    works = [row for row in rows if isinstance(row, events.Work)]
+    works = [row for row in rows if isinstance(row, events.UpstreamWork)]
     outcomes = {(row.upstream, row.outcome) for row in works}
     assert {(1, "hung"), (2, "error"), (4, "reset"), (7, "spoilt")} <= outcomes
-    start = min(row.intended for row in rows if isinstance(row, events.Try))
+    start = min(row.scheduled_at for row in rows if isinstance(row, events.Attempt))
     # Faults last from 1.5 s to 3.5 s. Upstreams that are down or unreachable get nothing; both
     # balancers get the list's changes.
     for upstream in (0, 5, 6, 9, 10):
         assert not [
             row
             for row in works
-            if row.upstream == upstream and 1.7e9 < row.first_byte - start < 3.3e9
+            if row.upstream == upstream and 1.7e9 < row.first_byte_at - start < 3.3e9
         ], upstream
     notified = {
-        (row.caller, row.upstream, row.state) for row in rows if isinstance(row, events.Told)
+        (row.caller, row.upstream, row.state)
+        for row in rows
+        if isinstance(row, events.EndpointListEntry)
     }
     assert {(0, 0, "gone"), (1, 0, "gone"), (0, 0, "ready"), (1, 10, "gone")} <= notified
 
@@ -131,10 +133,10 @@
     bad = [
         row.id
         for row in rows
-        if isinstance(row, events.Work) and row.id.startswith(("bad-half", "bad-lengths"))
+        if isinstance(row, events.UpstreamWork) and row.id.startswith(("bad-half", "bad-lengths"))
     ]
     assert not bad and not [
-        row for row in rows if isinstance(row, events.Work) and row.id == "forged"
+        row for row in rows if isinstance(row, events.UpstreamWork) and row.id == "forged"
     ]
 
 
@@ -198,14 +200,14 @@
     _, result, rows, _ = second
     notified_at = {}
     for row in rows:
-        if isinstance(row, events.Told) and row.upstream == 0:
+        if isinstance(row, events.EndpointListEntry) and row.upstream == 0:
             notified_at.setdefault((row.caller, row.state), []).append(row.at)
     before, after = [], []
     for caller in 0, 1:
         received = [
-            row.first_byte
+            row.first_byte_at
             for row in rows
-            if isinstance(row, events.Work) and (row.upstream, row.caller) == (0, caller)
+            if isinstance(row, events.UpstreamWork) and (row.upstream, row.caller) == (0, caller)
         ]
         drained = notified_at[caller, "draining"][0]
         ready = min(at for at in notified_at[caller, "ready"] if at > drained)
@@ -221,21 +223,23 @@
 
 def test_crowding_and_network_faults_affect_only_their_targets(second):
     _, result, rows, _ = second
-    works = [row for row in rows if isinstance(row, events.Work)]
-    tries = {row.id: row for row in rows if isinstance(row, events.Try)}
+    works = [row for row in rows if isinstance(row, events.UpstreamWork)]
+    tries = {row.id: row for row in rows if isinstance(row, events.Attempt)}
 
     def within(row, begin=1.1, end=2.9):
-        return begin < since_start(result, row.first_byte) < end
+        return begin < since_start(result, row.first_byte_at) < end
 
     # Work of 2 ms takes a crowded upstream at least 10 ms, as it runs at a fifth of its speed until
     # it has been idle for a second.
     crowded = [
-        row.ended - row.came
+        row.ended_at - row.arrived_at
         for row in works
         if row.upstream == 1 and row.outcome == "served" and within(row)
     ]
     others = sorted(
-        row.ended - row.came for row in works if row.upstream == 7 and row.outcome == "served"
+        row.ended_at - row.arrived_at
+        for row in works
+        if row.upstream == 7 and row.outcome == "served"
     )
     assert crowded and min(crowded) >= 9.9e6 and others[len(others) // 2] < 9e6
     # A relay adds its delay in both directions.
@@ -245,7 +249,7 @@
         if row.upstream == 2 and row.outcome == "served" and within(row, end=3.2)
     ]
     delayed = [row for row in delayed if row.body.startswith("0.2.")]
-    assert delayed and min(row.ended - row.sent for row in delayed) >= 120e6
+    assert delayed and min(row.ended_at - row.sent_at for row in delayed) >= 120e6
     # Deaf: no request arrives. Mute: requests arrive and are processed, but no response gets back.
     assert not [row for row in works if row.upstream == 3 and within(row)]
     # Requests sent in the first moments stay in flight, so the upstream gets hardly any further
@@ -261,7 +265,7 @@
     # tried only now and then.
     assert (
         len(
-            {row.upstream for row in works if since_start(result, row.first_byte) > 4.0}
+            {row.upstream for row in works if since_start(result, row.first_byte_at) > 4.0}
             & {1, 2, 3, 4}
         )
         >= 2
@@ -270,7 +274,7 @@
 
 def test_discovery_service_is_silent_during_an_outage_and_late_during_a_lag(second):
     _, result, rows, _ = second
-    notifications = [row for row in rows if isinstance(row, events.Told)]
+    notifications = [row for row in rows if isinstance(row, events.EndpointListEntry)]
     assert not [row for row in notifications if 3.45 < since_start(result, row.at) < 4.55]
     first = {}
     for row in notifications:
@@ -280,14 +284,17 @@
     listed = [
         since_start(result, row.at)
         for row in rows
-        if isinstance(row, events.Happened) and (row.what, row.who) == ("listed draining", 6)
+        if isinstance(row, events.StateChange)
+        and (row.name, row.process_number) == ("listed draining", 6)
     ]
     assert listed and listed[0] > 6.35
 
 
 def test_balancers_reload_leave_and_are_rolled_one_after_another(second):
     _, result, rows, folder = second
-    happened = [(row.what, row.who) for row in rows if isinstance(row, events.Happened)]
+    happened = [
+        (row.name, row.process_number) for row in rows if isinstance(row, events.StateChange)
+    ]
     assert ("balancer told to read again", 0) in happened
     logs = [(folder / f"balancer-0-{number}.log").read_text() for number in (0, 1)]
     assert "event=reloaded" in logs[0]
@@ -299,7 +306,7 @@
     rolled = sorted(
         row.at
         for row in rows
-        if isinstance(row, events.Happened) and row.what == "balancer told to leave"
+        if isinstance(row, events.StateChange) and row.name == "balancer told to leave"
     )[1:]
     assert rolled[1] - rolled[0] >= 0.7 * S
 
@@ -309,13 +316,13 @@
     # Ids of closed-loop requests have a c after the seed, which is 9 here.
     by_client = {}
     for row in rows:
-        if isinstance(row, events.Try) and "c" in row.id.split(".")[0]:
+        if isinstance(row, events.Attempt) and "c" in row.id.split(".")[0]:
             by_client.setdefault(row.id.split(".")[0], []).append(row)
     assert len(by_client) == 3
     for tries in by_client.values():
-        tries.sort(key=lambda row: row.intended)
+        tries.sort(key=lambda row: row.scheduled_at)
         assert len(tries) > 10 and all(
-            after.intended - before.ended >= 39e6 for before, after in zip(tries, tries[1:])
+            after.scheduled_at - before.ended_at >= 39e6 for before, after in zip(tries, tries[1:])
         )
 
 
@@ -338,7 +345,7 @@
     assert poll() == (503, None)
     del upstream.on["lost_report"]
     assert poll() == (200, 1)
-    stage.book.close()
+    stage.event_log.close()
 
 
 @loopback
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -331,7 +331,7 @@
 ):
     """Return the event row of a request attempt; times in ms."""
     body = f"0.0.{identity}.1" if body is None else body
-    return events.Try(
+    return events.Attempt(
         tier,
         caller,
         identity,
@@ -355,7 +355,7 @@
     ``gone``: when the client left, 0: never; ``seen``: number of the execution.
     """
     nonce = f"0.0.{identity}.{seen}" if outcome == "served" else ""
-    return events.Work(
+    return events.UpstreamWork(
         0,
         upstream,
         0,
@@ -375,7 +375,7 @@
 
 def told(at, state, upstream=0):
     """Return the event row of a state that a balancer was notified of; ``at`` in ms."""
-    return events.Told(0, 0, at * MS, upstream, state)
+    return events.EndpointListEntry(0, 0, at * MS, upstream, state)
 
 
 CASES = {
@@ -396,7 +396,7 @@
     ),
     "killed": (
         None,
-        [one(kind="lost", status=0), work(), events.Happened(150 * MS, "balancer killed", 0, 0)],
+        [one(kind="lost", status=0), work(), events.StateChange(150 * MS, "balancer killed", 0, 0)],
     ),
     # The balancer of the client was killed: its lost request is excused.
     "its own": (
@@ -404,13 +404,13 @@
         [
             one(kind="lost", status=0, caller=1),
             work(),
-            events.Happened(150 * MS, "balancer killed", 0, 1),
+            events.StateChange(150 * MS, "balancer killed", 0, 1),
         ],
     ),
     # The upstream that called through a balancer of the second tier crashed: also excused.
     "its upstream's": (
         None,
-        [one(kind="lost", status=0, tier=1, caller=2), events.Happened(150 * MS, "crash", 0, 2)],
+        [one(kind="lost", status=0, tier=1, caller=2), events.StateChange(150 * MS, "crash", 0, 2)],
     ),
     # Another balancer was killed: not excused.
     "another's": (
@@ -418,7 +418,7 @@
         [
             one(kind="lost", status=0, caller=1),
             work(),
-            events.Happened(150 * MS, "balancer killed", 0, 0),
+            events.StateChange(150 * MS, "balancer killed", 0, 0),
         ],
     ),
     # A balancer that drains must not lose requests.
@@ -427,14 +427,14 @@
         [
             one(kind="lost", status=0, caller=1),
             work(),
-            events.Happened(150 * MS, "balancer told to leave", 0, 1),
+            events.StateChange(150 * MS, "balancer told to leave", 0, 1),
         ],
     ),
     "killed-and-sent-again": (
         None,
         [
             one(grade=1, took=90),
-            events.Happened(110 * MS, "balancer killed", 0, 0),
+            events.StateChange(110 * MS, "balancer killed", 0, 0),
             work(grade=1, outcome="given up", gone=110),
             work(at=130, grade=1, upstream=1),
         ],
@@ -454,7 +454,7 @@
     "invented": ("invented", [one(body="0.0.b.1"), work()]),
     # A 200 without any attempt at an upstream.
     "nobody's": ("invented", [one()]),
-    "twice": ("answered twice", [one(), work(), events.Extra(0, 130 * MS, "a", 40)]),
+    "twice": ("answered twice", [one(), work(), events.UnexpectedBytes(0, 130 * MS, "a", 40)]),
     "ran twice": (
         "ran twice",
         [one(grade=1), work(grade=1, outcome="reset"), work(at=140, grade=1, upstream=1)],
@@ -473,15 +473,15 @@
         "sent after drain",
         [one(at=700), told(0, "ready"), told(100, "draining"), work(at=701)],
     ),
-    "cold": ("pushed over cold", [events.Happened(5 * MS, "fell over", 0, 2)]),
-    "bytes": ("bad message to an upstream", [events.Happened(5 * MS, "bad message", 0, 2)]),
+    "cold": ("pushed over cold", [events.StateChange(5 * MS, "fell over", 0, 2)]),
+    "bytes": ("bad message to an upstream", [events.StateChange(5 * MS, "bad message", 0, 2)]),
 }
 
 
 @pytest.mark.parametrize("name", CASES)
 def test_auditor_names_each_fault_and_no_other(name):
     expected, rows = CASES[name]
-    findings = [finding.name for finding in audit.Auditor(day(), rows, 0).judge().findings]
+    findings = [finding.name for finding in audit.Auditor(day(), rows, 0).audit().findings]
     assert findings == ([expected] if expected else [])
 
 
@@ -495,7 +495,7 @@
         one(identity="c", kind="gone", status=0),
         work(identity="c", outcome="given up", took=400, gone=130),
     ]
-    figures = audit.Auditor(day(), rows, 0).judge().figures
+    figures = audit.Auditor(day(), rows, 0).audit().figures
     assert (figures["wishes"], figures["tries"], figures["goodput"]) == (3, 4, round(1 / 3, 4))
     assert (figures["shed"], figures["failed"], figures["gone"]) == (0.25, 0.25, 0.25)
     # Three attempts reached the first tier's upstreams, for three requests.
@@ -507,17 +507,17 @@
 
 
 def test_complete_rows_are_readable_after_a_writer_was_killed(tmp_path):
-    book = events.Book(tmp_path / "x.rows")
+    event_log = events.EventLog(tmp_path / "x.rows")
     rows = [
         one(),
         work(),
         told(1, "ready"),
-        events.Happened(1, "crash", 0, 1),
-        events.Sample(0, 0, 1, 0.2, 0.0, 0, [1]),
+        events.StateChange(1, "crash", 0, 1),
+        events.BalancerSample(0, 0, 1, 0.2, 0.0, 0, [1]),
     ]
     for row in rows:
-        book.add(row)
-    book.close()
+        event_log.add(row)
+    event_log.close()
     with open(tmp_path / "x.rows", "ab") as file:
         file.write(b'["try",0,-1,"half')
     assert events.read(tmp_path) == rows
