--- a/pepperhook/lab/audit.py
+++ b/pepperhook/lab/audit.py
@@ -8,9 +8,9 @@
 3. A balancer sends nothing to an upstream that it knows to be draining or gone.
 4. No upstream that has just been started cold falls over under the work it is offered.
 
-A ``Try`` row is one attempt of a client (or of an upstream that calls the next tier); several
-attempts with the same ``first`` id belong to one request. A ``Work`` row is one attempt as an
-upstream received it from a balancer.
+An ``Attempt`` row is one attempt of a client (or of an upstream that calls the next tier); several
+attempts with the same ``first_id`` belong to one request. An ``UpstreamWork`` row is one attempt as
+an upstream received it from a balancer.
 """
 
 from bisect import bisect_left
@@ -26,15 +26,16 @@
 # client to read it.
 LATE_ANSWER_TOLERANCE_NS = 60 * MS
 CLOSE_DETECTION_NS = 60 * MS  # a stand-in notices within this time that a connection was closed
-# Added to the drain grace, which is the time for which attempts may still arrive after an upstream
-# was listed as draining: the balancer has to read the list, and an attempt has to arrive.
-TOLD_NS = 150 * MS
-# Requests and attempts may be lost this long before and after a balancer or upstream process died.
+# Added to the drain grace, the time for which attempts may still arrive after an upstream was listed
+# as draining, because the balancer has to read the list and an attempt has to arrive.
+LIST_READ_TOLERANCE_NS = 150 * MS
+# Requests and attempts may be lost if they are open this long before or after a balancer or upstream
+# process dies.
 DEATH_WINDOW_NS = 2 * S
 FATAL_FAULTS = ("crash", "cold", "replaced", "released")  # faults that end an upstream's process
-COLD_START_NS = 4 * S  # attempts are counted for this long after an upstream's cold start
-RETRY_ALLOWANCE = 2  # retries that a client request may cause at all tiers
-CELLS = 3  # upstreams belong to cells by number modulo this, as the discovery stand-in lists them
+COLD_START_WINDOW_NS = 4 * S  # span after a cold start in which attempts are counted
+RETRY_ALLOWANCE = 2  # retries that one client request may cause, over all tiers
+CELL_COUNT = 3  # an upstream's cell is its number modulo this, as in the discovery stand-in's list
 MAX_PROBE_GAP_NS = 3 * S  # health checks further apart belong to different series
 STAMPED_LATE = "first byte stamped late by a stand-in that stood still"
 WORST_WINDOW_S = 10
@@ -43,7 +44,7 @@
 class Finding(Struct):
     """All violations of one kind in a run."""
 
-    rule: int  # 1 to 4; 0: the recording of a stand-in is wrong
+    rule: int  # 1 to 4; 0: a stand-in recorded wrongly
     name: str
     count: int
     examples: list[str]  # the earliest five at most, each with its time in the run
@@ -55,34 +56,38 @@
     findings: list[Finding]
     figures: dict
     seconds: dict  # series of counts and earnings by name, one value per second of the run
-    excused: dict  # how often each accepted reason explained what would have been a finding
+    excused: dict  # how often each accepted reason excused what would be a finding
 
 
-def was_listed_ready(rows, earliest, latest, grace):
+def was_listed_ready(entries, earliest, latest, grace):
     """Return whether a balancer may have regarded an upstream as ready between two times.
 
-    ``rows`` are the list entries written to that balancer for that upstream, by time. A state also
-    counts if it held within ``grace`` nanoseconds before ``earliest``. Without any entry until
-    ``latest`` the upstream counts as ready.
+    ``entries`` are the list entries written to that balancer for that upstream, in order of time. A
+    state also counts if it held within ``grace`` nanoseconds before ``earliest``. Without any entry
+    before ``latest`` the upstream counts as ready.
     """
-    known = rows[: bisect_left(rows, latest, key=lambda row: row.at)]
-    recent = [row for row in known if row.at > earliest - grace]
+    known = entries[: bisect_left(entries, latest, key=lambda entry: entry.at)]
+    recent = [entry for entry in known if entry.at > earliest - grace]
     earlier = known[: len(known) - len(recent)]
-    states = [row.state for row in earlier[-1:] + recent]
+    states = [entry.state for entry in earlier[-1:] + recent]
     return not states or "ready" in states
 
 
 class Auditor:
     """Checks the rows of one run against the rules and computes its figures."""
 
-    def __init__(self, day, rows, start, suppressed_findings=()):
+    def __init__(self, day, rows, run_started_at, suppressed_findings=()):
         """Index the rows.
 
-        ``start`` is the start of the run in monotonic nanoseconds. Findings whose names are in
-        ``suppressed_findings`` are not reported. This injects a defect, to test that a scenario notices an
-        auditor that fails.
+        ``run_started_at`` is the start of the run on the monotonic clock. Findings whose names are
+        in ``suppressed_findings`` are not reported: this injects a defect into the auditor, so that
+        a test can check that the scenario notices it.
         """
-        self.day, self.start, self.suppressed_findings = day, start, suppressed_findings
+        self.day, self.run_started_at, self.suppressed_findings = (
+            day,
+            run_started_at,
+            suppressed_findings,
+        )
         self.examples, self.excused = defaultdict(list), Counter()
         rows_by_type = defaultdict(list)
         for row in rows:
@@ -97,7 +102,7 @@
             rows_by_type[events.AcceptedConnection],
         )
         self.works, self.duplicate_works = split_duplicates(rows_by_type[events.UpstreamWork])
-        self.events, self.extra = (
+        self.state_changes, self.unexpected_bytes = (
             rows_by_type[events.StateChange],
             rows_by_type[events.UnexpectedBytes],
         )
@@ -108,22 +113,22 @@
         for works in self.works_by_id.values():
             works.sort(key=lambda work: work.arrived_at)
         # Indexes by idempotency key (the id of the first attempt), where clients send duplicates.
-        self.has_duplicates = day.clients.duplicates > 0
+        self.clients_send_duplicates = day.clients.duplicates > 0
         self.first_ids = (
             {attempt.id: attempt.first_id for attempt in self.attempts if not attempt.tier}
-            if self.has_duplicates
+            if self.clients_send_duplicates
             else {}
         )
         self.works_by_key, self.attempts_by_key = defaultdict(list), defaultdict(list)
-        for work in self.works if self.has_duplicates else ():
+        for work in self.works if self.clients_send_duplicates else ():
             if not work.tier:
                 self.works_by_key[self.first_ids.get(work.id, work.id)].append(work)
-        for attempt in self.attempts if self.has_duplicates else ():
+        for attempt in self.attempts if self.clients_send_duplicates else ():
             if not attempt.tier:
                 self.attempts_by_key[attempt.first_id].append(attempt)
         # Times at which each process died, by (kind, tier, number).
         self.deaths = defaultdict(list)
-        for row in sorted(self.events, key=lambda row: row.at):
+        for row in sorted(self.state_changes, key=lambda row: row.at):
             if row.name == "balancer killed":
                 self.deaths["balancer", row.tier, row.process_number].append(row.at)
             elif row.is_start and row.name in FATAL_FAULTS or row.name == "fell over":
@@ -131,24 +136,26 @@
         # Times of the faults at whose start an upstream resets its open connections.
         self.upstream_resets = sorted(
             row.at
-            for row in self.events
+            for row in self.state_changes
             if row.name in ("refused", "unconnectable", "unready") and row.is_start
         )
-        self.balancer_kills = sorted(row.at for row in self.events if row.name == "balancer killed")
+        self.balancer_kills = sorted(
+            row.at for row in self.state_changes if row.name == "balancer killed"
+        )
 
     def audit(self):
         """Check all rules and return the report."""
         for attempt in self.attempts:
             self.check_answer(attempt)
         for work in self.duplicate_works:
-            # A recording error of the stand-in. Counted as work, it would look like a second run.
+            # A recording error of the stand-in; counted as work it would look like a second execution.
             self.add_finding(
                 0,
                 "a stand-in wrote one dispatch twice",
                 f"{work.id}, {work.outcome} at {work.upstream}",
                 work.arrived_at,
             )
-        for row in self.extra:
+        for row in self.unexpected_bytes:
             self.add_finding(
                 1,
                 "answered twice",
@@ -156,9 +163,9 @@
                 row.at,
             )
         for (tier, request_id), works in self.works_by_id.items():
-            self.check_repeats(tier, request_id, works)
+            self.check_repeated_runs(tier, request_id, works)
         for key, works in self.works_by_key.items():
-            self.check_key(key, sorted(works, key=lambda work: work.arrived_at))
+            self.check_idempotency_key(key, sorted(works, key=lambda work: work.arrived_at))
         for key, attempts in self.attempts_by_key.items():
             bodies = {
                 attempt.body
@@ -172,10 +179,10 @@
                     f"{key}: {', '.join(sorted(bodies))}",
                     attempts[0].sent_at,
                 )
-        self.check_drains()
-        for row in self.events:
+        self.check_sends_after_drain()
+        for row in self.state_changes:
             if row.name == "fell over":
-                # While it was still cold, the upstream was offered more work than it can stand.
+                # The upstream was sent more work than it can handle while still cold.
                 self.add_finding(
                     4,
                     "pushed over cold",
@@ -193,44 +200,50 @@
             Finding(rule, name, len(examples), [text for _, text in sorted(examples)[:5]])
             for (rule, name), examples in sorted(self.examples.items())
         ]
-        return Report(findings, self.figures(), self.by_second(), dict(self.excused))
+        return Report(findings, self.figures(), self.series_by_second(), dict(self.excused))
 
     def add_finding(self, rule, name, text, at):
         """Record one violation that happened at ``at``, unless its name is suppressed."""
         if name in self.suppressed_findings:
             return
-        self.examples[rule, name].append((at, f"{(at - self.start) / S:.3f} s: {text}"))
+        self.examples[rule, name].append((at, f"{(at - self.run_started_at) / S:.3f} s: {text}"))
 
     @staticmethod
-    def is_near_death(begun, ended, deaths):
-        """Return whether one of ``deaths`` is in the span or at most DEATH_WINDOW_NS outside.
+    def is_in_death_window(began_at, ended_at, deaths):
+        """Return whether one of ``deaths`` lies in the span or within DEATH_WINDOW_NS of it.
 
-        ``deaths`` are sorted times. ``ended`` is 0 if the span has no end; then its begin counts.
+        ``deaths`` are sorted times. ``ended_at`` is 0 if the span has no end: then it ends where it
+        begins.
         """
-        index = bisect_left(deaths, begun - DEATH_WINDOW_NS)
-        return index < len(deaths) and deaths[index] <= (ended or begun) + DEATH_WINDOW_NS
+        index = bisect_left(deaths, began_at - DEATH_WINDOW_NS)
+        return index < len(deaths) and deaths[index] <= (ended_at or began_at) + DEATH_WINDOW_NS
 
     def lost_with_process(self, attempt):
         """Return whether the attempt's balancer was killed or the upstream that made it died.
 
-        The processes are matched by name: in a large fleet some process is always dying. A
-        balancer that was asked to shut down still answers what it accepted, so that is no excuse.
-        Where the balancer is unknown, every balancer of the tier counts.
+        Only these two processes count, as in a large fleet some process is always dying. A balancer
+        that is shut down in order still answers what it accepted, so that excuses nothing. If the
+        balancer is unknown, every balancer of the tier counts.
         """
-        names = [("balancer", attempt.tier, attempt.caller)] + (
+        processes = [("balancer", attempt.tier, attempt.caller)] + (
             [("upstream", attempt.tier - 1, attempt.caller)] if attempt.tier else []
         )
         if attempt.caller < 0:
-            names = [name for name in self.deaths if name[:2] == ("balancer", attempt.tier)]
+            processes = [
+                process for process in self.deaths if process[:2] == ("balancer", attempt.tier)
+            ]
         return any(
-            self.is_near_death(attempt.sent_at, attempt.ended_at, self.deaths.get(name, ()))
-            for name in names
+            self.is_in_death_window(attempt.sent_at, attempt.ended_at, self.deaths.get(process, ()))
+            for process in processes
         )
 
     # Rule 1: each request is answered once, in time, by an upstream that worked on it.
 
     def check_answer(self, attempt):
-        """Check that an attempt got a valid answer in time, and none that rejects work that ran."""
+        """Check that an attempt was answered correctly and in time.
+
+        A rejection (429 or 503) must not answer an attempt that may have been executed.
+        """
         label = f"{attempt.id} (tier {attempt.tier})"
         if attempt.kind in ("lost", "open"):
             if self.lost_with_process(attempt):
@@ -271,15 +284,15 @@
                     for work in self.works_by_id.get((attempt.tier, attempt.id), ())
                     if work.outcome != "turned away"
                 ]
-                if executed and self.is_near_death(
+                if executed and self.is_in_death_window(
                     executed[0].arrived_at,
                     attempt.ended_at,
                     self.deaths.get(("balancer", attempt.tier, executed[0].caller), ()),
                 ):
-                    # The first balancer was killed, the client itself sent the request again, and
-                    # another balancer rejected it.
+                    # The first balancer was killed, the client repeated the request, and another
+                    # balancer rejected it.
                     self.excused["shed when sent again by a client whose balancer was killed"] += 1
-                # With group "all" every upstream deduplicates by the key, so a repeat is safe.
+                # With group "all" every upstream deduplicates by the key, so repeats are safe.
                 elif executed and (
                     effect == "at_most_once"
                     or effect == "deduplicated"
@@ -292,21 +305,21 @@
                         attempt.ended_at,
                     )
 
-    def effect(self, grade):
+    def effect(self, service_class):
         """Return the effect of a service class, given by its index."""
-        return self.day.grades[grade].effect
+        return self.day.grades[service_class].effect
 
     # Rule 2: only what is safe to repeat runs more than once.
 
-    def check_repeats(self, tier, request_id, works):
-        """Check that the attempts under one id ran again only where their service class allows it.
+    def check_repeated_runs(self, tier, request_id, works):
+        """Check that attempts with one id ran again only where their service class allows it.
 
-        They must not overlap either, unless parallel attempts are permitted. ``works`` are sorted
-        by arrival.
+        They must not overlap either, unless parallel attempts are permitted. ``works`` are in order
+        of arrival.
         """
         if len(works) < 2:
             return
-        grade = self.day.grades[works[0].service_class]
+        service_class = self.day.grades[works[0].service_class]
         first_run, parallel_permitted = None, self.day.permissions.get("parallelTries", False)
         # Whether the balancer was killed between the first two attempts. That excuses the second
         # even if the upstream had answered: the answer may have been lost with the balancer.
@@ -314,23 +327,23 @@
             row.name == "balancer killed"
             and (row.tier, row.process_number) == (tier, works[0].caller)
             and works[0].arrived_at - CLOSE_DETECTION_NS // 3 <= row.at <= works[1].arrived_at
-            for row in self.events
+            for row in self.state_changes
         )
         deaths = self.deaths.get(("balancer", tier, works[0].caller), ())
         if (
             killed_between
             or works[0].outcome == "given up"
-            and self.is_near_death(works[0].arrived_at, works[-1].arrived_at, deaths)
+            and self.is_in_death_window(works[0].arrived_at, works[-1].arrived_at, deaths)
         ):
-            # The client sent the request again on a new connection, as clients do when a kept-alive
-            # connection closes before any byte of the answer was read.
+            # The client repeated the request on a new connection, as clients do when a keep-alive
+            # connection closes before the first byte of the answer.
             self.excused["sent again by a client whose balancer was killed"] += 1
             return
         for previous, work in zip([None, *works], works):
-            label = f"{request_id} (tier {tier}, {grade.effect})"
-            # If the stand-in ended the attempt itself, its time is exact. Otherwise the stand-in
-            # first had to notice that the connection was closed.
-            slack = (
+            label = f"{request_id} (tier {tier}, {service_class.effect})"
+            # The end is exact if the stand-in itself ended the attempt. Otherwise it first had to
+            # notice that the connection was closed.
+            tolerance = (
                 0
                 if previous is not None and previous.outcome in ("served", "error", "turned away")
                 else CLOSE_DETECTION_NS
@@ -338,7 +351,7 @@
             if (
                 previous is not None
                 and not parallel_permitted
-                and work.arrived_at < previous.ended_at - slack
+                and work.arrived_at < previous.ended_at - tolerance
             ):
                 self.add_finding(
                     2,
@@ -346,7 +359,7 @@
                     f"{label}: at {previous.upstream} and {work.upstream}",
                     work.arrived_at,
                 )
-            if first_run is not None and grade.effect == "at_most_once":
+            if first_run is not None and service_class.effect == "at_most_once":
                 self.add_finding(
                     2,
                     "ran twice",
@@ -354,10 +367,10 @@
                     f"again at {work.upstream}",
                     work.arrived_at,
                 )
-            elif first_run is not None and grade.effect == "deduplicated":
+            elif first_run is not None and service_class.effect == "deduplicated":
                 if (
                     work.arrived_at
-                    > first_run.arrived_at + grade.key_ttl_ms * MS + CLOSE_DETECTION_NS
+                    > first_run.arrived_at + service_class.key_ttl_ms * MS + CLOSE_DETECTION_NS
                 ):
                     late_ms = (work.arrived_at - first_run.arrived_at) / MS
                     self.add_finding(
@@ -366,7 +379,10 @@
                         f"{label}: after {late_ms:.0f} ms",
                         work.arrived_at,
                     )
-                if grade.group == "cell" and work.upstream % CELLS != first_run.upstream % CELLS:
+                if (
+                    service_class.group == "cell"
+                    and work.upstream % CELL_COUNT != first_run.upstream % CELL_COUNT
+                ):
                     self.add_finding(
                         2,
                         "repeated outside its group",
@@ -376,20 +392,20 @@
             if work.outcome != "turned away" and first_run is None:
                 first_run = work
 
-    def check_key(self, key, works):
+    def check_idempotency_key(self, key, works):
         """Check the executions for one idempotency key, over all request ids that used it.
 
-        Also check that no balancer cancelled work while another request with the key was waiting
-        for its answer.
+        Also check that no balancer cancelled work while a repeat of the request was waiting for its
+        answer.
         """
-        grade = self.day.grades[works[0].service_class]
-        if grade.effect == "idempotent":
+        service_class = self.day.grades[works[0].service_class]
+        if service_class.effect == "idempotent":
             return
         executed = [work for work in works if work.work_started_at]
-        if grade.effect == "deduplicated":
-            # The same id may be sent again within its group and window, where upstreams deduplicate
-            # it by its key; check_repeats checks that. Here only different ids under one key count,
-            # which upstreams outside of the group or window would run.
+        if service_class.effect == "deduplicated":
+            # An id may be sent again within its group and window, where upstreams deduplicate it by
+            # its key; check_repeated_runs checks that. Here only different ids with the same key
+            # count: upstreams outside of the group or window would run them.
             executed = [
                 work
                 for index, work in enumerate(executed)
@@ -397,13 +413,13 @@
             ]
         for previous, work in zip(executed, executed[1:]):
             if (
-                grade.effect == "at_most_once"
-                or work.arrived_at < previous.arrived_at + grade.key_ttl_ms * MS
+                service_class.effect == "at_most_once"
+                or work.arrived_at < previous.arrived_at + service_class.key_ttl_ms * MS
             ):
                 self.add_finding(
                     2,
                     "ran twice under one key",
-                    f"{key} ({grade.effect}): {previous.id} at {previous.upstream}, "
+                    f"{key} ({service_class.effect}): {previous.id} at {previous.upstream}, "
                     f"{(work.arrived_at - previous.arrived_at) / MS:.0f} ms later {work.id} at {work.upstream}",
                     work.arrived_at,
                 )
@@ -413,7 +429,7 @@
                 for attempt in self.attempts_by_key[key]
                 if attempt.sent_at < work.caller_left_at - CLOSE_DETECTION_NS // 3
             ]
-            # An upstream that resets its connections ends the work itself; that is no cancellation.
+            # Work that ends because the upstream resets its connections was not cancelled.
             reset_index = bisect_left(
                 self.upstream_resets, work.caller_left_at - CLOSE_DETECTION_NS
             )
@@ -422,7 +438,7 @@
                 and self.upstream_resets[reset_index] <= work.caller_left_at + CLOSE_DETECTION_NS
             ):
                 continue
-            # At the time limit of the earliest client attempt the balancer cancels in any case.
+            # At the time limit of the earliest client attempt the balancer cancels the work anyway.
             if (
                 work.caller_left_at
                 and work.outcome != "reset"
@@ -431,7 +447,9 @@
                 < min(attempt.sent_at + attempt.time_limit_ns for attempt in attempts)
                 - 2 * CLOSE_DETECTION_NS
                 and not (
-                    self.is_near_death(work.arrived_at, work.caller_left_at, self.balancer_kills)
+                    self.is_in_death_window(
+                        work.arrived_at, work.caller_left_at, self.balancer_kills
+                    )
                 )
             ):
                 waiting = [
@@ -450,16 +468,16 @@
 
     # Rule 3: a balancer sends nothing to an upstream that it knows to be draining or gone.
 
-    def check_drains(self):
+    def check_sends_after_drain(self):
         """Check each attempt against the list its balancer had when the first byte arrived.
 
-        A stand-in whose event loop stalled records arrivals too late, which is not the balancer's
-        fault. So an attempt is allowed if it was allowed at any time at which it may have arrived.
+        A stand-in whose event loop stalls records arrivals too late. So an attempt is allowed if it
+        was allowed at any time at which it may have arrived.
         """
         entries = defaultdict(list)
         for row in sorted(self.list_entries, key=lambda row: row.at):
             entries[row.tier, row.caller, row.upstream].append(row)
-        grace = int(self.day.safety.get("drainGraceUs", 300_000)) * 1000 + TOLD_NS
+        grace = int(self.day.safety.get("drainGraceUs", 300_000)) * 1000 + LIST_READ_TOLERANCE_NS
         for work in self.works:
             rows = entries.get((work.tier, work.caller, work.upstream))
             if not rows:
@@ -483,11 +501,10 @@
     # Figures.
 
     def requests(self):
-        """Return each client request as a pair: its first attempt, and its ``served_at`` or None.
-
-        ``served_at`` is when the first served answer of any of its attempts arrived.
+        """Return each client request as a pair of its first attempt and ``served_at``.
 
-        A request whose first attempt was not recorded is left out.
+        ``served_at`` is when the first status 200 for any of its attempts arrived, or None. Requests
+        whose first attempt was not recorded are left out.
         """
         requests = {}
         for attempt in self.attempts:
@@ -502,30 +519,38 @@
                 and (request[1] is None or attempt.ended_at < request[1])
             ):
                 request[1] = attempt.ended_at
-        return [(first, served_at) for first, served_at in requests.values() if first is not None]
+        return [
+            (first_attempt, served_at)
+            for first_attempt, served_at in requests.values()
+            if first_attempt is not None
+        ]
 
-    def earned(self, first, served_at):
-        """Return the earnings of a request, from its first attempt and the time it was served.
+    def earnings(self, first_attempt, served_at):
+        """Return the earnings of a request, given its first attempt and when it was served.
 
-        They are the earnings of its service class within the latency objective (without one, the
-        time limit), the late earnings after it, and 0 if the request was not served.
+        A request that was served within the latency objective (without one, the time limit) earns
+        the full earnings of its service class, a later one its late earnings, and one that was not
+        served earns 0.
         """
-        grade = self.day.grades[first.service_class]
+        service_class = self.day.grades[first_attempt.service_class]
         if served_at is None:
             return 0.0
         return (
-            grade.earnings
-            if served_at - first.scheduled_at <= (grade.goal_ms or grade.time_limit_ms) * MS
-            else grade.late_earnings
+            service_class.earnings
+            if served_at - first_attempt.scheduled_at
+            <= (service_class.goal_ms or service_class.time_limit_ms) * MS
+            else service_class.late_earnings
         )
 
     def figures(self):
         """Return the figures of the run by name."""
         requests = self.requests()
-        possible = sum(self.day.grades[first.service_class].earnings for first, _ in requests)
-        earned = sum(self.earned(*request) for request in requests)
+        possible = sum(
+            self.day.grades[first_attempt.service_class].earnings for first_attempt, _ in requests
+        )
+        earned = sum(self.earnings(*request) for request in requests)
         entry_attempts = [attempt for attempt in self.attempts if not attempt.tier]
-        outcomes = Counter(outcome(attempt) for attempt in entry_attempts)
+        outcomes = Counter(client_outcome(attempt) for attempt in entry_attempts)
         received = Counter(work.tier for work in self.works)
         figures = {
             "wishes": len(requests),
@@ -537,7 +562,7 @@
                 for name in ("shed", "failed", "gone", "lost")
             },
         }
-        # The calls that one client request causes at a tier, without retries.
+        # ``calls``: how many calls one client request causes at a tier, without retries.
         calls, amplification = 1, {}
         for number, tier in enumerate(self.day.tiers):
             amplification[str(number)] = ratio(received[number], len(requests) * calls)
@@ -554,14 +579,14 @@
             )
             for work in self.works
         )
-        outlived = self.outlived_ns()
+        overruns = self.overruns_ns()
         figures["tries_grew"] = self.count_exceeded_retry_allowances()
-        # Attempts received at tier 0 for one client attempt, including calls that lead back there.
+        # Attempts received at tier 0 for one client attempt, including calls that return to tier 0.
         visits = Counter(work.id.partition("-")[0] for work in self.works if not work.tier)
         figures["most_visits"] = max(visits.values(), default=0)
-        figures["outlived"], figures["outlived_s"] = len(outlived), round(sum(outlived) / S, 2)
-        if self.has_duplicates:
-            figures["keys"] = self.key_figures()
+        figures["outlived"], figures["outlived_s"] = len(overruns), round(sum(overruns) / S, 2)
+        if self.clients_send_duplicates:
+            figures["keys"] = self.idempotency_key_figures()
         figures["sums"] = self.overhead(sum(served_at is not None for _, served_at in requests))
         figures["cold"] = self.cold_starts()
         figures["shortest_leave_ms"] = self.shortest_shutdown_ms()
@@ -575,7 +600,7 @@
                 members = [request for request in requests if getattr(request[0], field) == index]
                 if members:
                     goodputs[definition.name] = ratio(
-                        sum(self.earned(*request) for request in members),
+                        sum(self.earnings(*request) for request in members),
                         sum(
                             self.day.grades[request[0].service_class].earnings
                             for request in members
@@ -590,9 +615,10 @@
     def overhead(self, served_count):
         """Return health checks, connections and list polls of all balancers, total and per request.
 
-        Only served requests count. Also returns the mean and the coefficient of variation of the
-        intervals between two health checks of one balancer to one upstream. A coefficient of 0
-        means no jitter: health checks of several balancers that once coincide always will.
+        The figures per request count served requests only. Also returns the mean and the
+        coefficient of variation of the interval between health checks of one balancer at one
+        upstream. A coefficient of 0 means no jitter: health checks of several balancers that
+        coincide once would always coincide.
         """
         last_check_at, intervals = {}, []
         for row in sorted(self.probes, key=lambda row: row.at):
@@ -620,12 +646,12 @@
         }
 
     def shortest_shutdown_ms(self):
-        """Return the shortest time from asking a balancer to shut down to its end.
+        """Return the shortest time that a balancer took to shut down after the signal.
 
-        None if no balancer was asked to shut down and ended.
+        None if no balancer ended after such a signal.
         """
         signalled, spans = {}, []
-        for row in sorted(self.events, key=lambda row: row.at):
+        for row in sorted(self.state_changes, key=lambda row: row.at):
             balancer = row.tier, row.process_number
             if row.name == "balancer told to leave":
                 signalled[balancer] = row.at
@@ -634,15 +660,16 @@
         return round(min(spans) / MS) if spans else None
 
     def cold_starts(self):
-        """Compare the attempts sent to cold-started upstreams with those sent to warm ones.
+        """Compare the attempts sent to upstreams after a cold start with those sent to warm ones.
 
-        The count covers the first seconds after each cold start. It is compared with the mean, in
-        the same span, of the tier's upstreams that had never been down before its end.
+        Attempts are counted for COLD_START_WINDOW_NS after each cold start, or until the upstream
+        dies. Warm upstreams are those of the same tier that were never down before the end of that
+        span; the comparison is with their mean.
         """
         arrivals, first_down = defaultdict(list), defaultdict(lambda: float("inf"))
         for work in sorted(self.works, key=lambda work: work.first_byte_at):
             arrivals[work.tier, work.upstream].append(work.first_byte_at)
-        starts = [row for row in self.events if row.name == "up cold"]
+        starts = [row for row in self.state_changes if row.name == "up cold"]
         for upstream, at in [((row.tier, row.process_number), row.at) for row in starts] + [
             (process[1:], times[0])
             for process, times in self.deaths.items()
@@ -657,7 +684,7 @@
         sent, sent_to_warm = 0, 0.0
         for row in starts:
             until = min(
-                [row.at + COLD_START_NS]
+                [row.at + COLD_START_WINDOW_NS]
                 + [
                     at
                     for at in self.deaths.get(("upstream", row.tier, row.process_number), ())
@@ -679,7 +706,7 @@
             "share": ratio(sent, sent_to_warm),
         }
 
-    def key_figures(self):
+    def idempotency_key_figures(self):
         """Count attempts, executions and answers of idempotency keys.
 
         Keys of idempotent service classes are left out.
@@ -689,7 +716,7 @@
             if self.effect(attempts[0].service_class) == "idempotent":
                 continue
             runs = sum(work.work_started_at > 0 for work in self.works_by_key.get(key, ()))
-            served_answers = sum(outcome(attempt) == "served" for attempt in attempts)
+            served_answers = sum(client_outcome(attempt) == "served" for attempt in attempts)
             counts.update(
                 {
                     "keys": 1,
@@ -698,10 +725,14 @@
                     "runs": runs,
                     "ran_once": runs == 1,
                     "answered_again": max(0, served_answers - 1),
-                    "shed_tries": sum(outcome(attempt) == "shed" for attempt in attempts),
-                    "failed_tries": sum(outcome(attempt) == "failed" for attempt in attempts),
+                    "shed_tries": sum(client_outcome(attempt) == "shed" for attempt in attempts),
+                    "failed_tries": sum(
+                        client_outcome(attempt) == "failed" for attempt in attempts
+                    ),
                     "keys_served": served_answers > 0,
-                    "keys_only_shed": all(outcome(attempt) == "shed" for attempt in attempts),
+                    "keys_only_shed": all(
+                        client_outcome(attempt) == "shed" for attempt in attempts
+                    ),
                 }
             )
         return dict(counts)
@@ -709,9 +740,9 @@
     def count_exceeded_retry_allowances(self):
         """Count attempts and calls whose retries exceed the allowance of the attempt behind them.
 
-        An attempt exceeds it by the remaining retries that it carries, a call by the number of its
-        retries. The id of a call is the id of the attempt that made it, "-", the number of that
-        attempt and a letter.
+        An attempt exceeds it if it carries more remaining retries, a call if it was retried more
+        often. The id of a call consists of the id of the attempt that made it, "-", the number of
+        that attempt and a letter.
         """
         count = 0
         for (tier, request_id), works in self.works_by_id.items():
@@ -719,7 +750,7 @@
             parents = self.works_by_id.get((tier - 1, parent_id), ())
             number = int(call[:-1]) if call[:-1].isdigit() else 0
             if not tier and not parent_id:
-                # A client request has no parent. Its allowance is fixed and the same at all tiers.
+                # A client request has no parent; its allowance is fixed.
                 allowance = RETRY_ALLOWANCE
             elif 0 < number <= len(parents) and parents[number - 1].remaining_retries >= 0:
                 allowance = parents[number - 1].remaining_retries
@@ -730,11 +761,11 @@
             count += len(works) - 1 > allowance and works[0].remaining_retries >= 0
         return count
 
-    def outlived_ns(self):
-        """Return by how long attempts, at any tier, outlasted the client attempt that caused them.
+    def overruns_ns(self):
+        """Return for how long attempts at any tier continued after their client attempt had ended.
 
-        The id of an attempt begins with the id of that client attempt. Attempts that went on for no
-        longer than CLOSE_DETECTION_NS are left out.
+        The id of an attempt begins with the id of the client attempt that caused it. Attempts that
+        continued for CLOSE_DETECTION_NS or less are left out.
         """
         ends = {
             attempt.id: attempt.ended_at
@@ -751,33 +782,33 @@
                 spans.append(overrun)
         return spans
 
-    def by_second(self):
+    def series_by_second(self):
         """Return earnings, outcomes and attempts received per tier, by second of the run."""
         count = int(self.day.seconds) + 1
         series = {
             name: [0.0] * count
             for name in ("earned", "possible", "served", "shed", "failed", "gone", "lost")
         }
-        for first, served_at in self.requests():
-            second = min(count - 1, max(0, (first.scheduled_at - self.start) // S))
-            series["earned"][second] += self.earned(first, served_at)
-            series["possible"][second] += self.day.grades[first.service_class].earnings
+        for first_attempt, served_at in self.requests():
+            second = min(count - 1, max(0, (first_attempt.scheduled_at - self.run_started_at) // S))
+            series["earned"][second] += self.earnings(first_attempt, served_at)
+            series["possible"][second] += self.day.grades[first_attempt.service_class].earnings
         for attempt in self.attempts:
             if not attempt.tier:
-                series[outcome(attempt)][
-                    min(count - 1, max(0, (attempt.scheduled_at - self.start) // S))
+                series[client_outcome(attempt)][
+                    min(count - 1, max(0, (attempt.scheduled_at - self.run_started_at) // S))
                 ] += 1
         for tier in range(len(self.day.tiers)):
             series[f"dispatches_{tier}"] = [0] * count
         for work in self.works:
             series[f"dispatches_{work.tier}"][
-                min(count - 1, max(0, (work.arrived_at - self.start) // S))
+                min(count - 1, max(0, (work.arrived_at - self.run_started_at) // S))
             ] += 1
         return series
 
     def worst_window_goodput(self):
         """Return the lowest goodput of any window of the run; None without any request."""
-        series, worst = self.by_second(), None
+        series, worst = self.series_by_second(), None
         for second in range(max(1, int(self.day.seconds) - WORST_WINDOW_S + 1)):
             possible = sum(series["possible"][second : second + WORST_WINDOW_S])
             if possible:
@@ -787,9 +818,9 @@
 
 
 def split_duplicates(works):
-    """Return the distinct work rows, and those recorded a second time.
+    """Split the work rows into distinct ones and repeated records of the same arrival.
 
-    Rows are the same if the same request arrived at one upstream from one caller at one time.
+    Rows record the same arrival if upstream, balancer, request id and arrival times are equal.
     """
     known, distinct, duplicates = set(), [], []
     for work in works:
@@ -806,7 +837,7 @@
     return distinct, duplicates
 
 
-def outcome(attempt):
+def client_outcome(attempt):
     """Return how an attempt ended for its client: served, shed, failed, gone or lost."""
     if attempt.kind == "answer":
         return (
--- a/pepperhook/lab/demo.py
+++ b/pepperhook/lab/demo.py
@@ -59,7 +59,7 @@
         while self.tries and self.tries[0].ended_at < now - 2 * S:
             self.tries.popleft()
         at = (now - self.start) / S
-        counts = Counter(audit.outcome(attempt) for attempt in self.tries)
+        counts = Counter(audit.client_outcome(attempt) for attempt in self.tries)
         table = Table(
             title=f"pepperhook demo, second {max(0, at):.0f} of {self.day.seconds:.0f}",
             title_justify="left",
--- a/pepperhook/lab/endpoint_audit.py
+++ b/pepperhook/lab/endpoint_audit.py
@@ -1,8 +1,8 @@
-"""Audit of a fleet whose discovery service is overloaded, from the event rows of its stand-ins.
+"""Audit of a run whose discovery service is overloaded, from the event rows of its stand-ins.
 
-The general auditor (``audit``) checks rule 3 against the list that was written to a balancer. Here
-a balancer is assumed to know a change a fixed time after the discovery service had it, whether or
-not its polls succeeded.
+The general auditor (``audit``) checks rule 3 against the list that was sent to a balancer. Here a
+balancer is assumed to know of a change a fixed time after the discovery service has it, whether or
+not its polls succeed.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 SECOND = 10**9
 READY = "ready"
-LISTED = "listed "  # prefix of the state in the event row of a list change
+LISTED = "listed "  # prefix of the name of a StateChange row of the endpoint list
 OVERLOADED_STATUS = 503
 
 ProcessId = tuple[int, int]  # tier and number of a balancer or an upstream
@@ -47,7 +47,7 @@
     def __init__(self, rows: Iterable[events.Event]) -> None:
         """Group the rows by type, and by process where a check needs it."""
         self.works: list[events.UpstreamWork] = []
-        # Polls and watches.
+        # Polls, watches included.
         self.polls: list[events.EndpointListPoll] = []
         self.list_entries: list[events.EndpointListEntry] = []
         self.changes: dict[ProcessId, list[Change]] = defaultdict(list)
@@ -84,7 +84,7 @@
         """Return the attempts that reached upstreams too late after these stopped being ready.
 
         This is rule 3. A balancer is assumed to know a change ``notified_after_ns`` after the
-        service had it and could be reached (from ``reachable_from`` on); the drain grace
+        service has it and can be reached (from ``reachable_from`` on). The drain grace of
         ``grace_ns`` begins then.
         """
         late = []
@@ -122,7 +122,7 @@
                 continue
             spans = self.confirmed_spans[work.tier, work.caller]
             started_count = bisect_right(spans, work.first_byte_at, key=lambda span: span[0])
-            confirmed_until = max((ended for _, ended in spans[:started_count]), default=None)
+            confirmed_until = max((ended_at for _, ended_at in spans[:started_count]), default=None)
             if confirmed_until is not None:
                 ages.append(max(0, work.first_byte_at - confirmed_until))
         return sorted(ages)
--- a/pepperhook/lab/events.py
+++ b/pepperhook/lab/events.py
@@ -2,8 +2,11 @@
 
 Each process writes its rows as JSON lines to a file of its own; the auditor reads all files of a
 run. All times are whole nanoseconds of the machine's monotonic clock, which its processes share, so
-rows of several processes can be ordered. Service classes, tenants and upstreams
-are numbered from 0 in the order of the experiment; tier 0 is next to the clients.
+rows of several processes can be ordered. Service classes, tenants and upstreams are numbered from 0
+in the order of the experiment; tier 0 is next to the clients.
+
+Rows are stored as arrays that begin with the tag of their class, so the order of the fields and the
+tags are the file format.
 """
 
 from pathlib import Path
@@ -16,14 +19,14 @@
     """One attempt of a request by a client, or by an upstream that calls the next tier."""
 
     tier: int
-    # Number of the balancer that it went to; -1: none or unknown. Each upstream calls the next tier
-    # through a balancer of its own, which has the same number.
+    # Number of the balancer that it was sent to; -1: none or unknown. Each upstream calls the next
+    # tier through a balancer of its own, which has the same number.
     caller: int
     id: str
     first_id: str  # id of the first attempt of the same request
     number: int  # 0 for the first attempt
-    service_class: int  # index of the service class
-    tenant: int  # index of the tenant; -1 on calls between tiers
+    service_class: int  # index
+    tenant: int  # index; -1 on calls between tiers
     scheduled_at: int
     sent_at: int
     ended_at: int  # 0: not until the end of the run
@@ -43,7 +46,7 @@
     upstream: int
     caller: int  # number of the balancer that sent it
     id: str
-    service_class: int  # index of the service class
+    service_class: int  # index
     first_byte_at: int  # arrival of its first byte
     arrived_at: int  # arrival of its last byte
     ended_at: int  # last byte of the answer, or end of the connection
@@ -62,7 +65,7 @@
 
 
 class EndpointListEntry(Struct, array_like=True, tag="told"):
-    """State of one upstream in the endpoint list, as written to one balancer."""
+    """State of one upstream in the endpoint list, as sent to one balancer."""
 
     tier: int
     caller: int  # number of the balancer
@@ -78,7 +81,7 @@
     caller: int  # number of the balancer
     at: int  # when the service answered or refused it
     watch: bool
-    answered: bool  # with a list
+    answered: bool  # True: with a list
     reached_at: int = 0  # when the service began to process it; 0: the service was unreachable
     status: int = 0  # of the HTTP response; 0: none recorded
 
@@ -131,7 +134,7 @@
 
 
 class BalancerSample(Struct, array_like=True, tag="sample"):
-    """Figures that a balancer logged about itself, for reports only."""
+    """Figures that a balancer logged about itself; only reports use them, not the auditor."""
 
     tier: int
     balancer: int
@@ -143,7 +146,7 @@
 
 
 class Stall(Struct, array_like=True, tag="stall"):
-    """A stall of a stand-in's event loop. Arrivals during it are time-stamped too late."""
+    """A stall of a stand-in's event loop; arrivals during it get a time stamp that is too late."""
 
     process: str
     at: int  # end of the stall
@@ -169,7 +172,7 @@
 
 
 class EventLog:
-    """Writes the rows of one process.
+    """Writes the event rows of one process to a file.
 
     A killed process may leave an incomplete last line, which ``read`` ignores.
     """
--- a/pepperhook/lab/proofs/discovery_overload.py
+++ b/pepperhook/lab/proofs/discovery_overload.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from pepperhook.lab import events
-from pepperhook.lab.audit import TOLD_NS
+from pepperhook.lab.audit import LIST_READ_TOLERANCE_NS
 from pepperhook.lab.call_queue import CallQueue
 from pepperhook.lab.endpoint_audit import SECOND, EndpointAudit, quantile
 from pepperhook.lab.experiment import Experiment, Load, Variant
@@ -116,7 +116,9 @@
         self.calls_per_s = scenario.discovery.calls_per_s or 0.0
         grace_us = int(scenario.safety["drainGraceUs"])
         self.late_sends = audit.late_sends(
-            self.reachable_from, endpoints.NOTIFIED_AFTER, grace_us * NS_PER_US + TOLD_NS
+            self.reachable_from,
+            endpoints.NOTIFIED_AFTER,
+            grace_us * NS_PER_US + LIST_READ_TOLERANCE_NS,
         )
         self.most_calls = max(audit.polls_by_second(self.reachable_from).values(), default=0)
         self.notified_at = audit.notified_at(self.reachable_from, self.balancers)
--- a/pepperhook/lab/report.py
+++ b/pepperhook/lab/report.py
@@ -22,11 +22,20 @@
     "gone": "#7a6fa8",
     "lost": "#222222",
 }
-# Colours of lines and bars, used in order and again from the first.
-LINES = ("#2b5d8a", "#b8433b", "#3b7d4f", "#d9a441", "#7a6fa8", "#5b5b5b", "#c06c9b", "#4aa3a3")
+# Colours of lines and bars, used in turn.
+SERIES_COLOURS = (
+    "#2b5d8a",
+    "#b8433b",
+    "#3b7d4f",
+    "#d9a441",
+    "#7a6fa8",
+    "#5b5b5b",
+    "#c06c9b",
+    "#4aa3a3",
+)
 PERCENTILES = ("p50", "p90", "p99", "p99.9")
 # Note on the origin of the figures, for every report.
-SAID = "Figures are of stand-in clients, upstreams and lists on one machine's loopback."
+ORIGIN_NOTE = "Figures are of stand-in clients, upstreams and lists on one machine's loopback."
 
 
 def write(folder, day, results, summary):
@@ -37,10 +46,10 @@
     folder = Path(folder)
     store(folder / "report.json", json.dumps(summary, indent=1).encode())
     store(folder / "report.md", markdown(day, summary).encode())
-    store(folder / "report.html", page(folder, day, results, summary).encode())
+    store(folder / "report.html", html_page(folder, day, results, summary).encode())
 
 
-def table(summary):
+def variant_table(summary):
     """Return the column names and the rows of the table of variants."""
     column_names = [
         "variant",
@@ -81,11 +90,11 @@
 
 def markdown(day, summary):
     """Return the report as Markdown."""
-    column_names, rows = table(summary)
+    column_names, rows = variant_table(summary)
     lines = [
         f"# {day.name}",
         "",
-        f"{day.seconds:g} s per run. {SAID}",
+        f"{day.seconds:g} s per run. {ORIGIN_NOTE}",
         "",
         "| " + " | ".join(column_names) + " |",
         "| " + " | ".join("---" for _ in column_names) + " |",
@@ -103,7 +112,7 @@
 
 
 class Plots:
-    """Draws figures and embeds them as SVG in the page."""
+    """Creates figures and embeds them as SVG in the page."""
 
     def __init__(self):
         """Import matplotlib, with the backend that needs no display."""
@@ -149,8 +158,8 @@
         )
     for load in day.load:
         if load.at:
-            ends = day.seconds if load.for_ is None else load.at + load.for_
-            axes.axvspan(load.at, min(ends, day.seconds), color="#d9a441", alpha=0.13, lw=0)
+            ends_at = day.seconds if load.for_ is None else load.at + load.for_
+            axes.axvspan(load.at, min(ends_at, day.seconds), color="#d9a441", alpha=0.13, lw=0)
             axes.text(
                 load.at,
                 1.01,
@@ -161,7 +170,7 @@
             )
 
 
-def outcomes(plots, day, result):
+def outcomes_plot(plots, day, result):
     """Return a figure of the outcomes of client attempts over time, for one run."""
     figure, axes = plots.figure()
     seconds = numpy.arange(int(day.seconds))
@@ -179,7 +188,7 @@
     return plots.embed(figure)
 
 
-def goodput(plots, day, results):
+def goodput_plot(plots, day, results):
     """Return a figure of the goodput over time, one line per variant."""
     figure, axes = plots.figure()
     for index, result in enumerate(results):
@@ -190,7 +199,7 @@
         with numpy.errstate(invalid="ignore"):
             axes.plot(
                 earned / numpy.where(possible, possible, numpy.nan),
-                color=LINES[index % len(LINES)],
+                color=SERIES_COLOURS[index % len(SERIES_COLOURS)],
                 lw=1.3,
                 label=result["variant"],
             )
@@ -200,7 +209,7 @@
     return plots.embed(figure)
 
 
-def latencies(plots, results):
+def latency_plot(plots, results):
     """Return a figure of the latency percentiles of served requests, one line per variant."""
     figure, axes = plots.figure(height=2.6)
     for index, result in enumerate(results):
@@ -209,7 +218,7 @@
             [result["load"]["served_ms"][percentile] for percentile in PERCENTILES],
             marker="o",
             ms=4,
-            color=LINES[index % len(LINES)],
+            color=SERIES_COLOURS[index % len(SERIES_COLOURS)],
             label=result["variant"],
         )
     axes.set(ylabel="ms from scheduled sending", yscale="log")
@@ -217,7 +226,7 @@
     return plots.embed(figure)
 
 
-def amplification(plots, day, summary):
+def amplification_plot(plots, day, summary):
     """Return a bar chart of the amplification of each variant by tier."""
     figure, axes = plots.figure(height=2.6)
     width = 0.8 / max(1, len(summary["variants"]))
@@ -227,7 +236,7 @@
             numpy.arange(len(values)) + index * width,
             values,
             width,
-            color=LINES[index % len(LINES)],
+            color=SERIES_COLOURS[index % len(SERIES_COLOURS)],
             label=row["variant"],
         )
     axes.axhline(1, color="#444444", lw=0.8)
@@ -240,14 +249,16 @@
     return plots.embed(figure)
 
 
-def comparison(plots, summary):
+def goodput_comparison_plot(plots, summary):
     """Return a figure of each variant's goodput difference from the first variant."""
     figure, axes = plots.figure(height=0.9 + 0.32 * len(summary["variants"]))
     rows = [row for row in summary["variants"] if row["against_first"]]
     for index, row in enumerate(rows):
         difference = row["against_first"]
-        axes.plot([difference["low"], difference["high"]], [index, index], color=LINES[0], lw=2)
-        axes.plot(difference["difference"], index, "o", color=LINES[0], ms=5)
+        axes.plot(
+            [difference["low"], difference["high"]], [index, index], color=SERIES_COLOURS[0], lw=2
+        )
+        axes.plot(difference["difference"], index, "o", color=SERIES_COLOURS[0], ms=5)
     axes.axvline(0, color="#444444", lw=0.8)
     axes.set(
         yticks=range(len(rows)),
@@ -268,10 +279,10 @@
     if not rows:
         return ""
     figure, axes = plots.figure()
-    for at, (tier, number) in enumerate(sorted({(row.tier, row.balancer) for row in rows})):
+    for tier, number in sorted({(row.tier, row.balancer) for row in rows}):
         samples = [row for row in rows if (row.tier, row.balancer) == (tier, number)]
         times = [(row.at - result["start"]) / 1e9 for row in samples]
-        colour = LINES[tier % len(LINES)]
+        colour = SERIES_COLOURS[tier % len(SERIES_COLOURS)]
         is_labelled = number == 0  # one legend entry per tier
         axes.plot(
             times,
@@ -300,16 +311,18 @@
         for row in rows:
             if row.tier == tier:
                 at = round((row.at - result["start"]) / 1e9)
-                for number, out in enumerate(row.in_flight):
-                    sums[number, at] = sums.get((number, at), 0) + out
+                for number, in_flight in enumerate(row.in_flight):
+                    sums[number, at] = sums.get((number, at), 0) + in_flight
         for number in sorted({number for number, _ in sums}):
-            points = sorted((at, out) for (upstream, at), out in sums.items() if upstream == number)
+            points = sorted(
+                (at, in_flight) for (upstream, at), in_flight in sums.items() if upstream == number
+            )
             axes.plot(
                 [at for at, _ in points],
-                [out for _, out in points],
+                [in_flight for _, in_flight in points],
                 lw=1,
                 alpha=0.8,
-                color=LINES[tier % len(LINES)],
+                color=SERIES_COLOURS[tier % len(SERIES_COLOURS)],
                 label=None if number else f"tier {tier}, each upstream",
             )
     mark_faults_and_load_changes(axes, day)
@@ -318,7 +331,7 @@
     return budget_figure + plots.embed(figure)
 
 
-def page(folder, day, results, summary):
+def html_page(folder, day, results, summary):
     """Return the report as an HTML page, with figures of the first run of each variant."""
     plots = Plots()
     first_runs = [
@@ -329,11 +342,11 @@
         )
         for row in summary["variants"]
     ]
-    column_names, rows = table(summary)
+    column_names, rows = variant_table(summary)
     cells = "".join(
         "<tr>" + "".join(f"<td>{html.escape(cell)}</td>" for cell in row) + "</tr>" for row in rows
     )
-    parts = [f"<h1>{html.escape(day.name)}</h1><p>{day.seconds:g} s per run. {SAID}"]
+    parts = [f"<h1>{html.escape(day.name)}</h1><p>{day.seconds:g} s per run. {ORIGIN_NOTE}"]
     if summary["interrupted"]:
         parts.append(" <b>Interrupted: this covers only what had been run.</b>")
     parts.append(
@@ -342,21 +355,24 @@
         + f"</tr>{cells}</table>"
     )
     if first_runs:
-        parts += ["<h2>Goodput over time</h2>", goodput(plots, day, first_runs)]
+        parts += ["<h2>Goodput over time</h2>", goodput_plot(plots, day, first_runs)]
         for result in first_runs:
             parts += [
                 f"<h2>{html.escape(result['variant'])}: outcomes</h2>",
-                outcomes(plots, day, result),
+                outcomes_plot(plots, day, result),
                 budget_and_in_flight_plots(plots, day, Path(folder), result),
             ]
         parts += [
             "<h2>Latency of served answers</h2>",
-            latencies(plots, first_runs),
+            latency_plot(plots, first_runs),
             "<h2>Amplification by tier</h2>",
-            amplification(plots, day, summary),
+            amplification_plot(plots, day, summary),
         ]
         if len(summary["variants"]) > 1:
-            parts += ["<h2>Goodput against the first variant</h2>", comparison(plots, summary)]
+            parts += [
+                "<h2>Goodput against the first variant</h2>",
+                goodput_comparison_plot(plots, summary),
+            ]
         for result in first_runs:
             for finding in result["findings"]:
                 parts.append(
--- a/pepperhook/lab/stage.py
+++ b/pepperhook/lab/stage.py
@@ -15,7 +15,7 @@
 from pepperhook.lab.experiment import Plan
 
 S = 10**9
-STALL_NS = 50 * 10**6  # a third of audit.TOLD_NS, the time allowed for reading a list
+STALL_NS = 50 * 10**6  # a third of audit.LIST_READ_TOLERANCE_NS
 
 
 class Stage:
--- a/pepperhook/lab/stalls.py
+++ b/pepperhook/lab/stalls.py
@@ -8,7 +8,7 @@
 from pepperhook.lab import events
 
 MILLISECOND = 10**6
-# After a stall a stand-in works off its backlog for about this long, and stamps late until then.
+# A stand-in processes the backlog of a stall for about this long; until then its stamps are late.
 BACKLOG_NS = 50 * MILLISECOND
 # Period of the event loop lag check. A stall may begin up to this long before the check notices it.
 CHECK_NS = 10 * MILLISECOND
@@ -27,18 +27,18 @@
         self.spans: dict[str, list[tuple[int, int]]] = {}
         for row in rows:
             if isinstance(row, events.Stall):
-                begun = row.at - row.late_ns - CHECK_NS
-                self.spans.setdefault(row.process, []).append((begun, row.at))
+                started_at = row.at - row.late_ns - CHECK_NS
+                self.spans.setdefault(row.process, []).append((started_at, row.at))
 
     def earliest_arrival(self, process: str, stamped_at: int) -> int:
-        """Return the earliest possible arrival of what a process stamped at ``stamped_at``.
+        """Return the earliest time at which what was stamped ``stamped_at`` may have arrived.
 
-        That is the time stamp itself, unless it lies within a stall or the BACKLOG_NS after it.
-        Then it is the begin of that stall.
+        That is the start of the stall if the time stamp lies within a stall of the process or the
+        BACKLOG_NS after it, and otherwise the time stamp itself.
         """
-        begins = [
-            begun
-            for begun, ended in self.spans.get(process, ())
-            if begun <= stamped_at <= ended + BACKLOG_NS
+        starts = [
+            started_at
+            for started_at, ended_at in self.spans.get(process, ())
+            if started_at <= stamped_at <= ended_at + BACKLOG_NS
         ]
-        return min(begins, default=stamped_at)
+        return min(starts, default=stamped_at)
