--- a/pepperhook/lab/audit.py
+++ b/pepperhook/lab/audit.py
@@ -222,7 +222,7 @@
         """Return whether the attempt's balancer was killed or the upstream that made it died.
 
         Only these two processes count, as in a large fleet some process is always dying. A balancer
-        that is shut down in order still answers what it accepted, so that excuses nothing. If the
+        that is asked to shut down still answers what it accepted, so that excuses nothing. If the
         balancer is unknown, every balancer of the tier counts.
         """
         processes = [("balancer", attempt.tier, attempt.caller)] + (
@@ -242,7 +242,8 @@
     def check_answer(self, attempt):
         """Check that an attempt was answered correctly and in time.
 
-        A rejection (429 or 503) must not answer an attempt that may have been executed.
+        A rejection (429 or 503) tells the client that nothing was executed, so it must not answer
+        an attempt whose execution is unsafe to repeat.
         """
         label = f"{attempt.id} (tier {attempt.tier})"
         if attempt.kind in ("lost", "open"):
@@ -750,7 +751,7 @@
             parents = self.works_by_id.get((tier - 1, parent_id), ())
             number = int(call[:-1]) if call[:-1].isdigit() else 0
             if not tier and not parent_id:
-                # A client request has no parent; its allowance is fixed.
+                # A client request has no parent. Its allowance is fixed and the same at all tiers.
                 allowance = RETRY_ALLOWANCE
             elif 0 < number <= len(parents) and parents[number - 1].remaining_retries >= 0:
                 allowance = parents[number - 1].remaining_retries
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -5,8 +5,7 @@
 from pepperhook.lab import audit, events
 from pepperhook.units import MILLISECOND, SECOND
 from tests.test_lab import day as make_experiment
-from tests.test_lab import one as make_attempt_row
-from tests.test_lab import work as make_work_row
+from tests.test_lab import make_attempt_row, make_work_row
 
 
 def audit_rows(*rows):
@@ -21,10 +20,10 @@
 
 def test_row_recorded_twice_is_a_recording_fault_and_not_a_second_execution():
     findings = audit_rows(
-        make_attempt_row(grade=1),
-        make_work_row(grade=1),
+        make_attempt_row(service_class=1),
+        make_work_row(service_class=1),
         # The same arrival, recorded again with another end.
-        make_work_row(grade=1, outcome="given up", gone=111),
+        make_work_row(service_class=1, outcome="given up", caller_left_at=111),
     ).findings
 
     assert [(finding.rule, finding.name) for finding in findings] == [
@@ -109,8 +108,8 @@
     balancer_events, shortest_ms
 ):
     rows = [
-        events.StateChange(at * MILLISECOND, what, 0, balancer)
-        for at, what, balancer in balancer_events
+        events.StateChange(at * MILLISECOND, name, 0, balancer)
+        for at, name, balancer in balancer_events
     ]
 
     assert audit_figure("shortest_leave_ms", *rows) == shortest_ms
--- a/tests/lab/test_stalls.py
+++ b/tests/lab/test_stalls.py
@@ -1,10 +1,10 @@
 """A stalled stand-in must not be reported as a balancer that sends to a draining upstream.
 
-Scenario h2 once failed in CI with finding "timed 1-1: sent after drain 1" and passed in the next
-run; 688 further runs, some under load, did not show the failure again. Stopping one process around
-the drain for 0.4 to 1.0 s reproduced it in 6 of 12 runs when that was the stand-in of the
-upstreams, and in none of 12 when it was the balancer, or the discovery service (6 of these void).
-With LB_LOG=debug, in seconds of the run, the stand-in stopped from 4.75 to 5.35:
+Scenario h2 failed in CI with "timed 1-1: sent after drain 1" and passed in the next run; it did not
+fail in 688 further runs, some under load. Stopping one process around the drain for 0.4 to 1.0 s
+reproduced it in 6 of 12 runs when that was the stand-in of the upstreams, and in none of 12 when it
+was the balancer, or the discovery service (6 of these void). With LB_LOG=debug, in seconds of the
+run, the stand-in stopped from 4.75 to 5.35:
 
     4.751  last_check id=17.2e2 upstream=t0-03 may_send=True
     4.755  last_check id=17.2e4 upstream=t0-03 may_send=True
@@ -12,9 +12,9 @@
     5.350  the stand-in resumes, 596 ms late
     5.351  it stamps the first bytes of 17.2e2 and 17.2e4, 550 ms after the drain was written
 
-The balancer had sent both attempts before the drain, but the stand-in stamped their bytes when it
-could read them. The counters of waits for a core cannot detect every such stall: they make a run
-void only from 400 ms on, and a process that waits for a disk does not show in them at all.
+The balancer had sent both attempts before the drain, but the stand-in stamped their bytes only when
+it could read them. The counters of waits for a core do not detect every such stall: they make a run
+void only from 400 ms on, and do not show a process that waits for a disk.
 """
 
 import asyncio
@@ -26,9 +26,7 @@
 from pepperhook.lab.endpoint_audit import EndpointAudit
 from pepperhook.lab.stalls import BACKLOG_NS, Stalls, upstream_process_name
 from tests.test_lab import day as make_experiment
-from tests.test_lab import one as make_attempt_row
-from tests.test_lab import told as make_told_row
-from tests.test_lab import work as make_work_row
+from tests.test_lab import make_attempt_row, make_list_entry_row, make_work_row
 
 MS = 10**6
 DRAIN_MS = 1000
@@ -44,10 +42,10 @@
 def audit_stalls(*stalls):
     """Audit an attempt stamped 550 ms after its upstream was listed as draining."""
     rows = [
-        make_attempt_row(at=900, took=STAMPED_MS - 880),
+        make_attempt_row(at=900, duration=STAMPED_MS - 880),
         make_work_row(at=STAMPED_MS),
-        make_told_row(0, "ready"),
-        make_told_row(DRAIN_MS, "draining"),
+        make_list_entry_row(0, "ready"),
+        make_list_entry_row(DRAIN_MS, "draining"),
         *stalls,
     ]
     return audit.Auditor(make_experiment(), rows, 0).audit()
@@ -74,7 +72,7 @@
     [
         make_stall_row(STAMPED_MS, 600, process="discovery"),
         make_stall_row(STAMPED_MS, 600, process=upstream_process_name(1)),
-        # Its backlog was worked off before the byte was stamped.
+        # Its backlog was processed before the byte was stamped.
         make_stall_row(STAMPED_MS - BACKLOG_NS // MS - 1, 600),
         # It began after the byte was stamped.
         make_stall_row(STAMPED_MS + 700, 600),
@@ -88,10 +86,10 @@
 
 def test_attempt_allowed_at_its_stamped_time_is_neither_a_finding_nor_excused():
     rows = [
-        make_attempt_row(at=900, took=STAMPED_MS - 880),
+        make_attempt_row(at=900, duration=STAMPED_MS - 880),
         make_work_row(at=STAMPED_MS),
-        make_told_row(0, "gone"),
-        make_told_row(STAMPED_MS - 50, "ready"),
+        make_list_entry_row(0, "gone"),
+        make_list_entry_row(STAMPED_MS - 50, "ready"),
         make_stall_row(STAMPED_MS, 600),
     ]
 
@@ -125,7 +123,7 @@
     await asyncio.sleep(0.05)
     rows_before = len(event_log.rows)
 
-    begun = time.monotonic_ns()
+    stalled_at = time.monotonic_ns()
     time.sleep(0.2)  # blocks the event loop on purpose
     while len(event_log.rows) == rows_before:
         await asyncio.sleep(0)
@@ -133,6 +131,6 @@
 
     row = event_log.rows[rows_before]
     assert row.process == UPSTREAMS
-    assert row.at - row.late_ns <= begun + 15 * MS
+    assert row.at - row.late_ns <= stalled_at + 15 * MS
     assert row.late_ns >= 180 * MS
     event_log.close()
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -292,16 +292,16 @@
 
 def test_balancers_reload_leave_and_are_rolled_one_after_another(second):
     _, result, rows, folder = second
-    happened = [
+    state_changes = [
         (row.name, row.process_number) for row in rows if isinstance(row, events.StateChange)
     ]
-    assert ("balancer told to read again", 0) in happened
+    assert ("balancer told to read again", 0) in state_changes
     logs = [(folder / f"balancer-0-{number}.log").read_text() for number in (0, 1)]
     assert "event=reloaded" in logs[0]
     # The second balancer is asked to leave and is rolled, the first is only rolled. Each has exited
     # before its successor takes over its address.
-    left = [happened.count(("balancer told to leave", number)) for number in (0, 1)]
-    assert left == [1, 2] == [happened.count(("balancer begun", number)) for number in (0, 1)]
+    left = [state_changes.count(("balancer told to leave", number)) for number in (0, 1)]
+    assert left == [1, 2] == [state_changes.count(("balancer begun", number)) for number in (0, 1)]
     assert [log.count("event=started") for log in logs] == [2, 3]
     rolled = sorted(
         row.at
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -316,32 +316,32 @@
 # The auditor: a correct run has no finding, and each fault has its own.
 
 
-def one(
+def make_attempt_row(
     at=100,
-    grade=0,
+    service_class=0,
     kind="answer",
     status=200,
-    took=20,
+    duration=20,
     identity="a",
     body=None,
-    first=None,
+    first_id=None,
     number=0,
     tier=0,
     caller=-1,
 ):
-    """Return the event row of a request attempt; times in ms."""
+    """Return the event row of a client attempt; times in ms."""
     body = f"0.0.{identity}.1" if body is None else body
     return events.Attempt(
         tier,
         caller,
         identity,
-        first or identity,
+        first_id or identity,
         number,
-        grade,
+        service_class,
         0,
         at * MS,
         at * MS,
-        (at + took) * MS,
+        (at + duration) * MS,
         kind,
         status,
         body if status == 200 else "",
@@ -349,75 +349,117 @@
     )
 
 
-def work(at=101, took=10, grade=0, outcome="served", identity="a", upstream=0, gone=0, seen=1):
+def make_work_row(
+    at=101,
+    duration=10,
+    service_class=0,
+    outcome="served",
+    identity="a",
+    upstream=0,
+    caller_left_at=0,
+    execution=1,
+):
     """Return the event row of an attempt at an upstream; times in ms.
 
-    ``gone``: when the client left, 0: never; ``seen``: number of the execution.
+    ``caller_left_at``: 0 if it did not leave; ``execution``: number of the execution.
     """
-    nonce = f"0.0.{identity}.{seen}" if outcome == "served" else ""
+    nonce = f"0.0.{identity}.{execution}" if outcome == "served" else ""
     return events.UpstreamWork(
         0,
         upstream,
         0,
         identity,
-        grade,
+        service_class,
         at * MS,
         at * MS,
-        (at + took) * MS,
+        (at + duration) * MS,
         outcome,
         at * MS,
         MS,
         nonce,
-        gone * MS,
-        (at + took) * MS,
+        caller_left_at * MS,
+        (at + duration) * MS,
     )
 
 
-def told(at, state, upstream=0):
-    """Return the event row of a state that a balancer was notified of; ``at`` in ms."""
+def make_list_entry_row(at, state, upstream=0):
+    """Return the event row of a list entry sent to a balancer; ``at`` in ms."""
     return events.EndpointListEntry(0, 0, at * MS, upstream, state)
 
 
 CASES = {
-    "honest": (None, [one(), work()]),
-    "honest-repeat": (None, [one(took=60), work(outcome="error"), work(at=120, upstream=1)]),
+    "honest": (None, [make_attempt_row(), make_work_row()]),
+    "honest-repeat": (
+        None,
+        [
+            make_attempt_row(duration=60),
+            make_work_row(outcome="error"),
+            make_work_row(at=120, upstream=1),
+        ],
+    ),
     "honest-shed-after-full": (
         None,
-        [one(grade=1, status=503), work(grade=1, outcome="turned away")],
+        [
+            make_attempt_row(service_class=1, status=503),
+            make_work_row(service_class=1, outcome="turned away"),
+        ],
     ),
     "honest-sale-after-full": (
         None,
-        [one(grade=1), work(grade=1, outcome="turned away"), work(at=115, grade=1)],
+        [
+            make_attempt_row(service_class=1),
+            make_work_row(service_class=1, outcome="turned away"),
+            make_work_row(at=115, service_class=1),
+        ],
+    ),
+    "honest-drain": (
+        None,
+        [
+            make_attempt_row(duration=500),
+            make_list_entry_row(0, "ready"),
+            make_list_entry_row(100, "draining"),
+            make_work_row(at=300),
+        ],
     ),
-    "honest-drain": (None, [one(took=500), told(0, "ready"), told(100, "draining"), work(at=300)]),
     "honest-cell": (
         None,
-        [one(grade=2), work(grade=2, outcome="error"), work(at=120, grade=2, upstream=3)],
+        [
+            make_attempt_row(service_class=2),
+            make_work_row(service_class=2, outcome="error"),
+            make_work_row(at=120, service_class=2, upstream=3),
+        ],
     ),
     "killed": (
         None,
-        [one(kind="lost", status=0), work(), events.StateChange(150 * MS, "balancer killed", 0, 0)],
+        [
+            make_attempt_row(kind="lost", status=0),
+            make_work_row(),
+            events.StateChange(150 * MS, "balancer killed", 0, 0),
+        ],
     ),
     # The balancer of the client was killed: its lost request is excused.
     "its own": (
         None,
         [
-            one(kind="lost", status=0, caller=1),
-            work(),
+            make_attempt_row(kind="lost", status=0, caller=1),
+            make_work_row(),
             events.StateChange(150 * MS, "balancer killed", 0, 1),
         ],
     ),
     # The upstream that called through a balancer of the second tier crashed: also excused.
     "its upstream's": (
         None,
-        [one(kind="lost", status=0, tier=1, caller=2), events.StateChange(150 * MS, "crash", 0, 2)],
+        [
+            make_attempt_row(kind="lost", status=0, tier=1, caller=2),
+            events.StateChange(150 * MS, "crash", 0, 2),
+        ],
     ),
     # Another balancer was killed: not excused.
     "another's": (
         "lost",
         [
-            one(kind="lost", status=0, caller=1),
-            work(),
+            make_attempt_row(kind="lost", status=0, caller=1),
+            make_work_row(),
             events.StateChange(150 * MS, "balancer killed", 0, 0),
         ],
     ),
@@ -425,53 +467,86 @@
     "told to leave": (
         "lost",
         [
-            one(kind="lost", status=0, caller=1),
-            work(),
+            make_attempt_row(kind="lost", status=0, caller=1),
+            make_work_row(),
             events.StateChange(150 * MS, "balancer told to leave", 0, 1),
         ],
     ),
     "killed-and-sent-again": (
         None,
         [
-            one(grade=1, took=90),
+            make_attempt_row(service_class=1, duration=90),
             events.StateChange(110 * MS, "balancer killed", 0, 0),
-            work(grade=1, outcome="given up", gone=110),
-            work(at=130, grade=1, upstream=1),
+            make_work_row(service_class=1, outcome="given up", caller_left_at=110),
+            make_work_row(at=130, service_class=1, upstream=1),
         ],
     ),
     "given up": (
         "ran twice",
         [
-            one(grade=1, took=90),
-            work(grade=1, outcome="given up", gone=110),
-            work(at=130, grade=1, upstream=1),
+            make_attempt_row(service_class=1, duration=90),
+            make_work_row(service_class=1, outcome="given up", caller_left_at=110),
+            make_work_row(at=130, service_class=1, upstream=1),
         ],
     ),
-    "lost": ("lost", [one(kind="lost", status=0), work()]),
+    "lost": ("lost", [make_attempt_row(kind="lost", status=0), make_work_row()]),
     # The client got no response within its time limit.
-    "never": ("lost", [one(kind="open", status=0), work()]),
-    "late": ("late", [one(took=600), work(took=590)]),
-    "invented": ("invented", [one(body="0.0.b.1"), work()]),
+    "never": ("lost", [make_attempt_row(kind="open", status=0), make_work_row()]),
+    "late": ("late", [make_attempt_row(duration=600), make_work_row(duration=590)]),
+    "invented": ("invented", [make_attempt_row(body="0.0.b.1"), make_work_row()]),
     # A 200 without any attempt at an upstream.
-    "nobody's": ("invented", [one()]),
-    "twice": ("answered twice", [one(), work(), events.UnexpectedBytes(0, 130 * MS, "a", 40)]),
+    "nobody's": ("invented", [make_attempt_row()]),
+    "twice": (
+        "answered twice",
+        [make_attempt_row(), make_work_row(), events.UnexpectedBytes(0, 130 * MS, "a", 40)],
+    ),
     "ran twice": (
         "ran twice",
-        [one(grade=1), work(grade=1, outcome="reset"), work(at=140, grade=1, upstream=1)],
+        [
+            make_attempt_row(service_class=1),
+            make_work_row(service_class=1, outcome="reset"),
+            make_work_row(at=140, service_class=1, upstream=1),
+        ],
+    ),
+    "overlap": (
+        "overlap",
+        [
+            make_attempt_row(),
+            make_work_row(duration=30),
+            make_work_row(at=120, upstream=1, execution=2),
+        ],
     ),
-    "overlap": ("overlap", [one(), work(took=30), work(at=120, upstream=1, seen=2)]),
     "window": (
         "repeated outside its window",
-        [one(grade=2, took=450), work(grade=2, outcome="error"), work(at=420, grade=2)],
+        [
+            make_attempt_row(service_class=2, duration=450),
+            make_work_row(service_class=2, outcome="error"),
+            make_work_row(at=420, service_class=2),
+        ],
     ),
     "cell": (
         "repeated outside its group",
-        [one(grade=2), work(grade=2, outcome="error"), work(at=120, grade=2, upstream=1)],
+        [
+            make_attempt_row(service_class=2),
+            make_work_row(service_class=2, outcome="error"),
+            make_work_row(at=120, service_class=2, upstream=1),
+        ],
+    ),
+    "shed": (
+        "shed what may have run",
+        [
+            make_attempt_row(service_class=1, status=503),
+            make_work_row(service_class=1, outcome="error"),
+        ],
     ),
-    "shed": ("shed what may have run", [one(grade=1, status=503), work(grade=1, outcome="error")]),
     "drain": (
         "sent after drain",
-        [one(at=700), told(0, "ready"), told(100, "draining"), work(at=701)],
+        [
+            make_attempt_row(at=700),
+            make_list_entry_row(0, "ready"),
+            make_list_entry_row(100, "draining"),
+            make_work_row(at=701),
+        ],
     ),
     "cold": ("pushed over cold", [events.StateChange(5 * MS, "fell over", 0, 2)]),
     "bytes": ("bad message to an upstream", [events.StateChange(5 * MS, "bad message", 0, 2)]),
@@ -487,13 +562,13 @@
 
 def test_figures_count_requests_and_not_retries():
     rows = [
-        one(identity="a", status=500),
-        one(at=200, identity="ar1", first="a", number=1, body="0.0.ar1.1"),
-        work(outcome="error"),
-        work(at=201, identity="ar1"),
-        one(identity="b", status=503),
-        one(identity="c", kind="gone", status=0),
-        work(identity="c", outcome="given up", took=400, gone=130),
+        make_attempt_row(identity="a", status=500),
+        make_attempt_row(at=200, identity="ar1", first_id="a", number=1, body="0.0.ar1.1"),
+        make_work_row(outcome="error"),
+        make_work_row(at=201, identity="ar1"),
+        make_attempt_row(identity="b", status=503),
+        make_attempt_row(identity="c", kind="gone", status=0),
+        make_work_row(identity="c", outcome="given up", duration=400, caller_left_at=130),
     ]
     figures = audit.Auditor(day(), rows, 0).audit().figures
     assert (figures["wishes"], figures["tries"], figures["goodput"]) == (3, 4, round(1 / 3, 4))
@@ -509,9 +584,9 @@
 def test_complete_rows_are_readable_after_a_writer_was_killed(tmp_path):
     event_log = events.EventLog(tmp_path / "x.rows")
     rows = [
-        one(),
-        work(),
-        told(1, "ready"),
+        make_attempt_row(),
+        make_work_row(),
+        make_list_entry_row(1, "ready"),
         events.StateChange(1, "crash", 0, 1),
         events.BalancerSample(0, 0, 1, 0.2, 0.0, 0, [1]),
     ]
