--- a/pepperhook/lab/events.py
+++ b/pepperhook/lab/events.py
@@ -58,9 +58,8 @@
     work_ns: int  # processing time spent on it
     nonce: str  # unique text in the answer that identifies this work
     caller_left_at: int = 0  # when its caller closed the connection or cancelled it; 0: never
-    work_ended_at: int = (
-        0  # end of its processing, which may be after caller_left_at; 0: never started
-    )
+    # End of its processing, which may be after caller_left_at; 0: never started.
+    work_ended_at: int = 0
     remaining_retries: int = -1  # according to its request context header; -1: no header
 
 
@@ -114,7 +113,7 @@
 
 
 class StateChange(Struct, array_like=True, tag="happened"):
-    """A fault, or a change of state of a balancer, an upstream or the endpoint list."""
+    """Start or end of a fault, or a change of state of a balancer, upstream or endpoint list."""
 
     at: int
     name: str  # such as "crash" or "listed draining"
@@ -201,7 +200,7 @@
 
 
 def read(folder: Path) -> list[Event]:
-    """Return the rows of all processes in the folder of a run, without incomplete last lines."""
+    """Return the rows of all processes of the run in ``folder``, without incomplete last lines."""
     decoder, rows = msgspec.json.Decoder(Event), []
     for path in sorted(Path(folder).glob("*.rows")):
         with open(path, "rb") as file:
