--- a/pepperhook/lab/audit.py
+++ b/pepperhook/lab/audit.py
@@ -76,17 +76,17 @@
 class Auditor:
     """Checks the rows of one run against the rules and computes its figures."""
 
-    def __init__(self, day, rows, run_started_at, suppressed_findings=()):
+    def __init__(self, day, rows, run_started_at, ignored_findings=()):
         """Index the rows.
 
         ``run_started_at`` is the start of the run on the monotonic clock. Findings whose names are
-        in ``suppressed_findings`` are not reported: this injects a defect into the auditor, so that
+        in ``ignored_findings`` are not reported: this injects a defect into the auditor, so that
         a test can check that the scenario notices it.
         """
-        self.day, self.run_started_at, self.suppressed_findings = (
+        self.day, self.run_started_at, self.ignored_findings = (
             day,
             run_started_at,
-            suppressed_findings,
+            ignored_findings,
         )
         self.examples, self.excused = defaultdict(list), Counter()
         rows_by_type = defaultdict(list)
@@ -203,8 +203,8 @@
         return Report(findings, self.figures(), self.series_by_second(), dict(self.excused))
 
     def add_finding(self, rule, name, text, at):
-        """Record one violation that happened at ``at``, unless its name is suppressed."""
-        if name in self.suppressed_findings:
+        """Record one violation that happened at ``at``, unless its name is ignored."""
+        if name in self.ignored_findings:
             return
         self.examples[rule, name].append((at, f"{(at - self.run_started_at) / S:.3f} s: {text}"))
 
--- a/pepperhook/lab/day.py
+++ b/pepperhook/lab/day.py
@@ -212,7 +212,7 @@
 class Day:
     """One run of a scenario with one variant and one seed.
 
-    ``day`` is the experiment. ``tell(text, share)`` reports progress. ``suppressed_findings`` has the names of
+    ``day`` is the experiment. ``tell(text, share)`` reports progress. ``ignored_findings`` has the names of
     findings that the auditor ignores, for the check that it can fail. ``sockets`` is the balancers'
     limit of sockets. ``script`` has additional actions: rows of (seconds, callable); each callable
     gets this Day.
@@ -226,7 +226,7 @@
         folder,
         worktrees=None,
         tell=None,
-        suppressed_findings=(),
+        ignored_findings=(),
         sockets=1024,
         script=(),
     ):
@@ -242,10 +242,10 @@
         self.worktrees, self.own = worktrees or Worktrees(), worktrees is None
         self.tell, self.stages, self.balancers, self.start = tell or (lambda *_: None), [], {}, 0
         # ``event_log``: event rows of this process.
-        self.event_log, self.load, self.suppressed_findings, self.sockets, self.cores = (
+        self.event_log, self.load, self.ignored_findings, self.sockets, self.cores = (
             None,
             None,
-            suppressed_findings,
+            ignored_findings,
             sockets,
             Cores(),
         )
@@ -560,7 +560,7 @@
     def result(self, interrupted):
         """Audit the event rows, store the result and return it."""
         rows = events.read(self.folder)
-        report = audit.Auditor(self.day, rows, self.start, self.suppressed_findings).audit()
+        report = audit.Auditor(self.day, rows, self.start, self.ignored_findings).audit()
         load = json.loads(path.read_text()) if (path := self.folder / "load.json").exists() else {}
         # ``wishes`` counts requests without their clients' retries.
         requests = max(1, report.figures.get("wishes", 0))
--- a/pepperhook/lab/proofs/amplification.py
+++ b/pepperhook/lab/proofs/amplification.py
@@ -5,7 +5,7 @@
 from pepperhook.lab import planted
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
-from pepperhook.lab.report import ORIGIN_NOTE, SERIES_COLOURS, Plots
+from pepperhook.lab.report import LINE_COLOURS, ORIGIN_NOTE, Plots
 
 
 class AmplificationProof(Proof):
@@ -99,7 +99,7 @@
                 [n + position * 0.27 for n in range(len(rows))],
                 [row[key] for row in rows],
                 0.26,
-                color=SERIES_COLOURS[position],
+                color=LINE_COLOURS[position],
                 label=name,
             )
         axes.set(
--- a/pepperhook/lab/proofs/auditor.py
+++ b/pepperhook/lab/proofs/auditor.py
@@ -25,7 +25,7 @@
         "drains-unheeded": "the policy treats a draining upstream as ready",
     }
     # The findings that the auditor with this defect does not report.
-    SUPPRESSED_FINDINGS = {
+    IGNORED_FINDINGS = {
         "deaf": ("answered twice",),
         "patient": ("late",),
         "trusting": ("invented",),
@@ -33,7 +33,7 @@
 
     def run(self):
         """Play one run of pepperhook and one of each faulty balancer."""
-        suppressed_findings = self.SUPPRESSED_FINDINGS.get(self.plant, ())
+        ignored_findings = self.IGNORED_FINDINGS.get(self.plant, ())
         long_scenario = replace(self.scenario, seconds=60.0 if self.full else self.scenario.seconds)
         policy_defect = self.plant if self.plant in planted.FAULTS else None
         correct_variant = Variant(
@@ -49,7 +49,7 @@
                     self.scenario,
                     Variant(name=way, crooked=way),
                     way,
-                    {"suppressed_findings": suppressed_findings},
+                    {"ignored_findings": ignored_findings},
                 )
             )
         results = self.play_concurrently(runs, 4)
--- a/pepperhook/lab/proofs/chain.py
+++ b/pepperhook/lab/proofs/chain.py
@@ -5,7 +5,7 @@
 from pepperhook.lab import experiment, matrix
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
-from pepperhook.lab.report import ORIGIN_NOTE, SERIES_COLOURS, Plots
+from pepperhook.lab.report import LINE_COLOURS, ORIGIN_NOTE, Plots
 
 
 class ChainProof(Proof):
@@ -295,7 +295,7 @@
                     [n + position * 0.16 for n in range(len(names))],
                     values,
                     0.15,
-                    color=SERIES_COLOURS[position],
+                    color=LINE_COLOURS[position],
                     label=variant,
                 )
             axes.set(ylabel=unit, xticks=[n + 0.32 for n in range(len(names))], xticklabels=names)
--- a/pepperhook/lab/proofs/repeats.py
+++ b/pepperhook/lab/proofs/repeats.py
@@ -7,7 +7,7 @@
 from pepperhook.lab import experiment, journals
 from pepperhook.lab.experiment import Clients, Load, Variant
 from pepperhook.lab.proofs.base import Proof
-from pepperhook.lab.report import ORIGIN_NOTE, SERIES_COLOURS, Plots
+from pepperhook.lab.report import LINE_COLOURS, ORIGIN_NOTE, Plots
 
 
 class RepeatsProof(Proof):
@@ -264,7 +264,7 @@
                     [r["entries"] for r in journal_rows],
                     [r["seconds"] for r in journal_rows],
                     marker="o",
-                    color=SERIES_COLOURS[position],
+                    color=LINE_COLOURS[position],
                     label=name,
                 )
             axes.set(
--- a/pepperhook/lab/report.py
+++ b/pepperhook/lab/report.py
@@ -23,7 +23,7 @@
     "lost": "#222222",
 }
 # Colours of lines and bars, used in turn.
-SERIES_COLOURS = (
+LINE_COLOURS = (
     "#2b5d8a",
     "#b8433b",
     "#3b7d4f",
@@ -158,8 +158,8 @@
         )
     for load in day.load:
         if load.at:
-            ends_at = day.seconds if load.for_ is None else load.at + load.for_
-            axes.axvspan(load.at, min(ends_at, day.seconds), color="#d9a441", alpha=0.13, lw=0)
+            end_s = day.seconds if load.for_ is None else load.at + load.for_
+            axes.axvspan(load.at, min(end_s, day.seconds), color="#d9a441", alpha=0.13, lw=0)
             axes.text(
                 load.at,
                 1.01,
@@ -199,7 +199,7 @@
         with numpy.errstate(invalid="ignore"):
             axes.plot(
                 earned / numpy.where(possible, possible, numpy.nan),
-                color=SERIES_COLOURS[index % len(SERIES_COLOURS)],
+                color=LINE_COLOURS[index % len(LINE_COLOURS)],
                 lw=1.3,
                 label=result["variant"],
             )
@@ -218,7 +218,7 @@
             [result["load"]["served_ms"][percentile] for percentile in PERCENTILES],
             marker="o",
             ms=4,
-            color=SERIES_COLOURS[index % len(SERIES_COLOURS)],
+            color=LINE_COLOURS[index % len(LINE_COLOURS)],
             label=result["variant"],
         )
     axes.set(ylabel="ms from scheduled sending", yscale="log")
@@ -236,7 +236,7 @@
             numpy.arange(len(values)) + index * width,
             values,
             width,
-            color=SERIES_COLOURS[index % len(SERIES_COLOURS)],
+            color=LINE_COLOURS[index % len(LINE_COLOURS)],
             label=row["variant"],
         )
     axes.axhline(1, color="#444444", lw=0.8)
@@ -256,9 +256,9 @@
     for index, row in enumerate(rows):
         difference = row["against_first"]
         axes.plot(
-            [difference["low"], difference["high"]], [index, index], color=SERIES_COLOURS[0], lw=2
+            [difference["low"], difference["high"]], [index, index], color=LINE_COLOURS[0], lw=2
         )
-        axes.plot(difference["difference"], index, "o", color=SERIES_COLOURS[0], ms=5)
+        axes.plot(difference["difference"], index, "o", color=LINE_COLOURS[0], ms=5)
     axes.axvline(0, color="#444444", lw=0.8)
     axes.set(
         yticks=range(len(rows)),
@@ -282,7 +282,7 @@
     for tier, number in sorted({(row.tier, row.balancer) for row in rows}):
         samples = [row for row in rows if (row.tier, row.balancer) == (tier, number)]
         times = [(row.at - result["start"]) / 1e9 for row in samples]
-        colour = SERIES_COLOURS[tier % len(SERIES_COLOURS)]
+        colour = LINE_COLOURS[tier % len(LINE_COLOURS)]
         is_labelled = number == 0  # one legend entry per tier
         axes.plot(
             times,
@@ -322,7 +322,7 @@
                 [in_flight for _, in_flight in points],
                 lw=1,
                 alpha=0.8,
-                color=SERIES_COLOURS[tier % len(SERIES_COLOURS)],
+                color=LINE_COLOURS[tier % len(LINE_COLOURS)],
                 label=None if number else f"tier {tier}, each upstream",
             )
     mark_faults_and_load_changes(axes, day)
