--- a/pepperhook/lab/machine.py
+++ b/pepperhook/lab/machine.py
@@ -2,8 +2,8 @@
 
 Work is done by processor sharing: the jobs that hold a slot share the cores evenly, and none gets
 more than one core. Their speed is the product of the machine's own speed, its warmth, crowding and
-active faults. V(t) is the work that each running job has been given so far. A job that began at V
-ends at V + its work, so an event costs O(log n). This is the virtual time of generalised processor
+active faults. The virtual time V(t) is the work that each running job has been given so far. A job
+that began at V ends at V + its work, so an event costs O(log n). This is generalised processor
 sharing (Parekh and Gallager 1993) with equal weights.
 
 Times are whole nanoseconds, work is nanoseconds of one core at speed one.
@@ -16,7 +16,7 @@
 from msgspec import Struct
 
 MS, S = 10**6, 10**9
-TAKEN, QUEUED, TURNED_AWAY = "taken", "queued", "turned away"
+STARTED, QUEUED, REJECTED = "taken", "queued", "turned away"
 PAUSED_CHECK_NS = 50 * MS  # a paused machine is checked again after this time
 MAX_COLD_STEP_NS = 20 * MS  # a cold machine is advanced in steps of at most this length
 
@@ -49,37 +49,37 @@
     ``work`` is its cost in nanoseconds of one core; ``owner`` is the object that it belongs to.
     """
 
-    __slots__ = ("work", "owner", "ends_v", "state", "arrived_at", "began", "abandoned")
+    __slots__ = ("work", "owner", "ends_at_v", "state", "arrived_at", "began_at", "abandoned")
 
     def __init__(self, work, owner):
         # state: None, "waiting", "working", "done" (work ended, slot still in use) or "over".
-        self.work, self.owner, self.ends_v, self.state = max(1, int(work)), owner, 0.0, None
-        self.arrived_at = self.began = 0
+        self.work, self.owner, self.ends_at_v, self.state = max(1, int(work)), owner, 0.0, None
+        self.arrived_at = self.began_at = 0
         self.abandoned = False  # cancelled by its client
 
 
 class Machine:
     """A machine that works on jobs.
 
-    Call ``arrive``, ``abandon``, ``free`` and ``due`` with times that never decrease; ``next_at``
+    Call ``arrive``, ``abandon``, ``finish_job`` and ``due`` with times that never decrease; ``next_due_at``
     returns when to call ``due`` at the latest. ``due`` returns the jobs whose work is done; they
-    hold their slot until ``free``.
+    hold their slot until ``finish_job``.
     """
 
     def __init__(self, spec, now, cold=False):
-        self.spec, self.at, self.v = spec, now, 0.0
-        # running: a heap of (V at the end, sequence number, job); held: slots in use.
-        self.running, self.sequence, self.held, self.waiting = [], 0, 0, deque()
-        self.working = 0  # jobs that share the cores
+        self.spec, self.advanced_to, self.virtual_time = spec, now, 0.0
+        # running: a heap of (V at the end, sequence number, job).
+        self.running, self.sequence, self.slots_in_use, self.waiting = [], 0, 0, deque()
+        self.active_jobs = 0  # jobs that share the cores
         self.fault_factor = 1.0  # of the speed, by active faults; 0: it is paused
         self.crowded, self.idle_since = False, now
         self.cold_since = now if cold and spec.start_capacity < 1 else None
         self.warm_up_work = 0.0  # work done since the start
         # Work that arrived, decaying with time constant fall_s, and when it was last updated.
-        self.offered, self.offered_at = 0.0, now
-        self.fell = False  # whether overload has crashed it while cold
+        self.offered_work, self.offered_work_at = 0.0, now
+        self.has_crashed = False  # whether overload has crashed it while cold
         self.done_work = self.wasted_work = 0.0
-        self.finished = []  # done and not yet returned by due
+        self.finished = []  # jobs whose work is done, not yet returned by due
 
     def warmth(self, now):
         """Return the present share of its full speed, by its warm-up."""
@@ -98,7 +98,7 @@
 
     def work_rate(self, now):
         """Return the work each running job is given per unit of time."""
-        if not self.working:
+        if not self.active_jobs:
             return 0.0
         speed = (
             self.spec.speed
@@ -106,95 +106,110 @@
             * self.warmth(now)
             * (self.spec.crowd_speed if self.crowded else 1.0)
         )
-        return speed * min(1.0, self.spec.cores / self.working)
+        return speed * min(1.0, self.spec.cores / self.active_jobs)
 
     def advance(self, now):
-        """Advance V to ``now``.
+        """Advance virtual time to ``now``.
 
         Call this before every change of the rate: the time up to ``now`` counts at the old rate.
         """
-        while now > self.at:
+        while now > self.advanced_to:
             # The rate of a cold machine grows, so a long span is split: the rate is constant in
             # each step.
-            until = min(now, self.at + MAX_COLD_STEP_NS) if self.cold_since is not None else now
-            rate = self.work_rate(self.at)
-            span = until - self.at
+            until = (
+                min(now, self.advanced_to + MAX_COLD_STEP_NS)
+                if self.cold_since is not None
+                else now
+            )
+            rate = self.work_rate(self.advanced_to)
+            span = until - self.advanced_to
             if rate and self.running:
                 # Stop at the next end: after it fewer jobs share the cores.
                 next_end = self.next_end()
-                if next_end is not None and next_end > self.v:
-                    span = min(span, max(1, int((next_end - self.v) / rate) + 1))
-            self.v += rate * span
-            self.warm_up_work += rate * span * self.working
-            self.done_work += rate * span * self.working
-            self.at += span
-            if rate and self.running and self.next_end() is not None and self.next_end() <= self.v:
+                if next_end is not None and next_end > self.virtual_time:
+                    span = min(span, max(1, int((next_end - self.virtual_time) / rate) + 1))
+            self.virtual_time += rate * span
+            self.warm_up_work += rate * span * self.active_jobs
+            self.done_work += rate * span * self.active_jobs
+            self.advanced_to += span
+            if (
+                rate
+                and self.running
+                and self.next_end() is not None
+                and self.next_end() <= self.virtual_time
+            ):
                 self.collect_finished()
-        if self.crowded and not self.held and now - self.idle_since >= self.spec.crowd_rest_s * S:
+        if (
+            self.crowded
+            and not self.slots_in_use
+            and now - self.idle_since >= self.spec.crowd_rest_s * S
+        ):
             self.crowded = False
 
     def next_end(self):
-        """Return the V at which the next job ends, or None."""
+        """Return the virtual time at which the next job ends, or None."""
         while self.running and self.running[0][2].state != "working":
             heappop(self.running)
         return self.running[0][0] if self.running else None
 
     def collect_finished(self):
         """Move the jobs whose work is done to ``finished``."""
-        while (ends := self.next_end()) is not None and ends <= self.v:
+        while (ends := self.next_end()) is not None and ends <= self.virtual_time:
             job = heappop(self.running)[2]
             job.state = "done"
-            self.working -= 1
+            self.active_jobs -= 1
             self.finished.append(job)
 
     def arrive(self, now, job):
-        """Admit a job; return TAKEN, QUEUED or TURNED_AWAY (it never runs)."""
+        """Admit a job; return STARTED, QUEUED or REJECTED (it never runs)."""
         self.advance(now)
         spec = self.spec
-        self.offered *= exp((self.offered_at - now) / (spec.fall_s * S))
-        self.offered_at = now
-        self.offered += job.work
+        self.offered_work *= exp((self.offered_work_at - now) / (spec.fall_s * S))
+        self.offered_work_at = now
+        self.offered_work += job.work
         job.arrived_at = now
         if spec.fall_multiple and self.cold_since is not None:
             present = self.warmth(now) * spec.cores * spec.speed * spec.fall_s * S
             # Allow the work of three more jobs, so that a few jobs at once are no overload.
             if (
                 self.cold_since is not None
-                and self.offered > spec.fall_multiple * present + 3 * job.work
+                and self.offered_work > spec.fall_multiple * present + 3 * job.work
             ):
-                self.fell = True
-        if self.held >= spec.slots:
+                self.has_crashed = True
+        if self.slots_in_use >= spec.slots:
             if len(self.waiting) >= spec.queue:
-                return TURNED_AWAY
+                return REJECTED
             job.state = "waiting"
             self.waiting.append(job)
             self.update_crowding()
             return QUEUED
         self.begin(now, job)
         self.update_crowding()
-        return TAKEN
+        return STARTED
 
     def update_crowding(self):
         """Become crowded if at least ``crowd_at`` jobs run or wait."""
-        if self.spec.crowd_at and self.held + len(self.waiting) >= self.spec.crowd_at:
+        if self.spec.crowd_at and self.slots_in_use + len(self.waiting) >= self.spec.crowd_at:
             self.crowded = True
 
     def begin(self, now, job):
         """Give a job a slot and begin its work."""
-        job.state, job.began, job.ends_v = "working", now, self.v + job.work
-        self.held += 1
-        self.working += 1
+        job.state, job.began_at, job.ends_at_v = "working", now, self.virtual_time + job.work
+        self.slots_in_use += 1
+        self.active_jobs += 1
         self.sequence += 1
-        heappush(self.running, (job.ends_v, self.sequence, job))
+        heappush(self.running, (job.ends_at_v, self.sequence, job))
 
     def charge(self, now, work):
         """Do work besides the jobs, such as a handshake.
 
-        V is set back, which postpones the end of every running job.
+        Virtual time is set back, which postpones the end of every running job.
         """
         self.advance(now)
-        if self.working:
-            self.v -= min(work / max(self.spec.cores, self.working), self.v)
+        if self.active_jobs:
+            self.virtual_time -= min(
+                work / max(self.spec.cores, self.active_jobs), self.virtual_time
+            )
         self.done_work += work
 
     def abandon(self, now, job):
@@ -211,28 +226,28 @@
             job.state = "over"
             return True
         if job.state == "working" and self.spec.cancel_stops:
-            self.wasted_work += max(0.0, job.work - (job.ends_v - self.v))
+            self.wasted_work += max(0.0, job.work - (job.ends_at_v - self.virtual_time))
             job.state = "over"
-            self.working -= 1
-            self.release(now)
+            self.active_jobs -= 1
+            self.free_slot(now)
             return True
         if job.state == "working":
             self.wasted_work += job.work
         return False
 
-    def free(self, now, job):
+    def finish_job(self, now, job):
         """Release the slot of a job that ``due`` returned."""
         self.advance(now)
         if job.state == "done":
             job.state = "over"
-            self.release(now)
+            self.free_slot(now)
 
-    def release(self, now):
+    def free_slot(self, now):
         """Free one slot and begin waiting jobs."""
-        self.held -= 1
-        if not self.held:
+        self.slots_in_use -= 1
+        if not self.slots_in_use:
             self.idle_since = now
-        while self.waiting and self.held < self.spec.slots:
+        while self.waiting and self.slots_in_use < self.spec.slots:
             self.begin(now, self.waiting.popleft())
 
     def due(self, now):
@@ -242,7 +257,7 @@
         done, self.finished = self.finished, []
         return done
 
-    def next_at(self, now):
+    def next_due_at(self, now):
         """Return when to call ``due`` at the latest; None if no job is running."""
         ends, rate = self.next_end(), self.work_rate(now)
         if self.finished:
@@ -251,10 +266,10 @@
             return None
         if not rate:
             return now + PAUSED_CHECK_NS
-        at = now + max(1, int((ends - self.v) / rate) + 1)
+        at = now + max(1, int((ends - self.virtual_time) / rate) + 1)
         return min(at, now + MAX_COLD_STEP_NS) if self.cold_since is not None else at
 
-    def slow(self, now, factor):
+    def set_fault_factor(self, now, factor):
         """Set the factor that faults put on the speed; 0 pauses the machine."""
         self.advance(now)
         self.fault_factor = factor
@@ -263,7 +278,7 @@
         """Return the content of a load report."""
         self.advance(now)
         return {
-            "outstanding": self.held,
+            "outstanding": self.slots_in_use,
             "backlog": len(self.waiting),
-            "utilization": round(min(1.0, self.working / self.spec.cores), 3),
+            "utilization": round(min(1.0, self.active_jobs / self.spec.cores), 3),
         }
--- a/pepperhook/lab/upstream.py
+++ b/pepperhook/lab/upstream.py
@@ -18,9 +18,9 @@
 
 MS, S = 10**6, 10**9
 CHAIN_HEADER, CHAIN_RESULT_HEADER = b"pepperhook-chain", b"pepperhook-chain-result"
-TRIES = re.compile(rb"tries=(\d+)")
+ATTEMPT_COUNT = re.compile(rb"tries=(\d+)")
 RESTART_AFTER_OVERLOAD_S = 2.0
-MARGIN_MS = 5  # subtracted from the time limit that is sent to the next tier
+TIME_LIMIT_MARGIN_MS = 5  # subtracted from the time limit that is sent to the next tier
 NOT_PROCESSED = b"X-Not-Processed: 1\r\n"
 
 
@@ -29,7 +29,7 @@
 
     __slots__ = (
         "chain_results",
-        "began",
+        "began_at",
         "calls",
         "arrived_at",
         "chain_header",
@@ -37,7 +37,7 @@
         "connection",
         "deadline",
         "failed",
-        "first_byte",
+        "first_byte_at",
         "disconnected_at",
         "grade",
         "id",
@@ -48,7 +48,7 @@
     )
 
     chain_results: list  # chain result headers from the next tier
-    began: int  # 0: its work never began
+    began_at: int  # 0: its work never began
     calls: int  # calls to the next tier that have not ended
     arrived_at: int
     chain_header: bytes | None
@@ -56,7 +56,7 @@
     connection: Any  # the ServerConnection or ServerStream that it came on
     deadline: int  # when its time limit is over
     failed: bool  # a call to the next tier failed
-    first_byte: int
+    first_byte_at: int
     disconnected_at: int  # when its connection ended; 0: it has not
     grade: int  # index of its service class
     id: str
@@ -76,7 +76,7 @@
             None,
             wire.Messages(),
         )
-        self.open, self.first_byte, self.idle_at = None, 0, 0
+        self.open_attempt, self.first_byte_at, self.idle_at = None, 0, 0
 
     def connection_made(self, transport):
         self.transport = transport
@@ -95,22 +95,22 @@
     def data_received(self, data):
         upstream = self.upstream
         if not self.messages.begun:
-            self.first_byte = upstream.now()
+            self.first_byte_at = upstream.now()
             if data.startswith(b"PRI * HTTP/2.0"):
                 # HTTP/2 with prior knowledge.
                 from pepperhook.lab.wire2 import Http2ServerConnection
 
-                connection, self.open = Http2ServerConnection(upstream, self.caller), None
+                connection, self.open_attempt = Http2ServerConnection(upstream, self.caller), None
                 upstream.connections.discard(self)
                 self.transport.set_protocol(connection)
                 connection.connection_made(self.transport)
                 return connection.data_received(data)
-        if upstream.fault_applies("reset_before", self.first_byte):
+        if upstream.fault_applies("reset_before", self.first_byte_at):
             return self.abort()
         self.messages.feed(data)
         try:
             while (request := self.messages.next()) is not None:
-                if self.open is not None:
+                if self.open_attempt is not None:
                     raise wire.Broken("a second request before the response")
                 upstream.handle_request(self, *request)
         except (wire.Broken, ValueError) as problem:
@@ -130,8 +130,8 @@
 
     def connection_lost(self, problem):
         self.upstream.connections.discard(self)
-        if self.open is not None:
-            self.upstream.on_disconnect(self.open)
+        if self.open_attempt is not None:
+            self.upstream.on_disconnect(self.open_attempt)
 
 
 class Upstream:
@@ -143,7 +143,7 @@
         self.machine, self.connections, self.servers = None, set(), []
         self.down, self.unready, self.draining = True, False, False
         self.fails_checks = False  # health checks fail: true from the start of a drain
-        self.on = {}  # active faults by kind
+        self.active_faults = {}  # active faults by kind
         self.timer, self.pool, self.fillers, self.malformed_count = None, None, [], 0
         self.calls, self.first_chain_header = set(), None
         self.open_attempts = set()  # attempts whose event row has not been written
@@ -163,7 +163,7 @@
         A fault with a size applies to that fraction of the names, by a chance that depends on the
         seed and the name.
         """
-        fault = self.on.get(kind)
+        fault = self.active_faults.get(kind)
         if fault is None or not fault.size:
             return fault is not None
         # If all upstreams have the fault, the result depends on the name alone, so a request has
@@ -232,8 +232,8 @@
         # Each attempt is recorded here, once. Calls to the next tier that it waits for end with the
         # process and must not record it again.
         for attempt in list(self.open_attempts):
-            if attempt.connection.open is attempt:
-                attempt.connection.open = None
+            if attempt.connection.open_attempt is attempt:
+                attempt.connection.open_attempt = None
             self.record(attempt, "reset", attempt.disconnected_at or self.now())
         for call in list(self.calls):
             call.cancel()
@@ -251,17 +251,17 @@
         path, request_id = head.start[1], head.headers.get(b"x-request-id")
         if path in (b"/ping", b"/_load"):
             stage.book.add(events.Probe(self.tier, self.number, connection.caller, now))
-            connection.transport.write(self.told_load(path))
+            connection.transport.write(self.probe_response(path))
             return None
         name = path.split(b"/", 2)[1].partition(b"?")[0].decode()
         if request_id is None or name not in stage.grades:
             raise wire.Broken("no request id, or a path that names no service class")
         attempt = Attempt()
-        attempt.connection, attempt.id, attempt.grade, attempt.first_byte, attempt.arrived_at = (
+        attempt.connection, attempt.id, attempt.grade, attempt.first_byte_at, attempt.arrived_at = (
             connection,
             request_id.decode(),
             stage.grades[name],
-            connection.first_byte,
+            connection.first_byte_at,
             now,
         )
         limit = head.number(b"x-timeout-ms")
@@ -277,18 +277,18 @@
             attempt.calls,
             attempt.failed,
             attempt.disconnected_at,
-            attempt.began,
+            attempt.began_at,
             attempt.nonce,
             attempt.is_recorded,
         ) = 0, False, 0, 0, "", False
         attempt.delivery = stage.deliveries[attempt.id] = stage.deliveries.get(attempt.id, 0) + 1
         attempt.deadline = now + attempt.limit
-        connection.open = attempt
+        connection.open_attempt = attempt
         self.open_attempts.add(attempt)
         attempt.job = Job(
             chance.work_ns(stage.plan.seed, attempt.id, self.day.grades[attempt.grade]), attempt
         )
-        if self.on.get("hang") is not None and self.fault_applies(
+        if self.active_faults.get("hang") is not None and self.fault_applies(
             "hang", f"{attempt.id} {attempt.delivery}"
         ):
             return None
@@ -297,32 +297,35 @@
                 attempt, "turned away", wire.answer(503, b"draining\n", NOT_PROCESSED)
             )
         if self.fault_applies("errors", f"{attempt.id} {attempt.delivery}"):
-            attempt.began = now
+            attempt.began_at = now
             return self.respond(attempt, "error", wire.answer(500, b"error\n"))
         admission = self.machine.arrive(now, attempt.job)
-        if self.machine.fell:
+        if self.machine.has_crashed:
             # Overload while cold crashes the process; it restarts cold.
             self.record_event(
-                "fell over", text=f"cold, offered {self.machine.offered / S:.2f} s of work"
+                "fell over", text=f"cold, offered {self.machine.offered_work / S:.2f} s of work"
             )
             self.crash()
             asyncio.get_running_loop().call_later(
                 RESTART_AFTER_OVERLOAD_S, lambda: stage.spawn(self.start(cold=True))
             )
             return None
-        if admission == machine.TURNED_AWAY:
+        if admission == machine.REJECTED:
             return self.respond(attempt, "turned away", wire.answer(503, b"full\n", NOT_PROCESSED))
         self.set_timer()
 
-    def told_load(self, path):
-        """Return the response to a health check (``/ping``) or a load query (``/_load``)."""
+    def probe_response(self, path):
+        """Return the response to a health check (``/ping``) or a load query (``/_load``).
+
+        The fault stale_report repeats the last report before it; lost_report fails the query.
+        """
         if path == b"/ping":
             return wire.answer(503 if self.fails_checks or self.unready else 200, b"pong\n")
-        if "lost_report" in self.on:
+        if "lost_report" in self.active_faults:
             return wire.answer(503)
-        if "stale_report" not in self.on or not hasattr(self, "stale"):
-            self.stale = self.machine.report(self.now())
-        return wire.answer(200, events.msgspec.json.encode(self.stale))
+        if "stale_report" not in self.active_faults or not hasattr(self, "last_report"):
+            self.last_report = self.machine.report(self.now())
+        return wire.answer(200, events.msgspec.json.encode(self.last_report))
 
     def set_timer(self):
         """Set the timer for the machine's next event."""
@@ -331,7 +334,7 @@
             self.timer = None
         if self.down:
             return
-        at = self.machine.next_at(self.now())
+        at = self.machine.next_due_at(self.now())
         if at is not None:
             loop = asyncio.get_running_loop()
             self.timer = loop.call_at(loop.time() + max(0, at - self.now()) / S, self.on_timer)
@@ -345,11 +348,11 @@
 
     def on_work_done(self, attempt):
         """Handle the end of the work here: call the next tier, or respond."""
-        attempt.began = attempt.job.began
+        attempt.began_at = attempt.job.began_at
         settings = self.day.tiers[self.tier]
         # heeds_leaving: work stops when the client disconnects.
         if attempt.disconnected_at and settings.heeds_leaving:
-            self.machine.free(self.now(), attempt.job)
+            self.machine.finish_job(self.now(), attempt.job)
             return self.record(attempt, "given up", attempt.disconnected_at)
         last = self.tier + 1 == len(self.day.tiers)
         if self.pool is not None and (
@@ -363,10 +366,10 @@
             return None
         self.reply(attempt)
 
-    def on_call_ended(self, attempt, is_good):
+    def on_call_ended(self, attempt, has_succeeded):
         """Handle the end of one call to the next tier; respond after the last one."""
         attempt.calls -= 1
-        attempt.failed = attempt.failed or not is_good
+        attempt.failed = attempt.failed or not has_succeeded
         if attempt.is_recorded:
             return  # its process died: the attempt is recorded, the machine with its slot is gone
         if not attempt.calls:
@@ -376,7 +379,7 @@
     def reply(self, attempt):
         """Release the slot and respond: served, error, or as an active fault requires."""
         settings, now = self.day.tiers[self.tier], self.now()
-        self.machine.free(now, attempt.job)
+        self.machine.finish_job(now, attempt.job)
         fails_at_random = (
             settings.fail
             and chance.share(
@@ -416,7 +419,7 @@
         # bytes; half: the connection closes in the middle.
         kinds = ("short", "noise", "no_length", "two_lengths", "large", "half")
         self.malformed_count += 1
-        kind = self.on["spoilt"].kind or kinds[self.malformed_count % len(kinds)]
+        kind = self.active_faults["spoilt"].kind or kinds[self.malformed_count % len(kinds)]
         valid = wire.answer(200, body)
         return {
             "short": wire.answer(200, body + b"x" * 40)[:-40],
@@ -431,7 +434,7 @@
     def respond(self, attempt, outcome, data):
         """Send a response (None resets the connection) and record the attempt."""
         connection = attempt.connection
-        connection.open = None
+        connection.open_attempt = None
         if data is None:
             connection.abort()
         elif not connection.transport.is_closing():
@@ -445,8 +448,8 @@
         """Record an attempt's only event row; the auditor counts a second as a second execution."""
         attempt.is_recorded = True
         self.open_attempts.discard(attempt)
-        began = attempt.began or attempt.job.began
-        worked = int(attempt.job.work) if began and outcome not in ("hung", "turned away") else 0
+        began_at = attempt.began_at or attempt.job.began_at
+        worked = int(attempt.job.work) if began_at and outcome not in ("hung", "turned away") else 0
         self.stage.book.add(
             events.Work(
                 self.tier,
@@ -454,24 +457,24 @@
                 attempt.connection.caller,
                 attempt.id,
                 attempt.grade,
-                attempt.first_byte,
+                attempt.first_byte_at,
                 attempt.arrived_at,
                 ended,
                 outcome,
-                began,
+                began_at,
                 worked,
                 attempt.nonce,
                 attempt.disconnected_at,
-                self.now() if began else 0,
+                self.now() if began_at else 0,
                 int(found[1])
-                if attempt.chain_header and (found := TRIES.search(attempt.chain_header))
+                if attempt.chain_header and (found := ATTEMPT_COUNT.search(attempt.chain_header))
                 else -1,
             )
         )
 
     def on_disconnect(self, attempt):
         """Handle a connection that ended before the response: client left or process died."""
-        attempt.connection.open = None
+        attempt.connection.open_attempt = None
         attempt.disconnected_at = self.now()
         if self.down:
             return self.record(attempt, "reset", attempt.disconnected_at)
@@ -480,12 +483,12 @@
         if not self.day.tiers[self.tier].heeds_leaving:
             attempt.job.abandoned = True
             return None
-        began = attempt.job.began
+        began_at = attempt.job.began_at
         is_over = self.machine.abandon(attempt.disconnected_at, attempt.job)
         for call in [call for call in self.calls if call.parent is attempt]:
             call.cancel()
         if is_over:
-            attempt.began = began
+            attempt.began_at = began_at
             self.record(attempt, "given up", attempt.disconnected_at)
         self.set_timer()
 
@@ -495,7 +498,7 @@
         for connection in [
             connection
             for connection in self.connections
-            if connection.open is None and connection.idle_at < oldest_allowed
+            if connection.open_attempt is None and connection.idle_at < oldest_allowed
         ]:
             connection.transport.close()
 
@@ -506,9 +509,9 @@
         what, now = fault.what, self.now()
         self.record_event(what, on)
         if on:
-            self.on[what] = fault
+            self.active_faults[what] = fault
         else:
-            self.on.pop(what, None)
+            self.active_faults.pop(what, None)
         if what in LIFECYCLE_FAULTS:
             return  # the tier's timeline starts and ends the process, see apply_transition
         if what == "unready":
@@ -522,7 +525,9 @@
             else:
                 self.unready = False
         elif what in ("slow", "pause"):
-            self.machine.slow(now, (0.0 if what == "pause" else fault.size or 0.2) if on else 1.0)
+            self.machine.set_fault_factor(
+                now, (0.0 if what == "pause" else fault.size or 0.2) if on else 1.0
+            )
             self.set_timer()
         elif what == "crowd":
             self.machine.advance(now)
@@ -568,20 +573,20 @@
     """One request to the next tier's balancer.
 
     Its time limit is the parent attempt's remaining time, or with ``tells_time`` off the service
-    class's whole limit, in both cases less MARGIN_MS. It implements the exchange interface that
+    class's whole limit, in both cases less TIME_LIMIT_MARGIN_MS. It implements the exchange interface that
     wire.Pool describes.
     """
 
     def __init__(self, upstream, parent, number):
         self.upstream, self.parent, self.over, self.link = upstream, parent, False, None
         self.id = f"{parent.id}-{parent.delivery}{'abcdefgh'[number]}"
-        self.begun = upstream.now()
+        self.begun_at = upstream.now()
         forwards_limit = upstream.day.tiers[upstream.tier].tells_time
         self.limit = (
-            parent.deadline - self.begun
+            parent.deadline - self.begun_at
             if forwards_limit
             else int(upstream.day.grades[parent.grade].time_limit_ms * MS)
-        ) - MARGIN_MS * MS
+        ) - TIME_LIMIT_MARGIN_MS * MS
         self.timer = None
 
     def begin(self):
@@ -665,8 +670,8 @@
                     0,
                     self.parent.grade,
                     -1,
-                    self.begun,
-                    self.begun,
+                    self.begun_at,
+                    self.begun_at,
                     upstream.now(),
                     kind,
                     status,
@@ -675,5 +680,5 @@
                     note,
                 )
             )
-        is_good = status == 200 and f".{self.id}." in body.decode(errors="replace")
-        upstream.on_call_ended(self.parent, is_good)
+        has_succeeded = status == 200 and f".{self.id}." in body.decode(errors="replace")
+        upstream.on_call_ended(self.parent, has_succeeded)
--- a/pepperhook/lab/wire2.py
+++ b/pepperhook/lab/wire2.py
@@ -178,7 +178,14 @@
     """
 
     def __init__(self, upstream, caller):
-        self.upstream, self.caller, self.transport, self.streams, self.idle_at, self.open = (
+        (
+            self.upstream,
+            self.caller,
+            self.transport,
+            self.streams,
+            self.idle_at,
+            self.open_attempt,
+        ) = (
             upstream,
             caller,
             None,
@@ -251,14 +258,14 @@
     """
 
     def __init__(self, connection, number, headers):
-        self.connection, self.stream, self.caller, self.open, self.idle_at = (
+        self.connection, self.stream, self.caller, self.open_attempt, self.idle_at = (
             connection,
             number,
             connection.caller,
             None,
             0,
         )
-        self.first_byte, self.transport = connection.upstream.now(), self
+        self.first_byte_at, self.transport = connection.upstream.now(), self
         self.headers = {name.encode(): value.encode() for name, value in headers.items()}
         self.start = [self.headers[b":method"], self.headers[b":path"]]
 
@@ -329,8 +336,8 @@
                 self.connection.flush()
             except h2.exceptions.ProtocolError:
                 pass
-            if self.open is not None:
-                self.connection.upstream.on_disconnect(self.open)
+            if self.open_attempt is not None:
+                self.connection.upstream.on_disconnect(self.open_attempt)
 
     def remove(self):
         """Remove the stream from its connection and its upstream."""
@@ -341,5 +348,5 @@
     def on_end(self):
         """Handle the end of the stream by the client or of its connection."""
         self.remove()
-        if self.open is not None:
-            self.connection.upstream.on_disconnect(self.open)
+        if self.open_attempt is not None:
+            self.connection.upstream.on_disconnect(self.open_attempt)
--- a/tests/lab/test_upstream.py
+++ b/tests/lab/test_upstream.py
@@ -26,8 +26,8 @@
     """Hand a request to the stand-in; return its attempt."""
     transport = SimpleNamespace(is_closing=always(False), write=always(None))
     connection = SimpleNamespace(
-        open=None,
-        first_byte=time.monotonic_ns(),
+        open_attempt=None,
+        first_byte_at=time.monotonic_ns(),
         caller=0,
         transport=transport,
         idle_at=0,
@@ -37,7 +37,7 @@
         start=[b"GET", b"/look", b""], headers={b"x-request-id": b"a"}, number=always(400)
     )
     upstream.handle_request(connection, head, b"")
-    return connection.open
+    return connection.open_attempt
 
 
 async def test_attempt_that_waits_for_the_next_tier_when_its_process_dies_is_recorded_once(
@@ -50,7 +50,7 @@
     assert isinstance(attempt, Attempt) and upstream.open_attempts == {attempt}
     await wait_until(lambda: upstream.calls)
     call = next(iter(upstream.calls))
-    assert isinstance(call, Call) and upstream.machine.held == 1
+    assert isinstance(call, Call) and upstream.machine.slots_in_use == 1
 
     upstream.crash()
     # The next process has a machine of its own.
@@ -61,5 +61,5 @@
 
     rows = [row for row in events.read(tmp_path) if isinstance(row, events.Work)]
     assert [row.outcome for row in rows] == ["reset"]
-    assert next_machine.held == 0
+    assert next_machine.slots_in_use == 0
     assert not upstream.open_attempts
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -325,18 +325,18 @@
     upstream.machine = Machine(upstream.spec, time.monotonic_ns())
 
     def poll():
-        head, _, body = upstream.told_load(b"/_load").partition(b"\r\n\r\n")
+        head, _, body = upstream.probe_response(b"/_load").partition(b"\r\n\r\n")
         return int(head.split()[1]), json.loads(body)["outstanding"] if body else None
 
     assert poll() == (200, 0)
-    upstream.on["stale_report"] = Trouble(what="stale_report", at=0)
+    upstream.active_faults["stale_report"] = Trouble(what="stale_report", at=0)
     upstream.machine.arrive(time.monotonic_ns(), Job(S, None))
     assert poll() == (200, 0)
-    del upstream.on["stale_report"]
+    del upstream.active_faults["stale_report"]
     assert poll() == (200, 1)
-    upstream.on["lost_report"] = Trouble(what="lost_report", at=0)
+    upstream.active_faults["lost_report"] = Trouble(what="lost_report", at=0)
     assert poll() == (503, None)
-    del upstream.on["lost_report"]
+    del upstream.active_faults["lost_report"]
     assert poll() == (200, 1)
     stage.book.close()
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -60,27 +60,27 @@
 # The model of an upstream's machine.
 
 
-def run(box, ends, step=MS):
+def run(model, ends, step=MS):
     """Advance a machine by its own wake-ups; return {job: time at which it was done}, in ns."""
-    done, now = {}, box.at
+    done, now = {}, model.advanced_to
     while now < ends:
-        at = box.next_at(now)
+        at = model.next_due_at(now)
         now = ends if at is None else min(ends, max(now + 1, at))
-        for job in box.due(now):
+        for job in model.due(now):
             done[job] = now
-            box.free(now, job)
+            model.finish_job(now, job)
     return done
 
 
 def test_jobs_share_cores_evenly_and_none_gets_more_than_one():
-    box, jobs = Machine(Spec(cores=2, connect_work_ms=0), 0), [Job(10 * MS, n) for n in range(4)]
+    model, jobs = Machine(Spec(cores=2, connect_work_ms=0), 0), [Job(10 * MS, n) for n in range(4)]
     for job in jobs:
-        assert box.arrive(0, job) == machine.TAKEN
-    done = run(box, S)
+        assert model.arrive(0, job) == machine.STARTED
+    done = run(model, S)
     assert [round(done[job] / MS) for job in jobs] == [20] * 4
     alone = Job(10 * MS, 9)
-    box.arrive(S, alone)
-    assert round((run(box, 2 * S)[alone] - S) / MS) == 10
+    model.arrive(S, alone)
+    assert round((run(model, 2 * S)[alone] - S) / MS) == 10
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -93,78 +93,82 @@
         cancel_stops=chance.random() < 0.5,
         crowd_at=chance.choice([0, 4]),
     )
-    box, now, taken, finished, turned_away = Machine(spec, 0), 0, [], set(), 0
+    model, now, accepted, finished, rejected = Machine(spec, 0), 0, [], set(), 0
     for _ in range(400):
         now += chance.randrange(0, 6 * MS)
-        for job in box.due(now):
+        for job in model.due(now):
             assert job.state == "done" and job not in finished
             finished.add(job)
-            box.free(now, job)
+            model.finish_job(now, job)
         if chance.random() < 0.6:
             job = Job(chance.randrange(MS, 20 * MS), None)
-            answer = box.arrive(now, job)
-            turned_away += answer == machine.TURNED_AWAY
-            if answer != machine.TURNED_AWAY:
-                taken.append(job)
-        elif taken and chance.random() < 0.3:
-            job = chance.choice(taken)
+            admission = model.arrive(now, job)
+            rejected += admission == machine.REJECTED
+            if admission != machine.REJECTED:
+                accepted.append(job)
+        elif accepted and chance.random() < 0.3:
+            job = chance.choice(accepted)
             if (
                 job not in finished
                 and job.state in ("working", "waiting")
-                and box.abandon(now, job)
+                and model.abandon(now, job)
             ):
                 finished.add(job)
-        assert box.held <= spec.slots and len(box.waiting) <= spec.queue
-        assert box.working == sum(job.state == "working" for job in taken) <= box.held
+        assert model.slots_in_use <= spec.slots and len(model.waiting) <= spec.queue
+        assert (
+            model.active_jobs
+            == sum(job.state == "working" for job in accepted)
+            <= model.slots_in_use
+        )
         # The cores can't have done more work than the elapsed time allows.
-        assert box.done_work <= spec.cores * spec.speed * now + 1000
-    finished |= set(run(box, now + 100 * S))
-    assert finished == set(taken) and not box.held and not box.waiting
+        assert model.done_work <= spec.cores * spec.speed * now + 1000
+    finished |= set(run(model, now + 100 * S))
+    assert finished == set(accepted) and not model.slots_in_use and not model.waiting
 
 
 def test_cold_machine_warms_up_and_fails_when_overloaded():
     spec = Spec(cores=1, start_capacity=0.2, warm_s=2, fall_multiple=2, fall_s=1)
-    box = Machine(spec, 0, cold=True)
+    model = Machine(spec, 0, cold=True)
     assert (
-        box.warmth(0) == pytest.approx(0.2)
-        and box.warmth(S) == pytest.approx(0.6)
-        and box.warmth(2 * S) == 1
+        model.warmth(0) == pytest.approx(0.2)
+        and model.warmth(S) == pytest.approx(0.6)
+        and model.warmth(2 * S) == 1
     )
     # With little work, a cold machine stays up.
-    box = Machine(spec, 0, cold=True)
+    model = Machine(spec, 0, cold=True)
     for at in range(20):
-        box.arrive(at * 10 * MS, Job(5 * MS, at))
-    assert not box.fell
+        model.arrive(at * 10 * MS, Job(5 * MS, at))
+    assert not model.has_crashed
     # More than fall_multiple of its present capacity makes it fail.
     for at in range(60):
-        box.arrive(S // 5 + at * MS, Job(20 * MS, at))
-    assert box.fell
+        model.arrive(S // 5 + at * MS, Job(20 * MS, at))
+    assert model.has_crashed
     # A warm machine stays up.
     warm = Machine(spec, 0)
     for at in range(200):
         warm.arrive(at, Job(20 * MS, at))
-    assert not warm.fell
+    assert not warm.has_crashed
 
 
 def test_crowded_machine_stays_slow_until_it_has_been_idle():
-    box = Machine(Spec(cores=1, crowd_at=3, crowd_speed=0.5, crowd_rest_s=1), 0)
+    model = Machine(Spec(cores=1, crowd_at=3, crowd_speed=0.5, crowd_rest_s=1), 0)
     for n in range(3):
-        box.arrive(0, Job(10 * MS, n))
-    assert max(run(box, S // 10).values()) == pytest.approx(60 * MS, rel=0.01)
+        model.arrive(0, Job(10 * MS, n))
+    assert max(run(model, S // 10).values()) == pytest.approx(60 * MS, rel=0.01)
     late, soon = Job(10 * MS, 5), Job(10 * MS, 4)
-    box.arrive(S // 2, soon)
-    assert run(box, S)[soon] - S // 2 == pytest.approx(20 * MS, rel=0.01)
-    box.arrive(3 * S, late)
-    assert run(box, 4 * S)[late] - 3 * S == pytest.approx(10 * MS, rel=0.01)
+    model.arrive(S // 2, soon)
+    assert run(model, S)[soon] - S // 2 == pytest.approx(20 * MS, rel=0.01)
+    model.arrive(3 * S, late)
+    assert run(model, 4 * S)[late] - 3 * S == pytest.approx(10 * MS, rel=0.01)
 
 
 def test_paused_machine_resumes_its_work():
-    box, job = Machine(Spec(cores=1), 0), Job(10 * MS, 0)
-    box.arrive(0, job)
-    box.slow(5 * MS, 0.0)
-    assert not run(box, S)
-    box.slow(S, 1.0)
-    assert run(box, 2 * S)[job] == pytest.approx(S + 5 * MS, abs=MS)
+    model, job = Machine(Spec(cores=1), 0), Job(10 * MS, 0)
+    model.arrive(0, job)
+    model.set_fault_factor(5 * MS, 0.0)
+    assert not run(model, S)
+    model.set_fault_factor(S, 1.0)
+    assert run(model, 2 * S)[job] == pytest.approx(S + 5 * MS, abs=MS)
 
 
 # Experiments.
