--- a/pepperhook/lab/call_queue.py
+++ b/pepperhook/lab/call_queue.py
@@ -49,7 +49,7 @@
         """Return the work of a response with that many lines."""
         return self.call_cost_s + lines * self.line_cost_s
 
-    def enter(self, now: float, lines: int, slow_call_s: float = 0.0) -> Admission | None:
+    def admit(self, now: float, lines: int, slow_call_s: float = 0.0) -> Admission | None:
         """Admit a poll, or refuse it (None).
 
         A ``slow_call_s`` above ``call_cost_s`` replaces it.
--- a/pepperhook/lab/discovery.py
+++ b/pepperhook/lab/discovery.py
@@ -22,7 +22,7 @@
 UNKNOWN_STATE_ROW = {"host": "odd", "dial": "127.0.0.1:9", "health": "warming"}
 
 
-class Catalog:
+class EndpointList:
     """The present endpoint list of one tier, and its change log."""
 
     def __init__(self, plan, tier):
@@ -58,7 +58,7 @@
         at = bisect.bisect_right(self.log, (since, "\uffff"))
         return list(dict.fromkeys(name for _, name in self.log[at:])), False
 
-    def told(self, since, caller):
+    def response_for(self, since, caller):
         """Return the response document and the (number, state) pairs that it tells the caller."""
         names, is_whole_list = self.hosts_for_response(since)
         rows = []
@@ -95,14 +95,15 @@
 
     def __init__(self, plan, book):
         self.plan, self.book, self.tasks, self.servers = plan, book, set(), {}
-        self.catalogs = [Catalog(plan, tier) for tier in range(len(plan.day.tiers))]
-        # slow: seconds a call takes, 0 for the usual time; lag: delay of list changes in seconds;
-        # active_address: index of the address that answers.
-        self.down, self.slow, self.lag, self.active_address = False, 0.0, 0.0, 0
+        self.endpoint_lists = [EndpointList(plan, tier) for tier in range(len(plan.day.tiers))]
+        # slow_call_s: duration of a call, 0 for the usual one; lag_s: delay of list changes;
+        # active_address_index: which address answers.
+        self.down, self.slow_call_s, self.lag_s, self.active_address_index = False, 0.0, 0.0, 0
         self.call_lock, self.waiting_polls = asyncio.Lock(), 0
         # The capacity is limited only from the run's start on, so that all balancers can start.
         self.queue = None
-        self.refused, self.polls = 0.0, 0  # the fraction of polls that a fault refuses; all polls
+        # refused_share: the fraction of polls that a fault refuses.
+        self.refused_share, self.poll_count = 0.0, 0
         self.is_silent, self.silence_ended_at = False, -inf
         self.open_watches = {}  # the event rows of open watches, by a key object per watch
         self.writers = set()
@@ -125,12 +126,12 @@
                     )
                 )
 
-    def begin(self, start):
+    def schedule(self, start):
         """Schedule all changes and faults; ``start`` is in monotonic nanoseconds."""
         self.queue = CallQueue.of(self.plan.day.discovery)
-        for tier, catalog in enumerate(self.catalogs):
-            for listing in Timeline.of(self.plan.day, tier).listings:
-                self.spawn(self.change(start, catalog, listing))
+        for tier, endpoint_list in enumerate(self.endpoint_lists):
+            for change in Timeline.of(self.plan.day, tier).listings:
+                self.spawn(self.apply_change(start, endpoint_list, change))
         for fault in self.plan.day.troubles:
             if fault.what in experiment.OF_DISCOVERY:
                 self.spawn(self.run_fault(start, fault))
@@ -141,47 +142,49 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def change(self, start, catalog, listing):
+    async def apply_change(self, start, endpoint_list, change):
         """Apply one change of the endpoint list at its time, after the present lag."""
-        await self.until(start, listing.at)
-        await asyncio.sleep(self.lag)
+        await self.sleep_until(start, change.at)
+        await asyncio.sleep(self.lag_s)
         # The platform reports start times in Unix time.
-        unix = time.time() - (time.monotonic_ns() - start) / S
-        started_ms = None if listing.started_at is None else int((unix + listing.started_at) * 1000)
-        catalog.change(listing.number, listing.host, listing.state, started_ms)
-        what = f"listed {listing.state}"
-        self.book.add(events.Happened(time.monotonic_ns(), what, catalog.tier, listing.number))
+        start_unix_s = time.time() - (time.monotonic_ns() - start) / S
+        started_ms = (
+            None if change.started_at is None else int((start_unix_s + change.started_at) * 1000)
+        )
+        endpoint_list.change(change.number, change.host, change.state, started_ms)
+        what = f"listed {change.state}"
+        self.book.add(events.Happened(time.monotonic_ns(), what, endpoint_list.tier, change.number))
 
     async def run_fault(self, start, fault):
         """Begin one fault at its time and end it; a move does not end."""
-        await self.until(start, fault.at)
+        await self.sleep_until(start, fault.at)
         self.book.add(events.Happened(time.monotonic_ns(), fault.what, -1, -1))
         if fault.what == "discovery_outage":
             self.down = True
             for writer in list(self.writers):
                 writer.transport.abort()
         elif fault.what == "discovery_slow":
-            self.slow = fault.size or 0.5
+            self.slow_call_s = fault.size or 0.5
         elif fault.what == "discovery_lag":
-            self.lag = fault.size or 3.0
+            self.lag_s = fault.size or 3.0
         elif fault.what == "discovery_refused":
-            self.refused = fault.size or 1.0
+            self.refused_share = fault.size or 1.0
         elif fault.what == "discovery_silence":
             self.is_silent = True
         else:  # discovery_move: the service answers at another address from now on
             await self.listen(1)
-            self.active_address = 1
+            self.active_address_index = 1
             return
-        await self.until(start, fault.at + fault.for_)
+        await self.sleep_until(start, fault.at + fault.for_)
         self.book.add(events.Happened(time.monotonic_ns(), fault.what, -1, -1, False))
         if fault.what == "discovery_refused":
-            self.refused = 0.0
+            self.refused_share = 0.0
         elif fault.what == "discovery_silence":
             self.is_silent, self.silence_ended_at = False, time.monotonic()
         else:
-            self.down, self.slow, self.lag = False, 0.0, 0.0
+            self.down, self.slow_call_s, self.lag_s = False, 0.0, 0.0
 
-    async def until(self, start, at):
+    async def sleep_until(self, start, at):
         """Sleep until ``at`` seconds after the start."""
         await asyncio.sleep(max(0.0, start / S + at - time.monotonic_ns() / S))
 
@@ -198,7 +201,7 @@
                     break
                 messages.feed(data)
                 while (request := messages.next()) is not None:
-                    if not await self.answer(request[0], writer, tier, caller, address_index):
+                    if not await self.answer_poll(request[0], writer, tier, caller, address_index):
                         while await reader.read(65536):
                             pass  # until the caller closes the connection
                         return
@@ -208,9 +211,12 @@
             self.writers.discard(writer)
             writer.close()
 
-    async def answer(self, head, writer, tier, caller, address_index):
+    async def answer_poll(self, head, writer, tier, caller, address_index):
         """Answer one poll; return False if a silence fault keeps it unanswered."""
-        catalog, query = self.catalogs[tier], parse_qs(urlsplit(head.start[1].decode()).query)
+        endpoint_list, query = (
+            self.endpoint_lists[tier],
+            parse_qs(urlsplit(head.start[1].decode()).query),
+        )
         since = int(query["since"][0]) if "since" in query else None
         arrived_at = time.monotonic()
         if is_refused := self.count_and_check_refusal(caller):
@@ -218,13 +224,13 @@
         else:
             if since is not None:
                 wait_s = int(query.get("timeout_ms", ["0"])[0]) / 1000
-                await self.wait_for_change(catalog, since, wait_s, caller)
+                await self.wait_for_change(endpoint_list, since, wait_s, caller)
                 if self.is_silent or arrived_at < self.silence_ended_at:
                     return False
             # When the service begins to answer.
             reached_at = time.monotonic_ns()
-            is_refused = not await self.wait_for_response(catalog, since)
-        is_unavailable = is_refused or self.down or self.active_address > address_index
+            is_refused = not await self.wait_for_response(endpoint_list, since)
+        is_unavailable = is_refused or self.down or self.active_address_index > address_index
         self.book.add(
             events.Asked(
                 tier,
@@ -244,7 +250,7 @@
                 )
             )
             return True
-        document, states = catalog.told(since, caller)
+        document, states = endpoint_list.response_for(since, caller)
         writer.write(wire.answer(200, msgspec.json.encode(document)))
         now = time.monotonic_ns()
         for number, state in states:
@@ -253,19 +259,22 @@
 
     def count_and_check_refusal(self, caller):
         """Count a poll and return whether a fault refuses it, at random by the plan's seed."""
-        self.polls += 1
-        return chance.share(self.plan.seed, "discovery", caller, self.polls) < self.refused
+        self.poll_count += 1
+        return (
+            chance.share(self.plan.seed, "discovery", caller, self.poll_count) < self.refused_share
+        )
 
-    async def wait_for_change(self, catalog, since, wait_s, caller):
+    async def wait_for_change(self, endpoint_list, since, wait_s, caller):
         """Keep a watch open until the list changes, it times out or the service goes down."""
         wait_s = min(wait_s, self.plan.day.discovery.longest_watch_s or inf)
         deadline, watch = time.monotonic() + wait_s, object()
-        self.open_watches[watch] = events.Held(catalog.tier, caller, time.monotonic_ns(), 0)
+        self.open_watches[watch] = events.Held(endpoint_list.tier, caller, time.monotonic_ns(), 0)
         try:
-            while since == catalog.seq and time.monotonic() < deadline and not self.down:
+            while since == endpoint_list.seq and time.monotonic() < deadline and not self.down:
                 with suppress(TimeoutError):
                     await asyncio.wait_for(
-                        catalog.changed.wait(), max(0.001, min(0.5, deadline - time.monotonic()))
+                        endpoint_list.changed.wait(),
+                        max(0.001, min(0.5, deadline - time.monotonic())),
                     )
         finally:
             self.record_watch(watch)
@@ -276,14 +285,16 @@
             row.ended = time.monotonic_ns()
             self.book.add(row)
 
-    async def wait_for_response(self, catalog, since):
+    async def wait_for_response(self, endpoint_list, since):
         """Wait until the response to a poll is ready; return False if the service rejects the poll.
 
         It also returns False if the poll times out at the service.
         """
         if self.queue is not None:
             now = time.monotonic()
-            admission = self.queue.enter(now, len(catalog.hosts_for_response(since)[0]), self.slow)
+            admission = self.queue.admit(
+                now, len(endpoint_list.hosts_for_response(since)[0]), self.slow_call_s
+            )
             if admission is None:
                 return False
             await asyncio.sleep(admission.answer_at - now)
@@ -295,7 +306,7 @@
         try:
             async with self.call_lock:
                 # The service handles one call at a time, of all tiers and callers.
-                await asyncio.sleep(self.slow or settings.answer_ms / 1000)
+                await asyncio.sleep(self.slow_call_s or settings.answer_ms / 1000)
         finally:
             self.waiting_polls -= 1
         return True
--- a/pepperhook/lab/instances.py
+++ b/pepperhook/lab/instances.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class ListChange:
     """One change of the endpoint list; ``started_at`` is None if the start time is unchanged."""
 
     at: float
@@ -137,7 +137,7 @@
     def _step(self, change: Change) -> None:
         self.steps.append(Step(change.at, self.number, change.transition))
 
-    def listings(self, notice_s: float) -> Iterator[Listing]:
+    def list_changes(self, notice_s: float) -> Iterator[ListChange]:
         """Yield the changes of the endpoint list.
 
         Starts and unplanned ends are listed with a delay of ``notice_s``.
@@ -148,7 +148,7 @@
             listed_at = instance.started_at + notice_s
             if listed_at < instance.ended_at:
                 listed.add(instance.host)
-                yield from self._states(instance, listed_at)
+                yield from self._state_changes(instance, listed_at)
             gone_at = instance.ended_at + (0 if instance.is_released else notice_s)
             # A restart under the same host name before gone_at hides the end.
             is_noticed = (
@@ -158,16 +158,16 @@
             )
             if gone_at < inf and is_noticed and instance.host in listed:
                 listed.discard(instance.host)
-                yield Listing(gone_at, self.number, instance.host, GONE, None)
+                yield ListChange(gone_at, self.number, instance.host, GONE, None)
 
-    def _states(self, instance: Instance, listed_at: float) -> Iterator[Listing]:
+    def _state_changes(self, instance: Instance, listed_at: float) -> Iterator[ListChange]:
         if listed_at > -inf:
-            before = [state for at, state in instance.states if at <= listed_at]
-            state = before[-1] if before else READY
-            yield Listing(listed_at, self.number, instance.host, state, instance.started_at)
+            past_states = [state for at, state in instance.states if at <= listed_at]
+            state = past_states[-1] if past_states else READY
+            yield ListChange(listed_at, self.number, instance.host, state, instance.started_at)
         for at, state in instance.states:
             if at > listed_at:
-                yield Listing(at, self.number, instance.host, state, None)
+                yield ListChange(at, self.number, instance.host, state, None)
 
 
 @dataclass(frozen=True, slots=True)
@@ -207,7 +207,7 @@
     """The lifecycle steps of one tier's processes and the changes of its endpoint list."""
 
     steps: list[Step]
-    listings: list[Listing]
+    listings: list[ListChange]
 
     @classmethod
     def of(cls, day: Experiment, tier: int) -> Timeline:
@@ -219,15 +219,19 @@
             for number, at, ends_at in experiment.moments(day, fault):
                 changes.setdefault(number, []).extend(_changes(fault, index, at, ends_at))
         places = []
-        for number, rows in changes.items():
+        for number, place_changes in changes.items():
             place = Place(tier, number)
             places.append(place)
-            for change in sorted(rows, key=lambda row: row.at):
+            for change in sorted(place_changes, key=lambda change: change.at):
                 place.apply(change)
         return cls(
-            sorted((step for place in places for step in place.steps), key=lambda row: row.at),
+            sorted((step for place in places for step in place.steps), key=lambda step: step.at),
             sorted(
-                (row for place in places for row in place.listings(day.discovery.notice_s)),
-                key=lambda row: row.at,
+                (
+                    change
+                    for place in places
+                    for change in place.list_changes(day.discovery.notice_s)
+                ),
+                key=lambda change: change.at,
             ),
         )
--- a/pepperhook/lab/load.py
+++ b/pepperhook/lab/load.py
@@ -578,10 +578,10 @@
         }
 
 
-async def run(plan, folder, begin, where=None):
+async def run(plan, folder, wait_for_start, where=None):
     """Run the load from the shared start time until it is done or stdin closes; write load.json."""
     load = Load(plan, folder, where)
-    start, ended = await begin()
+    start, ended = await wait_for_start()
     playing = asyncio.ensure_future(load.play(start))
     await asyncio.wait([playing, ended], return_when=asyncio.FIRST_COMPLETED)
     playing.cancel()
@@ -594,11 +594,11 @@
 def main(arguments):
     import uvloop
 
-    from pepperhook.lab.stage import begin
+    from pepperhook.lab.stage import wait_for_start
 
     plan, folder = arguments[:2]
     address = (arguments[2], int(arguments[3])) if len(arguments) > 2 else None
-    uvloop.run(run(Plan.read(plan), folder, begin, address and (lambda: address)))
+    uvloop.run(run(Plan.read(plan), folder, wait_for_start, address and (lambda: address)))
 
 
 if __name__ == "__main__":
--- a/pepperhook/lab/network.py
+++ b/pepperhook/lab/network.py
@@ -14,16 +14,16 @@
 S = 10**9
 
 
-class Side(asyncio.Protocol):
+class RelaySide(asyncio.Protocol):
     """One of the two connections of a relayed connection; forwards what it reads to the other.
 
-    ``towards`` is the direction of that data: "on" to the target or "back" to the caller.
+    ``direction`` is the direction of that data: "to_target" or "to_caller".
     """
 
-    def __init__(self, relay, towards, other=None):
-        self.relay, self.towards, self.other, self.transport, self.pending = (
+    def __init__(self, relay, direction, other=None):
+        self.relay, self.direction, self.other, self.transport, self.pending = (
             relay,
-            towards,
+            direction,
             other,
             None,
             [],
@@ -42,7 +42,7 @@
         loop = asyncio.get_running_loop()
         try:
             _, other = await loop.create_connection(
-                lambda: Side(self.relay, "back", self), *self.relay.target
+                lambda: RelaySide(self.relay, "to_caller", self), *self.relay.target
             )
         except OSError:
             return self.transport.abort()
@@ -63,11 +63,11 @@
         # Dropped data is not sent later. TCP would retransmit it after the fault, but a balancer
         # has closed the connection by then.
         if (
-            relay.silent
-            or relay.deaf
-            and self.towards == "on"
-            or relay.mute
-            and self.towards == "back"
+            relay.drops_all
+            or relay.drops_to_target
+            and self.direction == "to_target"
+            or relay.drops_to_caller
+            and self.direction == "to_caller"
         ):
             self.lost = True
             return
@@ -99,32 +99,36 @@
         if self.other is not None and not self.other.transport.is_closing():
             self.other.transport.write(data)
 
-    def connection_lost(self, problem):
+    def connection_lost(self, error):
         self.relay.sides.discard(self)
         # A silent relay does not forward the close or reset of a connection either.
-        if self.other is not None and not self.relay.silent and self.other.transport is not None:
-            self.other.transport.abort() if problem else self.other.transport.close()
+        if self.other is not None and not self.relay.drops_all and self.other.transport is not None:
+            self.other.transport.abort() if error else self.other.transport.close()
 
 
 class Relay:
     """The relay between one caller and one upstream, with its active faults."""
 
-    ends: tuple  # the zones of its upstream and of its caller
+    zones: tuple  # the zones of its upstream and of its caller
 
     def __init__(self, network, target):
         self.network, self.target, self.sides, self.server = network, target, set(), None
         self.address, self.fillers = None, []
-        # deaf: drops data to the target; mute: drops data to the caller; silent: drops both.
-        self.delay_s, self.deaf, self.mute, self.silent = 0.0, False, False, False
+        self.delay_s, self.drops_to_target, self.drops_to_caller, self.drops_all = (
+            0.0,
+            False,
+            False,
+            False,
+        )
 
     async def open(self, address):
         """Listen on the address."""
         self.address = address
         self.server = await asyncio.get_running_loop().create_server(
-            lambda: Side(self, "on"), *address, backlog=512, reuse_address=True
+            lambda: RelaySide(self, "to_target"), *address, backlog=512, reuse_address=True
         )
 
-    def shut(self):
+    def block(self):
         """Make new connections time out, as if the target were unreachable."""
         self.server.close()
         self.fillers = wire.fill_backlog(self.address)
@@ -135,7 +139,7 @@
             self.fillers.pop().close()
         await self.open(self.address)
 
-    def cut(self):
+    def abort_connections(self):
         """Abort all connections."""
         for side in list(self.sides):
             side.transport.abort()
@@ -160,13 +164,13 @@
                 for caller in range(experiment.callers(self.plan.day, tier)):
                     relay = Relay(self, self.plan.upstream(tier, number, caller))
                     await relay.open(self.plan.relay(tier, number, caller))
-                    relay.ends = (
+                    relay.zones = (
                         experiment.zone(self.plan.day, number),
                         experiment.zone(self.plan.day, caller),
                     )
                     self.relays.setdefault((tier, number), []).append(relay)
 
-    def begin(self, start):
+    def schedule_faults(self, start):
         """Schedule the network faults; ``start`` is the run's start in monotonic nanoseconds."""
         for fault in self.plan.day.troubles:
             if fault.what in experiment.OF_NETWORK:
@@ -177,7 +181,7 @@
 
         net_apart is a partition: existing connections go silent and new ones time out.
         """
-        chosen = [
+        affected_relays = [
             relay
             for number in experiment.targets(self.plan.day, fault)
             for relay in self.relays[fault.tier, number]
@@ -186,29 +190,29 @@
         for at, on in (fault.at, True), (fault.at + fault.for_, False):
             await asyncio.sleep(max(0, start + int(at * S) - time.monotonic_ns()) / S)
             self.book.add(events.Happened(time.monotonic_ns(), fault.what, fault.tier, -1, on))
-            for relay in chosen:
-                self.set(relay, fault, on)
+            for relay in affected_relays:
+                self.apply_fault(relay, fault, on)
                 if fault.what == "net_apart":
-                    relay.shut() if on else await relay.reopen()
+                    relay.block() if on else await relay.reopen()
 
     def crosses(self, relay, fault):
         """Whether exactly one of its upstream and its caller is in the fault's zone."""
-        return sum(end == experiment.zone(self.plan.day, fault.zone) for end in relay.ends) == 1
+        return sum(zone == experiment.zone(self.plan.day, fault.zone) for zone in relay.zones) == 1
 
     @staticmethod
-    def set(relay, fault, on):
+    def apply_fault(relay, fault, on):
         """Apply a fault to a relay, or end it."""
         if fault.what == "net_delay":
             relay.delay_s = (fault.size or 0.05) if on else 0.0
         elif fault.what == "net_deaf":
-            relay.deaf = on
+            relay.drops_to_target = on
         elif fault.what == "net_mute":
-            relay.mute = on
+            relay.drops_to_caller = on
         elif fault.what in ("net_silence", "net_apart"):
-            relay.silent = on
+            relay.drops_all = on
         if fault.what == "net_cut" or not on and fault.what != "net_delay":
             # At the end of a fault its half-open connections are reset.
-            relay.cut()
+            relay.abort_connections()
 
     async def close(self):
         """Cancel all faults and close all relays."""
@@ -221,4 +225,4 @@
                 for filler in relay.fillers:
                     filler.close()
                 relay.server.close()
-                relay.cut()
+                relay.abort_connections()
--- a/pepperhook/lab/null.py
+++ b/pepperhook/lab/null.py
@@ -30,10 +30,10 @@
 
 async def serve(host, port):
     """Run the responder until stdin closes."""
-    from pepperhook.lab.stage import begin
+    from pepperhook.lab.stage import wait_for_start
 
     server = await asyncio.get_running_loop().create_server(Responder, host, port)
-    _, ended = await begin()
+    _, ended = await wait_for_start()
     await ended
     server.close()
 
--- a/pepperhook/lab/stage.py
+++ b/pepperhook/lab/stage.py
@@ -46,7 +46,7 @@
     record_excess = record_unsolicited
 
 
-async def note_stalls(process, book):
+async def record_stalls(process, book):
     """Record each delay of this event loop of at least STALL_NS, until cancelled."""
     while True:
         due = time.monotonic_ns() + stalls.CHECK_NS
@@ -56,44 +56,44 @@
             book.add(events.Stall(process, due + late, late))
 
 
-async def run_upstreams(plan, folder, tier, begin):
+async def run_upstreams(plan, folder, tier, wait_for_start):
     """Run all upstreams of one tier."""
     from pepperhook.lab.upstream import Upstream
 
     stage = Stage(plan, folder, tier)
-    tier_upstreams = [Upstream(stage, number) for number in range(plan.day.tiers[tier].upstreams)]
-    for upstream in tier_upstreams:
+    upstreams = [Upstream(stage, number) for number in range(plan.day.tiers[tier].upstreams)]
+    for upstream in upstreams:
         await upstream.start(plan.day.cold)
-    start, ended = await begin()
+    start, ended = await wait_for_start()
     tasks = [
-        asyncio.create_task(run_fault(*row))
-        for row in fault_changes(plan.day, tier, start, tier_upstreams)
+        asyncio.create_task(run_fault(*change))
+        for change in fault_changes(plan.day, tier, start, upstreams)
     ]
     tasks += [
-        asyncio.create_task(run_transition(start, tier_upstreams[row.number], row))
-        for row in instances.Timeline.of(plan.day, tier).steps
+        asyncio.create_task(run_transition(start, upstreams[step.number], step))
+        for step in instances.Timeline.of(plan.day, tier).steps
     ]
-    tasks.append(asyncio.create_task(note_stalls(stalls.upstreams(tier), stage.book)))
+    tasks.append(asyncio.create_task(record_stalls(stalls.upstreams(tier), stage.book)))
     while not ended.done():
         await asyncio.wait([ended], timeout=0.5)
         stage.book.flush()
-        for upstream in tier_upstreams:
+        for upstream in upstreams:
             upstream.close_idle_connections()
     for task in tasks:
         task.cancel()
-    for upstream in tier_upstreams:
+    for upstream in upstreams:
         await upstream.close()
     await asyncio.sleep(0)
     stage.book.close()
 
 
-def fault_changes(day, tier, start, tier_upstreams):
+def fault_changes(day, tier, start, upstreams):
     """Yield each start and end of a fault as (time in ns, upstream, fault, whether it starts)."""
     for fault in day.troubles:
         if fault.what in experiment.OF_UPSTREAMS and fault.tier == tier:
             for number, begins, ends in experiment.moments(day, fault):
                 for at, on in (begins, True), (ends, False):
-                    yield start + int(at * S), tier_upstreams[number], fault, on
+                    yield start + int(at * S), upstreams[number], fault, on
 
 
 async def run_fault(at, upstream, fault, on):
@@ -102,22 +102,22 @@
     await upstream.apply_fault(fault, on)
 
 
-async def run_transition(start, upstream, row):
+async def run_transition(start, upstream, step):
     """Apply a lifecycle transition to an upstream at its time."""
-    await asyncio.sleep(max(0, start / S + row.at - time.monotonic_ns() / S))
-    await upstream.apply_transition(row.transition)
+    await asyncio.sleep(max(0, start / S + step.at - time.monotonic_ns() / S))
+    await upstream.apply_transition(step.transition)
 
 
-async def run_discovery(plan, folder, begin):
+async def run_discovery(plan, folder, wait_for_start):
     """Run the discovery service."""
     from pepperhook.lab.discovery import Discovery
 
     book = events.Book(f"{folder}/discovery.rows")
     service = Discovery(plan, book)
     await service.open()
-    start, ended = await begin()
-    service.begin(start)
-    stall_monitor = asyncio.create_task(note_stalls("discovery", book))
+    start, ended = await wait_for_start()
+    service.schedule(start)
+    stall_monitor = asyncio.create_task(record_stalls("discovery", book))
     while not ended.done():
         await asyncio.wait([ended], timeout=0.5)
         book.flush()
@@ -126,21 +126,21 @@
     book.close()
 
 
-async def run_relays(plan, folder, begin):
+async def run_relays(plan, folder, wait_for_start):
     """Run the relays of the network."""
     from pepperhook.lab.network import Network
 
     book = events.Book(f"{folder}/relays.rows")
     network = Network(plan, book)
     await network.open()
-    start, ended = await begin()
-    network.begin(start)
+    start, ended = await wait_for_start()
+    network.schedule_faults(start)
     await ended
     await network.close()
     book.close()
 
 
-async def begin():
+async def wait_for_start():
     """Print "ready"; return the run's start and a task that ends with standard input."""
     print("ready", flush=True)
     loop = asyncio.get_running_loop()
@@ -158,9 +158,9 @@
     plan = Plan.read(plan)
 
     roles = {
-        "upstreams": lambda: run_upstreams(plan, folder, int(more[0]), begin),
-        "discovery": lambda: run_discovery(plan, folder, begin),
-        "relays": lambda: run_relays(plan, folder, begin),
+        "upstreams": lambda: run_upstreams(plan, folder, int(more[0]), wait_for_start),
+        "discovery": lambda: run_discovery(plan, folder, wait_for_start),
+        "relays": lambda: run_relays(plan, folder, wait_for_start),
     }
     import uvloop
 
--- a/tests/lab/test_discovery.py
+++ b/tests/lab/test_discovery.py
@@ -32,7 +32,7 @@
     writers = [RecordingWriter() for _ in range(6)]
 
     await asyncio.gather(
-        *(service.answer(head, writer, 0, caller, 0) for caller, writer in enumerate(writers))
+        *(service.answer_poll(head, writer, 0, caller, 0) for caller, writer in enumerate(writers))
     )
 
     assert [writer.status for writer in writers] == [b"200"] * 2 + [b"503"] * 4
--- a/tests/lab/test_discovery_stand_in.py
+++ b/tests/lab/test_discovery_stand_in.py
@@ -29,32 +29,32 @@
 
 def test_polls_are_processed_one_by_one_and_idle_time_is_not_accumulated():
     polls = make_queue()
-    assert [polls.enter(0.0, 0) for _ in range(2)] == [Admission(0.25, True), Admission(0.5, True)]
-    assert polls.enter(9.0, 0) == Admission(9.25, True)
+    assert [polls.admit(0.0, 0) for _ in range(2)] == [Admission(0.25, True), Admission(0.5, True)]
+    assert polls.admit(9.0, 0) == Admission(9.25, True)
 
 
 def test_answer_costs_a_fixed_part_and_a_part_for_each_line():
     polls = make_queue(line_cost_s=0.125)
-    assert polls.enter(0.0, 2) == Admission(0.5, True)
-    assert polls.enter(0.0, 0) == Admission(0.75, True)
+    assert polls.admit(0.0, 2) == Admission(0.5, True)
+    assert polls.admit(0.0, 0) == Admission(0.75, True)
 
 
 def test_poll_beyond_the_backlog_limit_is_refused_at_once_and_costs_nothing():
     polls = make_queue(max_backlog_s=0.5)
-    assert [polls.enter(0.0, 0) is not None for _ in range(4)] == [True, True, True, False]
+    assert [polls.admit(0.0, 0) is not None for _ in range(4)] == [True, True, True, False]
     assert polls.idle_at == 0.75
-    assert polls.enter(0.5, 0) == Admission(1.0, True)
+    assert polls.admit(0.5, 0) == Admission(1.0, True)
 
 
 def test_poll_that_times_out_is_still_processed():
     polls = make_queue(timeout_s=0.5)
-    admissions = [polls.enter(0.0, 0) for _ in range(4)]
+    admissions = [polls.admit(0.0, 0) for _ in range(4)]
     assert admissions[1:] == [Admission(0.5, True), Admission(0.5, False), Admission(0.5, False)]
     assert polls.idle_at == 1.0
 
 
 def test_slow_call_fault_replaces_the_cost_of_a_call():
-    assert make_queue(line_cost_s=0.125).enter(0.0, 1, slow_call_s=0.5) == Admission(0.625, True)
+    assert make_queue(line_cost_s=0.125).admit(0.0, 1, slow_call_s=0.5) == Admission(0.625, True)
 
 
 @pytest.mark.parametrize(("pause_s", "all_answered"), [(0.2, False), (24.0, True)])
@@ -70,7 +70,7 @@
         now, caller = due.pop(0)
         if now > 120.0:
             break
-        admission = polls.enter(now, 0)
+        admission = polls.admit(now, 0)
         if admission is not None and admission.is_in_time:
             answered_after.append(admission.answer_at)
         else:
@@ -135,22 +135,22 @@
         experiment.check(run)
         self.book = events.Book(folder / "x.rows")
         self.service = Discovery(Plan(run, 1, 30), self.book)
-        self.service.begin(0)
-        self.catalog = self.service.catalogs[0]
+        self.service.schedule(0)
+        self.endpoint_list = self.service.endpoint_lists[0]
 
     async def wait_for_watches(self, count):
         while len(self.service.open_watches) < count:
             await asyncio.sleep(0)
 
     def change(self):
-        self.catalog.change(0, "t0-00", "draining", None)
+        self.endpoint_list.change(0, "t0-00", "draining", None)
 
     async def fault(self, what, size=0.0):
         """Begin a fault; return its task and the event that ends it."""
         begins, ends = asyncio.Event(), asyncio.Event()
         # Discovery.run_fault waits twice: for the begin and for the end.
         gates = iter([begins, ends])
-        self.service.until = lambda *_: next(gates).wait()
+        self.service.sleep_until = lambda *_: next(gates).wait()
         work = asyncio.ensure_future(self.service.run_fault(0, Trouble(what=what, at=0, size=size)))
         begins.set()
         await asyncio.sleep(0)
@@ -228,7 +228,7 @@
     stand_in = StandIn(tmp_path)
     await stand_in.fault("discovery_refused", 0.3)
     first = [stand_in.service.count_and_check_refusal(0) for _ in range(400)]
-    stand_in.service.polls = 0
+    stand_in.service.poll_count = 0
     assert [stand_in.service.count_and_check_refusal(0) for _ in range(400)] == first
     assert 0.2 < sum(first) / 400 < 0.4
 
@@ -293,7 +293,7 @@
     caller = Caller(service)
     caller.poll(POLL_WHOLE_LIST)
     assert await caller.answer() == 200
-    service.begin(0)
+    service.schedule(0)
     assert service.queue.cost_s(WHOLE_LIST_ROWS) == 1000.0
 
 
--- a/tests/lab/test_instances.py
+++ b/tests/lab/test_instances.py
@@ -22,14 +22,14 @@
     return Timeline.of(read_experiment(EXPERIMENT + tables), 0)
 
 
-def listings_of(*faults):
+def list_changes_of(*faults):
     return [(row.at, row.host, row.state) for row in timeline_of(*faults).listings]
 
 
 def test_fault_after_a_replacement_applies_to_the_new_instance():
     # Regression: the endpoint list named the first instance for all faults, so no balancer was
     # notified of this drain.
-    assert listings_of(("replaced", 1, 0.5, 0), ("released", 4, 3, 1)) == [
+    assert list_changes_of(("replaced", 1, 0.5, 0), ("released", 4, 3, 1)) == [
         (2, "t0-00", "gone"),
         (2.5, "t0-00-r1", "ready"),
         (4, "t0-00-r1", "draining"),
@@ -39,7 +39,7 @@
 
 
 def test_drain_after_a_release_applies_to_the_new_instance():
-    assert listings_of(("released", 1, 2, 1), ("drain", 5, 2, 1)) == [
+    assert list_changes_of(("released", 1, 2, 1), ("drain", 5, 2, 1)) == [
         (1, "t0-00", "draining"),
         (2, "t0-00", "gone"),
         (4, "t0-00-r1", "ready"),
@@ -87,7 +87,7 @@
 
 
 def test_instance_that_drains_before_its_start_is_noticed_is_listed_as_draining():
-    assert listings_of(("crash", 1, 2, 0), ("drain", 3.5, 3, 1)) == [
+    assert list_changes_of(("crash", 1, 2, 0), ("drain", 3.5, 3, 1)) == [
         (2, "t0-00", "gone"),
         (4, "t0-00", "draining"),
         (6.5, "t0-00", "ready"),
--- a/tests/lab/test_network.py
+++ b/tests/lab/test_network.py
@@ -22,13 +22,13 @@
     return writer
 
 
-async def test_connections_time_out_while_a_relay_is_shut_and_succeed_after_it_is_reopened():
+async def test_connections_time_out_while_a_relay_is_blocked_and_succeed_after_it_is_reopened():
     server = await asyncio.start_server(echo_one_byte, "127.0.0.1", 0)
     relay = Relay(Network(None, None), server.sockets[0].getsockname()[:2])
     await relay.open(("127.0.0.1", 0))
     relay.address = relay.server.sockets[0].getsockname()[:2]
 
-    relay.shut()
+    relay.block()
     # A first connection may still fit into the backlog; the next ones get no answer to their SYN.
     writers = [await try_to_connect(relay.address) for _ in range(3)]
     assert None in writers
--- a/tests/lab/test_relay_order.py
+++ b/tests/lab/test_relay_order.py
@@ -8,7 +8,7 @@
 import asyncio
 from types import SimpleNamespace
 
-from pepperhook.lab.network import Side
+from pepperhook.lab.network import RelaySide
 
 DELAY_S = 0.05
 
@@ -27,9 +27,11 @@
 
 
 async def test_data_after_the_end_of_a_delay_is_written_after_delayed_data():
-    relay = SimpleNamespace(silent=False, deaf=False, mute=False, delay_s=DELAY_S)
+    relay = SimpleNamespace(
+        drops_all=False, drops_to_target=False, drops_to_caller=False, delay_s=DELAY_S
+    )
     other = SimpleNamespace(transport=RecordingTransport())
-    side = Side(relay, "on", other)
+    side = RelaySide(relay, "to_target", other)
     loop = asyncio.get_running_loop()
 
     started_at = loop.time()
--- a/tests/lab/test_stalls.py
+++ b/tests/lab/test_stalls.py
@@ -121,7 +121,7 @@
 
 async def test_stand_in_records_a_stall_of_its_event_loop(tmp_path):
     book = events.Book(tmp_path / "a.rows")
-    monitor = asyncio.create_task(stage.note_stalls(UPSTREAMS, book))
+    monitor = asyncio.create_task(stage.record_stalls(UPSTREAMS, book))
     await asyncio.sleep(0.05)
     rows_before = len(book.rows)
 
--- a/tests/lab/test_zones.py
+++ b/tests/lab/test_zones.py
@@ -63,19 +63,19 @@
 
 
 def test_endpoint_list_names_the_zone_of_each_upstream(plan):
-    catalog = discovery.Catalog.__new__(discovery.Catalog)
-    catalog.plan, catalog.tier, catalog.seq, catalog.log = plan, 0, 1, []
-    catalog.rows = {f"h{number}": (number, "ready", 0) for number in range(4)}
+    endpoint_list = discovery.EndpointList.__new__(discovery.EndpointList)
+    endpoint_list.plan, endpoint_list.tier, endpoint_list.seq, endpoint_list.log = plan, 0, 1, []
+    endpoint_list.rows = {f"h{number}": (number, "ready", 0) for number in range(4)}
 
-    rows = catalog.told(None, 0)[0]["hosts"]
+    rows = endpoint_list.response_for(None, 0)[0]["hosts"]
 
     assert [row["site"] for row in rows] == ["a", "b", "a", "b"]
 
 
 def test_released_upstream_drains_leaves_and_returns_under_another_id(plan):
-    listings = [row for row in Timeline.of(plan.day, 0).listings if row.number == 0]
+    list_changes = [row for row in Timeline.of(plan.day, 0).listings if row.number == 0]
 
-    assert [(row.at, row.number, row.host, row.state) for row in listings] == [
+    assert [(row.at, row.number, row.host, row.state) for row in list_changes] == [
         (1, 0, "t0-00", "draining"),
         (2.0, 0, "t0-00", "gone"),
         (4.0, 0, "t0-00-r1", "ready"),
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    "ends, crosses",
+    "zones, crosses",
     [
         (("a", "a"), False),
         (("a", "b"), True),
@@ -96,10 +96,10 @@
         (("b", "b"), False),
     ],
 )
-def test_connection_crosses_a_zones_border_if_one_end_is_in_the_zone(ends, crosses):
+def test_connection_crosses_a_zones_border_if_one_end_is_in_the_zone(zones, crosses):
     network = Network(Plan(make_zoned_experiment(), 1, 30), None)
     fault = experiment.Trouble(what="net_apart", at=1, zone=1)  # zone 1 is "b"
     relay = Relay(network, None)
-    relay.ends = ends
+    relay.zones = zones
 
     assert network.crosses(relay, fault) is crosses
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -16,7 +16,7 @@
 from pepperhook.lab.day import Day
 from pepperhook.lab.experiment import Experiment, Trouble, Variant
 from pepperhook.lab.machine import Job, Machine
-from pepperhook.lab.network import Network, Relay, Side
+from pepperhook.lab.network import Network, Relay, RelaySide
 from pepperhook.lab.stage import Stage
 from pepperhook.lab.upstream import Upstream
 from tests.world import loopback
@@ -355,7 +355,7 @@
     network = Network(None, None)
     relay = Relay(network, server.sockets[0].getsockname()[:2])
     front = await asyncio.get_running_loop().create_server(
-        lambda: Side(relay, "on"), "127.0.0.1", 0
+        lambda: RelaySide(relay, "to_target"), "127.0.0.1", 0
     )
 
     async def exchange_byte():
@@ -365,14 +365,14 @@
 
     reader, writer, answer = await exchange_byte()
     assert answer == b"x"
-    Network.set(relay, Trouble(what="net_cut", at=0), True)
+    Network.apply_fault(relay, Trouble(what="net_cut", at=0), True)
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
         await reader.readexactly(1)
     writer.close()
     reader, writer, answer = await exchange_byte()
     assert answer == b"x"
     writer.close()
-    relay.cut()
+    relay.abort_connections()
     front.close()
     server.close()
     await network.close()
