--- a/pepperhook/lab/crooked.py
+++ b/pepperhook/lab/crooked.py
@@ -33,13 +33,14 @@
     """One attempt, an exchange of `wire.Pool`.
 
     ``result`` is a future of (status, body, whether the request was never executed). The pool reads
-    and sets ``over`` (the attempt has ended), ``link`` (its connection) and ``fresh`` (whether that
-    is new). The parameters ``why`` and ``unread`` belong to its interface and are ignored here.
+    ``has_ended`` and sets ``connection`` and ``is_on_new_connection`` (whether that connection was
+    opened for this attempt). The parameters ``why`` and ``unread`` belong to its interface and are
+    ignored here.
     """
 
     def __init__(self, pool, data, limit_s):
         loop = asyncio.get_running_loop()
-        self.over, self.link, self.fresh, self.pool, self.result = (
+        self.has_ended, self.connection, self.is_on_new_connection, self.pool, self.result = (
             False,
             None,
             False,
@@ -49,25 +50,25 @@
         self.timer = loop.call_later(limit_s, self.time_out)
         pool.send(self, data)
 
-    def written(self):
+    def on_connected(self):
         """Do nothing: the pool calls this when a new connection is established."""
 
     def finish(self, *result):
         """Set the result, unless the attempt has ended already."""
-        if not self.over:
-            self.over = True
+        if not self.has_ended:
+            self.has_ended = True
             self.timer.cancel()
             self.result.set_result(result)
 
-    def answered(self, status, body, headers):
+    def on_response(self, status, body, headers):
         """Finish with the response."""
         self.finish(status, body, headers.get(b"x-not-processed") == b"1")
 
-    def lost(self, why, unread=False):
+    def on_lost(self, why, unread=False):
         """Finish after the connection was lost: the request may have been executed."""
         self.finish(0, b"", False)
 
-    def unconnected(self, why):
+    def on_connect_failed(self, why):
         """Finish after the connection failed: the request was never executed."""
         self.finish(0, b"", True)
 
@@ -110,8 +111,8 @@
             try:
                 reader, writer = await asyncio.open_connection(*self.discovery)
                 query = "" if since is None else f"?since={since}&timeout_ms=2000"
-                writer.write(wire.message(b"GET", f"/catalog/members{query}".encode(), []))
-                messages = wire.Messages()
+                writer.write(wire.encode_request(b"GET", f"/catalog/members{query}".encode(), []))
+                messages = wire.MessageParser()
                 while (message := messages.next()) is None:
                     data = await reader.read(65536)
                     if not data:
@@ -150,13 +151,13 @@
 
     async def serve(self, reader, writer):
         """Handle the requests of one client connection."""
-        messages = wire.Messages()
+        messages = wire.MessageParser()
         try:
             while data := await reader.read(65536):
                 messages.feed(data)
                 while (message := messages.next()) is not None:
                     await self.handle(writer, *message)
-        except (wire.Broken, ConnectionError):
+        except (wire.MalformedMessageError, ConnectionError):
             pass
         finally:
             writer.close()
@@ -165,7 +166,7 @@
         """Handle one request; a fraction, chosen by the request id, is handled faultily."""
         path = head.start[1]
         if path == b"/_health":
-            writer.write(wire.answer(200 if self.states else 503))
+            writer.write(wire.encode_response(200 if self.states else 503))
             return
         request_id = head.headers[b"x-request-id"]
         service_class = self.service_classes[path.split(b"/")[1].decode()]
@@ -179,18 +180,18 @@
             if name.lower() in head.headers
         ]
         headers.append((b"X-Timeout-Ms", b"%d" % max(1, int(limit_s * 1000))))
-        data = wire.message(head.start[0], path, headers, body)
+        data = wire.encode_request(head.start[0], path, headers, body)
 
         def send(dial=None):
             dial = dial or self.select()
             return Attempt(self.pools[dial], data, limit_s) if dial else None
 
         if way == "invents":
-            writer.write(wire.answer(200, b"0.0.made-up.1\n"))
+            writer.write(wire.encode_response(200, b"0.0.made-up.1\n"))
             return
         first = send()
         if first is None:
-            writer.write(wire.answer(503, b"shed\n"))
+            writer.write(wire.encode_response(503, b"shed\n"))
             return
         if way == "overlaps":
             second = send()
@@ -207,11 +208,11 @@
         if way == "late":
             await asyncio.sleep(limit_s + 0.06)
         if way == "sheds-what-ran" and is_unsafe:
-            writer.write(wire.answer(503, b"shed\n"))
+            writer.write(wire.encode_response(503, b"shed\n"))
         elif status == 200:
-            writer.write(wire.answer(200, response) * (2 if way == "twice" else 1))
+            writer.write(wire.encode_response(200, response) * (2 if way == "twice" else 1))
         else:
-            writer.write(wire.answer(503 if never_executed else 500))
+            writer.write(wire.encode_response(503 if never_executed else 500))
 
 
 def address(text):
--- a/pepperhook/lab/discovery.py
+++ b/pepperhook/lab/discovery.py
@@ -191,7 +191,7 @@
     async def serve(self, reader, writer, tier, caller, address_index):
         """Serve one connection until it ends."""
         self.writers.add(writer)
-        messages = wire.Messages()
+        messages = wire.MessageParser()
         if self.down:
             self.book.add(events.Asked(tier, caller, time.monotonic_ns(), False, False))
         try:
@@ -205,7 +205,7 @@
                         while await reader.read(65536):
                             pass  # until the caller closes the connection
                         return
-        except (wire.Broken, ConnectionError, ValueError, asyncio.CancelledError):
+        except (wire.MalformedMessageError, ConnectionError, ValueError, asyncio.CancelledError):
             pass
         finally:
             self.writers.discard(writer)
@@ -245,13 +245,13 @@
         if is_unavailable:
             retry_after_s = self.plan.day.discovery.retry_after_s
             writer.write(
-                wire.answer(
-                    503, more=b"Retry-After: %d\r\n" % retry_after_s if retry_after_s else b""
+                wire.encode_response(
+                    503, headers=b"Retry-After: %d\r\n" % retry_after_s if retry_after_s else b""
                 )
             )
             return True
         document, states = endpoint_list.response_for(since, caller)
-        writer.write(wire.answer(200, msgspec.json.encode(document)))
+        writer.write(wire.encode_response(200, msgspec.json.encode(document)))
         now = time.monotonic_ns()
         for number, state in states:
             self.book.add(events.Told(tier, caller, now, number, state))
--- a/pepperhook/lab/load.py
+++ b/pepperhook/lab/load.py
@@ -163,15 +163,15 @@
         "intended",
         "sent",
         "limit",
-        "link",
-        "fresh",  # its connection was opened for it
-        "over",  # its row has been written
+        "connection",
+        "is_on_new_connection",  # its connection was opened for it
+        "has_ended",  # its row has been written
         "timer",
         "data",
         "resent",
         "leaves_early",
         "future",
-        "stream",
+        "stream_id",
         "to",  # number of the balancer; -1: the front chooses
         "pool",
         "copies_at_end",
@@ -189,7 +189,13 @@
         )
         self.customer, self.intended, self.sent, self.future = customer, intended, 0, None
         self.limit, self.to, self.pool = load.limits[grade], to, load.pools[to]
-        self.link, self.fresh, self.over, self.resent, self.leaves_early = (
+        (
+            self.connection,
+            self.is_on_new_connection,
+            self.has_ended,
+            self.resent,
+            self.leaves_early,
+        ) = (
             None,
             False,
             False,
@@ -223,13 +229,13 @@
             self.leaves_early = True
             patience = self.limit * draw / leave / 3
         self.timer = load.loop.call_later(patience / S, self.on_timeout)
-        self.pool.ask(self, method, name, headers, load.bodies[self.grade])
+        self.pool.send_request(self, method, name, headers, load.bodies[self.grade])
 
-    def written(self):
+    def on_connected(self):
         """Set the send time: the client's time limit counts from sending, after connecting."""
         self.sent = time.monotonic_ns()
 
-    def answered(self, status, body, headers):
+    def on_response(self, status, body, headers):
         """Record a response; retry one that isn't 200."""
         self.done("answer", status, body.decode(errors="replace").strip())
         load = self.load
@@ -237,9 +243,9 @@
             after = headers.get(b"retry-after")
             load.failed(self, float(after) if after else 0.0)
 
-    def lost(self, why, unread=False):
+    def on_lost(self, why, unread=False):
         """Record a broken connection; ``unread``: it broke before any byte of the response."""
-        if unread and not self.fresh and not self.resent:
+        if unread and not self.is_on_new_connection and not self.resent:
             # The balancer closed the kept connection while the request was sent: resend it once on
             # a new connection.
             self.resent = True
@@ -257,7 +263,7 @@
                 )
         load.failed(self, 0.0)
 
-    def unconnected(self, why):
+    def on_connect_failed(self, why):
         """Record that no connection could be opened."""
         self.done("unconnected", 0, "", why)
         self.load.failed(self, 0.0)
@@ -270,16 +276,16 @@
 
     def done(self, kind, status, body, note=""):
         """Write the event row, once, and send the copies due at its end."""
-        if self.over:
+        if self.has_ended:
             return
-        self.over = True
+        self.has_ended = True
         self.timer.cancel()
         load, now = self.load, time.monotonic_ns()
         load.open -= 1
         load.book.add(
             events.Try(
                 0,
-                load.front.numbers.get(getattr(self.link, "address", None), -1),
+                load.front.numbers.get(getattr(self.connection, "address", None), -1),
                 self.id,
                 self.first,
                 self.number,
@@ -318,7 +324,7 @@
         self.front = Front(plan)
         make = wire.Pool
         if plan.day.clients.protocol == "h2":
-            from pepperhook.lab.wire2 import Pool2 as make
+            from pepperhook.lab.wire2 import Http2Pool as make
         self.pools = {-1: make(where or self.front.next_address, self.unasked, self.unasked)}
         for number, address in enumerate(self.front.addresses):
             self.pools[number] = make(lambda address=address: address, self.unasked, self.unasked)
@@ -518,7 +524,7 @@
             turn += 1
             identity = f"bad-{kind}-{number}-{turn}".encode()
             headers = [(b"X-Request-ID", identity), (b"X-Timeout-Ms", b"500")]
-            valid = wire.message(method, name, headers, b"{}" if method == b"POST" else b"")
+            valid = wire.encode_request(method, name, headers, b"{}" if method == b"POST" else b"")
             data, wait = {
                 "mute": (valid * 20, 2.0),  # requests whose responses are never read
                 "half": (valid[: len(valid) // 2], 2.0),  # half a request
--- a/pepperhook/lab/machine.py
+++ b/pepperhook/lab/machine.py
@@ -61,9 +61,9 @@
 class Machine:
     """A machine that works on jobs.
 
-    Call ``arrive``, ``abandon``, ``finish_job`` and ``due`` with times that never decrease; ``next_due_at``
-    returns when to call ``due`` at the latest. ``due`` returns the jobs whose work is done; they
-    hold their slot until ``finish_job``.
+    Call ``arrive``, ``abandon``, ``finish_job`` and ``due`` with times that never decrease;
+    ``next_due_at`` returns when to call ``due`` at the latest. ``due`` returns the jobs whose work
+    is done; they hold their slot until ``finish_job``.
     """
 
     def __init__(self, spec, now, cold=False):
--- a/pepperhook/lab/null.py
+++ b/pepperhook/lab/null.py
@@ -17,7 +17,7 @@
     """Responds to each message immediately."""
 
     def connection_made(self, transport):
-        self.transport, self.messages = transport, wire.Messages()
+        self.transport, self.messages = transport, wire.MessageParser()
 
     def data_received(self, data):
         self.messages.feed(data)
@@ -25,7 +25,7 @@
             self.transport.write(ANSWER)
 
 
-ANSWER = wire.answer(200, b"0.0.null.1\n")
+ANSWER = wire.encode_response(200, b"0.0.null.1\n")
 
 
 async def serve(host, port):
--- a/pepperhook/lab/upstream.py
+++ b/pepperhook/lab/upstream.py
@@ -74,7 +74,7 @@
             upstream,
             caller,
             None,
-            wire.Messages(),
+            wire.MessageParser(),
         )
         self.open_attempt, self.first_byte_at, self.idle_at = None, 0, 0
 
@@ -94,7 +94,7 @@
 
     def data_received(self, data):
         upstream = self.upstream
-        if not self.messages.begun:
+        if not self.messages.has_partial_message:
             self.first_byte_at = upstream.now()
             if data.startswith(b"PRI * HTTP/2.0"):
                 # HTTP/2 with prior knowledge.
@@ -111,11 +111,11 @@
         try:
             while (request := self.messages.next()) is not None:
                 if self.open_attempt is not None:
-                    raise wire.Broken("a second request before the response")
+                    raise wire.MalformedMessageError("a second request before the response")
                 upstream.handle_request(self, *request)
-        except (wire.Broken, ValueError) as problem:
-            upstream.record_event("bad message", text=str(problem))
-            self.transport.write(wire.answer(400))
+        except (wire.MalformedMessageError, ValueError) as error:
+            upstream.record_event("bad message", text=str(error))
+            self.transport.write(wire.encode_response(400))
             self.transport.close()
 
     def abort(self):
@@ -128,7 +128,7 @@
     def eof_received(self):
         return False
 
-    def connection_lost(self, problem):
+    def connection_lost(self, error):
         self.upstream.connections.discard(self)
         if self.open_attempt is not None:
             self.upstream.on_disconnect(self.open_attempt)
@@ -210,8 +210,8 @@
                         )
                     )
                     break
-                except OSError as problem:
-                    if problem.errno != errno.EADDRINUSE:
+                except OSError as error:
+                    if error.errno != errno.EADDRINUSE:
                         raise
                     await asyncio.sleep(0.02)
             else:
@@ -246,7 +246,10 @@
     # Requests.
 
     def handle_request(self, connection, head, body):
-        """Handle one request; raise wire.Broken if it names no service class or has no id."""
+        """Handle one request.
+
+        Raise wire.MalformedMessageError if it names no service class or has no id.
+        """
         now, stage = self.now(), self.stage
         path, request_id = head.start[1], head.headers.get(b"x-request-id")
         if path in (b"/ping", b"/_load"):
@@ -255,7 +258,7 @@
             return None
         name = path.split(b"/", 2)[1].partition(b"?")[0].decode()
         if request_id is None or name not in stage.grades:
-            raise wire.Broken("no request id, or a path that names no service class")
+            raise wire.MalformedMessageError("no request id, or a path that names no service class")
         attempt = Attempt()
         attempt.connection, attempt.id, attempt.grade, attempt.first_byte_at, attempt.arrived_at = (
             connection,
@@ -294,11 +297,11 @@
             return None
         if self.draining or self.unready:
             return self.respond(
-                attempt, "turned away", wire.answer(503, b"draining\n", NOT_PROCESSED)
+                attempt, "turned away", wire.encode_response(503, b"draining\n", NOT_PROCESSED)
             )
         if self.fault_applies("errors", f"{attempt.id} {attempt.delivery}"):
             attempt.began_at = now
-            return self.respond(attempt, "error", wire.answer(500, b"error\n"))
+            return self.respond(attempt, "error", wire.encode_response(500, b"error\n"))
         admission = self.machine.arrive(now, attempt.job)
         if self.machine.has_crashed:
             # Overload while cold crashes the process; it restarts cold.
@@ -311,7 +314,9 @@
             )
             return None
         if admission == machine.REJECTED:
-            return self.respond(attempt, "turned away", wire.answer(503, b"full\n", NOT_PROCESSED))
+            return self.respond(
+                attempt, "turned away", wire.encode_response(503, b"full\n", NOT_PROCESSED)
+            )
         self.set_timer()
 
     def probe_response(self, path):
@@ -320,12 +325,14 @@
         The fault stale_report repeats the last report before it; lost_report fails the query.
         """
         if path == b"/ping":
-            return wire.answer(503 if self.fails_checks or self.unready else 200, b"pong\n")
+            return wire.encode_response(
+                503 if self.fails_checks or self.unready else 200, b"pong\n"
+            )
         if "lost_report" in self.active_faults:
-            return wire.answer(503)
+            return wire.encode_response(503)
         if "stale_report" not in self.active_faults or not hasattr(self, "last_report"):
             self.last_report = self.machine.report(self.now())
-        return wire.answer(200, events.msgspec.json.encode(self.last_report))
+        return wire.encode_response(200, events.msgspec.json.encode(self.last_report))
 
     def set_timer(self):
         """Set the timer for the machine's next event."""
@@ -395,7 +402,9 @@
             return self.record(attempt, "given up", attempt.disconnected_at)  # the client has left
         if fails_at_random or attempt.failed and not settings.hide_failures:
             return self.respond(
-                attempt, "error", wire.answer(500, b"error\n", self.chain_result_headers(attempt))
+                attempt,
+                "error",
+                wire.encode_response(500, b"error\n", self.chain_result_headers(attempt)),
             )
         attempt.nonce = f"{self.tier}.{self.number}.{attempt.id}.{attempt.delivery}"
         body = attempt.nonce.encode() + b"\n"
@@ -404,7 +413,9 @@
         if self.fault_applies("spoilt", f"{attempt.id} {attempt.delivery}"):
             attempt.nonce = ""
             return self.respond(attempt, "spoilt", self.make_malformed_response(body))
-        self.respond(attempt, "served", wire.answer(200, body, self.chain_result_headers(attempt)))
+        self.respond(
+            attempt, "served", wire.encode_response(200, body, self.chain_result_headers(attempt))
+        )
 
     def chain_result_headers(self, attempt):
         """Return the next tier's chain results as header lines, unchanged."""
@@ -420,14 +431,14 @@
         kinds = ("short", "noise", "no_length", "two_lengths", "large", "half")
         self.malformed_count += 1
         kind = self.active_faults["spoilt"].kind or kinds[self.malformed_count % len(kinds)]
-        valid = wire.answer(200, body)
+        valid = wire.encode_response(200, body)
         return {
-            "short": wire.answer(200, body + b"x" * 40)[:-40],
+            "short": wire.encode_response(200, body + b"x" * 40)[:-40],
             "noise": b"\x00\xffnoise\r\n\r\n" + valid,
             "no_length": b"HTTP/1.1 200 OK\r\n\r\n" + body,
             "two_lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n"
             + body,
-            "large": wire.answer(200, b"x" * 70000),
+            "large": wire.encode_response(200, b"x" * 70000),
             "half": valid[: len(valid) // 2],
         }[kind]
 
@@ -573,12 +584,12 @@
     """One request to the next tier's balancer.
 
     Its time limit is the parent attempt's remaining time, or with ``tells_time`` off the service
-    class's whole limit, in both cases less TIME_LIMIT_MARGIN_MS. It implements the exchange interface that
-    wire.Pool describes.
+    class's whole limit, in both cases less TIME_LIMIT_MARGIN_MS. It implements the exchange
+    interface that wire.Pool describes.
     """
 
     def __init__(self, upstream, parent, number):
-        self.upstream, self.parent, self.over, self.link = upstream, parent, False, None
+        self.upstream, self.parent, self.has_ended, self.connection = upstream, parent, False, None
         self.id = f"{parent.id}-{parent.delivery}{'abcdefgh'[number]}"
         self.begun_at = upstream.now()
         forwards_limit = upstream.day.tiers[upstream.tier].tells_time
@@ -607,7 +618,7 @@
         self.timer = loop.call_later(self.limit / S + 0.1, self.on_timeout)
         self.upstream.pool.send(
             self,
-            wire.message(
+            wire.encode_request(
                 method, f"/{grade.name}".encode(), headers, b"{}" if method == b"POST" else b""
             ),
         )
@@ -623,20 +634,20 @@
             return [re.sub(rb"left=\d+", b"left=1", re.sub(rb"tries=\d+", b"tries=9", value))]
         return [value] * (2 if mode == "twice" else 1)
 
-    def written(self):
+    def on_connected(self):
         """Do nothing; wire.Pool calls it when a new connection is established."""
 
-    def answered(self, status, body, headers):
+    def on_response(self, status, body, headers):
         """Handle the response."""
         if CHAIN_RESULT_HEADER in headers and self.upstream.carry != "drop":
             self.parent.chain_results.append(headers[CHAIN_RESULT_HEADER])
         self.finish("answer", status, body)
 
-    def lost(self, why, unread=False):
+    def on_lost(self, why, unread=False):
         """Handle the loss of the connection before the response; ``unread`` is not used here."""
         self.finish("lost", 0, b"", why)
 
-    def unconnected(self, why):
+    def on_connect_failed(self, why):
         """Handle a failure to connect."""
         self.finish("unconnected", 0, b"", why)
 
@@ -647,15 +658,15 @@
 
     def cancel(self):
         """Cancel the call, unless it has ended."""
-        if not self.over:
+        if not self.has_ended:
             self.upstream.pool.drop(self)
             self.finish("gone", 0, b"")
 
     def finish(self, kind, status, body, note=""):
         """End the call, record it, and notify the upstream; later calls have no effect."""
-        if self.over:
+        if self.has_ended:
             return
-        self.over = True
+        self.has_ended = True
         if self.timer is not None:
             self.timer.cancel()
         upstream = self.upstream
--- a/pepperhook/lab/wire2.py
+++ b/pepperhook/lab/wire2.py
@@ -19,13 +19,13 @@
 Codes = h2.errors.ErrorCodes
 
 
-class Link2(asyncio.Protocol):
+class Http2PoolConnection(asyncio.Protocol):
     """The client side of one connection with many streams."""
 
     def __init__(self, pool):
-        # streams: [exchange, status, headers, body] by stream id; gone: whether new streams are
-        # not allowed any more.
-        self.pool, self.transport, self.streams, self.gone = pool, None, {}, False
+        # streams: [exchange, status, headers, body] by stream id; is_retired: whether new streams
+        # are not allowed any more.
+        self.pool, self.transport, self.streams, self.is_retired = pool, None, {}, False
         # The connection class of h2 treats a GOAWAY as the end of every stream, even of those that
         # the peer still answers.
         self.h2 = Http2Connection(
@@ -42,13 +42,13 @@
         if not self.transport.is_closing():
             self.transport.write(self.h2.data_to_send())
 
-    def begin(self, exchange, method, path, headers, body):
+    def start_stream(self, exchange, method, path, headers, body):
         """Send a request on a new stream."""
-        number = self.h2.get_next_available_stream_id()
-        self.streams[number] = [exchange, None, {}, b""]
-        exchange.link, exchange.stream = self, number
+        stream_id = self.h2.get_next_available_stream_id()
+        self.streams[stream_id] = [exchange, None, {}, b""]
+        exchange.connection, exchange.stream_id = self, stream_id
         self.h2.send_headers(
-            number,
+            stream_id,
             [
                 (":method", method),
                 (":scheme", "http"),
@@ -59,7 +59,7 @@
             end_stream=not body,
         )
         if body:
-            self.h2.send_data(number, body, end_stream=True)
+            self.h2.send_data(stream_id, body, end_stream=True)
         self.flush()
 
     def data_received(self, data):
@@ -73,8 +73,8 @@
 
     def handle_event(self, event):
         """Handle one event of the HTTP/2 connection."""
-        kind, number = type(event), getattr(event, "stream_id", None)
-        stream = self.streams.get(number)
+        kind, stream_id = type(event), getattr(event, "stream_id", None)
+        stream = self.streams.get(stream_id)
         if kind is h2.events.ResponseReceived:
             if stream is None:
                 # One byte stands for a response head without a request.
@@ -82,46 +82,50 @@
             stream[2] = {name.encode(): value.encode() for name, value in event.headers}
             stream[1] = int(stream[2][b":status"])
         elif kind is h2.events.DataReceived:
-            self.h2.acknowledge_received_data(event.flow_controlled_length, number)
+            self.h2.acknowledge_received_data(event.flow_controlled_length, stream_id)
             if stream is not None:
                 stream[3] += event.data
         elif kind is h2.events.StreamEnded and stream is not None:
-            del self.streams[number]
-            stream[0].answered(stream[1], stream[3], stream[2])
+            del self.streams[stream_id]
+            stream[0].on_response(stream[1], stream[3], stream[2])
         elif kind is h2.events.StreamReset and stream is not None:
-            del self.streams[number]
+            del self.streams[stream_id]
             # A refused stream was not processed, so the client may send its request again.
-            stream[0].lost(
+            stream[0].on_lost(
                 f"reset {event.error_code}", unread=event.error_code == Codes.REFUSED_STREAM
             )
         elif kind is h2.events.ConnectionTerminated:
             self.retire()
             for unprocessed in [n for n in self.streams if n > event.last_stream_id]:
-                self.streams.pop(unprocessed)[0].lost("above a GOAWAY", unread=True)
+                self.streams.pop(unprocessed)[0].on_lost("above a GOAWAY", unread=True)
 
     def retire(self):
         """Stop opening streams on this connection."""
-        self.gone = True
-        if self in self.pool.links:
-            self.pool.links.remove(self)
+        self.is_retired = True
+        if self in self.pool.connections:
+            self.pool.connections.remove(self)
 
-    def connection_lost(self, problem):
+    def connection_lost(self, error):
         self.retire()
         streams, self.streams = self.streams, {}
         for stream in streams.values():
-            stream[0].lost("the connection ended")
+            stream[0].on_lost("the connection ended")
 
 
-class Pool2(wire.Pool):
+class Http2Pool(wire.Pool):
     """A wire.Pool for HTTP/2, with few connections of many streams."""
 
-    def __init__(self, where, on_unsolicited=None, on_excess=None):
-        super().__init__(where, on_unsolicited, on_excess)
-        self.links, self.turn = [], 0
+    def __init__(self, get_address, on_unsolicited=None, on_excess=None):
+        super().__init__(get_address, on_unsolicited, on_excess)
+        self.connections, self.selections = [], 0
 
-    def ask(self, exchange, method, path, headers, body):
+    def send_request(self, exchange, method, path, headers, body):
         """Send a request; its parts stay in ``exchange.data`` for a repetition."""
-        exchange.link, exchange.fresh, exchange.data = None, False, (method, path, headers, body)
+        exchange.connection, exchange.is_on_new_connection, exchange.data = (
+            None,
+            False,
+            (method, path, headers, body),
+        )
         self.send(exchange, exchange.data)
 
     def send(self, exchange, data):
@@ -136,36 +140,36 @@
             [(n.decode().lower(), v.decode()) for n, v in headers],
             body,
         )
-        if len(self.links) >= MAX_CONNECTIONS:
-            self.turn += 1
-            link = self.links[self.turn % len(self.links)]
-            if len(link.streams) < MAX_STREAMS:
-                return link.begin(exchange, *request)
+        if len(self.connections) >= MAX_CONNECTIONS:
+            self.selections += 1
+            connection = self.connections[self.selections % len(self.connections)]
+            if len(connection.streams) < MAX_STREAMS:
+                return connection.start_stream(exchange, *request)
         task = self.loop.create_task(self.connect(exchange, request))
         self.connecting.add(task)
         task.add_done_callback(self.connecting.discard)
 
     async def connect(self, exchange, request):
         """Connect and send a request."""
-        link = await self.open_link(exchange, Link2)
-        if link is None:
+        connection = await self.open_connection(exchange, Http2PoolConnection)
+        if connection is None:
             return
-        self.links.append(link)  # type: ignore[attr-defined]
-        if not exchange.over:
-            exchange.written()
-            link.begin(exchange, *request)
+        self.connections.append(connection)  # type: ignore[attr-defined]
+        if not exchange.has_ended:
+            exchange.on_connected()
+            connection.start_stream(exchange, *request)
 
     def drop(self, exchange):
         """Cancel an exchange's stream, when its client has left or it has timed out."""
-        link = exchange.link
-        if link is not None and link.streams.pop(exchange.stream, None) is not None:
+        connection = exchange.connection
+        if connection is not None and connection.streams.pop(exchange.stream_id, None) is not None:
             try:
-                link.h2.reset_stream(exchange.stream, Codes.CANCEL)
-                link.flush()
+                connection.h2.reset_stream(exchange.stream_id, Codes.CANCEL)
+                connection.flush()
             except h2.exceptions.ProtocolError:
                 pass
 
-    def report_unsolicited(self, link, data):
+    def report_unsolicited(self, connection, data):
         """Report data on a stream without an open exchange."""
         if self.on_unsolicited is not None:
             self.on_unsolicited(None, data)
@@ -217,35 +221,35 @@
     def data_received(self, data):
         try:
             events = self.h2.receive_data(data)
-        except h2.exceptions.ProtocolError as problem:
-            self.upstream.record_event("bad message", text=f"no HTTP/2: {problem}")
+        except h2.exceptions.ProtocolError as error:
+            self.upstream.record_event("bad message", text=f"no HTTP/2: {error}")
             return self.transport.abort()
         for event in events:
-            kind, number = type(event), getattr(event, "stream_id", None)
+            kind, stream_id = type(event), getattr(event, "stream_id", None)
             if kind is h2.events.RequestReceived:
                 if self.upstream.fault_applies("reset_before", self.upstream.now()):
-                    self.h2.reset_stream(number, Codes.REFUSED_STREAM)
+                    self.h2.reset_stream(stream_id, Codes.REFUSED_STREAM)
                     continue
-                self.streams[number] = ServerStream(self, number, dict(event.headers))  # type: ignore[attr-defined]
-                self.upstream.connections.add(self.streams[number])
+                self.streams[stream_id] = ServerStream(self, stream_id, dict(event.headers))  # type: ignore[attr-defined]
+                self.upstream.connections.add(self.streams[stream_id])
             elif kind is h2.events.DataReceived:
-                self.h2.acknowledge_received_data(event.flow_controlled_length, number)  # type: ignore[attr-defined]
-            elif kind is h2.events.StreamEnded and number in self.streams:
-                stream = self.streams[number]
+                self.h2.acknowledge_received_data(event.flow_controlled_length, stream_id)  # type: ignore[attr-defined]
+            elif kind is h2.events.StreamEnded and stream_id in self.streams:
+                stream = self.streams[stream_id]
                 try:
                     self.upstream.handle_request(stream, stream, b"")
-                except (wire.Broken, ValueError) as problem:
-                    self.upstream.record_event("bad message", text=str(problem))
-                    self.h2.reset_stream(number, Codes.PROTOCOL_ERROR)
-            elif kind is h2.events.StreamReset and number in self.streams:
-                self.streams[number].on_end()
+                except (wire.MalformedMessageError, ValueError) as error:
+                    self.upstream.record_event("bad message", text=str(error))
+                    self.h2.reset_stream(stream_id, Codes.PROTOCOL_ERROR)
+            elif kind is h2.events.StreamReset and stream_id in self.streams:
+                self.streams[stream_id].on_end()
         self.flush()
 
     def abort(self):
         """Abort the connection."""
         self.transport.abort()
 
-    def connection_lost(self, problem):
+    def connection_lost(self, error):
         self.upstream.connections.discard(self)
         for stream in list(self.streams.values()):
             stream.on_end()
@@ -257,10 +261,10 @@
     It has the parts of ServerConnection, wire.Head and a transport that Upstream uses.
     """
 
-    def __init__(self, connection, number, headers):
-        self.connection, self.stream, self.caller, self.open_attempt, self.idle_at = (
+    def __init__(self, connection, stream_id, headers):
+        self.connection, self.stream_id, self.caller, self.open_attempt, self.idle_at = (
             connection,
-            number,
+            stream_id,
             connection.caller,
             None,
             0,
@@ -276,18 +280,18 @@
 
     def is_closing(self):
         """Whether the stream has ended."""
-        return self.stream not in self.connection.streams
+        return self.stream_id not in self.connection.streams
 
     def write(self, data):
         """Send a response that Upstream has encoded as HTTP/1.1.
 
         A malformed one is sent as a response whose body is shorter than its content length.
         """
-        messages = wire.Messages()
+        messages = wire.MessageParser()
         messages.feed(data)
         try:
             response = messages.next()
-        except wire.Broken:
+        except wire.MalformedMessageError:
             response = None
         if response is not None and (
             messages.buffer or b"content-length" not in response[0].headers
@@ -297,13 +301,13 @@
         try:
             if response is None:
                 self.connection.h2.send_headers(
-                    self.stream, [(":status", "200"), ("content-length", "99")]
+                    self.stream_id, [(":status", "200"), ("content-length", "99")]
                 )
-                self.connection.h2.send_data(self.stream, b"half", end_stream=True)
+                self.connection.h2.send_data(self.stream_id, b"half", end_stream=True)
             else:
                 head, body = response
                 self.connection.h2.send_headers(
-                    self.stream,
+                    self.stream_id,
                     [
                         (":status", head.start[1].decode()),
                         *((n.decode(), v.decode()) for n, v in head.headers.items()),
@@ -312,12 +316,14 @@
                 )
                 remaining = body
                 while remaining:
-                    window = min(16384, self.connection.h2.local_flow_control_window(self.stream))
+                    window = min(
+                        16384, self.connection.h2.local_flow_control_window(self.stream_id)
+                    )
                     if window <= 0:
-                        self.connection.h2.reset_stream(self.stream, Codes.INTERNAL_ERROR)
+                        self.connection.h2.reset_stream(self.stream_id, Codes.INTERNAL_ERROR)
                         break
                     self.connection.h2.send_data(
-                        self.stream, remaining[:window], end_stream=window >= len(remaining)
+                        self.stream_id, remaining[:window], end_stream=window >= len(remaining)
                     )
                     remaining = remaining[window:]
         except h2.exceptions.ProtocolError:
@@ -329,10 +335,10 @@
 
     def abort(self):
         """Reset the stream."""
-        if self.stream in self.connection.streams:
+        if self.stream_id in self.connection.streams:
             self.remove()
             try:
-                self.connection.h2.reset_stream(self.stream, Codes.INTERNAL_ERROR)
+                self.connection.h2.reset_stream(self.stream_id, Codes.INTERNAL_ERROR)
                 self.connection.flush()
             except h2.exceptions.ProtocolError:
                 pass
@@ -341,7 +347,7 @@
 
     def remove(self):
         """Remove the stream from its connection and its upstream."""
-        self.connection.streams.pop(self.stream, None)
+        self.connection.streams.pop(self.stream_id, None)
         self.connection.upstream.connections.discard(self)
         self.connection.idle_at = self.connection.upstream.now()
 
--- a/tests/lab/test_goaway.py
+++ b/tests/lab/test_goaway.py
@@ -11,7 +11,7 @@
 
 from hyperframe.frame import GoAwayFrame
 
-from pepperhook.lab.wire2 import Link2
+from pepperhook.lab.wire2 import Http2PoolConnection
 from tests.http2.frames import SETTINGS, data_frame
 from tests.http2.frames import headers_frame as make_headers_frame
 
@@ -37,15 +37,15 @@
 
 def test_response_on_a_stream_that_a_goaway_leaves_open_is_accepted():
     answers = []
-    link = Link2(SimpleNamespace(links=[]))
-    link.connection_made(Transport())
-    exchange = SimpleNamespace(answered=lambda *answer: answers.append(answer))
-    link.begin(exchange, "GET", "/look", [], b"")
+    connection = Http2PoolConnection(SimpleNamespace(connections=[]))
+    connection.connection_made(Transport())
+    exchange = SimpleNamespace(on_response=lambda *answer: answers.append(answer))
+    connection.start_stream(exchange, "GET", "/look", [], b"")
 
-    link.data_received(SETTINGS.serialize() + GoAwayFrame(0, last_stream_id=1).serialize())
+    connection.data_received(SETTINGS.serialize() + GoAwayFrame(0, last_stream_id=1).serialize())
     head = make_headers_frame(1, [(":status", "200")], flags=["END_HEADERS"])
     body = data_frame(1, b"done", ["END_STREAM"])
-    link.data_received(head.serialize() + body.serialize())
+    connection.data_received(head.serialize() + body.serialize())
 
-    assert not link.transport.is_aborted
+    assert not connection.transport.is_aborted
     assert [(status, text) for status, text, _ in answers] == [(200, b"done")]
--- a/tests/server/peers.py
+++ b/tests/server/peers.py
@@ -81,7 +81,7 @@
 
 def make_response(status=200, body=b"done", headers=b""):
     """Return the bytes of a response; ``headers``: complete header lines."""
-    return wire.answer(status, body, headers)
+    return wire.encode_response(status, body, headers)
 
 
 def header_value(head, name):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -295,25 +295,27 @@
 def test_messages_are_parsed_alike_however_the_bytes_are_split(seed):
     chance = random.Random(seed)
     sent = [
-        wire.message(b"POST", b"/x", [(b"X-Request-ID", b"%d" % n)], b"y" * n)
+        wire.encode_request(b"POST", b"/x", [(b"X-Request-ID", b"%d" % n)], b"y" * n)
         for n in range(0, 90, 7)
     ]
-    stream, messages, received = b"".join(sent), wire.Messages(), []
+    stream, messages, received = b"".join(sent), wire.MessageParser(), []
     while stream:
         cut = chance.randrange(1, 60)
         messages.feed(stream[:cut])
         stream = stream[cut:]
         while (message := messages.next()) is not None:
             received.append((message[0].headers[b"x-request-id"], len(message[1])))
-    assert received == [(b"%d" % n, n) for n in range(0, 90, 7)] and not messages.begun
+    assert (
+        received == [(b"%d" % n, n) for n in range(0, 90, 7)] and not messages.has_partial_message
+    )
     for malformed in (
         b"nothing\r\n\r\n",
         b"GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n",
         b"GET / HTTP/1.1\r\nno colon\r\n\r\n",
     ):
-        messages = wire.Messages()
+        messages = wire.MessageParser()
         messages.feed(malformed)
-        with pytest.raises(wire.Broken):
+        with pytest.raises(wire.MalformedMessageError):
             messages.next()
 
 
