--- a/pepperhook/lab/gossip.py
+++ b/pepperhook/lab/gossip.py
@@ -22,8 +22,8 @@
 MAX_WAITING_DATAGRAMS = 300
 
 
-class Noticed(Struct):
-    """How one death was noticed: times in nanoseconds after it; None: not within the run."""
+class DetectedDeath(Struct):
+    """How one death was detected: times in nanoseconds after it; None: not within the run."""
 
     name: str
     at: int  # virtual time of the death, in nanoseconds
@@ -45,7 +45,7 @@
     falsely_suspected: int  # suspicions of members that were running and reachable
     falsely_lost: int  # declarations of loss about running and reachable members
     refuted: int  # suspicions that their subject refuted
-    deaths: list[Noticed]
+    deaths: list[DetectedDeath]
 
 
 class Network:
@@ -62,66 +62,70 @@
         settings: ProtocolSettings = DEFAULT_SETTINGS,
         loss: float = 0.0,
         delay_ms: tuple[float, float] = (0.2, 2.0),
-        make: Callable = SwimProtocol,
+        make_protocol: Callable = SwimProtocol,
         tiers: int = 1,
     ):
         self.random = Random(seed)
         self.settings = settings
         self.loss = loss
-        self.delay = delay_ms
-        self.make = make
-        self.seed, self.now, self.events, self.counter = seed, 0, [], 0
+        self.delay_ms = delay_ms
+        self.make_protocol = make_protocol
+        self.seed, self.now, self.events, self.event_count = seed, 0, [], 0
         self.members: dict[str, ObservedMember] = {}
         self.by_address: dict[tuple[str, int], str] = {}
-        self.rows = [
+        self.records = [
             MemberRecord(f"m{n:04}", (f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}", 7946), n % tiers, 1)
             for n in range(members)
         ]
-        self.asleep: dict[str, list] = {}  # paused members and the datagrams that wait for them
-        self.wakes: dict[str, int] = {}  # next timer of each member
+        self.paused: dict[str, list] = {}  # paused members and the datagrams that wait for them
+        self.next_ticks: dict[str, int] = {}  # next timer of each member
         # Whether datagrams from the first to the second member are dropped; by default none.
-        self.cut: Callable[[str, str], bool] = lambda sender, receiver: False
+        self.is_blocked: Callable[[str, str], bool] = lambda sender, receiver: False
         self.sent: Counter = Counter()
         self.updates_sent = 0
-        self.deaths: dict[str, Noticed] = {}
+        self.deaths: dict[str, DetectedDeath] = {}
         self.false_suspected = self.false_lost = self.refuted_by_killed = 0
-        self.begun: dict[str, int] = {}
+        self.started_at: dict[str, int] = {}
 
     # Called by scenarios.
 
-    def begin(self, number: int, incarnation: int = 1):
+    def start_member(self, number: int, incarnation: int = 1):
         """Start a member."""
-        row = self.rows[number]
-        row = MemberRecord(row.name, row.address, row.tier, incarnation)
+        record = self.records[number]
+        record = MemberRecord(record.name, record.address, record.tier, incarnation)
         seeds = [
-            self.rows[seed].address
+            self.records[seed].address
             for seed in (0, 1, 2)
-            if seed != number and seed < len(self.rows)
+            if seed != number and seed < len(self.records)
         ]
-        self.members[row.name] = ObservedMember(
+        self.members[record.name] = ObservedMember(
             self,
-            self.make(
-                row, seeds, self.seed * 100_003 + number * 7 + incarnation, self.now, self.settings
+            self.make_protocol(
+                record,
+                seeds,
+                self.seed * 100_003 + number * 7 + incarnation,
+                self.now,
+                self.settings,
             ),
         )
-        self.by_address[row.address] = row.name
-        self.begun[row.name] = self.now
-        self.schedule_tick(row.name)
+        self.by_address[record.address] = record.name
+        self.started_at[record.name] = self.now
+        self.schedule_tick(record.name)
 
     def kill(self, name: str):
         """End a member without notice."""
         self.refuted_by_killed += self.members.pop(name).protocol.counters.refuted
-        self.wakes.pop(name, None)
-        self.asleep.pop(name, None)
-        self.deaths[name] = Noticed(name, self.now)
+        self.next_ticks.pop(name, None)
+        self.paused.pop(name, None)
+        self.deaths[name] = DetectedDeath(name, self.now)
 
-    def stop(self, name: str):
+    def pause(self, name: str):
         """Pause a member."""
-        self.asleep.setdefault(name, [])
+        self.paused.setdefault(name, [])
 
-    def go_on(self, name: str):
+    def resume(self, name: str):
         """Resume a paused member."""
-        waiting = self.asleep.pop(name, [])
+        waiting = self.paused.pop(name, [])
         if name in self.members:
             # The order of an event loop: one datagram, the due timers, then the other datagrams.
             for message in waiting[:1]:
@@ -135,64 +139,68 @@
         """Make a member leave in an orderly way."""
         self.send(name, self.members[name].protocol.leave())
         del self.members[name]
-        self.wakes.pop(name, None)
+        self.next_ticks.pop(name, None)
 
-    def at(self, seconds: float, work: Callable[[], None]):
+    def call_at(self, seconds: float, callback: Callable[[], None]):
         """Schedule a call at a time of the run."""
-        self.push(int(seconds * S), work)
+        self.schedule(int(seconds * S), callback)
 
     # Time.
 
-    def push(self, at: int, work):
+    def schedule(self, at: int, callback):
         """Schedule a call at a time in nanoseconds."""
-        self.counter += 1
-        heappush(self.events, (at, self.counter, work))
+        self.event_count += 1
+        heappush(self.events, (at, self.event_count, callback))
 
     def run(self, seconds: float):
         """Run until that many seconds have passed since the start."""
-        ends = int(seconds * S)
-        while self.events and self.events[0][0] <= ends:
+        end = int(seconds * S)
+        while self.events and self.events[0][0] <= end:
             self.step()
-        self.now = ends
+        self.now = end
 
     def step(self):
         """Run the next event."""
-        self.now, _, work = heappop(self.events)
-        work()
+        self.now, _, callback = heappop(self.events)
+        callback()
 
     def schedule_tick(self, name: str, at: int | None = None):
         """Schedule a member's tick at ``at``, or at its next deadline."""
-        if name in self.asleep or name not in self.members:
+        if name in self.paused or name not in self.members:
             return
         at = max(self.now, self.members[name].protocol.next_deadline()) if at is None else at
-        if self.wakes.get(name, 1 << 62) <= at and self.wakes[name] >= self.now:
+        if self.next_ticks.get(name, 1 << 62) <= at and self.next_ticks[name] >= self.now:
             return
-        self.wakes[name] = at
-        self.push(at, lambda: self.run_scheduled_tick(name, at))
+        self.next_ticks[name] = at
+        self.schedule(at, lambda: self.run_scheduled_tick(name, at))
 
     def run_scheduled_tick(self, name: str, at: int):
         """Run a member's scheduled tick, unless it was rescheduled or the member is paused."""
-        if self.wakes.get(name) != at or name not in self.members:
+        if self.next_ticks.get(name) != at or name not in self.members:
             return
-        if name in self.asleep:
-            del self.wakes[name]
+        if name in self.paused:
+            del self.next_ticks[name]
             return
-        del self.wakes[name]
+        del self.next_ticks[name]
         member = self.members[name]
         self.send(name, member.tick(self.now))
         self.schedule_tick(name)
 
     # The network.
 
-    def send(self, sender: str, out: list[Outgoing]):
+    def send(self, sender: str, datagrams: list[Outgoing]):
         """Send datagrams; some are lost or dropped by a partition, the others are delayed."""
-        for address, message in ((item.address, item.message) for item in out):
+        for address, message in ((item.address, item.message) for item in datagrams):
             self.sent[sender] += 1
             self.updates_sent += len(message.updates)
             receiver = self.by_address.get(address)
-            if receiver is None or self.cut(sender, receiver) or self.random.random() < self.loss:
+            if (
+                receiver is None
+                or self.is_blocked(sender, receiver)
+                or self.random.random() < self.loss
+            ):
                 continue
-            at = self.now + int(self.random.uniform(*self.delay) * MS)
+            at = self.now + int(self.random.uniform(*self.delay_ms) * MS)
             # Copy what is mutable: members must share no memory.
             copy = Message(
                 message.type,
@@ -203,13 +211,13 @@
                 list(message.updates),
                 list(message.accusers),
             )
-            self.push(at, lambda receiver=receiver, copy=copy: self.deliver(receiver, copy))
+            self.schedule(at, lambda receiver=receiver, copy=copy: self.deliver(receiver, copy))
 
     def deliver(self, receiver: str, message: Message):
         """Deliver a datagram, or queue it for a paused member."""
-        if receiver in self.asleep:
-            if len(self.asleep[receiver]) < MAX_WAITING_DATAGRAMS:
-                self.asleep[receiver].append(message)
+        if receiver in self.paused:
+            if len(self.paused[receiver]) < MAX_WAITING_DATAGRAMS:
+                self.paused[receiver].append(message)
             return
         member = self.members.get(receiver)
         if member is not None:
@@ -220,10 +228,10 @@
 
     def is_running(self, name: str) -> bool:
         """Whether a member runs and is not paused."""
-        return name in self.members and name not in self.asleep
+        return name in self.members and name not in self.paused
 
-    def record_state(self, by: str, name: str, state: MemberState):
-        """Record that a member, ``by``, now considers another suspect or lost."""
+    def record_state(self, observer: str, name: str, state: MemberState):
+        """Record that a member, ``observer``, now considers another suspect or lost."""
         death = self.deaths.get(name)
         if death is not None and name not in self.members:
             if state == MemberState.SUSPECT and death.suspected is None:
@@ -236,11 +244,15 @@
                     for member in self.members.values()
                 ):
                     death.known = self.now - death.at
-        elif self.is_running(name) and self.is_running(by) and not self.cut(by, name):
+        elif (
+            self.is_running(name)
+            and self.is_running(observer)
+            and not self.is_blocked(observer, name)
+        ):
             self.false_suspected += state == MemberState.SUSPECT
             self.false_lost += state == MemberState.LOST
 
-    def agreed(self) -> bool:
+    def has_converged(self) -> bool:
         """Whether each member's list of present members is exactly the running ones."""
         running = sorted(self.members)
         return all(
@@ -257,20 +269,20 @@
     def figures(self) -> Figures:
         """Return the results of the run so far."""
         seconds = self.now / S
-        member_seconds = sum((self.now - self.begun[name]) / S for name in self.members) or 1.0
+        member_seconds = sum((self.now - self.started_at[name]) / S for name in self.members) or 1.0
         total = sum(self.sent.values())
         counters = [member.protocol.counters for member in self.members.values()]
         return Figures(
             members=len(self.members),
             seconds=seconds,
-            probes_each_s=sum(each.probes for each in counters) / member_seconds,
+            probes_each_s=sum(counter.probes for counter in counters) / member_seconds,
             datagrams_each_s=total / member_seconds,
             busiest_s=max(self.sent.values(), default=0) / seconds,
             rows_each_datagram=self.updates_sent / max(1, total),
-            suspected=sum(each.suspected for each in counters),
+            suspected=sum(counter.suspected for counter in counters),
             falsely_suspected=self.false_suspected,
             falsely_lost=self.false_lost,
-            refuted=sum(each.refuted for each in counters) + self.refuted_by_killed,
+            refuted=sum(counter.refuted for counter in counters) + self.refuted_by_killed,
             deaths=list(self.deaths.values()),
         )
 
@@ -299,27 +311,27 @@
         return self.protocol.receive(now, message)
 
 
-def settled(members: int, seed: int, **more) -> Network:
+def converged_network(members: int, seed: int, **options) -> Network:
     """Return a network whose members have joined through the first three and agree on the list.
 
     Members start 10 ms apart; more than 100 of them start evenly over one second. Raise
     RuntimeError if they still differ at the last of 60 checks, which are one second apart.
     """
-    network = Network(members, seed, **more)
+    network = Network(members, seed, **options)
     for number in range(members):
-        network.at(
+        network.call_at(
             number * 0.01 if members <= 100 else number / members,
-            lambda number=number: network.begin(number),
+            lambda number=number: network.start_member(number),
         )
-    ends = 2.0 + members * 0.01
+    end = 2.0 + members * 0.01
     for _ in range(60):
-        network.run(ends)
-        if len(network.members) == members and network.agreed():
+        network.run(end)
+        if len(network.members) == members and network.has_converged():
             return network
-        ends += 1.0
+        end += 1.0
     raise RuntimeError(
-        f"{network.count_differing()} of {members} members still differ after {ends:.0f} s"
+        f"{network.count_differing()} of {members} members still differ after {end:.0f} s"
     )
 
 
-__all__ = ["Figures", "Network", "Noticed", "settled"]
+__all__ = ["Figures", "Network", "DetectedDeath", "converged_network"]
--- a/pepperhook/lab/proofs/membership.py
+++ b/pepperhook/lab/proofs/membership.py
@@ -72,13 +72,13 @@
         """Measure how many periods a death takes to be suspected, confirmed and known by all."""
         count, problems, figures = self.large_fleet(), [], {}
         for members in (20, count):
-            net = gossip.settled(members, self.seed, tiers=2)
+            net = gossip.converged_network(members, self.seed, tiers=2)
             for number in range(5, 5 + (12 if self.full else 8)):
                 net.kill(f"m{number:04}")
                 net.run(net.now / S + 1.7)
             net.run(net.now / S + 40)
             deaths = net.figures().deaths
-            if not net.agreed() or any(death.known is None for death in deaths):
+            if not net.has_converged() or any(death.known is None for death in deaths):
                 problems.append(
                     f"of {members} members not all know of "
                     f"{sum(death.known is None for death in deaths)} deaths"
@@ -108,7 +108,7 @@
         """
         problems, figures = [], {}
         for members in (20, self.large_fleet()):
-            net = gossip.settled(members, self.seed + 1)
+            net = gossip.converged_network(members, self.seed + 1)
             joined_s, busiest_rate = net.now / S, max(net.sent.values()) / (net.now / S)
             before = sum(net.sent.values())
             net.run(net.now / S + 20)
@@ -126,7 +126,7 @@
 
     def loss(self):
         """Lose 5% of all datagrams: live members may be suspected, but not declared lost."""
-        net = gossip.settled(self.large_fleet() // 4, self.seed + 2, loss=0.05)
+        net = gossip.converged_network(self.large_fleet() // 4, self.seed + 2, loss=0.05)
         net.run(net.now / S + 120)
         net.kill("m0005")
         net.run(net.now / S + 40)
@@ -141,7 +141,7 @@
             "falsely_lost": run_figures.falsely_lost,
         }
         problems = []
-        if run_figures.falsely_lost or not net.agreed():
+        if run_figures.falsely_lost or not net.has_converged():
             problems.append(
                 f"with datagram loss a live member was declared lost "
                 f"{run_figures.falsely_lost} times"
@@ -152,7 +152,7 @@
 
     def split(self):
         """Partition a network of forty into halves: neither may lower its fleet size."""
-        net, count = gossip.settled(40, self.seed + 3), 40
+        net, count = gossip.converged_network(40, self.seed + 3), 40
         positions = {
             name: fleet_position.FleetPosition(name, count, 18 * S) for name in net.members
         }
@@ -167,10 +167,10 @@
 
         pass_time(5)
         half = {f"m{number:04}" for number in range(20)}
-        net.cut = lambda sender, receiver: (sender in half) != (receiver in half)
+        net.is_blocked = lambda sender, receiver: (sender in half) != (receiver in half)
         pass_time(90)
         fleet_sizes = sorted({position.count for position in positions.values()})
-        net.cut = lambda sender, receiver: False
+        net.is_blocked = lambda sender, receiver: False
         pass_time(60)
         problems = (
             []
@@ -178,25 +178,25 @@
             else [f"in halves of a partitioned network fleet sizes were {fleet_sizes}, not {count}"]
         )
         indexes = sorted(position.index for position in positions.values())
-        if not net.agreed() or indexes != list(range(count)):
+        if not net.has_converged() or indexes != list(range(count)):
             problems.append("the halves do not agree after the partition")
-        return problems, {"counted_in_the_halves": fleet_sizes, "agreed_again": net.agreed()}
+        return problems, {"counted_in_the_halves": fleet_sizes, "agreed_again": net.has_converged()}
 
     def stall(self):
         """Stall a member for a minute while it suspects another, which is reachable again soon.
 
         The stalled member must not declare the other one lost when it continues.
         """
-        net = gossip.settled(20, self.seed + 4)
-        net.cut = lambda sender, receiver: "m0007" in (sender, receiver)
+        net = gossip.converged_network(20, self.seed + 4)
+        net.is_blocked = lambda sender, receiver: "m0007" in (sender, receiver)
         protocol = net.members["m0005"].protocol
         while protocol.table.record_of("m0007").state != MemberState.SUSPECT:
             net.step()
-        net.stop("m0005")
-        net.cut = lambda sender, receiver: False
+        net.pause("m0005")
+        net.is_blocked = lambda sender, receiver: False
         net.run(net.now / S + 60)
         before = protocol.counters.suspected
-        net.go_on("m0005")
+        net.resume("m0005")
         net.run(net.now / S + 0.9)
         suspicions = protocol.counters.suspected - before
         net.run(net.now / S + 40)
@@ -205,12 +205,12 @@
             problems.append(
                 f"after the stall of a member a live one was declared lost {net.false_lost} times"
             )
-        if not net.agreed():
+        if not net.has_converged():
             problems.append("the members do not agree after the stalled one continued")
         return problems, {
             "suspected_by_it": suspicions,
             "taken_for_lost": net.false_lost,
-            "agreed_again": net.agreed(),
+            "agreed_again": net.has_converged(),
         }
 
     # Over sockets.
--- a/tests/membership/test_cluster.py
+++ b/tests/membership/test_cluster.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pepperhook.lab.gossip import Network, settled
+from pepperhook.lab.gossip import Network, converged_network
 from pepperhook.membership.fleet_position import FleetPosition
 from pepperhook.membership.messages import MemberState
 from pepperhook.membership.settings import NS_PER_S, ProtocolSettings
@@ -29,7 +29,7 @@
 
 def split(network: Network, side: set[str]) -> None:
     """Split a network in two, in both directions."""
-    network.cut = lambda sender, receiver: (sender in side) != (receiver in side)
+    network.is_blocked = lambda sender, receiver: (sender in side) != (receiver in side)
 
 
 class FaultInjector:
@@ -43,9 +43,9 @@
         self.highest_incarnations: dict[str, int] = {}
         for number in range(MEMBERS):
             start_s = self.random.uniform(0, 3)
-            self.network.at(start_s, lambda number=number: self.network.begin(number))
+            self.network.call_at(start_s, lambda number=number: self.network.start_member(number))
         for index in range(FAULTS):
-            self.network.at(4 + index * FAULT_INTERVAL_S, self.inject)
+            self.network.call_at(4 + index * FAULT_INTERVAL_S, self.inject)
 
     def inject(self) -> None:
         """Inject one random fault, or end one."""
@@ -54,14 +54,14 @@
         if fault == "cut":
             self.cut_one_way()
         elif fault == "heal":
-            self.network.cut = no_cut
+            self.network.is_blocked = no_cut
         else:
             self.fail_or_restore(f"m{number:04}", number, fault)
 
     def cut_one_way(self) -> None:
         """Cut the links from a random subset of the members to the rest."""
         side = {f"m{number:04}" for number in range(MEMBERS) if self.random.random() < 0.5}
-        self.network.cut = lambda sender, receiver: sender in side and receiver not in side
+        self.network.is_blocked = lambda sender, receiver: sender in side and receiver not in side
 
     def fail_or_restore(self, name: str, number: int, fault: str) -> None:
         """Kill or stop a member, or have it leave; if it is not running, restore it instead."""
@@ -69,11 +69,11 @@
         if name not in network.members:
             # Its clock may not have advanced since its previous run.
             self.start_incarnations[number] += self.random.choice((0, 1, 1000))
-            network.begin(number, self.start_incarnations[number])
-        elif name in network.asleep:
-            network.go_on(name)
+            network.start_member(number, self.start_incarnations[number])
+        elif name in network.paused:
+            network.resume(name)
         elif fault == "stop":
-            network.stop(name)
+            network.pause(name)
         elif fault == "kill":
             network.kill(name)
         else:
@@ -86,7 +86,7 @@
         while self.network.events and self.network.now < until_s * NS_PER_S:
             self.network.step()
             self.record_incarnations()
-            if self.network.counter % CHECK_INTERVAL == 0:
+            if self.network.event_count % CHECK_INTERVAL == 0:
                 self.check()
 
     def record_incarnations(self) -> None:
@@ -106,10 +106,10 @@
 
     def heal(self) -> None:
         """End all faults."""
-        self.network.cut = no_cut
+        self.network.is_blocked = no_cut
         self.network.loss = 0.0
-        for name in list(self.network.asleep):
-            self.network.go_on(name)
+        for name in list(self.network.paused):
+            self.network.resume(name)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -121,12 +121,12 @@
     run_for(injector.network, 60)
 
     assert len(injector.network.members) > 2
-    assert injector.network.agreed()
+    assert injector.network.has_converged()
 
 
 def test_runs_with_the_same_seed_give_the_same_statistics():
     def run_and_measure():
-        network = settled(15, 8, loss=0.05)
+        network = converged_network(15, 8, loss=0.05)
         network.kill("m0007")
         run_for(network, 20)
         return network.figures()
@@ -135,7 +135,7 @@
 
 
 def test_under_datagram_loss_only_killed_members_are_declared_lost_by_all():
-    network = settled(40, 2, loss=0.05)
+    network = converged_network(40, 2, loss=0.05)
 
     network.kill("m0020")
     network.kill("m0021")
@@ -146,76 +146,76 @@
     assert len(detection_times_ns) == 2
     assert all(time_ns is not None and time_ns < 30 * NS_PER_S for time_ns in detection_times_ns)
     assert figures.falsely_lost == 0
-    assert network.agreed()
+    assert network.has_converged()
 
 
 def test_a_member_that_leaves_is_marked_as_left_by_all_and_suspected_by_none():
-    network = settled(30, 3)
+    network = converged_network(30, 3)
 
     network.leave("m0011")
     run_for(network, 6)
 
-    assert network.agreed()
+    assert network.has_converged()
     states = {state_of(member.protocol, "m0011") for member in network.members.values()}
     assert states == {MemberState.LEFT}
     assert network.figures().suspected == 0
 
 
 def test_a_member_that_was_stalled_for_a_minute_rejoins_and_declares_nobody_lost():
-    network = settled(20, 6)
+    network = converged_network(20, 6)
     stalled = network.members["m0005"].protocol
 
-    network.stop("m0005")
+    network.pause("m0005")
     run_for(network, 60)
     others = [m.protocol for name, m in network.members.items() if name != "m0005"]
     states = {state_of(protocol, "m0005") for protocol in others}
-    network.go_on("m0005")
+    network.resume("m0005")
     run_for(network, 30)
 
     assert states == {MemberState.LOST}
-    assert network.agreed()
+    assert network.has_converged()
     assert network.figures().falsely_lost == 0
     assert stalled.counters.stalls == 1
 
 
 def test_a_member_that_can_send_but_not_receive_causes_no_other_to_be_declared_lost():
-    network = settled(20, 7)
+    network = converged_network(20, 7)
     other_names = {name for name in network.members if name != "m0003"}
 
-    network.cut = lambda _sender, receiver: receiver == "m0003"
+    network.is_blocked = lambda _sender, receiver: receiver == "m0003"
     run_for(network, 90)
 
     for name in other_names:
         present = network.members[name].protocol.table.present_names()
         assert set(present) - {"m0003"} == other_names
-    network.cut = no_cut
+    network.is_blocked = no_cut
     run_for(network, 60)
-    assert network.agreed()
+    assert network.has_converged()
 
 
 def test_a_member_that_restarts_with_its_clock_set_back_rejoins():
     network = Network(6, 9)
     for number in range(6):
-        network.begin(number, 1000)
+        network.start_member(number, 1000)
     network.run(5)
     network.kill("m0004")
     network.run(8)
 
-    network.begin(4, 3)
+    network.start_member(4, 3)
     network.run(30)
 
-    assert network.agreed()
+    assert network.has_converged()
     assert network.members["m0004"].protocol.table.local.incarnation > 1000
 
 
 def test_a_hundred_members_join_through_three_seeds_at_bounded_load():
     network = Network(100, 10)
     for number in range(100):
-        network.at(0.01 * number, lambda number=number: network.begin(number))
+        network.call_at(0.01 * number, lambda number=number: network.start_member(number))
 
     network.run(15)
 
-    assert network.agreed()
+    assert network.has_converged()
     busiest_datagrams_per_s = max(network.sent.values()) / 15
     assert busiest_datagrams_per_s < 60
 
@@ -226,7 +226,7 @@
     @pytest.fixture
     def network(self):
         """Twenty members whose views agree."""
-        return settled(20, 4)
+        return converged_network(20, 4)
 
     @pytest.fixture
     def positions(self, network):
@@ -268,9 +268,9 @@
         split(network, {f"m{number:04}" for number in range(8)})
         self.run_and_update(network, positions, 90)
 
-        network.cut = no_cut
+        network.is_blocked = no_cut
         self.run_and_update(network, positions, 40)
 
-        assert network.agreed()
+        assert network.has_converged()
         assert {position.count for position in positions.values()} == {20}
         assert sorted(position.index for position in positions.values()) == list(range(20))
