--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -16,7 +16,7 @@
 from pepperhook.lab.day import Day
 from pepperhook.lab.experiment import Experiment, Trouble, Variant
 from pepperhook.lab.machine import Job, Machine
-from pepperhook.lab.network import Network, Relay, Side
+from pepperhook.lab.network import Network, Relay, RelaySide
 from pepperhook.lab.stage import Stage
 from pepperhook.lab.upstream import Upstream
 from tests.world import loopback
@@ -325,18 +325,18 @@
     upstream.machine = Machine(upstream.spec, time.monotonic_ns())
 
     def poll():
-        head, _, body = upstream.told_load(b"/_load").partition(b"\r\n\r\n")
+        head, _, body = upstream.probe_response(b"/_load").partition(b"\r\n\r\n")
         return int(head.split()[1]), json.loads(body)["outstanding"] if body else None
 
     assert poll() == (200, 0)
-    upstream.on["stale_report"] = Trouble(what="stale_report", at=0)
+    upstream.active_faults["stale_report"] = Trouble(what="stale_report", at=0)
     upstream.machine.arrive(time.monotonic_ns(), Job(S, None))
     assert poll() == (200, 0)
-    del upstream.on["stale_report"]
+    del upstream.active_faults["stale_report"]
     assert poll() == (200, 1)
-    upstream.on["lost_report"] = Trouble(what="lost_report", at=0)
+    upstream.active_faults["lost_report"] = Trouble(what="lost_report", at=0)
     assert poll() == (503, None)
-    del upstream.on["lost_report"]
+    del upstream.active_faults["lost_report"]
     assert poll() == (200, 1)
     stage.book.close()
 
@@ -355,7 +355,7 @@
     network = Network(None, None)
     relay = Relay(network, server.sockets[0].getsockname()[:2])
     front = await asyncio.get_running_loop().create_server(
-        lambda: Side(relay, "on"), "127.0.0.1", 0
+        lambda: RelaySide(relay, "to_target"), "127.0.0.1", 0
     )
 
     async def exchange_byte():
@@ -365,14 +365,14 @@
 
     reader, writer, answer = await exchange_byte()
     assert answer == b"x"
-    Network.set(relay, Trouble(what="net_cut", at=0), True)
+    Network.apply_fault(relay, Trouble(what="net_cut", at=0), True)
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
         await reader.readexactly(1)
     writer.close()
     reader, writer, answer = await exchange_byte()
     assert answer == b"x"
     writer.close()
-    relay.cut()
+    relay.abort_connections()
     front.close()
     server.close()
     await network.close()
