--- a/pepperhook/cli/lab_measurements.py
+++ b/pepperhook/cli/lab_measurements.py
@@ -126,7 +126,7 @@
         try:
             with show_progress(as_json) as update:
                 rows = controlload.measure(counts, folder, port, update)
-        except (OSError, controlload.Failed) as error:
+        except (OSError, controlload.MeasurementError) as error:
             raise CommandFailedError(f"control-load: {error}") from error
     if as_json:
         print_json(rows)
--- a/pepperhook/cli/lab_support.py
+++ b/pepperhook/cli/lab_support.py
@@ -26,20 +26,20 @@
 
     Such a run has no verdict, so it shows no fault of the balancer.
     """
-    from pepperhook.lab.day import Failed
+    from pepperhook.lab.day import RunError
 
     try:
         yield
-    except (Failed, OSError, tomlfile.TomlFileError) as error:
+    except (RunError, OSError, tomlfile.TomlFileError) as error:
         raise InvalidInputError(f"{name}: could not run: {error}") from error
 
 
 @contextmanager
 def reporting_failed_run(name: str) -> Iterator[None]:
     """Report a run that was aborted as a failure."""
-    from pepperhook.lab.day import Failed
+    from pepperhook.lab.day import RunError
 
     try:
         yield
-    except (Failed, OSError) as error:
+    except (RunError, OSError) as error:
         raise LabRunFailedError(f"{name}: {error}") from error
--- a/pepperhook/lab/controlload.py
+++ b/pepperhook/lab/controlload.py
@@ -29,7 +29,7 @@
 SERVE = "import sys\nfrom pepperhook.cli import main\nmain(sys.argv[1:])"
 
 
-class Failed(RuntimeError):
+class MeasurementError(RuntimeError):
     """The measurement could not be made."""
 
 
@@ -141,15 +141,20 @@
             return response.status, await response.json()
 
     async def wait_until(self, condition):
-        """Wait until ``condition()`` is true. Raises Failed after TIMEOUT_S."""
+        """Wait until ``condition()`` is true. Raises MeasurementError after TIMEOUT_S."""
         ends = time.monotonic() + TIMEOUT_S
         while not condition():
             if time.monotonic() > ends:
-                raise Failed(f"timed out after {TIMEOUT_S:g} s with {len(self.members)} members")
+                raise MeasurementError(
+                    f"timed out after {TIMEOUT_S:g} s with {len(self.members)} members"
+                )
             await asyncio.sleep(0.01)
 
     async def propose(self, objective_ms, parent):
-        """Add a version with this latency objective in ms; return its number. Raises Failed."""
+        """Add a version with this latency objective in ms; return its number.
+
+        Raises MeasurementError.
+        """
         document = {
             "version": 1,
             "grades": {f"g{number}": {"goal_ms": objective_ms} for number in range(GRADES)},
@@ -166,11 +171,14 @@
             },
         )
         if status != 200:
-            raise Failed(f"the service rejected a version: {answer}")
+            raise MeasurementError(f"the service rejected a version: {answer}")
         return answer["number"]
 
     async def roll_out(self, number):
-        """Roll a version out to all; return each member's seconds, sorted. Raises Failed."""
+        """Roll a version out to all; return each member's seconds, sorted.
+
+        Raises MeasurementError.
+        """
         begun = time.monotonic()
         status, answer = await self.call(
             "POST",
@@ -178,12 +186,12 @@
             {"version": number, "steps": [{"share": 1.0, "seconds": 0.0}], "patience_s": 600},
         )
         if status != 200:
-            raise Failed(f"the service rejected a rollout: {answer}")
+            raise MeasurementError(f"the service rejected a rollout: {answer}")
         await self.wait_until(lambda: all(number in member.applied_at for member in self.members))
         return sorted(member.applied_at[number] - begun for member in self.members)
 
     async def measure(self, process):
-        """Return the figures of the service running in ``process``. Raises Failed."""
+        """Return the figures of the service running in ``process``. Raises MeasurementError."""
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(
             connector=connector, timeout=aiohttp.ClientTimeout(total=None)
@@ -240,7 +248,7 @@
 
 
 def measure(counts, folder, port, tell=lambda *_: None) -> list[dict]:
-    """Return a row of figures for each number of members. Raises Failed."""
+    """Return a row of figures for each number of members. Raises MeasurementError."""
     import psutil
 
     rows = []
--- a/pepperhook/lab/day.py
+++ b/pepperhook/lab/day.py
@@ -21,18 +21,19 @@
 
 from pepperhook.lab import audit, events, experiment
 from pepperhook.lab.instances import Timeline, Transition
-from pepperhook.lab.load import healthy
+from pepperhook.lab.load import is_healthy
 
-S = 10**9
-READY_S = 30  # startup timeout of every process
-LEAD_S = 1.2  # a later tier's balancer starts this long before the upstream that calls through it
+NS_PER_S = 10**9
+START_TIMEOUT_S = 30  # startup timeout of every process
+# A later tier's balancer starts this long before the upstream that calls through it.
+BALANCER_LEAD_S = 1.2
 # A run is void, and not used in comparisons, if the machine had too little processor time for it.
 # Limit of the share of all cores that other virtual machines of the host took within one sample:
-MAX_STOLEN = 0.05
+MAX_STOLEN_SHARE = 0.05
 # Limit of the time that a process waited for a core within one sample:
 MAX_CORE_WAIT_MS = 400
 ROOT = Path(__file__).resolve().parents[2]
-LINE = re.compile(r"(\w+)=(\"(?:[^\"\\]|\\.)*\"|\S+)")
+LOG_FIELD = re.compile(r"(\w+)=(\"(?:[^\"\\]|\\.)*\"|\S+)")
 
 
 class Cores:
@@ -43,9 +44,10 @@
     """
 
     def __init__(self):
-        # Waits in ns by pid; the longest wait between two samples and the name of its process.
-        self.waited, self.worst_ms, self.who = {}, 0.0, None
-        self.ticks, self.stolen = None, 0.0
+        # ``waits_ns``: the last sample by pid, cumulative; ``longest_wait_ms``: the longest wait
+        # between two samples, of ``worst_process``.
+        self.waits_ns, self.longest_wait_ms, self.worst_process = {}, 0.0, None
+        self.last_ticks, self.largest_stolen_share = None, 0.0
 
     def sample(self, processes):
         """Sample the waits of ``processes``, rows of (name, process); call about once a second.
@@ -56,13 +58,13 @@
         for name, process in processes:
             try:
                 with open(f"/proc/{process.pid}/schedstat", encoding="ascii") as file:
-                    waited = int(file.read().split()[1])
+                    wait_ns = int(file.read().split()[1])
             except (OSError, IndexError, ValueError):
                 continue
-            before = self.waited.get(process.pid)
-            self.waited[process.pid] = waited
-            if before is not None and (waited - before) / 1e6 > self.worst_ms:
-                self.worst_ms, self.who = (waited - before) / 1e6, name
+            before = self.waits_ns.get(process.pid)
+            self.waits_ns[process.pid] = wait_ns
+            if before is not None and (wait_ns - before) / 1e6 > self.longest_wait_ms:
+                self.longest_wait_ms, self.worst_process = (wait_ns - before) / 1e6, name
 
     def sample_stolen(self, path="/proc/stat"):
         """Sample the CPU time stolen from this virtual machine.
@@ -75,13 +77,13 @@
                 ticks = [int(figure) for figure in file.readline().split()[1:9]]
         except (OSError, ValueError):
             return
-        if self.ticks is not None and len(ticks) == 8 and sum(ticks) > sum(self.ticks):
-            share = (ticks[7] - self.ticks[7]) / (sum(ticks) - sum(self.ticks))
-            self.stolen = max(self.stolen, share)
-        self.ticks = ticks
+        if self.last_ticks is not None and len(ticks) == 8 and sum(ticks) > sum(self.last_ticks):
+            share = (ticks[7] - self.last_ticks[7]) / (sum(ticks) - sum(self.last_ticks))
+            self.largest_stolen_share = max(self.largest_stolen_share, share)
+        self.last_ticks = ticks
 
 
-class Failed(RuntimeError):
+class RunError(RuntimeError):
     """The scenario could not be started or finished."""
 
 
@@ -92,17 +94,17 @@
         self.folder, self.paths = None, {}
 
     def at(self, revision):
-        """Return the path of a checkout of ``revision``. Raises Failed."""
+        """Return the path of a checkout of ``revision``. Raises RunError."""
         if revision not in self.paths:
             self.folder = self.folder or tempfile.mkdtemp(prefix="pepperhook-revisions-")
             path = f"{self.folder}/{len(self.paths)}"
-            done = subprocess.run(
+            completed = subprocess.run(
                 ["git", "-C", str(ROOT), "worktree", "add", "--detach", path, revision],
                 capture_output=True,
                 text=True,
             )
-            if done.returncode:
-                raise Failed(f"revision {revision}: {done.stderr.strip().splitlines()[-1]}")
+            if completed.returncode:
+                raise RunError(f"revision {revision}: {completed.stderr.strip().splitlines()[-1]}")
             self.paths[revision] = path
         return self.paths[revision]
 
@@ -120,9 +122,9 @@
 
     def __init__(self, day, tier, number):
         self.day, self.tier, self.number, self.process = day, tier, number, None
-        # ``moved``: 1 if it uses the discovery service's second address; ``begun``: monotonic
-        # seconds of the last start.
-        self.cpu_s, self.rss_mb, self.moved, self.start_cpu_s, self.begun = 0.0, 0.0, 0, 0.0, 0.0
+        self.cpu_s, self.rss_mb, self.start_cpu_s = 0.0, 0.0, 0.0
+        self.discovery_index = 0  # which address of the discovery service it uses, 0 or 1
+        self.started_at = 0.0  # monotonic seconds of the last start
         self.log = f"{day.folder}/balancer-{tier}-{number}.log"
 
     def configure(self):
@@ -133,13 +135,15 @@
             "seed": f"{plan.seed * 1000 + self.tier * 100 + self.number:x}",
             "limits": {"sockets": day.sockets},
             "settings": plan.settings(self.tier, self.number, day.variant.settings),
-            "discovery": "{}:{}".format(*plan.discovery(self.tier, self.number, self.moved)),
+            "discovery": "{}:{}".format(
+                *plan.discovery(self.tier, self.number, self.discovery_index)
+            ),
         }
         with open(path, "w", encoding="utf-8") as file:
             json.dump(config, file)
         return path
 
-    def begin(self):
+    def start(self):
         """Start the process: the balancer, or what the variant has in its place.
 
         That is a deliberately faulty stand-in, a baseline policy, a balancer with an injected
@@ -151,7 +155,9 @@
             "LB_NAME": f"b{self.tier}-{self.number}",
             "LB_CONFIG": self.configure(),
             "LB_LISTEN": "{}:{}".format(*plan.balancer(self.tier, self.number)),
-            "LB_DISCOVERY": "{}:{}".format(*plan.discovery(self.tier, self.number, self.moved)),
+            "LB_DISCOVERY": "{}:{}".format(
+                *plan.discovery(self.tier, self.number, self.discovery_index)
+            ),
         }
         environ.pop("LB_OPERATOR", None)
         if variant.operator is not None:
@@ -171,7 +177,7 @@
             command = [sys.executable, "-m", "pepperhook.lab.planted", variant.plant]
         elif variant.revision:
             folder = day.worktrees.at(variant.revision)
-        self.start_cpu_s, self.begun = 0.0, time.monotonic()
+        self.start_cpu_s, self.started_at = 0.0, time.monotonic()
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
                 command,
@@ -194,14 +200,14 @@
         except psutil.Error:
             pass
 
-    def send(self, signal_number):
+    def send_signal(self, signal_number):
         """Send a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(signal_number)
 
-    def end(self, signal_number=signal.SIGKILL, within_s=10):
+    def stop(self, signal_number=signal.SIGKILL, within_s=10):
         """Send a signal and wait; kill the process if it doesn't exit within ``within_s``."""
-        self.send(signal_number)
+        self.send_signal(signal_number)
         try:
             self.process.wait(within_s)
         except subprocess.TimeoutExpired:
@@ -212,10 +218,10 @@
 class Day:
     """One run of a scenario with one variant and one seed.
 
-    ``day`` is the experiment. ``tell(text, share)`` reports progress. ``blind`` has the names of
-    findings that the auditor ignores, for the check that it can fail. ``sockets`` is the balancers'
-    limit of sockets. ``script`` has additional actions: rows of (seconds, callable); each callable
-    gets this Day.
+    ``day`` is the experiment. ``report_progress(text, share)`` is called with the progress.
+    ``ignored_findings`` has the names of findings that the auditor ignores, for the check that it
+    can fail. ``sockets`` is the balancers' limit of sockets. ``script`` has additional actions:
+    rows of (seconds, callable); each callable gets this Day.
     """
 
     def __init__(
@@ -225,8 +231,8 @@
         seed,
         folder,
         worktrees=None,
-        tell=None,
-        blind=(),
+        report_progress=None,
+        ignored_findings=(),
         sockets=1024,
         script=(),
     ):
@@ -236,16 +242,18 @@
             day = self.day = replace(
                 day, tiers=[replace(tier, carry=list(variant.carry)) for tier in day.tiers]
             )
-        block, self.block_lock = experiment.free_block()
-        self.plan = experiment.Plan(day, seed, block)
-        # ``own``: close the worktrees at the end.
-        self.worktrees, self.own = worktrees or Worktrees(), worktrees is None
-        self.tell, self.stages, self.balancers, self.start = tell or (lambda *_: None), [], {}, 0
-        # ``book``: event rows of this process.
-        self.book, self.load, self.blind, self.sockets, self.cores = (
+        address_block, self.block_lock = experiment.free_block()
+        self.plan = experiment.Plan(day, seed, address_block)
+        # Whether to close the worktrees at the end.
+        self.worktrees, self.owns_worktrees = worktrees or Worktrees(), worktrees is None
+        self.report_progress = report_progress or (lambda *_: None)
+        # ``stand_in_processes`` includes the load generator.
+        self.stand_in_processes, self.balancers, self.start = [], {}, 0
+        # Event rows of this process.
+        self.book, self.load, self.ignored_findings, self.sockets, self.cores = (
             None,
             None,
-            blind,
+            ignored_findings,
             sockets,
             Cores(),
         )
@@ -266,7 +274,7 @@
             **{f"peer_{first}": "{}:{}".format(*self.plan.peers(0, first)) for first in range(3)},
         }
         path = self.folder / f"operator-{tier}-{number}.toml"
-        store(path, tomli_w.dumps(filled(document, placeholders)).encode())
+        write_atomically(path, tomli_w.dumps(fill_placeholders(document, placeholders)).encode())
         return str(path)
 
     def peers_file(self, tier):
@@ -277,9 +285,11 @@
             )
             for number in range(experiment.callers(self.day, tier))
         )
-        store(self.folder / f"peers-{tier}.toml", f"version = 1\nepoch = 1\n{rows}".encode())
+        write_atomically(
+            self.folder / f"peers-{tier}.toml", f"version = 1\nepoch = 1\n{rows}".encode()
+        )
 
-    def stage(self, *arguments, module="pepperhook.lab.stage"):
+    def start_stand_in(self, *arguments, module="pepperhook.lab.stage"):
         """Start a stand-in process and return it.
 
         Its arguments are the plan, the folder and ``arguments``.
@@ -300,17 +310,17 @@
                 cwd=ROOT,
                 start_new_session=True,
             )
-        self.stages.append(process)
+        self.stand_in_processes.append(process)
         return process
 
-    def ready(self, process):
-        """Wait until a stand-in reports that it is ready. Raises Failed."""
+    def wait_until_ready(self, process):
+        """Wait until a stand-in reports that it is ready. Raises RunError."""
         line = process.stdout.readline()
         if line.strip() != b"ready":
             tail = (
                 (self.folder / "stands.log").read_text(errors="replace").strip().splitlines()[-1:]
             )
-            raise Failed(f"a stand-in did not start: {' '.join(tail) or 'it printed nothing'}")
+            raise RunError(f"a stand-in did not start: {' '.join(tail) or 'it printed nothing'}")
 
     def play(self):
         """Run the scenario, store the result in result.json and return it.
@@ -322,77 +332,80 @@
             old.unlink()
         interrupted = False
         try:
-            self.bring_up()
+            self.start_processes()
             try:
-                self.along()
+                self.run_actions()
             except KeyboardInterrupt:
                 interrupted = True
         finally:
-            with uninterrupted():
-                self.take_down()
-        with uninterrupted():
-            return self.result(interrupted)
+            with ignoring_interrupts():
+                self.stop_processes()
+        with ignoring_interrupts():
+            return self.store_result(interrupted)
+
+    def start_processes(self, load=True):
+        """Start all processes, wait until they are ready and set the start time.
 
-    def bring_up(self, load=True):
-        """Start all processes, wait until they are ready and set the start time. Raises Failed."""
+        Raises RunError.
+        """
         self.plan.write(self.folder / "plan.json")
         self.book = events.Book(self.folder / "day.rows")
-        self.tell("starting the fleet", 0.0)
-        stand_ins = [self.stage("discovery")]
-        stand_ins += [self.stage("upstreams", tier) for tier in range(len(self.day.tiers))]
+        self.report_progress("starting the fleet", 0.0)
+        stand_ins = [self.start_stand_in("discovery")]
+        stand_ins += [self.start_stand_in("upstreams", tier) for tier in range(len(self.day.tiers))]
         if any(tier.network for tier in self.day.tiers):
-            stand_ins.append(self.stage("relays"))
+            stand_ins.append(self.start_stand_in("relays"))
         for process in stand_ins:
-            self.ready(process)
+            self.wait_until_ready(process)
         for tier in range(len(self.day.tiers)):
             self.peers_file(tier)
             for number in range(experiment.callers(self.day, tier)):
                 balancer = self.balancers[tier, number] = Balancer(self, tier, number)
-                balancer.begin()
+                balancer.start()
         if load:
-            self.load = self.stage(module="pepperhook.lab.load")
-            self.ready(self.load)
-        self.healthy(self.balancers.values())
+            self.load = self.start_stand_in(module="pepperhook.lab.load")
+            self.wait_until_ready(self.load)
+        self.wait_until_healthy(self.balancers.values())
         for balancer in self.balancers.values():
             # CPU time of the startup isn't part of any request's cost. In a short run half a second
             # of it would be divided among few requests.
             balancer.measure()
             balancer.start_cpu_s = balancer.cpu_s
-        self.start = time.monotonic_ns() + S // 5
-        for process in self.stages:
+        self.start = time.monotonic_ns() + NS_PER_S // 5
+        for process in self.stand_in_processes:
             process.stdin.write(b"%d\n" % self.start)
             process.stdin.flush()
 
-    def healthy(self, balancers):
-        """Wait until the balancers pass their health checks. Raises Failed."""
+    def wait_until_healthy(self, balancers):
+        """Wait until the balancers pass their health checks. Raises RunError."""
         import asyncio
 
-        ends = time.monotonic() + READY_S
+        deadline = time.monotonic() + START_TIMEOUT_S
         for balancer in balancers:
             address = self.plan.balancer(balancer.tier, balancer.number)
             # Its own process must be alive, too, or the answer of another process at the same
             # address would count as its own.
-            while balancer.process.poll() is not None or not asyncio.run(healthy(address)):
-                if balancer.process.poll() is not None or time.monotonic() > ends:
+            while balancer.process.poll() is not None or not asyncio.run(is_healthy(address)):
+                if balancer.process.poll() is not None or time.monotonic() > deadline:
                     tail = Path(balancer.log).read_text(errors="replace").strip().splitlines()[-1:]
-                    raise Failed(
+                    raise RunError(
                         f"balancer {balancer.tier}.{balancer.number} did not become ready: "
                         f"{' '.join(tail)}"
                     )
                 time.sleep(0.02)
 
-    def steps(self):
+    def actions(self):
         """Return the actions of this process during the run: sorted rows of (seconds, callable)."""
         rows = []
         for tier in range(1, len(self.day.tiers)):
-            rows += self.lifecycles(tier)
+            rows += self.lifecycle_actions(tier)
         for trouble in self.day.troubles:
             periods = list(experiment.moments(self.day, trouble))
             if trouble.what == "kill_balancer":
-                for number, begin_s, ends in periods:
+                for number, begin_s, end_s in periods:
                     balancer = self.balancers[trouble.tier, number]
-                    rows.append((begin_s, lambda b=balancer: self.kill(b)))
-                    rows.append((ends, lambda b=balancer: self.again(b)))
+                    rows.append((begin_s, lambda balancer=balancer: self.kill(balancer)))
+                    rows.append((end_s, lambda balancer=balancer: self.start_if_ended(balancer)))
             elif trouble.what in ("term_balancer", "roll_balancers"):
                 for index, (number, begin_s, _) in enumerate(periods):
                     begin_s += (
@@ -401,20 +414,29 @@
                         else 0
                     )
                     balancer = self.balancers[trouble.tier, number]
-                    rows.append((begin_s, lambda b=balancer: self.term(b)))
+                    rows.append(
+                        (begin_s, lambda balancer=balancer: self.restart_gracefully(balancer))
+                    )
             elif trouble.what == "hup_balancer":
                 for number, begin_s, _ in periods:
                     rows.append(
-                        (begin_s, lambda b=self.balancers[trouble.tier, number]: self.hup(b))
+                        (
+                            begin_s,
+                            lambda balancer=self.balancers[trouble.tier, number]: (
+                                self.reload_configuration(balancer)
+                            ),
+                        )
                     )
             elif trouble.what == "discovery_move":
-                rows.append((trouble.at + 0.1, self.move))
+                rows.append((trouble.at + 0.1, self.use_second_discovery_address))
         rows += [(begin_s, lambda work=work: work(self)) for begin_s, work in self.script]
-        rows += [(begin_s, self.sample) for begin_s in range(1, int(self.day.seconds) + 1)]
+        rows += [
+            (begin_s, self.sample_processes) for begin_s in range(1, int(self.day.seconds) + 1)
+        ]
         # Actions due after the end of the run are left out: the load is over by then.
         return sorted((row for row in rows if row[0] <= self.day.seconds), key=lambda row: row[0])
 
-    def lifecycles(self, tier):
+    def lifecycle_actions(self, tier):
         """Return the kills and starts of a later tier's balancers.
 
         Each balancer goes down and comes back with the upstream whose calls it carries.
@@ -424,101 +446,104 @@
             balancer = self.balancers[tier, step.number]
             if step.transition is Transition.END:
                 ended[step.number] = step.at
-                rows.append((step.at, lambda b=balancer: self.kill(b)))
+                rows.append((step.at, lambda balancer=balancer: self.kill(balancer)))
             elif step.transition is Transition.START:
-                at = max(ended[step.number], step.at - LEAD_S)
-                rows.append((at, lambda b=balancer: b.begin()))
+                at = max(ended[step.number], step.at - BALANCER_LEAD_S)
+                rows.append((at, lambda balancer=balancer: balancer.start()))
         return rows
 
-    def along(self):
-        """Run the scenario's actions, each at its time, then wait for the load. Raises Failed."""
-        for at, work in self.steps():
-            while (left := self.start / S + at - time.monotonic()) > 0:
-                self.tell(
+    def run_actions(self):
+        """Run the scenario's actions, each at its time, then wait for the load. Raises RunError."""
+        for at, work in self.actions():
+            while (remaining_s := self.start / NS_PER_S + at - time.monotonic()) > 0:
+                self.report_progress(
                     "playing",
-                    min(1.0, max(0.0, time.monotonic() - self.start / S) / self.day.seconds),
+                    min(1.0, max(0.0, time.monotonic() - self.start / NS_PER_S) / self.day.seconds),
                 )
-                time.sleep(min(left, 0.25))
+                time.sleep(min(remaining_s, 0.25))
                 if self.load.poll() is not None:
-                    raise Failed("the load ended before the run: see stands.log")
+                    raise RunError("the load ended before the run: see stands.log")
             work()
         longest = max(grade.time_limit_ms for grade in self.day.grades) / 1000 + 4
-        self.tell("waiting for the last responses", 1.0)
+        self.report_progress("waiting for the last responses", 1.0)
         for balancer in self.balancers.values():
             balancer.measure()
         try:
             self.load.wait(longest + 5)
         except subprocess.TimeoutExpired:
-            raise Failed("the load did not end") from None
+            raise RunError("the load did not end") from None
 
-    def happened(self, what, balancer, on=True):
+    def record_balancer_event(self, what, balancer, on=True):
         """Write an event row about a balancer; ``on``: whether it begins or ends."""
         self.book.add(
             events.Happened(time.monotonic_ns(), what, balancer.tier, balancer.number, on)
         )
 
     def kill(self, balancer):
-        self.happened("balancer killed", balancer)
-        balancer.end()
+        self.record_balancer_event("balancer killed", balancer)
+        balancer.stop()
 
-    def again(self, balancer):
+    def start_if_ended(self, balancer):
         """Start a balancer again if it has ended."""
         if balancer.process.poll() is not None:
-            balancer.begin()
-            self.happened("balancer begun", balancer)
+            balancer.start()
+            self.record_balancer_event("balancer begun", balancer)
 
-    def term(self, balancer):
+    def restart_gracefully(self, balancer):
         """Send SIGTERM and start the balancer again at its address once it has exited.
 
         Waits in a thread, so that later actions aren't delayed.
         """
-        self.happened("balancer told to leave", balancer)
+        self.record_balancer_event("balancer told to leave", balancer)
 
         def roll():
-            balancer.end(signal.SIGTERM)
-            self.happened("balancer left", balancer)
-            self.again(balancer)
+            balancer.stop(signal.SIGTERM)
+            self.record_balancer_event("balancer left", balancer)
+            self.start_if_ended(balancer)
 
         threading.Thread(target=roll, daemon=True).start()
 
-    def hup(self, balancer):
-        self.happened("balancer told to read again", balancer)
-        balancer.send(signal.SIGHUP)
+    def reload_configuration(self, balancer):
+        self.record_balancer_event("balancer told to read again", balancer)
+        balancer.send_signal(signal.SIGHUP)
 
-    def move(self):
+    def use_second_discovery_address(self):
         """Make all balancers use the discovery service's second address."""
         for balancer in self.balancers.values():
-            balancer.moved = 1
+            balancer.discovery_index = 1
             balancer.configure()
-            balancer.send(signal.SIGHUP)
+            balancer.send_signal(signal.SIGHUP)
 
-    def sample(self):
+    def sample_processes(self):
         """Sample the waits for cores and make the balancers log their counters."""
         self.cores.sample(
             [
-                (f"balancer {b.tier}.{b.number}", b.process)
-                for b in self.balancers.values()
-                if b.process
+                (f"balancer {balancer.tier}.{balancer.number}", balancer.process)
+                for balancer in self.balancers.values()
+                if balancer.process
+            ]
+            + [
+                (" ".join(["stand-in", *process.args[5:]]), process)
+                for process in self.stand_in_processes
             ]
-            + [(" ".join(["stand-in", *process.args[5:]]), process) for process in self.stages]
         )
         if self.variant.module == "pepperhook" and not self.variant.crooked:
             for balancer in self.balancers.values():
                 # Not during startup: until the signal handler is installed, SIGUSR1 ends the
                 # process.
-                if time.monotonic() - balancer.begun > 1.5:
-                    balancer.send(signal.SIGUSR1)
+                if time.monotonic() - balancer.started_at > 1.5:
+                    balancer.send_signal(signal.SIGUSR1)
 
-    def take_down(self):
+    def stop_processes(self):
         """Stop all processes and close the files."""
         for balancer in self.balancers.values():
-            balancer.send(signal.SIGTERM)
+            balancer.send_signal(signal.SIGTERM)
         for balancer in self.balancers.values():
             if balancer.process is not None:
-                balancer.end(signal.SIGTERM)
-        for process in self.stages:
+                balancer.stop(signal.SIGTERM)
+        for process in self.stand_in_processes:
             process.stdin.close()
-        for process in self.stages:
+        for process in self.stand_in_processes:
             try:
                 process.wait(10)
             except subprocess.TimeoutExpired:
@@ -526,13 +551,13 @@
                 process.wait()
             process.stdout.close()
         if self.book is not None:
-            self.samples()
+            self.record_logged_counters()
             self.book.close()
         self.block_lock.close()
-        if self.own:
+        if self.owns_worktrees:
             self.worktrees.close()
 
-    def samples(self):
+    def record_logged_counters(self):
         """Convert the counters that the balancers logged into event rows, for the report alone."""
         offset = time.time_ns() - time.monotonic_ns()
         for balancer in self.balancers.values():
@@ -541,9 +566,9 @@
             sample = None
             with open(balancer.log, encoding="utf-8", errors="replace") as file:
                 for line in file:
-                    pairs = dict(LINE.findall(line))
+                    pairs = dict(LOG_FIELD.findall(line))
                     if pairs.get("event") == "budget":
-                        at = int(unix(pairs["time"]) * 1e9) - offset
+                        at = int(parse_log_time(pairs["time"]) * 1e9) - offset
                         sample = events.Sample(
                             balancer.tier,
                             balancer.number,
@@ -557,23 +582,25 @@
                     elif pairs.get("event") == "upstream" and sample is not None:
                         sample.out.append(int(pairs["out"]))
 
-    def result(self, interrupted):
+    def store_result(self, interrupted):
         """Audit the event rows, store the result and return it."""
         rows = events.read(self.folder)
-        report = audit.Auditor(self.day, rows, self.start, self.blind).judge()
+        report = audit.Auditor(self.day, rows, self.start, self.ignored_findings).judge()
         load = json.loads(path.read_text()) if (path := self.folder / "load.json").exists() else {}
         # ``wishes`` counts requests without their clients' retries.
         requests = max(1, report.figures.get("wishes", 0))
         costs = {
-            f"{b.tier}.{b.number}": {
-                "cpu_s": round(b.cpu_s, 2),
-                "start_cpu_s": round(b.start_cpu_s, 2),
-                "rss_mb": round(b.rss_mb, 1),
+            f"{balancer.tier}.{balancer.number}": {
+                "cpu_s": round(balancer.cpu_s, 2),
+                "start_cpu_s": round(balancer.start_cpu_s, 2),
+                "rss_mb": round(balancer.rss_mb, 1),
             }
-            for b in self.balancers.values()
+            for balancer in self.balancers.values()
         }
         first_tier_cpu_s = sum(
-            b.cpu_s - b.start_cpu_s for b in self.balancers.values() if b.tier == 0
+            balancer.cpu_s - balancer.start_cpu_s
+            for balancer in self.balancers.values()
+            if balancer.tier == 0
         )
         result = {
             "experiment": self.day.name,
@@ -583,31 +610,34 @@
             "interrupted": interrupted,
             "load": load,
             "void": bool(load.get("void"))
-            or (self.cores.worst_ms > MAX_CORE_WAIT_MS or self.cores.stolen > MAX_STOLEN),
+            or (
+                self.cores.longest_wait_ms > MAX_CORE_WAIT_MS
+                or self.cores.largest_stolen_share > MAX_STOLEN_SHARE
+            ),
             "core_wait": {
-                "worst_ms": round(self.cores.worst_ms),
-                "who": self.cores.who,
-                "stolen": round(self.cores.stolen, 3),
+                "worst_ms": round(self.cores.longest_wait_ms),
+                "who": self.cores.worst_process,
+                "stolen": round(self.cores.largest_stolen_share, 3),
             },
             "costs": costs,
             "first_tier_cpu_ms": round(first_tier_cpu_s * 1000 / requests, 3),
             **msgspec.to_builtins(report),
         }
-        store(self.folder / "result.json", msgspec.json.encode(result))
+        write_atomically(self.folder / "result.json", msgspec.json.encode(result))
         return result
 
 
-def filled(tree, placeholders):
+def fill_placeholders(tree, placeholders):
     """Return a parsed file with the placeholders in its strings replaced for one balancer."""
     if isinstance(tree, dict):
-        return {key: filled(value, placeholders) for key, value in tree.items()}
+        return {key: fill_placeholders(value, placeholders) for key, value in tree.items()}
     if isinstance(tree, list):
-        return [filled(value, placeholders) for value in tree]
+        return [fill_placeholders(value, placeholders) for value in tree]
     return tree.format(**placeholders) if isinstance(tree, str) and "{" in tree else tree
 
 
 @contextmanager
-def uninterrupted():
+def ignoring_interrupts():
     """Ignore SIGINT, so that the results survive a second Ctrl-C.
 
     A terminal sends the signal to the whole process group.
@@ -622,7 +652,7 @@
         signal.signal(signal.SIGINT, before)
 
 
-def unix(text):
+def parse_log_time(text):
     """Return the Unix time in seconds of a log line's timestamp."""
     import calendar
 
@@ -630,12 +660,12 @@
     return calendar.timegm(time.strptime(at, "%Y-%m-%dT%H:%M:%S")) + int(ms or 0) / 1000
 
 
-def store(path, data):
+def write_atomically(path, data):
     """Write a file atomically, also across a crash."""
     path = Path(path)
-    fresh = path.with_name(f".{path.name}.{os.getpid()}")
-    with open(fresh, "wb") as file:
+    temporary_path = path.with_name(f".{path.name}.{os.getpid()}")
+    with open(temporary_path, "wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(fresh, path)
+    os.replace(temporary_path, path)
--- a/pepperhook/lab/demo.py
+++ b/pepperhook/lab/demo.py
@@ -14,7 +14,7 @@
 from rich.table import Table
 
 from pepperhook.lab import audit, events, experiment, matrix, report
-from pepperhook.lab.day import Day, store
+from pepperhook.lab.day import Day, write_atomically
 
 DAY = Path(__file__).parent / "days" / "demo.toml"
 S = 10**9
@@ -43,8 +43,8 @@
 
     live = None
 
-    def bring_up(self, load=True):
-        super().bring_up(load)
+    def start_processes(self, load=True):
+        super().start_processes(load)
         # ``tries``: clients' requests of the last two seconds; ``works``: attempts by tier.
         self.tail, self.tries, self.works, self.on = Tail(self.folder), deque(), Counter(), []
 
@@ -92,10 +92,10 @@
         texts = {}
         with open(self.balancers[0, 0].log, encoding="utf-8", errors="replace") as file:
             file.seek(max(0, file.seek(0, 2) - 4000))
-            from pepperhook.lab.day import LINE
+            from pepperhook.lab.day import LOG_FIELD
 
             for line in file.read().splitlines()[1:]:
-                pairs = dict(LINE.findall(line))
+                pairs = dict(LOG_FIELD.findall(line))
                 if pairs.get("event") == "budget":
                     texts["retry budget"] = (
                         f"B {pairs['B']}  f {pairs['f']}  waiting {pairs['waiting']}"
@@ -107,9 +107,9 @@
                     )
         return sorted(texts.items(), key=lambda row: (row[0] != "retry budget", row[0]))
 
-    def along(self):
-        self.tell = self.show
-        super().along()
+    def run_actions(self):
+        self.report_progress = self.show
+        super().run_actions()
 
     def show(self, _text, share):
         """Update the live display, if there is one."""
@@ -140,7 +140,7 @@
     with Live(console=console, refresh_per_second=4, transient=not console.is_terminal) as live:
         demo.live = live if console.is_terminal else None
         result = demo.play()
-    store(folder / "experiment.json", msgspec.json.encode(day))
+    write_atomically(folder / "experiment.json", msgspec.json.encode(day))
     summary = matrix.summary(day, [result])
     report.write(folder, day, [result], summary)
     figures = result["figures"]
--- a/pepperhook/lab/h2memory.py
+++ b/pepperhook/lab/h2memory.py
@@ -78,7 +78,7 @@
         )
         run.folder.mkdir(parents=True, exist_ok=True)
         try:
-            run.bring_up(load=False)
+            run.start_processes(load=False)
             balancer = run.balancers[0, 0]
             time.sleep(0.5)
             figures[f"kb_a_{name}"] = asyncio.run(
@@ -87,5 +87,5 @@
                 )
             )
         finally:
-            run.take_down()
+            run.stop_processes()
     return figures
--- a/pepperhook/lab/load.py
+++ b/pepperhook/lab/load.py
@@ -121,7 +121,7 @@
         """Check the health of all balancers, until cancelled."""
         while True:
             for address in self.addresses:
-                if await healthy(address):
+                if await is_healthy(address):
                     self.last_healthy_at[address] = time.monotonic()
                     if address not in self.alive:
                         self.alive.append(address)
@@ -133,7 +133,7 @@
             await asyncio.sleep(HEALTH_S)
 
 
-async def healthy(address):
+async def is_healthy(address):
     """Return whether a balancer passes its health check within a second."""
     try:
         async with asyncio.timeout(1):
--- a/pepperhook/lab/matrix.py
+++ b/pepperhook/lab/matrix.py
@@ -10,7 +10,7 @@
 import numpy
 
 from pepperhook.lab import experiment
-from pepperhook.lab.day import Day, Worktrees, store
+from pepperhook.lab.day import Day, Worktrees, write_atomically
 
 BLOCK_S = 5  # seconds drawn together by the bootstrap, as consecutive seconds are correlated
 DRAWS = 2000  # bootstrap resamples
@@ -29,7 +29,7 @@
     """
     variants = [v for v in day.variants if not only or v.name in only]
     folder.mkdir(parents=True, exist_ok=True)
-    store(folder / "experiment.json", msgspec.json.encode(day))
+    write_atomically(folder / "experiment.json", msgspec.json.encode(day))
     worktrees, results, count = Worktrees(), [], repeats * len(variants)
     try:
         for round_number in range(repeats):
--- a/pepperhook/lab/null.py
+++ b/pepperhook/lab/null.py
@@ -56,17 +56,17 @@
     address = run.plan.balancer(0, 0)
     try:
         run.plan.write(folder / "plan.json")
-        responder = run.stage(address[0], address[1], module="pepperhook.lab.null")
-        run.ready(responder)
-        load = run.load = run.stage(address[0], address[1], module="pepperhook.lab.load")
-        run.ready(load)
+        responder = run.start_stand_in(address[0], address[1], module="pepperhook.lab.null")
+        run.wait_until_ready(responder)
+        load = run.load = run.start_stand_in(address[0], address[1], module="pepperhook.lab.load")
+        run.wait_until_ready(load)
         start = time.monotonic_ns() + 10**8
-        for process in run.stages:
+        for process in run.stand_in_processes:
             process.stdin.write(b"%d\n" % start)
             process.stdin.flush()
         load.wait(seconds + 30)
     finally:
-        for process in run.stages:
+        for process in run.stand_in_processes:
             process.stdin.close()
             try:
                 process.wait(5)
--- a/pepperhook/lab/proofs/auditor.py
+++ b/pepperhook/lab/proofs/auditor.py
@@ -25,11 +25,15 @@
         "drains-unheeded": "the policy treats a draining upstream as ready",
     }
     # The findings that the auditor with this defect does not report.
-    BLIND = {"deaf": ("answered twice",), "patient": ("late",), "trusting": ("invented",)}
+    IGNORED_FINDINGS = {
+        "deaf": ("answered twice",),
+        "patient": ("late",),
+        "trusting": ("invented",),
+    }
 
     def run(self):
         """Play one run of pepperhook and one of each faulty balancer."""
-        blind = self.BLIND.get(self.plant, ())
+        ignored_findings = self.IGNORED_FINDINGS.get(self.plant, ())
         long_scenario = replace(self.scenario, seconds=60.0 if self.full else self.scenario.seconds)
         policy_defect = self.plant if self.plant in planted.FAULTS else None
         correct_variant = Variant(
@@ -40,7 +44,14 @@
         runs = [(long_scenario, correct_variant, "pepperhook", {})]
         # The faulty balancers do not run the policy: its defects can show only in the first run.
         for way in () if policy_defect else crooked.WAYS:
-            runs.append((self.scenario, Variant(name=way, crooked=way), way, {"blind": blind}))
+            runs.append(
+                (
+                    self.scenario,
+                    Variant(name=way, crooked=way),
+                    way,
+                    {"ignored_findings": ignored_findings},
+                )
+            )
         results = self.play_concurrently(runs, 4)
         findings = {
             name: {f["name"]: f["count"] for f in result["findings"]}
--- a/pepperhook/lab/proofs/base.py
+++ b/pepperhook/lab/proofs/base.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from pepperhook.lab import experiment
-from pepperhook.lab.day import ROOT, Day, Failed
+from pepperhook.lab.day import ROOT, Day, RunError
 
 
 def void_reason(result):
@@ -71,14 +71,14 @@
     ) -> dict[str, Any]:
         """Play a run, again while it is void.
 
-        A run is void if the load generator or a balancer had too little CPU time. Raises Failed
+        A run is void if the load generator or a balancer had too little CPU time. Raises RunError
         if all ``MAX_PLAYS`` runs are void.
         """
         for play in range(self.MAX_PLAYS):
             result = self.play_once(scenario, variant, f"{name}-{play}", seed, **options)
             if not result["void"]:
                 return self.accept_result(name, result)
-        raise Failed(
+        raise RunError(
             f"{name}: void {self.MAX_PLAYS} times ({void_reason(result)}); this machine is too busy"
         )
 
--- a/pepperhook/lab/proofs/control.py
+++ b/pepperhook/lab/proofs/control.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from pepperhook.lab import planted
-from pepperhook.lab.day import ROOT, Day, Failed, unix
+from pepperhook.lab.day import ROOT, Day, RunError, parse_log_time
 from pepperhook.lab.experiment import Trouble, Variant
 from pepperhook.lab.proofs.base import Proof
 
@@ -26,7 +26,7 @@
 main(sys.argv[2:])
 """
 MAX_ROLLOUT_S = 2.0  # until a valid version runs on all balancers
-LINE = re.compile(r"^time=(\S+) .* event=(\S+) ?(.*)$")
+LOG_LINE = re.compile(r"^time=(\S+) .* event=(\S+) ?(.*)$")
 CONTROL_PLANE_DEFECTS = ("lease-forever",)
 
 
@@ -70,7 +70,7 @@
     def request(self, method, path, body=None):
         """Return (status, response) of a request to the control plane.
 
-        Retries for about 10 s, since the control plane may have just been started. Raises Failed
+        Retries for about 10 s, since the control plane may have just been started. Raises RunError
         if it does not answer.
         """
         import click
@@ -86,17 +86,17 @@
             except click.ClickException as error:
                 last_error = error
                 time.sleep(0.1)
-        raise Failed(f"the control plane does not answer: {last_error}")
+        raise RunError(f"the control plane does not answer: {last_error}")
 
-    def bring_up(self, load=True):
+    def start_processes(self, load=True):
         """Start the control plane before the other processes."""
         self.start_control_plane()
         self.request("GET", "/v1/members")
-        super().bring_up(load)
+        super().start_processes(load)
 
-    def take_down(self):
+    def stop_processes(self):
         """Stop the control plane after the other processes."""
-        super().take_down()
+        super().stop_processes()
         if self.control_plane is not None and self.control_plane.poll() is None:
             self.control_plane.terminate()
             try:
@@ -112,9 +112,9 @@
             if os.path.exists(balancer.log):
                 with open(balancer.log, encoding="utf-8", errors="replace") as file:
                     rows += [
-                        (tier, number, unix(match[1]), match[2], match[3])
+                        (tier, number, parse_log_time(match[1]), match[2], match[3])
                         for line in file
-                        if (match := LINE.match(line))
+                        if (match := LOG_LINE.match(line))
                     ]
         return rows
 
@@ -261,7 +261,7 @@
         )
         result = run.play()
         if result["void"]:
-            raise Failed("the run had too little CPU time; this machine is too busy")
+            raise RunError("the run had too little CPU time; this machine is too busy")
         self.report_progress("controlled", 0.9)
         problems = [finding["name"] for finding in result["findings"]]
         rows, fleet = run.log_rows(), len(run.balancers)
--- a/pepperhook/lab/proofs/membership.py
+++ b/pepperhook/lab/proofs/membership.py
@@ -9,7 +9,7 @@
 
 from pepperhook.key_ring import KeyRing
 from pepperhook.lab import gossip, planted
-from pepperhook.lab.day import Day, Failed, unix
+from pepperhook.lab.day import Day, RunError, parse_log_time
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
 from pepperhook.membership import datagram, fleet_position
@@ -17,7 +17,7 @@
 from pepperhook.membership.settings import NS_PER_S as S
 
 SECRET = "the secret of this installation"
-LINE = re.compile(r"^time=(\S+) .* event=(\S+) ?(.*)$")
+LOG_LINE = re.compile(r"^time=(\S+) .* event=(\S+) ?(.*)$")
 PERIOD_MS, SUSPICION = 400.0, 2.0  # probe period, suspicion multiplier
 DEAD = {(0, 3), (0, 6)}  # (tier, number) of the balancers that the experiment kills for good
 STOPPED = (1, 2)  # (tier, number) of the balancer that is stopped for one second
@@ -219,10 +219,10 @@
         """Play a run of twenty balancers with deaths, a stall and forged datagrams."""
 
         def stop(run):
-            run.balancers[STOPPED].send(signal.SIGSTOP)
+            run.balancers[STOPPED].send_signal(signal.SIGSTOP)
 
         def resume(run):
-            run.balancers[STOPPED].send(signal.SIGCONT)
+            run.balancers[STOPPED].send_signal(signal.SIGCONT)
 
         def forge_datagrams(run):
             """Send datagrams with an unknown key: b0-0 says that all others have left."""
@@ -266,7 +266,7 @@
         if result["interrupted"]:
             raise KeyboardInterrupt
         if result["void"]:
-            raise Failed("the run had too little CPU time; this machine is too busy")
+            raise RunError("the run had too little CPU time; this machine is too busy")
         problems = [finding["name"] for finding in result["findings"]]
         fleet = len(run.balancers)
         living = sorted(key for key in run.balancers if key not in DEAD)
@@ -362,8 +362,8 @@
     for (tier, number), balancer in run.balancers.items():
         with open(balancer.log, encoding="utf-8", errors="replace") as file:
             rows += [
-                (tier, number, unix(match[1]), match[2], match[3])
+                (tier, number, parse_log_time(match[1]), match[2], match[3])
                 for line in file
-                if (match := LINE.match(line))
+                if (match := LOG_LINE.match(line))
             ]
     return rows
--- a/pepperhook/lab/proofs/replay.py
+++ b/pepperhook/lab/proofs/replay.py
@@ -11,7 +11,7 @@
 from msgspec.structs import replace
 
 from pepperhook.lab import experiment
-from pepperhook.lab.day import ROOT, Failed
+from pepperhook.lab.day import ROOT, RunError
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
 
@@ -171,7 +171,7 @@
     def replay(self, files, *options):
         """Replay in another process with another hash seed; return the result of each file.
 
-        Raises Failed if the process fails.
+        Raises RunError if the process fails.
         """
         process = subprocess.run(
             [
@@ -191,7 +191,7 @@
             text=True,
         )
         if process.returncode not in (0, 1):
-            raise Failed(f"replay: {process.stderr.strip().splitlines()[-1:]}")
+            raise RunError(f"replay: {process.stderr.strip().splitlines()[-1:]}")
         return [json.loads(line) for line in process.stdout.splitlines()]
 
     def replay_changed(self, files, name, before, after):
@@ -202,7 +202,7 @@
         path = folder / f"{name}.py"
         text = path.read_text(encoding="utf-8")
         if before not in text:
-            raise Failed(f"{name}.py does not contain {before!r}")
+            raise RunError(f"{name}.py does not contain {before!r}")
         path.write_text(text.replace(before, after), encoding="utf-8")
         return [
             row["difference"]
--- a/pepperhook/lab/proofs/trace.py
+++ b/pepperhook/lab/proofs/trace.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from pepperhook.lab import events, experiment, planted
-from pepperhook.lab.day import Failed
+from pepperhook.lab.day import RunError
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
 
@@ -76,7 +76,7 @@
                 for trace in read_traces(reader):
                     traces[reader.metadata.tier, trace.id] = trace
         if not traces:
-            raise Failed("no request was traced")
+            raise RunError("no request was traced")
         problems += self.check_against_events(rows, traces)
         problems += self.check_damaged(files)
         offset_files = self.offset_clocks(files)
--- a/pepperhook/lab/report.py
+++ b/pepperhook/lab/report.py
@@ -12,7 +12,7 @@
 import numpy
 
 from pepperhook.lab import events
-from pepperhook.lab.day import store
+from pepperhook.lab.day import write_atomically
 from pepperhook.lab.matrix import OUTCOMES
 
 OUTCOME_COLOURS = {
@@ -35,9 +35,9 @@
     ``results`` are the results of its runs, and ``summary`` is their summary by ``matrix``.
     """
     folder = Path(folder)
-    store(folder / "report.json", json.dumps(summary, indent=1).encode())
-    store(folder / "report.md", markdown(day, summary).encode())
-    store(folder / "report.html", page(folder, day, results, summary).encode())
+    write_atomically(folder / "report.json", json.dumps(summary, indent=1).encode())
+    write_atomically(folder / "report.md", markdown(day, summary).encode())
+    write_atomically(folder / "report.html", page(folder, day, results, summary).encode())
 
 
 def table(summary):
--- a/pepperhook/lab/soak/play.py
+++ b/pepperhook/lab/soak/play.py
@@ -19,7 +19,7 @@
 
 # The platform sends SIGKILL no earlier than the longest time limit plus this after SIGTERM.
 KILL_AFTER_S = 0.7
-READY_S = 10.0  # in which a restarted balancer must become healthy
+START_TIMEOUT_S = 10.0  # in which a restarted balancer must become healthy
 # Wait before the final measurement: idle upstream connections are checked once per idle timeout
 # of the upstream, and closed client connections linger for one to two seconds.
 QUIET_S = 2 * IDLE_CLOSE_S + 2.0
@@ -91,7 +91,7 @@
         if restart.balancer in self.restarts_in_progress or balancer.process.poll() is not None:
             return
         self.restarts_in_progress.add(restart.balancer)
-        self.happened("balancer told to leave", balancer)
+        self.record_balancer_event("balancer told to leave", balancer)
         self.spawn(lambda: self._perform_restart(balancer, restart))
 
     def _perform_restart(self, balancer: Any, restart: Restart) -> None:
@@ -102,7 +102,7 @@
         keepalive_clients = None if self.has_idle_clients else KeepAliveClients(address)
         if restart.has_signals_before:
             _send_sighup_and_sigusr1(balancer)
-        balancer.send(signal.SIGTERM)
+        balancer.send_signal(signal.SIGTERM)
         sigterm_at = time.monotonic()
         sigkill_at = sigterm_at + longest_s + KILL_AFTER_S
         if keepalive_clients is not None:
@@ -117,9 +117,9 @@
             balancer.process.kill()
             balancer.process.wait()
         self.check_exit(balancer)
-        self.happened("balancer left", balancer)
-        balancer.begin()
-        self.happened("balancer begun", balancer)
+        self.record_balancer_event("balancer left", balancer)
+        balancer.start()
+        self.record_balancer_event("balancer begun", balancer)
         if restart.starting_ms is not None:
             time.sleep(restart.starting_ms / MS_PER_S)
             _send_sighup_and_sigusr1(balancer)
@@ -147,8 +147,8 @@
     def _wait_ready(self, balancer: Any) -> None:
         import asyncio
 
-        deadline = balancer.begun + READY_S
-        while not asyncio.run(lab_day.healthy(self.plan.balancer(0, balancer.number))):
+        deadline = balancer.started_at + START_TIMEOUT_S
+        while not asyncio.run(lab_day.is_healthy(self.plan.balancer(0, balancer.number))):
             if time.monotonic() > deadline or balancer.process.poll() is not None:
                 self.add_problem("not ready in time", f"balancer {balancer.number}")
                 return
@@ -171,22 +171,22 @@
         number = 0
         for name in series.names:
             if name == "SIGHUP":
-                lab_day.store(
+                lab_day.write_atomically(
                     path, json.dumps(_reload_config(valid, series, number, sighup_count)).encode()
                 )
                 number += 1
-            balancer.send(getattr(signal, name))
+            balancer.send_signal(getattr(signal, name))
             time.sleep(series.gap_ms / MS_PER_S)
         self.signalled_pids[balancer.number] = balancer.process.pid
 
     # Start and end of the run.
 
-    def along(self) -> None:
+    def run_actions(self) -> None:
         """Run the timeline (called by ``Day``) between two measurements of the balancers."""
         self.resources_before = self._measure_all()
-        super().along()
+        super().run_actions()
         for thread in self.background_threads:
-            thread.join(READY_S + 5)
+            thread.join(START_TIMEOUT_S + 5)
         self.idle_clients.close()
         time.sleep(QUIET_S)
         self.resources_after = self._measure_all()
@@ -198,7 +198,7 @@
 
     def _measure_all(self) -> dict[Any, Resources]:
         for balancer in self.balancers.values():
-            balancer.send(signal.SIGUSR1)
+            balancer.send_signal(signal.SIGUSR1)
         time.sleep(SETTLE_S)
         resources = {}
         for key, balancer in self.balancers.items():
@@ -208,18 +208,18 @@
                 continue  # the process has ended, which is checked separately
         return resources
 
-    def take_down(self) -> None:
+    def stop_processes(self) -> None:
         """Stop all processes, and check the exit codes of the balancers."""
         self.idle_clients.close()
-        super().take_down()
+        super().stop_processes()
         for balancer in self.balancers.values():
             if balancer.process is not None:
                 self.check_exit(balancer)
 
 
 def _send_sighup_and_sigusr1(balancer: Any) -> None:
-    balancer.send(signal.SIGHUP)
-    balancer.send(signal.SIGUSR1)
+    balancer.send_signal(signal.SIGHUP)
+    balancer.send_signal(signal.SIGUSR1)
 
 
 def _reload_config(
--- a/pepperhook/lab/soak/run.py
+++ b/pepperhook/lab/soak/run.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from pepperhook.lab.day import Failed
+from pepperhook.lab.day import RunError
 from pepperhook.lab.soak.draw import draw
 from pepperhook.lab.soak.judge import Verdict, judge
 from pepperhook.lab.soak.play import SoakDay
@@ -37,7 +37,7 @@
     day = SoakDay(run, run_folder)
     try:
         result = day.play()
-    except Failed as error:
+    except RunError as error:
         return Verdict(
             seed, False, "", 0, {"could not be played": [str(error)]}, {}, str(run_folder)
         )
--- a/pepperhook/lab/speed.py
+++ b/pepperhook/lab/speed.py
@@ -11,7 +11,7 @@
 
 from msgspec.structs import replace
 
-from pepperhook.lab.day import Day, Failed
+from pepperhook.lab.day import Day, RunError
 from pepperhook.lab.experiment import Clients, Experiment, Grade, Load, Tier, Variant
 from pepperhook.lab.machine import Spec
 
@@ -40,7 +40,7 @@
 
 
 def run_pairing(experiment, pairing, seed, folder):
-    """Return the result of a run and the cores that the balancer used. Raises Failed."""
+    """Return the result of a run and the cores that the balancer used. Raises RunError."""
     clients, upstreams = PAIRINGS[pairing]
     experiment = replace(experiment, clients=replace(experiment.clients, protocol=clients))
     operator = None if pairing == "1-1" else {"h2": {"upstreams": upstreams}}
@@ -48,7 +48,7 @@
     if result["interrupted"]:
         raise KeyboardInterrupt
     if result["findings"]:
-        raise Failed(f"{pairing}: {result['findings'][0]['name']}")
+        raise RunError(f"{pairing}: {result['findings'][0]['name']}")
     cpu = sum(row["cpu_s"] - row["start_cpu_s"] for row in result["costs"].values())
     return result, cpu / experiment.seconds
 
@@ -56,7 +56,7 @@
 def measure(rounds, seconds, seed, folder, tell):
     """Return the figures by pairing: medians over the rounds, and the ratios to 1-1 in each round.
 
-    Raises Failed.
+    Raises RunError.
     """
     names, rows = list(PAIRINGS), {name: [] for name in PAIRINGS}
     for round_number in range(rounds):
@@ -69,7 +69,7 @@
                 folder / f"{name}-{round_number}-full",
             )
             if cores < MIN_BUSY_CORES:
-                raise Failed(
+                raise RunError(
                     f"{name}: the balancer used {cores:.2f} of a core; "
                     "something else was the bottleneck"
                 )
@@ -82,7 +82,7 @@
                 folder / f"{name}-{round_number}-half",
             )
             if half_rate["void"]:
-                raise Failed(
+                raise RunError(
                     f"{name}: the load generator was late at {rate / 2:.0f} requests per second"
                 )
             rows[name].append(
--- a/tests/cli/test_lab.py
+++ b/tests/cli/test_lab.py
@@ -47,7 +47,7 @@
         self.update("first part", 0.75)
         self.update("second part", 1.0)
         if self.plant == "busy":
-            raise day.Failed("this machine is too busy")
+            raise day.RunError("this machine is too busy")
         return {"proof": "fake", "holds": self.plant is None, "full": self.full, "seed": self.seed}
 
 
@@ -75,7 +75,7 @@
     if folder.name == "nothing":
         return []
     if folder.name == "failed":
-        raise day.Failed("no balancer came up")
+        raise day.RunError("no balancer came up")
     return [{"folder": folder.name, "seed": seed, "repeats": repeats, "only": list(only)}]
 
 
@@ -98,7 +98,7 @@
 def measure_control(counts, _folder, port, update):
     update("members", 0.5)
     if port == 1:
-        raise controlload.Failed("the service did not come up")
+        raise controlload.MeasurementError("the service did not come up")
     return [{"members": count, "port": port} for count in counts]
 
 
@@ -110,7 +110,7 @@
 
 def measure_speed(rounds, seconds, seed, _folder, _update):
     if seed == 0:
-        raise day.Failed("something else was the bottleneck")
+        raise day.RunError("something else was the bottleneck")
     pairings = {"1-2": {**PAIRING, "core_ms_ratios": [0.9, 1.25, 1.3]}}
     return {"rounds": rounds, "seconds": seconds, "pairings": pairings}
 
--- a/tests/lab/test_cores.py
+++ b/tests/lab/test_cores.py
@@ -4,7 +4,7 @@
 import io
 from types import SimpleNamespace
 
-from pepperhook.lab.day import MAX_STOLEN, Cores
+from pepperhook.lab.day import MAX_STOLEN_SHARE, Cores
 
 PID = 7
 NO_PID = 2**22 + 1
@@ -36,7 +36,7 @@
         cores.sample(processes)
 
     # Waits before the first sample don't count: all processes are starting then.
-    assert (cores.worst_ms, cores.who) == (450.0, "balancer 0.0")
+    assert (cores.longest_wait_ms, cores.worst_process) == (450.0, "balancer 0.0")
 
 
 def test_largest_share_of_stolen_time_between_two_samples_is_kept(tmp_path):
@@ -48,4 +48,4 @@
         statistics.write_text(f"cpu  0 0 0 {idle} 0 0 0 {stolen} 0 0\n")
         cores.sample_stolen(str(statistics))
 
-    assert cores.stolen == 85 / 500 > MAX_STOLEN
+    assert cores.largest_stolen_share == 85 / 500 > MAX_STOLEN_SHARE
--- a/tests/lab/test_scenario_runs.py
+++ b/tests/lab/test_scenario_runs.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pepperhook.lab.day import Failed
+from pepperhook.lab.day import RunError
 from pepperhook.lab.proofs.base import Proof
 
 CORE_WAIT = {"who": "balancer 0.1", "worst_ms": 400, "stolen": 0.07}
@@ -40,5 +40,5 @@
     scenario = RecordingScenario(lambda _: True)
     reason = "void 3 times .balancer 0.1 waited 400 ms for a core, and 7% of"
 
-    with pytest.raises(Failed, match=reason):
+    with pytest.raises(RunError, match=reason):
         scenario.play_concurrently([(None, None, "a", {})], 1)
