--- a/pepperhook/lab/baselines.py
+++ b/pepperhook/lab/baselines.py
@@ -18,10 +18,10 @@
 from pepperhook.domain import Effect, Outcome, UpstreamState
 from pepperhook.policy_interface import Policy
 
-MS, S = 10**6, 10**9
+NS_PER_MS, NS_PER_S = 10**6, 10**9
 
 
-WATCH_WAIT = 2 * 10**9  # how long an endpoint list poll may wait for a change, in ns
+WATCH_WAIT_NS = 2 * 10**9  # how long an endpoint list poll may wait for a change, in ns
 INITIAL_TOKENS = 10.0  # of the retry budget
 
 
@@ -33,7 +33,7 @@
 
     def __init__(self, settings, seed, now, retries=0):
         super().__init__(settings, seed, now)
-        self.max_retries, self.listed, self.turn = int(retries), [], 0
+        self.max_retries, self.upstreams, self.selections = int(retries), [], 0
         self.watching = False
         self.call_at(now, self.watch_endpoints, None)
 
@@ -43,7 +43,9 @@
         """Return the upstreams for the next attempt, preferring those not tried yet."""
         tried = {attempt.upstream for attempt in request.attempts}
         ready = [
-            u for u in self.listed if u.state == UpstreamState.READY and self.is_available(now, u)
+            upstream
+            for upstream in self.upstreams
+            if upstream.state == UpstreamState.READY and self.is_available(now, upstream)
         ]
         if (
             request.service_class.effect == Effect.KEYED
@@ -53,15 +55,15 @@
                 attempt.upstream for attempt in request.attempts if attempt.may_have_executed
             ]
             ready = [
-                u
-                for u in ready
+                upstream
+                for upstream in ready
                 if all(
                     getattr(attempt, request.service_class.repeat_group)
-                    == getattr(u, request.service_class.repeat_group)
+                    == getattr(upstream, request.service_class.repeat_group)
                     for attempt in maybe_executed
                 )
             ]
-        return [u for u in ready if u not in tried] or ready
+        return [upstream for upstream in ready if upstream not in tried] or ready
 
     def is_available(self, now, upstream):
         return True
@@ -69,7 +71,7 @@
     def choose(self, usable):
         """Return one of the usable upstreams."""
         pair = [usable[int(self.random() * len(usable))] for _ in range(2)]
-        return min(pair, key=lambda u: len(u.in_flight))
+        return min(pair, key=lambda upstream: len(upstream.in_flight))
 
     # Retries.
 
@@ -104,10 +106,10 @@
         """Reject the request if nothing can have been executed; fail it otherwise."""
         if not request.finished:
             request.finished = True
-            harmless = request.service_class.effect == Effect.SAFE or not any(
+            is_without_effect = request.service_class.effect == Effect.SAFE or not any(
                 attempt.may_have_executed for attempt in request.attempts
             )
-            is_rejected = harmless and not request.open_attempts
+            is_rejected = is_without_effect and not request.open_attempts
             self.actions.append(RejectRequest(request, 0) if is_rejected else FailRequest(request))
 
     def time_out(self, now, request):
@@ -119,21 +121,21 @@
         """Start a poll of the endpoint list if none is running."""
         if not self.watching:
             self.watching = True
-            self.actions.append(WatchEndpoints(WATCH_WAIT))
+            self.actions.append(WatchEndpoints(WATCH_WAIT_NS))
 
     # Events.
 
     def on_endpoints_changed(self, now, whole, updates):
         """Update the endpoint list; ``whole``: ``updates`` replaces it."""
-        for upstream in [u for u in self.listed if whole]:
+        for upstream in [upstream for upstream in self.upstreams if whole]:
             upstream.state = UpstreamState.GONE
         for upstream, state, started_at in updates:
             upstream.state = state
             upstream.started_at = started_at
-            if upstream not in self.listed:
-                self.listed.append(upstream)
-        present = (u for u in self.listed if u.state != UpstreamState.GONE)
-        self.listed = sorted(present, key=lambda u: u.address)
+            if upstream not in self.upstreams:
+                self.upstreams.append(upstream)
+        present = (upstream for upstream in self.upstreams if upstream.state != UpstreamState.GONE)
+        self.upstreams = sorted(present, key=lambda upstream: upstream.address)
 
     def on_endpoint_service_moved(self, now):
         self.watching = False
@@ -141,12 +143,12 @@
 
     def on_endpoint_poll_failed(self, now, failure, retry_after_ns):
         self.watching = False
-        self.call_at(now + int((0.2 + self.random()) * S), self.watch_endpoints, None)
+        self.call_at(now + int((0.2 + self.random()) * NS_PER_S), self.watch_endpoints, None)
 
     def on_request(self, now, request):
         request.accepted_at = now
         request.objective_at = min(now + request.service_class.objective_ns, request.deadline)
-        self.call_at(max(now, request.deadline - 2 * MS), self.time_out, request)
+        self.call_at(max(now, request.deadline - 2 * NS_PER_MS), self.time_out, request)
         self.send(now, request)
 
     def on_attempt_ended(self, now, attempt):
@@ -178,16 +180,16 @@
     """The ready upstreams in turn."""
 
     def choose(self, usable):
-        self.turn += 1
-        return usable[self.turn % len(usable)]
+        self.selections += 1
+        return usable[self.selections % len(usable)]
 
 
 class LeastOut(Baseline):
     """One of the upstreams with the fewest attempts in flight (least connections)."""
 
     def choose(self, usable):
-        least = min(len(u.in_flight) for u in usable)
-        usable = [u for u in usable if len(u.in_flight) == least]
+        least = min(len(upstream.in_flight) for upstream in usable)
+        usable = [upstream for upstream in usable if len(upstream.in_flight) == least]
         return usable[int(self.random() * len(usable))]
 
 
@@ -203,7 +205,7 @@
 
     def __init__(self, settings, seed, now, retries=3, base_ms=20.0):
         super().__init__(settings, seed, now, retries)
-        self.base_ns = int(base_ms * MS)
+        self.base_ns = int(base_ms * NS_PER_MS)
 
     def retry_wait(self, now, request):
         attempts_made = len(request.attempts)
@@ -246,7 +248,7 @@
         super().__init__(settings, seed, now, retries)
         self.failures, self.rest_ns, self.failures_in_row, self.open_until = (
             failures,
-            int(rest_ms * MS),
+            int(rest_ms * NS_PER_MS),
             {},
             {},
         )
@@ -268,7 +270,7 @@
     def usable(self, now, request):
         # If all breakers are open, ignore them, as proxies do.
         return super().usable(now, request) or [
-            u for u in self.listed if u.state == UpstreamState.READY
+            upstream for upstream in self.upstreams if upstream.state == UpstreamState.READY
         ]
 
 
--- a/pepperhook/lab/controlload.py
+++ b/pepperhook/lab/controlload.py
@@ -24,9 +24,9 @@
 SECRET = "the secret of this measurement"
 KEYS = KeyRing([("k1", SECRET)])
 LEASE_S, HEARTBEAT_S, TIMEOUT_S = 10.0, 2.0, 120.0
-UPSTREAMS = 300  # reported by each member
-GRADES = 30  # service classes in the document
-SERVE = "import sys\nfrom pepperhook.cli import main\nmain(sys.argv[1:])"
+UPSTREAM_COUNT = 300  # reported by each member
+SERVICE_CLASS_COUNT = 30  # service classes in the document
+SERVE_SCRIPT = "import sys\nfrom pepperhook.cli import main\nmain(sys.argv[1:])"
 
 
 class MeasurementError(RuntimeError):
@@ -53,7 +53,9 @@
             {},
         )
         # ``applied_at``: monotonic seconds by version number.
-        self.mark = 0  # checksum of the upstreams that the service has from this member
+        self.upstreams_checksum = (
+            0  # checksum of the upstreams that the service has from this member
+        )
 
     async def follow(self):
         """Read the control stream, reconnecting when it breaks, until cancelled."""
@@ -76,18 +78,18 @@
                                 self.views_received += 1
                                 self.fleet.members_seen[self.name] = len(message.members)
             except (aiohttp.ClientError, OSError, TimeoutError, frames.StreamError):
-                self.fleet.broken += 1
+                self.fleet.broken_count += 1
                 # Jitter by name, in seconds.
-                await asyncio.sleep(0.2 + 0.001 * (hash_of(self.name) % 500))
+                await asyncio.sleep(0.2 + 0.001 * (checksum_of(self.name) % 500))
 
     async def send_heartbeats(self):
         """Send regular heartbeats, from a point that depends on the name, until cancelled."""
-        await asyncio.sleep(HEARTBEAT_S * (hash_of(self.name) % 1000) / 1000)
+        await asyncio.sleep(HEARTBEAT_S * (checksum_of(self.name) % 1000) / 1000)
         while True:
             try:
                 await self.send_heartbeat()
             except (aiohttp.ClientError, OSError, TimeoutError):
-                self.fleet.broken += 1
+                self.fleet.broken_count += 1
             await asyncio.sleep(HEARTBEAT_S)
 
     async def send_heartbeat(self):
@@ -100,9 +102,9 @@
             "good": 0,
             "bad": 0,
             "address": "127.0.0.1:1",
-            "upstreams_mark": self.fleet.mark,
+            "upstreams_mark": self.fleet.upstreams_checksum,
         }
-        if self.mark != self.fleet.mark:
+        if self.upstreams_checksum != self.fleet.upstreams_checksum:
             heartbeat["upstreams"] = self.fleet.upstreams
         body = json.dumps(heartbeat).encode()
         async with self.fleet.session.post(
@@ -110,10 +112,10 @@
             data=body,
             headers=sign_request(KEYS, "POST", "/v1/beat", body),
         ) as response:
-            self.mark = (await response.json()).get("upstreams_mark", 0)
+            self.upstreams_checksum = (await response.json()).get("upstreams_mark", 0)
 
 
-def hash_of(name) -> int:
+def checksum_of(name) -> int:
     """Return the CRC-32 of a string."""
     from zlib import crc32
 
@@ -127,12 +129,12 @@
         self.folder, self.address, self.url = Path(folder), address, f"http://{address}"
         self.members = [Member(self, number) for number in range(count)]
         self.members_seen: dict[str, int] = {}
-        # ``broken`` counts broken streams and failed heartbeats.
-        self.broken, self.tasks = 0, []
-        self.upstreams = [f"t0-{number:03}" for number in range(UPSTREAMS)]
-        self.mark = hash_of("\n".join(self.upstreams))
+        # ``broken_count`` counts broken streams and failed heartbeats.
+        self.broken_count, self.tasks = 0, []
+        self.upstreams = [f"t0-{number:03}" for number in range(UPSTREAM_COUNT)]
+        self.upstreams_checksum = checksum_of("\n".join(self.upstreams))
 
-    async def call(self, method, path, document=None):
+    async def request(self, method, path, document=None):
         """Send a signed request; return the status and the decoded body."""
         body = b"" if document is None else json.dumps(document).encode()
         async with self.session.request(
@@ -142,9 +144,9 @@
 
     async def wait_until(self, condition):
         """Wait until ``condition()`` is true. Raises MeasurementError after TIMEOUT_S."""
-        ends = time.monotonic() + TIMEOUT_S
+        deadline = time.monotonic() + TIMEOUT_S
         while not condition():
-            if time.monotonic() > ends:
+            if time.monotonic() > deadline:
                 raise MeasurementError(
                     f"timed out after {TIMEOUT_S:g} s with {len(self.members)} members"
                 )
@@ -157,9 +159,11 @@
         """
         document = {
             "version": 1,
-            "grades": {f"g{number}": {"goal_ms": objective_ms} for number in range(GRADES)},
+            "grades": {
+                f"g{number}": {"goal_ms": objective_ms} for number in range(SERVICE_CLASS_COUNT)
+            },
         }
-        status, answer = await self.call(
+        status, answer = await self.request(
             "POST",
             "/v1/versions",
             {
@@ -179,8 +183,8 @@
 
         Raises MeasurementError.
         """
-        begun = time.monotonic()
-        status, answer = await self.call(
+        started_at = time.monotonic()
+        status, answer = await self.request(
             "POST",
             "/v1/rollout",
             {"version": number, "steps": [{"share": 1.0, "seconds": 0.0}], "patience_s": 600},
@@ -188,7 +192,7 @@
         if status != 200:
             raise MeasurementError(f"the service rejected a rollout: {answer}")
         await self.wait_until(lambda: all(number in member.applied_at for member in self.members))
-        return sorted(member.applied_at[number] - begun for member in self.members)
+        return sorted(member.applied_at[number] - started_at for member in self.members)
 
     async def measure(self, process):
         """Return the figures of the service running in ``process``. Raises MeasurementError."""
@@ -198,11 +202,11 @@
         ) as self.session:
             for _ in range(200):
                 try:
-                    await self.call("GET", "/v1/rollout")
+                    await self.request("GET", "/v1/rollout")
                     break
                 except aiohttp.ClientError:
                     await asyncio.sleep(0.05)
-            before, begun = process.cpu_times(), time.monotonic()
+            before, started_at = process.cpu_times(), time.monotonic()
             for member in self.members:
                 self.tasks += [
                     asyncio.create_task(member.follow()),
@@ -215,45 +219,48 @@
                         and min(self.members_seen.values()) == len(self.members)
                     )
                 )
-                joined, joining_cpu_s = time.monotonic() - begun, spent(process, before)
+                joined_s, joining_cpu_s = (
+                    time.monotonic() - started_at,
+                    cpu_seconds_since(process, before),
+                )
                 views = sum(member.views_received for member in self.members)
                 first = await self.propose(100.0, 0)
                 times = await self.roll_out(first)
-                await self.call("POST", "/v1/rollout/back", {"why": "measured"})
+                await self.request("POST", "/v1/rollout/back", {"why": "measured"})
                 await asyncio.sleep(1.0)
                 before_idle, since = process.cpu_times(), time.monotonic()
                 await asyncio.sleep(5.0)
-                idle_share = spent(process, before_idle) / (time.monotonic() - since)
+                idle_share = cpu_seconds_since(process, before_idle) / (time.monotonic() - since)
             finally:
                 for task in self.tasks:
                     task.cancel()
                 await asyncio.gather(*self.tasks, return_exceptions=True)
         return {
             "members": len(self.members),
-            "joined_s": round(joined, 2),
+            "joined_s": round(joined_s, 2),
             "core_s_while_joining": round(joining_cpu_s, 2),
             "views_a_member": round(views / len(self.members), 1),
             "version_at_half_s": round(times[len(times) // 2], 3),
             "version_at_all_s": round(times[-1], 3),
             "core_share_at_rest": round(idle_share, 3),
             "resident_mb": round(process.memory_info().rss / 2**20, 1),
-            "broken_streams": self.broken,
+            "broken_streams": self.broken_count,
         }
 
 
-def spent(process, before) -> float:
+def cpu_seconds_since(process, before) -> float:
     """Return the CPU seconds of a process since ``before``."""
     now = process.cpu_times()
     return now.user + now.system - before.user - before.system
 
 
-def measure(counts, folder, port, tell=lambda *_: None) -> list[dict]:
+def measure(counts, folder, port, report_progress=lambda *_: None) -> list[dict]:
     """Return a row of figures for each number of members. Raises MeasurementError."""
     import psutil
 
     rows = []
-    for at, count in enumerate(counts):
-        tell(f"{count} members", at / len(counts))
+    for index, count in enumerate(counts):
+        report_progress(f"{count} members", index / len(counts))
         run_folder = Path(folder) / str(count)
         run_folder.mkdir(parents=True)
         (run_folder / "keys").write_text(f"k1 {SECRET}\n")
@@ -262,7 +269,7 @@
                 [
                     sys.executable,
                     "-c",
-                    SERVE,
+                    SERVE_SCRIPT,
                     "control",
                     "serve",
                     "--listen",
--- a/pepperhook/lab/crooked.py
+++ b/pepperhook/lab/crooked.py
@@ -1,7 +1,8 @@
-"""Run a deliberately faulty balancer: ``python -m pepperhook.lab.crooked WAY``.
+"""Run a deliberately faulty balancer: ``python -m pepperhook.lab.crooked FAULT``.
 
-Each way breaks one rule, so that a scenario can show that the auditor reports it. ``honest`` breaks
-none; it is a minimal balancer that makes one attempt per request, to the upstreams in turn.
+Each kind of fault breaks one rule, so that a scenario can show that the auditor reports it.
+``honest`` breaks none; it is a minimal balancer that makes one attempt per request, to the
+upstreams in turn.
 """
 
 import asyncio
@@ -13,7 +14,7 @@
 from pepperhook.lab import chance, wire
 
 # Kind of fault: the finding that the auditor must report.
-WAYS = {
+FINDINGS_BY_FAULT = {
     "honest": None,
     "twice": "answered twice",
     "loses": "lost",
@@ -78,20 +79,17 @@
 
 
 class FaultyBalancer:
-    """A balancer that is faulty in one way; ``environ`` has the variables that a balancer reads."""
+    """A balancer with one kind of fault; ``environ`` has the variables that a balancer reads."""
 
-    def __init__(self, way, environ):
+    def __init__(self, fault, environ):
         with open(environ["LB_CONFIG"], encoding="utf-8") as file:
             config = json.load(file)
-        self.way, self.pools, self.states, self.born, self.selections = way, {}, {}, {}, 0
+        self.fault, self.pools, self.states, self.started_ms, self.selections = fault, {}, {}, {}, 0
         self.service_classes = {row["name"]: row for row in config["settings"]["serviceGrades"]}
         self.listen, self.discovery = (
-            address(environ[key]) for key in ("LB_LISTEN", "LB_DISCOVERY")
+            parse_address(environ[key]) for key in ("LB_LISTEN", "LB_DISCOVERY")
         )
-        self.cold, self.back = (
-            [],
-            set(),
-        )  # cold: upstreams that have restarted
+        self.cold = []  # addresses of upstreams that have restarted
 
     async def run(self):
         """Serve until SIGTERM."""
@@ -128,22 +126,26 @@
 
     def update_upstream(self, row):
         """Apply one row of the endpoint list."""
-        dial, state = row["dial"], row["health"]
-        if state == "ready" and row["born_ms"] != self.born.get(dial, row["born_ms"]):
-            self.cold.append(dial)
-        self.born[dial] = row["born_ms"]
+        upstream_address, state = row["dial"], row["health"]
+        if state == "ready" and row["born_ms"] != self.started_ms.get(
+            upstream_address, row["born_ms"]
+        ):
+            self.cold.append(upstream_address)
+        self.started_ms[upstream_address] = row["born_ms"]
         # The kind `drained` keeps the first state of an upstream, and so sends to draining ones.
-        if self.way == "drained" and dial in self.states:
+        if self.fault == "drained" and upstream_address in self.states:
             return
-        self.states[dial] = state
-        if dial not in self.pools:
-            host = address(dial)
-            self.pools[dial] = wire.Pool(lambda: host)
+        self.states[upstream_address] = state
+        if upstream_address not in self.pools:
+            host = parse_address(upstream_address)
+            self.pools[upstream_address] = wire.Pool(lambda: host)
 
     def select(self):
         """Return the address of the next upstream, or None when none is ready."""
-        ready = sorted(dial for dial, state in self.states.items() if state == "ready")
-        if self.way == "floods" and self.cold:
+        ready = sorted(
+            upstream_address for upstream_address, state in self.states.items() if state == "ready"
+        )
+        if self.fault == "floods" and self.cold:
             return self.cold[-1]
         self.selections += 1
         return ready[self.selections % len(ready)] if ready else None
@@ -171,7 +173,7 @@
         service_class = self.service_classes[path.split(b"/")[1].decode()]
         limit_s = head.number(b"x-timeout-ms", 1000) / 1000
         is_faulty = chance.share("crooked", request_id) < 1 / FAULTY_ONE_IN
-        way = self.way if is_faulty else None
+        fault = self.fault if is_faulty else None
         is_unsafe = service_class["effect"] == "at_most_once"
         headers = [
             (name, head.headers[name.lower()])
@@ -181,40 +183,42 @@
         headers.append((b"X-Timeout-Ms", b"%d" % max(1, int(limit_s * 1000))))
         data = wire.message(head.start[0], path, headers, body)
 
-        def send(dial=None):
-            dial = dial or self.select()
-            return Attempt(self.pools[dial], data, limit_s) if dial else None
+        def send(upstream_address=None):
+            upstream_address = upstream_address or self.select()
+            return (
+                Attempt(self.pools[upstream_address], data, limit_s) if upstream_address else None
+            )
 
-        if way == "invents":
+        if fault == "invents":
             writer.write(wire.answer(200, b"0.0.made-up.1\n"))
             return
         first = send()
         if first is None:
             writer.write(wire.answer(503, b"shed\n"))
             return
-        if way == "overlaps":
+        if fault == "overlaps":
             second = send()
             await second.result
         status, response, never_executed = await first.result
-        if way == "reruns" and is_unsafe and status == 200:
+        if fault == "reruns" and is_unsafe and status == 200:
             status, response, never_executed = await send().result
-        if way == "repeats-late" and service_class["effect"] == "deduplicated" and status == 200:
+        if fault == "repeats-late" and service_class["effect"] == "deduplicated" and status == 200:
             await asyncio.sleep(service_class["keyTtlUs"] / 1e6 + 0.3)
             status, response, never_executed = await send().result
-        if way == "loses":
+        if fault == "loses":
             writer.close()
             return
-        if way == "late":
+        if fault == "late":
             await asyncio.sleep(limit_s + 0.06)
-        if way == "sheds-what-ran" and is_unsafe:
+        if fault == "sheds-what-ran" and is_unsafe:
             writer.write(wire.answer(503, b"shed\n"))
         elif status == 200:
-            writer.write(wire.answer(200, response) * (2 if way == "twice" else 1))
+            writer.write(wire.answer(200, response) * (2 if fault == "twice" else 1))
         else:
             writer.write(wire.answer(503 if never_executed else 500))
 
 
-def address(text):
+def parse_address(text):
     """Return host and port of ``host:port``."""
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/pepperhook/lab/demo.py
+++ b/pepperhook/lab/demo.py
@@ -16,17 +16,17 @@
 from pepperhook.lab import audit, events, experiment, matrix, report
 from pepperhook.lab.day import Day, write_atomically
 
-DAY = Path(__file__).parent / "days" / "demo.toml"
-S = 10**9
+DEMO_EXPERIMENT = Path(__file__).parent / "days" / "demo.toml"
+NS_PER_S = 10**9
 
 
-class Tail:
+class EventReader:
     """Reads the complete lines that were added to the event files since the last call."""
 
     def __init__(self, folder):
         self.folder, self.offsets, self.decoder = folder, {}, msgspec.json.Decoder(events.Event)
 
-    def new(self):
+    def read_new(self):
         """Yield the new event rows."""
         for path in self.folder.glob("*.rows"):
             with open(path, "rb") as file:
@@ -45,21 +45,22 @@
 
     def start_processes(self, load=True):
         super().start_processes(load)
-        # ``tries``: clients' requests of the last two seconds; ``works``: attempts by tier.
-        self.tail, self.tries, self.works, self.on = Tail(self.folder), deque(), Counter(), []
+        self.event_reader = EventReader(self.folder)
+        self.recent_requests = deque()  # clients' requests of the last two seconds
+        self.attempts_by_tier = Counter()
 
     def make_table(self):
         """Return the table of the last two seconds."""
         now = time.monotonic_ns()
-        for row in self.tail.new():
+        for row in self.event_reader.read_new():
             if isinstance(row, events.Try) and not row.tier:
-                self.tries.append(row)
+                self.recent_requests.append(row)
             elif isinstance(row, events.Work):
-                self.works[row.tier] += 1
-        while self.tries and self.tries[0].ended < now - 2 * S:
-            self.tries.popleft()
-        at = (now - self.start) / S
-        counts = Counter(audit.outcome(attempt) for attempt in self.tries)
+                self.attempts_by_tier[row.tier] += 1
+        while self.recent_requests and self.recent_requests[0].ended < now - 2 * NS_PER_S:
+            self.recent_requests.popleft()
+        at = (now - self.start) / NS_PER_S
+        counts = Counter(audit.outcome(attempt) for attempt in self.recent_requests)
         table = Table(
             title=f"pepperhook demo, second {max(0, at):.0f} of {self.day.seconds:.0f}",
             title_justify="left",
@@ -74,14 +75,16 @@
             load.at and load.at <= at < load.at + (load.for_ or 0) for load in self.day.load
         )
         faults = [
-            f"{t.what} of upstream {t.tier}.{t.who[0] if t.who else 'all'}"
-            for t in self.day.troubles
-            if t.at <= at < t.at + t.for_
+            f"{fault.what} of upstream {fault.tier}.{fault.who[0] if fault.who else 'all'}"
+            for fault in self.day.troubles
+            if fault.at <= at < fault.at + fault.for_
         ] + (["a burst of load"] if in_burst else [])
         table.add_row("faults", ", ".join(faults) or "none")
         table.add_row(
             "attempts so far by tier",
-            "  ".join(f"{t}: {self.works[t]}" for t in range(len(self.day.tiers))),
+            "  ".join(
+                f"{tier}: {self.attempts_by_tier[tier]}" for tier in range(len(self.day.tiers))
+            ),
         )
         for name, text in self.balancer_rows():
             table.add_row(name, text)
@@ -108,10 +111,10 @@
         return sorted(texts.items(), key=lambda row: (row[0] != "retry budget", row[0]))
 
     def run_actions(self):
-        self.report_progress = self.show
+        self.report_progress = self.update_display
         super().run_actions()
 
-    def show(self, _text, share):
+    def update_display(self, _text, share):
         """Update the live display, if there is one."""
         if self.live is not None and share < 1:
             self.live.update(self.make_table())
@@ -119,12 +122,14 @@
 
 def run(seconds, folder):
     """Run the demo, scaled to ``seconds``, and return the path of its report."""
-    day = experiment.read(DAY)
+    day = experiment.read(DEMO_EXPERIMENT)
     scale = seconds / day.seconds
     day = replace(
         day,
         seconds=float(seconds),
-        troubles=[replace(t, at=t.at * scale, for_=t.for_ * scale) for t in day.troubles],
+        troubles=[
+            replace(fault, at=fault.at * scale, for_=fault.for_ * scale) for fault in day.troubles
+        ],
         load=[
             replace(row, at=row.at * scale, for_=row.for_ and row.for_ * scale) for row in day.load
         ],
@@ -147,6 +152,6 @@
     console.print(
         f"{figures['wishes']} requests, {figures['served']:.1%} served, "
         f"{figures['goodput']:.1%} of their value, {figures['shed']:.1%} rejected; rules broken: "
-        f"{', '.join(f['name'] for f in result['findings']) or 'none'}."
+        f"{', '.join(finding['name'] for finding in result['findings']) or 'none'}."
     )
     return folder / "report.html"
--- a/pepperhook/lab/experiment.py
+++ b/pepperhook/lab/experiment.py
@@ -310,8 +310,13 @@
                 at,
                 "module",
             )
-        if variant.crooked is not None and variant.crooked not in crooked.WAYS:
-            wrong(f"no such kind; there are {', '.join(crooked.WAYS)}", "variants", at, "crooked")
+        if variant.crooked is not None and variant.crooked not in crooked.FINDINGS_BY_FAULT:
+            wrong(
+                f"no such kind; there are {', '.join(crooked.FINDINGS_BY_FAULT)}",
+                "variants",
+                at,
+                "crooked",
+            )
 
 
 def check_discovery(day, wrong):
--- a/pepperhook/lab/explore.py
+++ b/pepperhook/lab/explore.py
@@ -20,18 +20,18 @@
 from pepperhook.control_plane.version import Version, sign_version
 from pepperhook.key_ring import KeyRing
 
-S = 10**9
+NS_PER_S = 10**9
 KEYS = KeyRing([("k1", "a secret of this exploration")])
 REPORTED_REQUESTS = 300  # in one heartbeat: enough for a verdict about the member's version
-BEFORE, AFTER = 1, 2  # version numbers before and after the rollout
-QUIET = logging.Logger("pepperhook.explore", logging.CRITICAL)
+OLD_VERSION, NEW_VERSION = 1, 2  # version numbers before and after the rollout
+SILENT_LOG = logging.Logger("pepperhook.explore", logging.CRITICAL)
 
 
 class StoreStandIn:
     """Stand-in for the store, with the methods a rollout uses; its data survives a crash."""
 
-    def __init__(self, kept, newest):
-        self.stored_rollout, self.last = kept, newest
+    def __init__(self, stored_rollout, newest_number):
+        self.stored_rollout, self.newest_number = stored_rollout, newest_number
 
     def newest_rollout(self):
         return (
@@ -44,13 +44,13 @@
         self.stored_rollout = msgspec.json.encode(changed)
 
     def newest_version(self):
-        return version(self.last)
+        return version(self.newest_number)
 
     def version(self, number):
-        return version(number) if number <= self.last else None
+        return version(number) if number <= self.newest_number else None
 
     def add_version(self, added):
-        self.last = added.number
+        self.newest_number = added.number
 
     def members(self):
         return {}
@@ -77,18 +77,18 @@
 class Member(Struct, frozen=True):
     """State of one member."""
 
-    running: int = BEFORE
-    refused: bool = False
-    word: int = BEFORE  # the version that it last reported to the service
+    running: int = OLD_VERSION
+    has_rejected: bool = False
+    reported_version: int = OLD_VERSION  # the version that it last reported to the service
     coming: int = 0  # a version that was sent but not received; 0: none
-    told: tuple[int, int] = (0, 0)  # reported counts of succeeded and failed requests
+    reported_counts: tuple[int, int] = (0, 0)  # reported counts of succeeded and failed requests
 
 
 class State(Struct, frozen=True):
     """State of the service, its store and all members."""
 
-    kept: bytes  # the stored rollout
-    newest: int  # number of the newest stored version
+    stored_rollout: bytes  # encoded as JSON
+    newest_number: int  # of the newest stored version
     rollout: bytes | None  # in the service's memory; None: the service is down
     members: tuple[Member, ...]
     time: int = 0  # in seconds
@@ -100,82 +100,85 @@
     """Assumptions of one exploration."""
 
     name: str
-    refuses: frozenset[int] = frozenset()  # members that reject the new version
-    worse: bool = False  # half of all requests fail under the new version
+    rejecting_members: frozenset[int] = frozenset()  # members that reject the new version
+    is_new_version_worse: bool = False  # half of all requests fail under the new version
     steps: tuple[tuple[float, float], ...] = ((0.3, 1.0), (1.0, 0.0))  # (share, seconds)
     patience_s: float = 2.0
-    turns: int = 5  # simulated seconds after which the search ends
+    max_seconds: int = 5  # simulated seconds after which the search ends
 
 
-class Broken(Struct):
+class Violation(Struct):
     """A broken rule, and a shortest sequence of actions that breaks it."""
 
     rule: str
-    way: list[str]  # the actions, in order
+    actions: list[str]  # the actions, in order
 
 
 class Explorer:
-    """Generates the states of a case; ``make`` builds the service, e.g. one with a defect."""
+    """Generates the states of a case.
 
-    def __init__(self, case: Case, make: Callable = ControlService):
-        self.case, self.make = case, make
+    ``make_service`` builds the service, for example one with a defect.
+    """
+
+    def __init__(self, case: Case, make_service: Callable = ControlService):
+        self.case, self.make_service = case, make_service
         self.names = ["a", "b", "c"]
 
     def start(self) -> State:
         """Return the state in which the rollout has just begun."""
         initial = Rollout(
             number=1,
-            version=AFTER,
-            previous_version=BEFORE,
+            version=NEW_VERSION,
+            previous_version=OLD_VERSION,
             steps=[Step(*step) for step in self.case.steps],
             patience_s=self.case.patience_s,
             author="",
         )
         initial.admit(self.names)
         data = msgspec.json.encode(initial)
-        return State(data, AFTER, data, tuple(Member() for _ in self.names))
+        return State(data, NEW_VERSION, data, tuple(Member() for _ in self.names))
 
     def service(self, state: State, time: int):
         """Build a service and its store from a state."""
-        store = StoreStandIn(state.kept, state.newest)
-        service = self.make(
+        store = StoreStandIn(state.stored_rollout, state.newest_number)
+        service = self.make_service(
             store,
             KEYS,
-            log=QUIET,
+            log=SILENT_LOG,
             clock=lambda: float(time),
-            monotonic_ns=lambda: time * S,
-            lease_ns=10**6 * S,
+            monotonic_ns=lambda: time * NS_PER_S,
+            lease_ns=10**6 * NS_PER_S,
         )
         if state.rollout is not None:
             service.rollouts.current = msgspec.json.decode(state.rollout, type=Rollout)
         for name, member in zip(self.names, state.members):
-            row = service.registry.renew_lease(time * S, name, 0)
-            row.running_version = member.word
-            row.succeeded, row.failed = member.told
+            row = service.registry.renew_lease(time * NS_PER_S, name, 0)
+            row.running_version = member.reported_version
+            row.succeeded, row.failed = member.reported_counts
             row.recent_heartbeats = 0.0
         return service, store
 
-    def state_after(self, state: State, service, store, **more) -> State:
+    def state_after(self, state: State, service, store, **changes) -> State:
         """Return the state of the service and its store after an action."""
         return msgspec.structs.replace(
             state,
-            kept=store.stored_rollout,
-            newest=store.last,
+            stored_rollout=store.stored_rollout,
+            newest_number=store.newest_number,
             rollout=msgspec.json.encode(service.rollouts.current),
-            **more,
+            **changes,
         )
 
     def successors(self, state: State) -> Iterator[tuple[str, State]]:
         """Yield every action that is possible now, with the state after it."""
         replace = msgspec.structs.replace
         if state.rollout is None:
-            restarted = replace(state, rollout=state.kept)
+            restarted = replace(state, rollout=state.stored_rollout)
             service, store = self.service(replace(state, rollout=None), state.time)
             yield "the service restarts", self.state_after(restarted, service, store)
             for number, member in enumerate(state.members):
-                yield from self.received(state, number, member)
+                yield from self.deliveries(state, number, member)
             return
-        if state.time < self.case.turns:
+        if state.time < self.case.max_seconds:
             service, store = self.service(state, state.time + 1)
             service.tick()
             yield "a second passes", self.state_after(state, service, store, time=state.time + 1)
@@ -188,13 +191,16 @@
             if (
                 wanted != member.running
                 and not member.coming
-                and not (member.refused and wanted == AFTER)
+                and not (member.has_rejected and wanted == NEW_VERSION)
             ):
-                yield f"{wanted} is sent to {name}", self.changed(state, number, coming=wanted)
-            yield from self.received(state, number, member)
+                yield (
+                    f"{wanted} is sent to {name}",
+                    self.with_member(state, number, coming=wanted),
+                )
+            yield from self.deliveries(state, number, member)
             yield from self.heartbeats(state, number, member)
 
-    def received(self, state, number, member):
+    def deliveries(self, state, number, member):
         """Yield the arrival and the loss of a version that was sent.
 
         A balancer applies only versions with a higher number than its own.
@@ -202,21 +208,26 @@
         if not member.coming:
             return
         name = self.names[number]
-        if member.coming == AFTER and number in self.case.refuses:
+        if member.coming == NEW_VERSION and number in self.case.rejecting_members:
             yield (
                 f"{name} rejects {member.coming}",
-                self.changed(state, number, coming=0, refused=True),
+                self.with_member(state, number, coming=0, has_rejected=True),
             )
         else:
             yield (
                 f"{name} applies {member.coming}",
-                self.changed(state, number, coming=0, running=max(member.running, member.coming)),
+                self.with_member(
+                    state,
+                    number,
+                    coming=0,
+                    running=max(member.running, member.coming),
+                ),
             )
         if state.losses:
             yield (
                 f"{member.coming} is lost on its way to {name}",
                 msgspec.structs.replace(
-                    self.changed(state, number, coming=0), losses=state.losses - 1
+                    self.with_member(state, number, coming=0), losses=state.losses - 1
                 ),
             )
 
@@ -228,17 +239,18 @@
         """
         current = msgspec.json.decode(state.rollout, type=Rollout)
         group_counts = current.updated if member.running == current.version else current.baseline
-        succeeded, failed = member.told
+        succeeded, failed = member.reported_counts
         if group_counts.total < rollout.MIN_REQUESTS and current.state == RolloutState.RUNNING:
-            worse = self.case.worse and member.running == AFTER
+            is_worse = self.case.is_new_version_worse and member.running == NEW_VERSION
             succeeded, failed = (
                 (succeeded + REPORTED_REQUESTS // 2, failed + REPORTED_REQUESTS // 2)
-                if worse
+                if is_worse
                 else (succeeded + REPORTED_REQUESTS, failed)
             )
-        if (member.word, member.told) == (member.running, (succeeded, failed)) and not (
-            member.refused and self.names[number] not in current.rejections
-        ):
+        if (member.reported_version, member.reported_counts) == (
+            member.running,
+            (succeeded, failed),
+        ) and not (member.has_rejected and self.names[number] not in current.rejections):
             return
         service, store = self.service(state, state.time)
         service.receive_heartbeat(
@@ -248,37 +260,39 @@
                 running_version=member.running,
                 succeeded=succeeded,
                 failed=failed,
-                rejection=Rejection(AFTER, "incompatible") if member.refused else None,
+                rejection=Rejection(NEW_VERSION, "incompatible") if member.has_rejected else None,
             )
         )
         after = self.state_after(state, service, store)
         yield (
             f"{self.names[number]} reports that it runs {member.running}",
-            self.changed(after, number, word=member.running, told=(succeeded, failed)),
+            self.with_member(
+                after, number, reported_version=member.running, reported_counts=(succeeded, failed)
+            ),
         )
 
     @staticmethod
-    def changed(state, number, **more):
+    def with_member(state, number, **changes):
         """Return the state with some fields of one member replaced."""
         members = list(state.members)
-        members[number] = msgspec.structs.replace(members[number], **more)
+        members[number] = msgspec.structs.replace(members[number], **changes)
         return msgspec.structs.replace(state, members=tuple(members))
 
     # Invariants.
 
     def broken_rules(self, before: State | None, state: State) -> Iterator[str]:
         """Yield the texts of the rules that the state, or the transition to it, breaks."""
-        stored = msgspec.json.decode(state.kept, type=Rollout)
+        stored = msgspec.json.decode(state.stored_rollout, type=Rollout)
         running_or_sent = [
             self.names[number]
             for number, member in enumerate(state.members)
-            if member.running == AFTER or member.coming == AFTER
+            if member.running == NEW_VERSION or member.coming == NEW_VERSION
         ]
         if stored.state != RolloutState.COMPLETED and not set(running_or_sent) <= set(
             stored.admitted
         ):
             yield "a member that runs or was sent the version is written down as one that is in"
-        if state.rollout is not None and state.rollout != state.kept:
+        if state.rollout is not None and state.rollout != state.stored_rollout:
             in_memory = msgspec.json.decode(state.rollout, type=Rollout)
             if (
                 in_memory.state,
@@ -293,14 +307,14 @@
             ):
                 yield "no state that members are notified of is in memory alone"
         if stored.state == RolloutState.COMPLETED and any(
-            member.word != AFTER for member in state.members
+            member.reported_version != NEW_VERSION for member in state.members
         ):
             yield "a rollout completes only when all members have reported the version"
-        if self.case.worse and stored.state == RolloutState.COMPLETED:
+        if self.case.is_new_version_worse and stored.state == RolloutState.COMPLETED:
             yield "a version that is clearly worse is not rolled out"
         if before is None:
             return
-        stored_before = msgspec.json.decode(before.kept, type=Rollout)
+        stored_before = msgspec.json.decode(before.stored_rollout, type=Rollout)
         if (
             stored_before.state in (RolloutState.COMPLETED, RolloutState.ROLLED_BACK)
             and stored_before.state != stored.state
@@ -316,19 +330,19 @@
             yield "no member is admitted while the rollout is paused"
         if stored.step < stored_before.step:
             yield "the step never decreases"
-        for member, now in zip(before.members, state.members):
-            if now.running < member.running:
+        for member, member_after in zip(before.members, state.members):
+            if member_after.running < member.running:
                 yield "a member's version number never decreases"
 
 
-def explore(explorer: Explorer, max_states: int = 200_000) -> tuple[int, Broken | None]:
+def explore(explorer: Explorer, max_states: int = 200_000) -> tuple[int, Violation | None]:
     """Return the number of states and the first broken rule, if any.
 
     Raises RuntimeError if there are more than ``max_states`` states.
     """
     start = explorer.start()
     for rule in explorer.broken_rules(None, start):
-        return 1, Broken(rule, [])
+        return 1, Violation(rule, [])
     reached_by: dict[State, tuple[State, str] | None] = {start: None}
     queue = [start]
     for state in queue:
@@ -337,7 +351,7 @@
                 continue
             reached_by[after] = state, action
             for rule in explorer.broken_rules(state, after):
-                return len(reached_by), Broken(rule, path_to(reached_by, after))
+                return len(reached_by), Violation(rule, path_to(reached_by, after))
             if len(reached_by) > max_states:
                 raise RuntimeError(f"more than {max_states} states")
             queue.append(after)
@@ -355,7 +369,7 @@
 
 CASES = (
     Case("all goes well"),
-    Case("one refuses", refuses=frozenset((1,))),
-    Case("worse", worse=True),
-    Case("all at once", steps=((1.0, 0.0),), turns=4),
+    Case("one refuses", rejecting_members=frozenset((1,))),
+    Case("worse", is_new_version_worse=True),
+    Case("all at once", steps=((1.0, 0.0),), max_seconds=4),
 )
--- a/pepperhook/lab/journals.py
+++ b/pepperhook/lab/journals.py
@@ -17,8 +17,8 @@
 from pepperhook.idempotency.journal.record import Record, RecordKind
 from pepperhook.idempotency.journal.writer import Journal, PendingRecord
 
-WAITING = 64  # concurrent requests, each waiting for a record
-BODY = b"0.3.29.1c7.1\n" * 8
+CONCURRENCY = 64  # concurrent requests, each waiting for a record
+RESPONSE_BODY = b"0.3.29.1c7.1\n" * 8
 
 
 class Sqlite(Journal):
@@ -71,41 +71,45 @@
     for number in range(begin, begin + count):
         key = number.to_bytes(16, "big")
         yield Record(RecordKind.STARTED, key, key, "sale", "acme", number)
-        yield Record(RecordKind.COMPLETED, key, key, "sale", "acme", number, BODY, "text/plain")
+        yield Record(
+            RecordKind.COMPLETED, key, key, "sale", "acme", number, RESPONSE_BODY, "text/plain"
+        )
 
 
 async def append_all(journal, count):
-    """Append the records of ``count`` requests, WAITING of them at a time.
+    """Append the records of ``count`` requests, CONCURRENCY of them at a time.
 
     Return the seconds in total, and those that each request waited for its first record.
     """
     loop, waits = asyncio.get_running_loop(), []
     journal.start(loop)
 
-    async def append(numbers):
+    async def append_in_turn(numbers):
         for number in numbers:
-            begun, ended = records(1, number)
-            at = time.perf_counter()
-            await journal.append_durably(begun)
-            waits.append(time.perf_counter() - at)
-            journal.append(ended)
+            started, completed = records(1, number)
+            waits_from = time.perf_counter()
+            await journal.append_durably(started)
+            waits.append(time.perf_counter() - waits_from)
+            journal.append(completed)
 
     begin = time.perf_counter()
-    await asyncio.gather(*(append(range(at, count, WAITING)) for at in range(WAITING)))
+    await asyncio.gather(
+        *(append_in_turn(range(first, count, CONCURRENCY)) for first in range(CONCURRENCY))
+    )
     total_s = time.perf_counter() - begin
     await loop.run_in_executor(None, journal.close)
     return total_s, waits
 
 
-def write(make, count):
+def measure_writing(open_new, count):
     """Return the speed, CPU time and waits of writing the records of ``count`` requests."""
-    cpu, (total_s, waits) = time.process_time(), (0, [])
-    journal = make()
+    cpu_before, (total_s, waits) = time.process_time(), (0, [])
+    journal = open_new()
     total_s, waits = asyncio.run(append_all(journal, count))
     waits.sort()
     return {
         "operations_per_s": round(count / total_s),
-        "core_us": round((time.process_time() - cpu) / count * 1e6, 1),
+        "core_us": round((time.process_time() - cpu_before) / count * 1e6, 1),
         "wait_p50_ms": round(statistics.median(waits) * 1000, 2),
         "wait_p99_ms": round(waits[int(len(waits) * 0.99)] * 1000, 2),
         "groups": journal.statistics.groups,
@@ -142,7 +146,7 @@
     sqlite.close()
 
 
-READ = """
+RECOVERY_SCRIPT = """
 import gc, logging, sys, time
 from pathlib import Path
 from types import SimpleNamespace
@@ -183,14 +187,14 @@
 """
 
 
-def read(folder, journal_kind):
+def measure_recovery(folder, journal_kind):
     """Measure a recovery in a new process.
 
     Return the number of entries, the seconds until the store is restored, and the bytes of memory
     per entry with a response body of about a hundred bytes.
     """
     output = subprocess.run(
-        [sys.executable, "-c", READ, str(folder), journal_kind],
+        [sys.executable, "-c", RECOVERY_SCRIPT, str(folder), journal_kind],
         capture_output=True,
         text=True,
         check=True,
@@ -203,20 +207,22 @@
     }
 
 
-def measure(folder, tell, counts=(10_000, 100_000, 1_000_000), requests=20_000, rounds=3):
+def measure(
+    folder, report_progress, counts=(10_000, 100_000, 1_000_000), requests=20_000, rounds=3
+):
     """Measure writing, then recovery by the number of entries.
 
     The journals alternate in writing, so that a disk that slows down affects both.
     """
     writing = {"own": [], "sqlite": []}
     for turn in range(rounds):
-        tell(f"writing, round {turn + 1} of {rounds}", turn / rounds / 2)
+        report_progress(f"writing, round {turn + 1} of {rounds}", turn / rounds / 2)
         pairs = [
             ("own", lambda: open_journal(folder / f"w{turn}")),
             ("sqlite", lambda: Sqlite(folder / f"w{turn}.db")),
         ]
-        for name, make in pairs[turn % 2 :] + pairs[: turn % 2]:
-            writing[name].append(write(make, requests))
+        for name, open_new in pairs[turn % 2 :] + pairs[: turn % 2]:
+            writing[name].append(measure_writing(open_new, requests))
             gc.collect()
     reading = []
     figures = {
@@ -226,11 +232,11 @@
         },
         "reading": reading,
     }
-    for at, count in enumerate(counts):
-        tell(f"reading {count:,} entries", 0.5 + at / len(counts) / 2)
+    for index, count in enumerate(counts):
+        report_progress(f"reading {count:,} entries", 0.5 + index / len(counts) / 2)
         count_folder = folder / str(count)
         count_folder.mkdir()
         fill(count_folder, count)
         for which in "own", "sqlite":
-            reading.append({"journal": which, **read(count_folder, which)})
+            reading.append({"journal": which, **measure_recovery(count_folder, which)})
     return figures
--- a/pepperhook/lab/load.py
+++ b/pepperhook/lab/load.py
@@ -19,18 +19,19 @@
 from pepperhook.lab import chance, events, wire
 from pepperhook.lab.experiment import Plan
 
-MS, S = 10**6, 10**9
-LATE_NS = 20 * MS  # a 99th percentile of the generator's lateness above this makes a run void
-AFTER_S = 1.0  # how long to wait for late responses after the longest time limit
-SLACK_NS = 50 * MS  # tolerance past the time limit, as responses may be late on a busy machine
-FLUSH_S = 0.25  # interval at which event rows are flushed
-HEALTH_S = 0.5  # interval of the front's health checks
-# An exchange's number shows its kind. Retries have numbers below COPY. Copies have the sum of COPY
-# and a small number, of COPY, AT_END and an index, or of COPY, AFTER_LOSS and an index. A lost
-# exchange with a number below AFTER_LOSS is copied.
-COPY = 100
-AT_END = 50
-AFTER_LOSS = 200
+NS_PER_MS, NS_PER_S = 10**6, 10**9
+MAX_LATENESS_NS = 20 * NS_PER_MS  # void above this 99th percentile of the generator's lateness
+LATE_RESPONSE_WAIT_S = 1.0  # how long to wait for late responses after the longest time limit
+# Tolerance past the time limit, as responses may be late on a busy machine.
+TIME_LIMIT_SLACK_NS = 50 * NS_PER_MS
+FLUSH_INTERVAL_S = 0.25  # interval at which event rows are flushed
+HEALTH_CHECK_INTERVAL_S = 0.5  # interval of the front's health checks
+# An exchange's number shows its kind. Retries have numbers below COPY_NUMBER. Copies have the sum
+# of COPY_NUMBER and a small number, of COPY_NUMBER, COPY_AT_END and an index, or of COPY_NUMBER,
+# COPY_AFTER_LOSS and an index. A lost exchange with a number below COPY_AFTER_LOSS is copied.
+COPY_NUMBER = 100
+COPY_AT_END = 50
+COPY_AFTER_LOSS = 200
 
 
 def arrivals(day, seed):
@@ -42,8 +43,8 @@
     parts = []
     for index, load in enumerate(day.load):
         rng = numpy.random.default_rng([seed, index])
-        ends = day.seconds if load.for_ is None else min(day.seconds, load.at + load.for_)
-        duration, peak_rate = ends - load.at, max(load.rate, load.to or 0.0)
+        end_s = day.seconds if load.for_ is None else min(day.seconds, load.at + load.for_)
+        duration, peak_rate = end_s - load.at, max(load.rate, load.to or 0.0)
         if duration <= 0 or not peak_rate:
             continue
         times = numpy.sort(rng.uniform(0, duration, rng.poisson(peak_rate / load.burst * duration)))
@@ -52,20 +53,22 @@
             times = times[rng.uniform(0, peak_rate, len(times)) < rate]
         if load.burst > 1:
             times = numpy.repeat(times, rng.geometric(1 / load.burst, len(times)))
-        names = [g.name for g in day.grades], [c.name for c in day.customers]
+        names = [grade.name for grade in day.grades], [tenant.name for tenant in day.customers]
         grades = (
             numpy.full(len(times), names[0].index(load.grade))
             if load.grade
-            else rng.choice(len(day.grades), len(times), p=shares(day.grades))
+            else rng.choice(len(day.grades), len(times), p=normalized_shares(day.grades))
         )
         if load.customer:
             customers = numpy.full(len(times), names[1].index(load.customer))
         elif day.customers:
-            customers = rng.choice(len(day.customers), len(times), p=shares(day.customers))
+            customers = rng.choice(
+                len(day.customers), len(times), p=normalized_shares(day.customers)
+            )
         else:
             customers = numpy.full(len(times), -1)
-        to = numpy.full(len(times), -1 if load.balancer is None else load.balancer)
-        parts.append(((load.at + times) * S, grades, customers, to))
+        balancers = numpy.full(len(times), -1 if load.balancer is None else load.balancer)
+        parts.append(((load.at + times) * NS_PER_S, grades, customers, balancers))
     if not parts:
         return tuple(numpy.array([], dtype=int) for _ in range(4))
     joined = [numpy.concatenate(part) for part in zip(*parts)]
@@ -73,7 +76,7 @@
     return tuple(part[order].astype(int) for part in joined)
 
 
-def shares(rows):
+def normalized_shares(rows):
     """Return the rows' shares, scaled to a sum of one."""
     weights = numpy.array([row.share for row in rows])
     return weights / weights.sum()
@@ -82,9 +85,8 @@
 class Front:
     """Stand-in for the network load balancer before the first tier.
 
-    It distributes connections over the balancers, round robin or skewed.
-
-    It notices only with a delay that a balancer went down or came back.
+    It distributes connections over the balancers, round robin or skewed, and notices only after a
+    delay that a balancer went down or came back.
     """
 
     def __init__(self, plan):
@@ -93,7 +95,7 @@
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
         self.alive = list(self.addresses)
         self.last_healthy_at = dict.fromkeys(self.addresses, time.monotonic())
-        self.turn = 0
+        self.connection_count = 0
         ranked = sorted(
             self.addresses, key=lambda address: chance.share(plan.seed, "rank", address)
         )
@@ -105,10 +107,10 @@
         """Return the address for the next connection; None if no balancer is alive."""
         if not self.alive:
             return None
-        self.turn += 1
+        self.connection_count += 1
         if not self.config.skew:
-            return self.alive[self.turn % len(self.alive)]
-        drawn = chance.share(self.seed, "deal", self.turn) * sum(
+            return self.alive[self.connection_count % len(self.alive)]
+        drawn = chance.share(self.seed, "deal", self.connection_count) * sum(
             self.weights[address] for address in self.alive
         )
         for address in self.alive:
@@ -130,7 +132,7 @@
                     and address in self.alive
                 ):
                     self.alive.remove(address)
-            await asyncio.sleep(HEALTH_S)
+            await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
 
 
 async def is_healthy(address):
@@ -156,13 +158,13 @@
     __slots__ = (
         "load",
         "id",
-        "first",  # id of the first try; its own unless it is a retry or a copy
-        "number",  # 0: first try; else the number of the retry or copy
+        "first_id",  # id of the first attempt; its own unless it is a retry or a copy
+        "number",  # 0: first attempt; else the number of the retry or copy
         "grade",
         "customer",
         "intended",
         "sent",
-        "limit",
+        "limit_ns",
         "link",
         "fresh",  # its connection was opened for it
         "over",  # its row has been written
@@ -172,23 +174,29 @@
         "leaves_early",
         "future",
         "stream",
-        "to",  # number of the balancer; -1: the front chooses
+        "balancer_number",  # number of the balancer; -1: the front chooses
         "pool",
         "copies_at_end",
     )
 
     data: bytes  # the message as sent, kept for sending it again on a new connection
 
-    def __init__(self, load, identity, first, number, grade, customer, intended, to=-1):
-        self.load, self.id, self.first, self.number, self.grade = (
+    def __init__(
+        self, load, identity, first_id, number, grade, customer, intended, balancer_number=-1
+    ):
+        self.load, self.id, self.first_id, self.number, self.grade = (
             load,
             identity,
-            first,
+            first_id,
             number,
             grade,
         )
         self.customer, self.intended, self.sent, self.future = customer, intended, 0, None
-        self.limit, self.to, self.pool = load.limits[grade], to, load.pools[to]
+        self.limit_ns, self.balancer_number, self.pool = (
+            load.limits_ns[grade],
+            balancer_number,
+            load.pools[balancer_number],
+        )
         self.link, self.fresh, self.over, self.resent, self.leaves_early = (
             None,
             False,
@@ -198,31 +206,35 @@
         )
         self.copies_at_end = 0  # copies to send in the same event loop turn in which this one ends
 
-    def begin(self):
+    def start(self):
         """Send the request and start its timer."""
         load = self.load
-        load.open += 1
+        load.open_count += 1
         name, method = load.targets[self.grade]
         headers = [
             (b"X-Request-ID", self.id.encode()),
-            (b"X-Timeout-Ms", b"%d" % (self.limit // MS)),
+            (b"X-Timeout-Ms", b"%d" % (self.limit_ns // NS_PER_MS)),
         ]
         if self.customer >= 0:
-            headers.append((b"X-Tenant-Id", load.customers[self.customer]))
+            headers.append((b"X-Tenant-Id", load.tenant_names[self.customer]))
         if self.number:
             headers.append((b"X-Retried", b"1"))
         if load.day.clients.duplicates and not self.number and load.has_effect[self.grade]:
-            load.duplicate(self)
+            load.schedule_copies(self)
         if load.keyed[self.grade]:
-            headers.append((b"Idempotency-Key", self.first.encode()))
+            headers.append((b"Idempotency-Key", self.first_id.encode()))
         self.sent = time.monotonic_ns()
-        patience = load.patience if load.patience is not None else self.limit + 2 * SLACK_NS
+        patience_ns = (
+            load.patience_ns
+            if load.patience_ns is not None
+            else self.limit_ns + 2 * TIME_LIMIT_SLACK_NS
+        )
         leave = load.day.clients.leave
         if leave and (draw := chance.share(load.plan.seed, "leave", self.id)) < leave:
             # Drawn by the request's id, so it is the same for HTTP/1.1 and HTTP/2.
             self.leaves_early = True
-            patience = self.limit * draw / leave / 3
-        self.timer = load.loop.call_later(patience / S, self.on_timeout)
+            patience_ns = self.limit_ns * draw / leave / 3
+        self.timer = load.loop.call_later(patience_ns / NS_PER_S, self.on_timeout)
         self.pool.ask(self, method, name, headers, load.bodies[self.grade])
 
     def written(self):
@@ -231,11 +243,11 @@
 
     def answered(self, status, body, headers):
         """Record a response; retry one that isn't 200."""
-        self.done("answer", status, body.decode(errors="replace").strip())
+        self.finish("answer", status, body.decode(errors="replace").strip())
         load = self.load
         if status != 200:
             after = headers.get(b"retry-after")
-            load.failed(self, float(after) if after else 0.0)
+            load.schedule_retry(self, float(after) if after else 0.0)
 
     def lost(self, why, unread=False):
         """Record a broken connection; ``unread``: it broke before any byte of the response."""
@@ -246,42 +258,48 @@
             self.pool.idle.clear()
             self.pool.send(self, self.data)
             return
-        self.done("lost", 0, "", why)
+        self.finish("lost", 0, "", why)
         load = self.load
-        if load.day.clients.duplicates and load.has_effect[self.grade] and self.number < AFTER_LOSS:
+        if (
+            load.day.clients.duplicates
+            and load.has_effect[self.grade]
+            and self.number < COPY_AFTER_LOSS
+        ):
             # Like a client whose connection broke: send a copy at once, and another when a killed
             # balancer may be running again.
             for wait in 0.05, 2.2 + chance.share(load.plan.seed, "lost", self.id):
                 load.loop.call_later(
-                    wait, load.copy, self, AFTER_LOSS + 2 * self.number + int(wait)
+                    wait, load.send_copy, self, COPY_AFTER_LOSS + 2 * self.number + int(wait)
                 )
-        load.failed(self, 0.0)
+        load.schedule_retry(self, 0.0)
 
     def unconnected(self, why):
         """Record that no connection could be opened."""
-        self.done("unconnected", 0, "", why)
-        self.load.failed(self, 0.0)
+        self.finish("unconnected", 0, "", why)
+        self.load.schedule_retry(self, 0.0)
 
     def on_timeout(self):
         """Record that the client's patience or time limit ran out, and close the connection."""
         self.pool.drop(self)
-        self.done("gone" if self.leaves_early or self.load.patience is not None else "open", 0, "")
-        self.load.failed(self, 0.0)
+        self.finish(
+            "gone" if self.leaves_early or self.load.patience_ns is not None else "open", 0, ""
+        )
+        self.load.schedule_retry(self, 0.0)
 
-    def done(self, kind, status, body, note=""):
+    def finish(self, kind, status, body, note=""):
         """Write the event row, once, and send the copies due at its end."""
         if self.over:
             return
         self.over = True
         self.timer.cancel()
         load, now = self.load, time.monotonic_ns()
-        load.open -= 1
+        load.open_count -= 1
         load.book.add(
             events.Try(
                 0,
                 load.front.numbers.get(getattr(self.link, "address", None), -1),
                 self.id,
-                self.first,
+                self.first_id,
                 self.number,
                 self.grade,
                 self.customer,
@@ -291,23 +309,23 @@
                 kind,
                 status,
                 body,
-                self.limit,
+                self.limit_ns,
                 note,
             )
         )
         load.latency.record_value(max(1, min(60 * 10**6, (now - self.intended) // 1000)))
         if status == 200:
-            load.served.record_value(max(1, min(60 * 10**6, (now - self.intended) // 1000)))
+            load.served_latency.record_value(max(1, min(60 * 10**6, (now - self.intended) // 1000)))
         if self.future is not None and not self.future.done():
             self.future.set_result(status)
         for turn in range(self.copies_at_end):
-            load.copy(self, AT_END + turn)
+            load.send_copy(self, COPY_AT_END + turn)
 
 
 class Load:
     """The clients of one run."""
 
-    def __init__(self, plan, folder, where=None):
+    def __init__(self, plan, folder, choose_address=None):
         self.plan, self.day, self.folder, self.loop = (
             plan,
             plan.day,
@@ -316,33 +334,50 @@
         )
         self.book = events.Book(f"{folder}/clients.rows")
         self.front = Front(plan)
-        make = wire.Pool
+        pool_class = wire.Pool
         if plan.day.clients.protocol == "h2":
-            from pepperhook.lab.wire2 import Pool2 as make
-        self.pools = {-1: make(where or self.front.next_address, self.unasked, self.unasked)}
+            from pepperhook.lab.wire2 import Pool2 as pool_class
+        self.pools = {
+            -1: pool_class(
+                choose_address or self.front.next_address,
+                self.record_unsolicited,
+                self.record_unsolicited,
+            )
+        }
         for number, address in enumerate(self.front.addresses):
-            self.pools[number] = make(lambda address=address: address, self.unasked, self.unasked)
+            self.pools[number] = pool_class(
+                lambda address=address: address, self.record_unsolicited, self.record_unsolicited
+            )
         grades = plan.day.grades
-        self.limits = [int((g.client_limit_ms or g.time_limit_ms) * MS) for g in grades]
+        self.limits_ns = [
+            int((grade.client_limit_ms or grade.time_limit_ms) * NS_PER_MS) for grade in grades
+        ]
         self.targets = [  # (path, method) by service class
-            (b"/" + g.name.encode(), b"GET" if g.effect == "idempotent" else b"POST")
-            for g in grades
+            (b"/" + grade.name.encode(), b"GET" if grade.effect == "idempotent" else b"POST")
+            for grade in grades
         ]
         self.bodies = [
-            b"x" * max(2, g.body_bytes) if g.effect != "idempotent" else b"" for g in grades
+            b"x" * max(2, grade.body_bytes) if grade.effect != "idempotent" else b""
+            for grade in grades
         ]
-        self.has_effect = [g.effect != "idempotent" for g in grades]
+        self.has_effect = [grade.effect != "idempotent" for grade in grades]
         self.keyed = [
-            g.effect == "deduplicated" or g.effect == "at_most_once" and plan.day.clients.duplicates
-            for g in grades
+            grade.effect == "deduplicated"
+            or grade.effect == "at_most_once"
+            and plan.day.clients.duplicates
+            for grade in grades
         ]
-        self.customers = [c.name.encode() for c in plan.day.customers]
+        self.tenant_names = [tenant.name.encode() for tenant in plan.day.customers]
         clients = plan.day.clients
-        self.patience = None if clients.patience_ms is None else int(clients.patience_ms * MS)
-        self.latency, self.served, self.lateness = (HdrHistogram(1, 60 * 10**6, 3) for _ in "abc")
-        self.open, self.count, self.tasks, self.ends = 0, 0, set(), None
+        self.patience_ns = (
+            None if clients.patience_ms is None else int(clients.patience_ms * NS_PER_MS)
+        )
+        self.latency, self.served_latency, self.own_lateness = (
+            HdrHistogram(1, 60 * 10**6, 3) for _ in "abc"
+        )
+        self.open_count, self.sent_count, self.tasks, self.ends_at = 0, 0, set(), None
 
-    def unasked(self, exchange, data):
+    def record_unsolicited(self, exchange, data):
         """Record bytes received without an open request."""
         self.book.add(
             events.Extra(0, time.monotonic_ns(), exchange.id if exchange else "", len(data))
@@ -354,13 +389,13 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def failed(self, exchange, after_s):
+    def schedule_retry(self, exchange, after_s):
         """Schedule a client's retry, which is a new request to the balancer."""
         clients = self.day.clients
         if (
             exchange.number >= clients.retries
             or exchange.future is not None
-            or time.monotonic_ns() > self.ends
+            or time.monotonic_ns() > self.ends_at
         ):
             return
         wait = (
@@ -369,23 +404,23 @@
             * 2**exchange.number
             * (0.5 + chance.share(self.plan.seed, "back", exchange.id))
         )
-        self.loop.call_later(max(wait, after_s), self.again, exchange)
+        self.loop.call_later(max(wait, after_s), self.send_retry, exchange)
 
-    def again(self, exchange):
+    def send_retry(self, exchange):
         """Send the next retry."""
         number = exchange.number + 1
         Exchange(
             self,
-            f"{exchange.first}r{number}",
-            exchange.first,
+            f"{exchange.first_id}r{number}",
+            exchange.first_id,
             number,
             exchange.grade,
             exchange.customer,
             time.monotonic_ns(),
-            exchange.to,
-        ).begin()
+            exchange.balancer_number,
+        ).start()
 
-    def duplicate(self, exchange):
+    def schedule_copies(self, exchange):
         """Schedule copies of a first attempt, with their own ids and its idempotency key.
 
         They are sent at the most difficult moments: together with it, while it runs, in the event
@@ -396,7 +431,7 @@
         def draw(*names):
             return chance.share(self.plan.seed, "copy", exchange.id, *names)
 
-        limit = exchange.limit / S
+        limit_s = exchange.limit_ns / NS_PER_S
         for number in range(int(draw() * (self.day.clients.duplicates + 1))):
             kind, position = int(draw(number) * 6), draw(number, "at")
             if kind == 2:
@@ -406,38 +441,38 @@
                 position * 0.003,  # together with it
                 position * 0.1,  # soon after it
                 None,  # in the event loop turn in which it ends, see above
-                limit + (position - 0.5) * 0.06,  # around its time limit
-                position * limit,  # at any time up to its time limit
+                limit_s + (position - 0.5) * 0.06,  # around its time limit
+                position * limit_s,  # at any time up to its time limit
                 1.5 + position * 2.0,  # when a killed balancer may be running again
             )[kind]
-            self.loop.call_later(wait, self.copy, exchange, number + 1)
+            self.loop.call_later(wait, self.send_copy, exchange, number + 1)
 
-    def copy(self, exchange, number):
+    def send_copy(self, exchange, number):
         """Send a copy of a request under its idempotency key."""
-        if time.monotonic_ns() < self.ends + 2 * S:
-            # A number of COPY or more is above any limit of retries: a copy is never retried.
+        if time.monotonic_ns() < self.ends_at + 2 * NS_PER_S:
+            # COPY_NUMBER is above any limit of retries: a copy is never retried.
             Exchange(
                 self,
-                f"{exchange.first}k{number}",
-                exchange.first,
-                COPY + number,
+                f"{exchange.first_id}k{number}",
+                exchange.first_id,
+                COPY_NUMBER + number,
                 exchange.grade,
                 exchange.customer,
                 time.monotonic_ns(),
-                exchange.to,
-            ).begin()
+                exchange.balancer_number,
+            ).start()
 
     async def play(self, start):
         """Send all requests of the run, then wait for the last responses."""
-        self.ends = start + int(self.day.seconds * S)
+        self.ends_at = start + int(self.day.seconds * NS_PER_S)
         self.spawn(self.front.watch())
-        self.spawn(self.write())
+        self.spawn(self.flush_event_rows())
         for number in range(self.day.clients.closed):
-            self.spawn(self.closed(start, number))
+            self.spawn(self.run_closed_loop_client(start, number))
         for kind, count in self.day.clients.bad.items():
             for number in range(count):
-                self.spawn(self.bad(start, kind, number))
-        times, grades, customers, to = (
+                self.spawn(self.run_misbehaving_client(start, kind, number))
+        times, grades, customers, balancers = (
             part.tolist() for part in arrivals(self.day, self.plan.seed)
         )
         seed_hex, index, total = f"{self.plan.seed:x}", 0, len(times)
@@ -453,68 +488,72 @@
                     grades[index],
                     customers[index],
                     start + times[index],
-                    to[index],
-                ).begin()
+                    balancers[index],
+                ).start()
                 # The generator's own lateness, kept apart from the balancer's latency.
-                self.lateness.record_value(
+                self.own_lateness.record_value(
                     max(1, (time.monotonic_ns() - start - times[index]) // 1000)
                 )
                 index += 1
             if index < total:
                 # Very short sleeps would only keep the event loop from reading responses.
-                await asyncio.sleep(max(0.0005, (times[index] - (time.monotonic_ns() - start)) / S))
-        self.count = index
-        await asyncio.sleep(max(0.0, (self.ends - time.monotonic_ns()) / S))
-        longest = (
-            (max(self.limits) + 2 * SLACK_NS) / S
-            + AFTER_S
+                await asyncio.sleep(
+                    max(0.0005, (times[index] - (time.monotonic_ns() - start)) / NS_PER_S)
+                )
+        self.sent_count = index
+        await asyncio.sleep(max(0.0, (self.ends_at - time.monotonic_ns()) / NS_PER_S))
+        longest_s = (
+            (max(self.limits_ns) + 2 * TIME_LIMIT_SLACK_NS) / NS_PER_S
+            + LATE_RESPONSE_WAIT_S
             + (2.0 if self.day.clients.duplicates else 0.0)
         )
-        stop = time.monotonic() + longest
-        quiet = time.monotonic() + (
+        deadline = time.monotonic() + longest_s
+        copies_scheduled_until = time.monotonic() + (
             2.0 if self.day.clients.duplicates else 0.0
         )  # copies are still scheduled
-        while (self.open or time.monotonic() < quiet) and time.monotonic() < stop:
+        while (
+            self.open_count or time.monotonic() < copies_scheduled_until
+        ) and time.monotonic() < deadline:
             await asyncio.sleep(0.02)
 
-    async def write(self):
+    async def flush_event_rows(self):
         """Flush the event rows regularly, for live displays.
 
         Buffered rows are otherwise written only in large groups.
         """
         while True:
-            await asyncio.sleep(FLUSH_S)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
             self.book.flush()
 
-    async def closed(self, start, number):
+    async def run_closed_loop_client(self, start, number):
         """Run a closed-loop client: it sends its next request after a response and a think time."""
-        await asyncio.sleep(max(0, start - time.monotonic_ns()) / S)
+        await asyncio.sleep(max(0, start - time.monotonic_ns()) / NS_PER_S)
         turn = 0
-        while time.monotonic_ns() < self.ends:
+        while time.monotonic_ns() < self.ends_at:
             turn += 1
             identity = f"{self.plan.seed:x}c{number:x}.{turn:x}"
             draw = chance.share(self.plan.seed, "grade", identity)
-            grade = int(numpy.searchsorted(numpy.cumsum(shares(self.day.grades)), draw))
+            grade = int(numpy.searchsorted(numpy.cumsum(normalized_shares(self.day.grades)), draw))
             exchange = Exchange(
                 self,
                 identity,
                 identity,
                 0,
                 grade,
-                -1 if not self.customers else number % len(self.customers),
+                -1 if not self.tenant_names else number % len(self.tenant_names),
                 time.monotonic_ns(),
             )
             exchange.future = self.loop.create_future()
-            exchange.begin()
+            exchange.start()
             await exchange.future
             await asyncio.sleep(self.day.clients.think_ms / 1000)
 
-    async def bad(self, start, kind, number):
+    async def run_misbehaving_client(self, start, kind, number):
         """Run a misbehaving client; its messages aren't requests of the run and aren't audited."""
-        await asyncio.sleep(max(0, start - time.monotonic_ns()) / S)
+        await asyncio.sleep(max(0, start - time.monotonic_ns()) / NS_PER_S)
         name, method = self.targets[0]
         turn = 0
-        while time.monotonic_ns() < self.ends:
+        while time.monotonic_ns() < self.ends_at:
             turn += 1
             identity = f"bad-{kind}-{number}-{turn}".encode()
             headers = [(b"X-Request-ID", identity), (b"X-Timeout-Ms", b"500")]
@@ -562,25 +601,26 @@
     def summary(self):
         """Return the counts and latency quantiles in ms; ``void`` if the generator was late."""
 
-        def points(histogram):
+        def quantiles(histogram):
             return {
-                f"p{p:g}": histogram.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)
+                f"p{percentile:g}": histogram.get_value_at_percentile(percentile) / 1000
+                for percentile in (50, 90, 99, 99.9)
             }
 
-        late = self.lateness.get_value_at_percentile(99) * 1000
+        late = self.own_lateness.get_value_at_percentile(99) * 1000
         return {
-            "operations": self.count,
-            "latency_ms": points(self.latency),
-            "served_ms": points(self.served),
-            "own_lateness_ms": points(self.lateness),
-            "void": bool(late > LATE_NS),
-            "served": self.served.get_total_count(),
+            "operations": self.sent_count,
+            "latency_ms": quantiles(self.latency),
+            "served_ms": quantiles(self.served_latency),
+            "own_lateness_ms": quantiles(self.own_lateness),
+            "void": bool(late > MAX_LATENESS_NS),
+            "served": self.served_latency.get_total_count(),
         }
 
 
-async def run(plan, folder, begin, where=None):
+async def run(plan, folder, begin, choose_address=None):
     """Run the load from the shared start time until it is done or stdin closes; write load.json."""
-    load = Load(plan, folder, where)
+    load = Load(plan, folder, choose_address)
     start, ended = await begin()
     playing = asyncio.ensure_future(load.play(start))
     await asyncio.wait([playing, ended], return_when=asyncio.FIRST_COMPLETED)
--- a/pepperhook/lab/matrix.py
+++ b/pepperhook/lab/matrix.py
@@ -13,21 +13,21 @@
 from pepperhook.lab.day import Day, Worktrees, write_atomically
 
 BLOCK_S = 5  # seconds drawn together by the bootstrap, as consecutive seconds are correlated
-DRAWS = 2000  # bootstrap resamples
+RESAMPLES = 2000  # bootstrap resamples
 MAX_RUNS_WITH_ROWS = 12  # with more runs, the event rows of each are deleted after it
 FIGURES = ("goodput", "served", "shed", "failed", "lost", "worst_ten_seconds")
 OUTCOMES = ("served", "shed", "failed", "gone", "lost")
 
 
-def play(day, folder, seed, repeats, only, tell):
+def play(day, folder, seed, repeats, only, report_progress):
     """Run the experiment and return the results.
 
-    ``only`` has the names of the variants to run, all if empty; ``tell(text, share)`` reports
-    progress.
+    ``only`` has the names of the variants to run, all if empty; ``report_progress(text, share)`` is
+    called with the progress.
 
     Each result is stored as soon as its run is over; an interrupt skips the remaining runs.
     """
-    variants = [v for v in day.variants if not only or v.name in only]
+    variants = [variant for variant in day.variants if not only or variant.name in only]
     folder.mkdir(parents=True, exist_ok=True)
     write_atomically(folder / "experiment.json", msgspec.json.encode(day))
     worktrees, results, count = Worktrees(), [], repeats * len(variants)
@@ -48,7 +48,7 @@
                     seed + round_number,
                     folder / f"{variant.name}-{seed + round_number}",
                     worktrees,
-                    lambda what, share, done_share=done_share, label=label: tell(
+                    lambda what, share, done_share=done_share, label=label: report_progress(
                         f"{label}: {what}", done_share + share / count
                     ),
                 )
@@ -82,7 +82,7 @@
     return [result for result in results if not result["void"] and not result["interrupted"]]
 
 
-def blocks(result):
+def block_earnings(result):
     """Return the earned value of each block of seconds, and the possible value."""
     earned, possible = (numpy.array(result["seconds"][name]) for name in ("earned", "possible"))
     starts = range(0, len(earned), BLOCK_S)
@@ -101,19 +101,24 @@
     seeds = sorted(base.keys() & other.keys())
     rows = []
     for seed in seeds:
-        (earned, possible), (earned2, possible2) = blocks(base[seed]), blocks(other[seed])
-        length = min(len(possible), len(possible2))
-        rows += list(zip(earned[:length], possible[:length], earned2[:length], possible2[:length]))
+        (earned, possible), (other_earned, other_possible) = (
+            block_earnings(base[seed]),
+            block_earnings(other[seed]),
+        )
+        length = min(len(possible), len(other_possible))
+        rows += list(
+            zip(earned[:length], possible[:length], other_earned[:length], other_possible[:length])
+        )
     table = numpy.array(rows)
     rng = numpy.random.default_rng(1)
-    draws = table[rng.integers(0, len(table), (DRAWS, len(table)))].sum(axis=1)
-    difference = draws[:, 2] / numpy.maximum(1e-9, draws[:, 3]) - draws[:, 0] / numpy.maximum(
-        1e-9, draws[:, 1]
-    )
+    resamples = table[rng.integers(0, len(table), (RESAMPLES, len(table)))].sum(axis=1)
+    difference = resamples[:, 2] / numpy.maximum(1e-9, resamples[:, 3]) - resamples[
+        :, 0
+    ] / numpy.maximum(1e-9, resamples[:, 1])
     sums = table.sum(axis=0)
     return (
         sums[2] / max(1e-9, sums[3]) - sums[0] / max(1e-9, sums[1]),
-        *(float(x) for x in numpy.percentile(difference, [2.5, 97.5])),
+        *(float(bound) for bound in numpy.percentile(difference, [2.5, 97.5])),
     )
 
 
@@ -123,17 +128,28 @@
     With a single seed the interval is infinite.
     """
     pairs = [
-        (base[s]["figures"].get(key), other[s]["figures"].get(key))
-        for s in sorted(base.keys() & other.keys())
+        (base[seed]["figures"].get(key), other[seed]["figures"].get(key))
+        for seed in sorted(base.keys() & other.keys())
     ]
-    differences = numpy.array([b - a for a, b in pairs if a is not None and b is not None])
+    differences = numpy.array(
+        [
+            other_value - base_value
+            for base_value, other_value in pairs
+            if base_value is not None and other_value is not None
+        ]
+    )
     if not len(differences):
         return 0.0, 0.0, 0.0
     if len(differences) == 1:
         return float(differences[0]), float("-inf"), float("inf")
     rng = numpy.random.default_rng(1)
-    draws = differences[rng.integers(0, len(differences), (DRAWS, len(differences)))].mean(axis=1)
-    return (float(differences.mean()), *(float(x) for x in numpy.percentile(draws, [2.5, 97.5])))
+    resamples = differences[rng.integers(0, len(differences), (RESAMPLES, len(differences)))].mean(
+        axis=1
+    )
+    return (
+        float(differences.mean()),
+        *(float(bound) for bound in numpy.percentile(resamples, [2.5, 97.5])),
+    )
 
 
 def by_variant(results):
@@ -142,7 +158,9 @@
     Interrupted runs are used only for a variant that has no complete one.
     """
     by_name = {}
-    for result in [r for r in results if r["interrupted"] and not r["void"]] + usable(results):
+    for result in [
+        result for result in results if result["interrupted"] and not result["void"]
+    ] + usable(results):
         by_name.setdefault(result["variant"], {})[result["seed"]] = result
     for runs in by_name.values():
         if any(not result["interrupted"] for result in runs.values()):
@@ -153,7 +171,7 @@
 
 def mean(results, key):
     """Return the mean of a figure over the results that have it; None if there are none."""
-    known = [r["figures"][key] for r in results if r["figures"].get(key) is not None]
+    known = [result["figures"][key] for result in results if result["figures"].get(key) is not None]
     return round(float(numpy.mean(known)), 4) if known else None
 
 
@@ -201,10 +219,15 @@
                 findings[finding["name"]] = findings.get(finding["name"], 0) + finding["count"]
         runs = list(by_seed.values())
         amplification = {
-            str(t): round(
-                float(numpy.mean([r["figures"]["amplification"][str(t)] or 0 for r in runs])), 4
+            str(tier): round(
+                float(
+                    numpy.mean(
+                        [result["figures"]["amplification"][str(tier)] or 0 for result in runs]
+                    )
+                ),
+                4,
             )
-            for t in range(len(day.tiers))
+            for tier in range(len(day.tiers))
         }
         rows.append(
             {
@@ -212,19 +235,27 @@
                 "seeds": sorted(by_seed),
                 **{key: mean(runs, key) for key in FIGURES},
                 "wasted_work_s": round(
-                    float(numpy.mean([r["figures"]["wasted_work_s"] for r in runs])), 3
+                    float(numpy.mean([result["figures"]["wasted_work_s"] for result in runs])), 3
+                ),
+                "outlived": round(
+                    float(numpy.mean([result["figures"]["outlived"] for result in runs])), 1
                 ),
-                "outlived": round(float(numpy.mean([r["figures"]["outlived"] for r in runs])), 1),
                 "after_client_left": round(
-                    float(numpy.mean([r["figures"]["after_client_left"] for r in runs])), 1
+                    float(numpy.mean([result["figures"]["after_client_left"] for result in runs])),
+                    1,
                 ),
                 "amplification": amplification,
                 "served_ms": {
-                    p: round(float(numpy.mean([r["load"]["served_ms"][p] for r in runs])), 2)
-                    for p in ("p50", "p99")
+                    percentile: round(
+                        float(
+                            numpy.mean([result["load"]["served_ms"][percentile] for result in runs])
+                        ),
+                        2,
+                    )
+                    for percentile in ("p50", "p99")
                 },
                 "first_tier_cpu_ms": round(
-                    float(numpy.mean([r["first_tier_cpu_ms"] for r in runs])), 3
+                    float(numpy.mean([result["first_tier_cpu_ms"] for result in runs])), 3
                 ),
                 "findings": findings,
                 "against_first": compare(results, first, variant.name)["figures"]["goodput"]
@@ -232,11 +263,11 @@
                 else None,
             }
         )
-    void = [f"{r['variant']}, seed {r['seed']}" for r in results if r["void"]]
+    void = [f"{result['variant']}, seed {result['seed']}" for result in results if result["void"]]
     return {
         "experiment": day.name,
         "seconds": day.seconds,
         "variants": rows,
         "void": void,
-        "interrupted": any(r["interrupted"] for r in results),
+        "interrupted": any(result["interrupted"] for result in results),
     }
--- a/pepperhook/lab/proofs/amplification.py
+++ b/pepperhook/lab/proofs/amplification.py
@@ -5,7 +5,7 @@
 from pepperhook.lab import planted
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
-from pepperhook.lab.report import LINES, SAID, Plots
+from pepperhook.lab.report import LINE_COLOURS, ORIGIN_NOTE, Plots
 
 
 class AmplificationProof(Proof):
@@ -99,7 +99,7 @@
                 [n + position * 0.27 for n in range(len(rows))],
                 [row[key] for row in rows],
                 0.26,
-                color=LINES[position],
+                color=LINE_COLOURS[position],
                 label=name,
             )
         axes.set(
@@ -120,7 +120,7 @@
             "upstreams, with a balancer for each caller. As the formulas assume, each tier fails",
             "by itself with chance p and hides failures behind it; chance depends on the id of the",
             "request, so a seed always gives the same run.",
-            f"{SAID}",
+            f"{ORIGIN_NOTE}",
             f"Seed {result['seed']}; "
             "`pepperhook lab prove amplification --full --write docs/measurements`.",
             "",
--- a/pepperhook/lab/proofs/auditor.py
+++ b/pepperhook/lab/proofs/auditor.py
@@ -43,24 +43,24 @@
         )
         runs = [(long_scenario, correct_variant, "pepperhook", {})]
         # The faulty balancers do not run the policy: its defects can show only in the first run.
-        for way in () if policy_defect else crooked.WAYS:
+        for fault in () if policy_defect else crooked.FINDINGS_BY_FAULT:
             runs.append(
                 (
                     self.scenario,
-                    Variant(name=way, crooked=way),
-                    way,
+                    Variant(name=fault, crooked=fault),
+                    fault,
                     {"ignored_findings": ignored_findings},
                 )
             )
         results = self.play_concurrently(runs, 4)
         findings = {
-            name: {f["name"]: f["count"] for f in result["findings"]}
+            name: {finding["name"]: finding["count"] for finding in result["findings"]}
             for name, result in results.items()
         }
         missed = [
-            way
-            for way, finding in crooked.WAYS.items()
-            if not policy_defect and finding and finding not in findings[way]
+            fault
+            for fault, finding in crooked.FINDINGS_BY_FAULT.items()
+            if not policy_defect and finding and finding not in findings[fault]
         ]
         is_clean = not findings["pepperhook"] and not findings.get("honest")
         return is_clean and not missed, {
--- a/pepperhook/lab/proofs/chain.py
+++ b/pepperhook/lab/proofs/chain.py
@@ -5,7 +5,7 @@
 from pepperhook.lab import experiment, matrix
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
-from pepperhook.lab.report import LINES, SAID, Plots
+from pepperhook.lab.report import LINE_COLOURS, ORIGIN_NOTE, Plots
 
 
 class ChainProof(Proof):
@@ -295,7 +295,7 @@
                     [n + position * 0.16 for n in range(len(names))],
                     values,
                     0.15,
-                    color=LINES[position],
+                    color=LINE_COLOURS[position],
                     label=variant,
                 )
             axes.set(ylabel=unit, xticks=[n + 0.32 for n in range(len(names))], xticklabels=names)
@@ -308,7 +308,7 @@
             "neither forward the remaining time nor cancel the work of a client that left. Clients",
             "wait 350 ms, the service classes allow 800 ms. `on`: the request context is",
             "forwarded; `half`: every second node drops it; `naive`: three immediate retries;",
-            f"`budget`: three within a plain 20% budget. {SAID}",
+            f"`budget`: three within a plain 20% budget. {ORIGIN_NOTE}",
             f"Seeds from {result['seed']}; "
             "`pepperhook lab prove chain --full --write docs/measurements`.",
             "",
--- a/pepperhook/lab/proofs/h2.py
+++ b/pepperhook/lab/proofs/h2.py
@@ -5,7 +5,7 @@
 from pepperhook.lab import experiment, h2memory
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
-from pepperhook.lab.report import SAID
+from pepperhook.lab.report import ORIGIN_NOTE
 
 
 class H2Proof(Proof):
@@ -143,7 +143,7 @@
             "# HTTP/2 and HTTP/1.1, the four pairings",
             "",
             "Clients and upstreams of either protocol under the same faults from",
-            f"the same seed. {SAID}",
+            f"the same seed. {ORIGIN_NOTE}",
             f"Seed {result['seed']}; `pepperhook lab prove h2 --full --write docs/measurements`.",
             "`1-2`: clients use HTTP/1.1, upstreams HTTP/2. Core is the CPU time of the balancer,",
             "in ms per request. In scripted runs the outcome of a request depends on its id alone;",
--- a/pepperhook/lab/proofs/repeats.py
+++ b/pepperhook/lab/proofs/repeats.py
@@ -7,7 +7,7 @@
 from pepperhook.lab import experiment, journals
 from pepperhook.lab.experiment import Clients, Load, Variant
 from pepperhook.lab.proofs.base import Proof
-from pepperhook.lab.report import LINES, SAID, Plots
+from pepperhook.lab.report import LINE_COLOURS, ORIGIN_NOTE, Plots
 
 
 class RepeatsProof(Proof):
@@ -201,7 +201,7 @@
             "balancer is killed with SIGKILL three times (`on`; once in the shorter runs), and a",
             "rush has four times the keys that the store has room for. `off`: without keys;",
             "`roomy`: with room for all of them.",
-            f"{SAID} Seed {result['seed']}; "
+            f"{ORIGIN_NOTE} Seed {result['seed']}; "
             "`pepperhook lab prove repeats --full --write docs/measurements`.",
             "",
             "| scenario | keys | sent more than once | client attempts | executions | "
@@ -264,7 +264,7 @@
                     [r["entries"] for r in journal_rows],
                     [r["seconds"] for r in journal_rows],
                     marker="o",
-                    color=LINES[position],
+                    color=LINE_COLOURS[position],
                     label=name,
                 )
             axes.set(
--- a/pepperhook/lab/report.py
+++ b/pepperhook/lab/report.py
@@ -23,10 +23,19 @@
     "lost": "#222222",
 }
 # Colours of lines and bars, used in order and again from the first.
-LINES = ("#2b5d8a", "#b8433b", "#3b7d4f", "#d9a441", "#7a6fa8", "#5b5b5b", "#c06c9b", "#4aa3a3")
+LINE_COLOURS = (
+    "#2b5d8a",
+    "#b8433b",
+    "#3b7d4f",
+    "#d9a441",
+    "#7a6fa8",
+    "#5b5b5b",
+    "#c06c9b",
+    "#4aa3a3",
+)
 PERCENTILES = ("p50", "p90", "p99", "p99.9")
 # Note on the origin of the figures, for every report.
-SAID = "Figures are of stand-in clients, upstreams and lists on one machine's loopback."
+ORIGIN_NOTE = "Figures are of stand-in clients, upstreams and lists on one machine's loopback."
 
 
 def write(folder, day, results, summary):
@@ -85,7 +94,7 @@
     lines = [
         f"# {day.name}",
         "",
-        f"{day.seconds:g} s per run. {SAID}",
+        f"{day.seconds:g} s per run. {ORIGIN_NOTE}",
         "",
         "| " + " | ".join(column_names) + " |",
         "| " + " | ".join("---" for _ in column_names) + " |",
@@ -149,8 +158,8 @@
         )
     for load in day.load:
         if load.at:
-            ends = day.seconds if load.for_ is None else load.at + load.for_
-            axes.axvspan(load.at, min(ends, day.seconds), color="#d9a441", alpha=0.13, lw=0)
+            end_s = day.seconds if load.for_ is None else load.at + load.for_
+            axes.axvspan(load.at, min(end_s, day.seconds), color="#d9a441", alpha=0.13, lw=0)
             axes.text(
                 load.at,
                 1.01,
@@ -190,7 +199,7 @@
         with numpy.errstate(invalid="ignore"):
             axes.plot(
                 earned / numpy.where(possible, possible, numpy.nan),
-                color=LINES[index % len(LINES)],
+                color=LINE_COLOURS[index % len(LINE_COLOURS)],
                 lw=1.3,
                 label=result["variant"],
             )
@@ -209,7 +218,7 @@
             [result["load"]["served_ms"][percentile] for percentile in PERCENTILES],
             marker="o",
             ms=4,
-            color=LINES[index % len(LINES)],
+            color=LINE_COLOURS[index % len(LINE_COLOURS)],
             label=result["variant"],
         )
     axes.set(ylabel="ms from scheduled sending", yscale="log")
@@ -227,7 +236,7 @@
             numpy.arange(len(values)) + index * width,
             values,
             width,
-            color=LINES[index % len(LINES)],
+            color=LINE_COLOURS[index % len(LINE_COLOURS)],
             label=row["variant"],
         )
     axes.axhline(1, color="#444444", lw=0.8)
@@ -246,8 +255,10 @@
     rows = [row for row in summary["variants"] if row["against_first"]]
     for index, row in enumerate(rows):
         difference = row["against_first"]
-        axes.plot([difference["low"], difference["high"]], [index, index], color=LINES[0], lw=2)
-        axes.plot(difference["difference"], index, "o", color=LINES[0], ms=5)
+        axes.plot(
+            [difference["low"], difference["high"]], [index, index], color=LINE_COLOURS[0], lw=2
+        )
+        axes.plot(difference["difference"], index, "o", color=LINE_COLOURS[0], ms=5)
     axes.axvline(0, color="#444444", lw=0.8)
     axes.set(
         yticks=range(len(rows)),
@@ -268,10 +279,10 @@
     if not rows:
         return ""
     figure, axes = plots.figure()
-    for at, (tier, number) in enumerate(sorted({(row.tier, row.balancer) for row in rows})):
+    for index, (tier, number) in enumerate(sorted({(row.tier, row.balancer) for row in rows})):
         samples = [row for row in rows if (row.tier, row.balancer) == (tier, number)]
         times = [(row.at - result["start"]) / 1e9 for row in samples]
-        colour = LINES[tier % len(LINES)]
+        colour = LINE_COLOURS[tier % len(LINE_COLOURS)]
         is_labelled = number == 0  # one legend entry per tier
         axes.plot(
             times,
@@ -309,7 +320,7 @@
                 [out for _, out in points],
                 lw=1,
                 alpha=0.8,
-                color=LINES[tier % len(LINES)],
+                color=LINE_COLOURS[tier % len(LINE_COLOURS)],
                 label=None if number else f"tier {tier}, each upstream",
             )
     mark_faults_and_load_changes(axes, day)
@@ -333,7 +344,7 @@
     cells = "".join(
         "<tr>" + "".join(f"<td>{html.escape(cell)}</td>" for cell in row) + "</tr>" for row in rows
     )
-    parts = [f"<h1>{html.escape(day.name)}</h1><p>{day.seconds:g} s per run. {SAID}"]
+    parts = [f"<h1>{html.escape(day.name)}</h1><p>{day.seconds:g} s per run. {ORIGIN_NOTE}"]
     if summary["interrupted"]:
         parts.append(" <b>Interrupted: this covers only what had been run.</b>")
     parts.append(
--- a/pepperhook/lab/speed.py
+++ b/pepperhook/lab/speed.py
@@ -49,19 +49,21 @@
         raise KeyboardInterrupt
     if result["findings"]:
         raise RunError(f"{pairing}: {result['findings'][0]['name']}")
-    cpu = sum(row["cpu_s"] - row["start_cpu_s"] for row in result["costs"].values())
-    return result, cpu / experiment.seconds
+    cpu_s = sum(row["cpu_s"] - row["start_cpu_s"] for row in result["costs"].values())
+    return result, cpu_s / experiment.seconds
 
 
-def measure(rounds, seconds, seed, folder, tell):
+def measure(rounds, seconds, seed, folder, report_progress):
     """Return the figures by pairing: medians over the rounds, and the ratios to 1-1 in each round.
 
     Raises RunError.
     """
     names, rows = list(PAIRINGS), {name: [] for name in PAIRINGS}
     for round_number in range(rounds):
-        for at, name in enumerate(names[round_number % 4 :] + names[: round_number % 4]):
-            tell(f"round {round_number + 1} of {rounds}: {name}", (round_number + at / 4) / rounds)
+        for index, name in enumerate(names[round_number % 4 :] + names[: round_number % 4]):
+            report_progress(
+                f"round {round_number + 1} of {rounds}: {name}", (round_number + index / 4) / rounds
+            )
             saturated, cores = run_pairing(
                 day(seconds, clients=Clients(closed=CLIENTS)),
                 name,
@@ -96,15 +98,16 @@
                     "half_p99_ms": half_rate["load"]["latency_ms"]["p99"],
                     "half_served": half_rate["figures"]["served"],
                     "half_core_ms": half_rate["first_tier_cpu_ms"],
-                    "rss_mb": max(r["rss_mb"] for r in saturated["costs"].values()),
+                    "rss_mb": max(row["rss_mb"] for row in saturated["costs"].values()),
                 }
             )
     figures_by_name = {}
-    for name, own_rows in rows.items():
+    for name, pairing_rows in rows.items():
         figures_by_name[name] = {
-            key: round(statistics.median(row[key] for row in own_rows), 4) for key in own_rows[0]
+            key: round(statistics.median(row[key] for row in pairing_rows), 4)
+            for key in pairing_rows[0]
         }
         for key in "core_ms", "half_core_ms":
-            ratios = [row[key] / base[key] for row, base in zip(own_rows, rows["1-1"])]
+            ratios = [row[key] / base[key] for row, base in zip(pairing_rows, rows["1-1"])]
             figures_by_name[name][f"{key}_ratios"] = [round(ratio, 3) for ratio in sorted(ratios)]
     return {"rounds": rounds, "seconds": seconds, "clients": CLIENTS, "pairings": figures_by_name}
--- a/pepperhook/lab/tracecost.py
+++ b/pepperhook/lab/tracecost.py
@@ -32,7 +32,7 @@
 MODES: dict[str, float | None] = {"off": None, "sampled, 1%": 0.01, "whole": 1.0}
 
 Record = list[Any]
-Tell = Callable[[str, float], None]
+ReportProgress = Callable[[str, float], None]
 
 
 class Run(NamedTuple):
@@ -63,9 +63,9 @@
         elif kind == "call" and driver.policy is not None:
             name, now, arguments, _, _ = rest
             requests += name == CALLS["accept"]
-            begun = clock()
+            started_at = clock()
             driver.call(name, now, arguments)
-            spent_ns += clock() - begun
+            spent_ns += clock() - started_at
     return Run(spent_ns / NS_PER_S, requests, sum(traces), len(traces))
 
 
@@ -77,21 +77,24 @@
 
 def play_revision(build: RevisionBuild, path: str | Path) -> Run:
     """Replay with a revision's own code. Raises UnreadableFileError."""
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "pepperhook.lab.tracecost", str(Path(path).resolve())],
         cwd=build.folder.name,
         capture_output=True,
         text=True,
         check=False,
     )
-    if done.returncode:
-        reason = (done.stderr.strip().splitlines() or ["nothing was printed"])[-1]
+    if completed.returncode:
+        reason = (completed.stderr.strip().splitlines() or ["nothing was printed"])[-1]
         raise UnreadableFileError(f"revision {build.revision}: {reason}")
-    return Run(*json.loads(done.stdout))
+    return Run(*json.loads(completed.stdout))
 
 
 def measure(
-    path: str | Path, revision: str | None = None, rounds: int = 7, tell: Tell = lambda *_: None
+    path: str | Path,
+    revision: str | None = None,
+    rounds: int = 7,
+    report_progress: ReportProgress = lambda *_: None,
 ) -> dict[str, Any]:
     """Return the microseconds per request in each mode, and a trace's bytes before compression."""
     records = read(path)
@@ -101,7 +104,7 @@
     for turn in range(rounds):
         first = turn % len(names)
         for name in names[first:] + names[:first]:
-            tell(name, turn / rounds)
+            report_progress(name, turn / rounds)
             gc.collect()
             if build is not None and name not in MODES:
                 runs[name].append(play_revision(build, path))
--- a/pepperhook/lab/tracesize.py
+++ b/pepperhook/lab/tracesize.py
@@ -15,16 +15,16 @@
 from pepperhook.tracing import records
 
 S = 10**9
-GRADES = ("look", "hold", "sale")
+SERVICE_CLASSES = ("look", "hold", "sale")
 OUTCOMES = (records.RequestOutcome.SERVED,) * 6 + (
     records.RequestOutcome.REJECTED,
     records.RequestOutcome.FAILED,
 )
-CUSTOMERS = 1_000_000
-UPSTREAMS = 300
+TENANT_COUNT = 1_000_000
+UPSTREAM_COUNT = 300
 # VmHWM is the peak memory of this program alone. The peak in rusage would include the memory that
 # its parent had when the process was started.
-SUMMARY = """
+SUMMARY_SCRIPT = """
 import re, sys
 from pepperhook.cli import main
 main(["trace", "summary", "--json", sys.argv[1]], standalone_mode=False)
@@ -32,7 +32,7 @@
 """
 
 
-def make(path, megabytes: float, seed: int, tell=lambda *_: None) -> int:
+def write_trace(path, megabytes: float, seed: int, report_progress=lambda *_: None) -> int:
     """Write a trace of about this size and return its number of request traces.
 
     Ids are random like those of real clients; there are a million tenants.
@@ -42,15 +42,15 @@
         Path(path),
         FileMetadata("trace", records.CONTENT_VERSION, "b0-0", 0, 10**18, 10**18, {"share": 1.0}),
     )
-    names = [f"t0-{number:03}" for number in range(UPSTREAMS)]
+    names = [f"t0-{number:03}" for number in range(UPSTREAM_COUNT)]
     max_bytes = int(megabytes * 1e6)
     while writer.size < max_bytes:
         for _ in range(2000):
             accepted_ns += rng.randrange(1000, 300_000)
             final, first, second = (
                 OUTCOMES[traces % len(OUTCOMES)],
-                names[rng.randrange(UPSTREAMS)],
-                names[rng.randrange(UPSTREAMS)],
+                names[rng.randrange(UPSTREAM_COUNT)],
+                names[rng.randrange(UPSTREAM_COUNT)],
             )
             duration_us = 1000 + int(rng.expovariate(1 / 20_000))
             selection = records.Selection(
@@ -72,8 +72,8 @@
             trace = records.RequestTrace(
                 f"{rng.getrandbits(128):032x}",
                 "",
-                GRADES[traces % 3],
-                f"c{rng.randrange(CUSTOMERS)}",
+                SERVICE_CLASSES[traces % 3],
+                f"c{rng.randrange(TENANT_COUNT)}",
                 accepted_ns,
                 2_000_000,
                 1_000_000,
@@ -96,33 +96,34 @@
             )
             writer.append(records.encode(trace), accepted_ns, records.index_keys(trace))
             traces += 1
-        tell("writing", min(1.0, writer.size / max_bytes))
+        report_progress("writing", min(1.0, writer.size / max_bytes))
     writer.close()
     return traces
 
 
-def measure(megabytes: float, seed: int, folder, tell=lambda *_: None) -> dict:
+def measure(megabytes: float, seed: int, folder, report_progress=lambda *_: None) -> dict:
     """Return the figures of one summary.
 
     Raises OSError if the disk is full, RuntimeError if the summary failed.
     """
     path = Path(folder) / "large.trc"
-    traces = make(path, megabytes, seed, tell)
-    tell("summarizing", 0.5)
-    begun = time.monotonic()
-    done = subprocess.run(
-        [sys.executable, "-c", SUMMARY, str(path)], capture_output=True, text=True
+    traces = write_trace(path, megabytes, seed, report_progress)
+    report_progress("summarizing", 0.5)
+    started_at = time.monotonic()
+    completed = subprocess.run(
+        [sys.executable, "-c", SUMMARY_SCRIPT, str(path)], capture_output=True, text=True
     )
-    if done.returncode:
+    if completed.returncode:
         raise RuntimeError(
-            f"the summary ended with {done.returncode}: {done.stderr.strip().splitlines()[-1:]}"
+            f"the summary ended with {completed.returncode}: "
+            f"{completed.stderr.strip().splitlines()[-1:]}"
         )
-    summary, size = json.loads(done.stdout), path.stat().st_size
+    summary, size = json.loads(completed.stdout), path.stat().st_size
     return {
         "megabytes": round(size / 1e6, 1),
         "lives": traces,
         "summed": summary["lives"],
         "bytes_a_life": round(size / traces, 1),
-        "peak_mb": round(int(done.stderr.split()[-1]) / 1024, 1),
-        "seconds": round(time.monotonic() - begun, 1),
+        "peak_mb": round(int(completed.stderr.split()[-1]) / 1024, 1),
+        "seconds": round(time.monotonic() - started_at, 1),
     }
--- a/tests/cli/test_every_command.py
+++ b/tests/cli/test_every_command.py
@@ -134,7 +134,7 @@
 
 def test_journals_are_compared(tmp_path):
     result = journals.measure(
-        tmp_path, lambda *_: None, counts=(50,), requests=journals.WAITING, rounds=1
+        tmp_path, lambda *_: None, counts=(50,), requests=journals.CONCURRENCY, rounds=1
     )
 
     assert [(row["journal"], row["entries"]) for row in result["reading"]] == [
--- a/tests/control_plane/test_explore.py
+++ b/tests/control_plane/test_explore.py
@@ -12,7 +12,9 @@
 
 @pytest.mark.parametrize("case", explore.CASES, ids=lambda case: case.name)
 def test_no_order_of_messages_crashes_and_losses_breaks_the_rules_of_a_rollout(case):
-    states, violation = explore.explore(explore.Explorer(msgspec.structs.replace(case, turns=2)))
+    states, violation = explore.explore(
+        explore.Explorer(msgspec.structs.replace(case, max_seconds=2))
+    )
 
     assert violation is None, violation
     assert states > 1000
@@ -29,14 +31,14 @@
 
 
 def test_rollout_state_that_is_used_but_not_stored_is_reported_with_the_shortest_sequence():
-    # Enough turns for a step to end: only then is there a new state to store.
-    case = msgspec.structs.replace(explore.CASES[0], turns=3)
+    # Enough seconds for a step to end: only then is there a new state to store.
+    case = msgspec.structs.replace(explore.CASES[0], max_seconds=3)
 
     _, violation = explore.explore(explore.Explorer(case, make_service_that_does_not_store))
 
     assert violation is not None
     assert "in memory alone" in violation.rule
-    assert violation.way[-1] == "a second passes"
+    assert violation.actions[-1] == "a second passes"
 
 
 def test_version_that_members_receive_before_they_are_admitted_is_reported(monkeypatch):
@@ -47,4 +49,4 @@
 
     assert violation is not None
     assert "written down as one that is in" in violation.rule
-    assert len(violation.way) == 1
+    assert len(violation.actions) == 1
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -557,7 +557,7 @@
     world.run(1500)
     counts = [list(world.responses.values()).count(kind) for kind in ("fulfilled", "broken off")]
     assert min(counts) > 0 and all(
-        upstream.state == UpstreamState.READY for upstream in world.balancer.listed
+        upstream.state == UpstreamState.READY for upstream in world.balancer.upstreams
     )
     retried = sum(len(request.attempts) > 1 for request in world.requests)
     # All baselines but these four retry.
