--- a/pepperhook/lab/controlload.py
+++ b/pepperhook/lab/controlload.py
@@ -37,32 +37,21 @@
     """Stand-in for one balancer: it applies every version and reports which one it runs."""
 
     def __init__(self, fleet, number):
-        (
-            self.fleet,
-            self.name,
-            self.running,
-            self.applied_at,
-            self.views_received,
-            self.known_versions,
-        ) = (
-            fleet,
-            f"m{number:05}",
-            0,
-            {},
-            0,
-            {},
-        )
-        # ``applied_at``: monotonic seconds by version number.
+        self.fleet, self.name, self.running = fleet, f"m{number:05}", 0
+        self.applied_at = {}  # monotonic seconds by version number
+        self.views_received, self.known_versions = 0, {}
         self.upstreams_checksum = (
             0  # checksum of the upstreams that the service has from this member
         )
 
     async def follow(self):
         """Read the control stream, reconnecting when it breaks, until cancelled."""
-        have = 0
+        known_number = 0
         while True:
             try:
-                path = "/v1/stream?" + urlencode({"name": self.name, "tier": 0, "have": have})
+                path = "/v1/stream?" + urlencode(
+                    {"name": self.name, "tier": 0, "have": known_number}
+                )
                 reader = frames.FrameReader(self.known_versions.get)
                 async with self.fleet.session.get(
                     self.fleet.url + path, headers=sign_request(KEYS, "GET", path)
@@ -70,7 +59,7 @@
                     async for data in response.content.iter_any():
                         for message in reader.feed(data):
                             if isinstance(message, Version):
-                                self.running = have = message.number
+                                self.running = known_number = message.number
                                 self.known_versions = {message.number: message}
                                 self.applied_at[message.number] = time.monotonic()
                                 await self.send_heartbeat()
--- a/pepperhook/lab/day.py
+++ b/pepperhook/lab/day.py
@@ -328,8 +328,8 @@
         An interrupted run has a result, too.
         """
         self.folder.mkdir(parents=True, exist_ok=True)
-        for old in self.folder.glob("*.rows"):
-            old.unlink()
+        for row_file in self.folder.glob("*.rows"):
+            row_file.unlink()
         interrupted = False
         try:
             self.start_processes()
@@ -429,7 +429,7 @@
                     )
             elif trouble.what == "discovery_move":
                 rows.append((trouble.at + 0.1, self.use_second_discovery_address))
-        rows += [(begin_s, lambda work=work: work(self)) for begin_s, work in self.script]
+        rows += [(begin_s, lambda action=action: action(self)) for begin_s, action in self.script]
         rows += [
             (begin_s, self.sample_processes) for begin_s in range(1, int(self.day.seconds) + 1)
         ]
@@ -441,20 +441,20 @@
 
         Each balancer goes down and comes back with the upstream whose calls it carries.
         """
-        rows, ended = [], {}
+        rows, ended_at = [], {}
         for step in Timeline.of(self.day, tier - 1).steps:
             balancer = self.balancers[tier, step.number]
             if step.transition is Transition.END:
-                ended[step.number] = step.at
+                ended_at[step.number] = step.at
                 rows.append((step.at, lambda balancer=balancer: self.kill(balancer)))
             elif step.transition is Transition.START:
-                at = max(ended[step.number], step.at - BALANCER_LEAD_S)
+                at = max(ended_at[step.number], step.at - BALANCER_LEAD_S)
                 rows.append((at, lambda balancer=balancer: balancer.start()))
         return rows
 
     def run_actions(self):
         """Run the scenario's actions, each at its time, then wait for the load. Raises RunError."""
-        for at, work in self.actions():
+        for at, action in self.actions():
             while (remaining_s := self.start / NS_PER_S + at - time.monotonic()) > 0:
                 self.report_progress(
                     "playing",
@@ -463,13 +463,13 @@
                 time.sleep(min(remaining_s, 0.25))
                 if self.load.poll() is not None:
                     raise RunError("the load ended before the run: see stands.log")
-            work()
-        longest = max(grade.time_limit_ms for grade in self.day.grades) / 1000 + 4
+            action()
+        longest_s = max(grade.time_limit_ms for grade in self.day.grades) / 1000 + 4
         self.report_progress("waiting for the last responses", 1.0)
         for balancer in self.balancers.values():
             balancer.measure()
         try:
-            self.load.wait(longest + 5)
+            self.load.wait(longest_s + 5)
         except subprocess.TimeoutExpired:
             raise RunError("the load did not end") from None
 
@@ -496,12 +496,12 @@
         """
         self.record_balancer_event("balancer told to leave", balancer)
 
-        def roll():
+        def restart():
             balancer.stop(signal.SIGTERM)
             self.record_balancer_event("balancer left", balancer)
             self.start_if_ended(balancer)
 
-        threading.Thread(target=roll, daemon=True).start()
+        threading.Thread(target=restart, daemon=True).start()
 
     def reload_configuration(self, balancer):
         self.record_balancer_event("balancer told to read again", balancer)
@@ -559,7 +559,7 @@
 
     def record_logged_counters(self):
         """Convert the counters that the balancers logged into event rows, for the report alone."""
-        offset = time.time_ns() - time.monotonic_ns()
+        unix_offset_ns = time.time_ns() - time.monotonic_ns()
         for balancer in self.balancers.values():
             if not os.path.exists(balancer.log):
                 continue
@@ -568,7 +568,7 @@
                 for line in file:
                     pairs = dict(LOG_FIELD.findall(line))
                     if pairs.get("event") == "budget":
-                        at = int(parse_log_time(pairs["time"]) * 1e9) - offset
+                        at = int(parse_log_time(pairs["time"]) * 1e9) - unix_offset_ns
                         sample = events.Sample(
                             balancer.tier,
                             balancer.number,
--- a/pepperhook/lab/journals.py
+++ b/pepperhook/lab/journals.py
@@ -215,13 +215,13 @@
     The journals alternate in writing, so that a disk that slows down affects both.
     """
     writing = {"own": [], "sqlite": []}
-    for turn in range(rounds):
-        report_progress(f"writing, round {turn + 1} of {rounds}", turn / rounds / 2)
+    for round_number in range(rounds):
+        report_progress(f"writing, round {round_number + 1} of {rounds}", round_number / rounds / 2)
         pairs = [
-            ("own", lambda: open_journal(folder / f"w{turn}")),
-            ("sqlite", lambda: Sqlite(folder / f"w{turn}.db")),
+            ("own", lambda: open_journal(folder / f"w{round_number}")),
+            ("sqlite", lambda: Sqlite(folder / f"w{round_number}.db")),
         ]
-        for name, open_new in pairs[turn % 2 :] + pairs[: turn % 2]:
+        for name, open_new in pairs[round_number % 2 :] + pairs[: round_number % 2]:
             writing[name].append(measure_writing(open_new, requests))
             gc.collect()
     reading = []
@@ -237,6 +237,8 @@
         count_folder = folder / str(count)
         count_folder.mkdir()
         fill(count_folder, count)
-        for which in "own", "sqlite":
-            reading.append({"journal": which, **measure_recovery(count_folder, which)})
+        for journal_kind in "own", "sqlite":
+            reading.append(
+                {"journal": journal_kind, **measure_recovery(count_folder, journal_kind)}
+            )
     return figures
--- a/pepperhook/lab/load.py
+++ b/pepperhook/lab/load.py
@@ -182,11 +182,11 @@
     data: bytes  # the message as sent, kept for sending it again on a new connection
 
     def __init__(
-        self, load, identity, first_id, number, grade, customer, intended, balancer_number=-1
+        self, load, request_id, first_id, number, grade, customer, intended, balancer_number=-1
     ):
         self.load, self.id, self.first_id, self.number, self.grade = (
             load,
-            identity,
+            request_id,
             first_id,
             number,
             grade,
@@ -210,7 +210,7 @@
         """Send the request and start its timer."""
         load = self.load
         load.open_count += 1
-        name, method = load.targets[self.grade]
+        path, method = load.targets[self.grade]
         headers = [
             (b"X-Request-ID", self.id.encode()),
             (b"X-Timeout-Ms", b"%d" % (self.limit_ns // NS_PER_MS)),
@@ -235,7 +235,7 @@
             self.leaves_early = True
             patience_ns = self.limit_ns * draw / leave / 3
         self.timer = load.loop.call_later(patience_ns / NS_PER_S, self.on_timeout)
-        self.pool.ask(self, method, name, headers, load.bodies[self.grade])
+        self.pool.ask(self, method, path, headers, load.bodies[self.grade])
 
     def written(self):
         """Set the send time: the client's time limit counts from sending, after connecting."""
@@ -246,8 +246,8 @@
         self.finish("answer", status, body.decode(errors="replace").strip())
         load = self.load
         if status != 200:
-            after = headers.get(b"retry-after")
-            load.schedule_retry(self, float(after) if after else 0.0)
+            retry_after = headers.get(b"retry-after")
+            load.schedule_retry(self, float(retry_after) if retry_after else 0.0)
 
     def lost(self, why, unread=False):
         """Record a broken connection; ``unread``: it broke before any byte of the response."""
@@ -267,9 +267,9 @@
         ):
             # Like a client whose connection broke: send a copy at once, and another when a killed
             # balancer may be running again.
-            for wait in 0.05, 2.2 + chance.share(load.plan.seed, "lost", self.id):
+            for wait_s in 0.05, 2.2 + chance.share(load.plan.seed, "lost", self.id):
                 load.loop.call_later(
-                    wait, load.send_copy, self, COPY_AFTER_LOSS + 2 * self.number + int(wait)
+                    wait_s, load.send_copy, self, COPY_AFTER_LOSS + 2 * self.number + int(wait_s)
                 )
         load.schedule_retry(self, 0.0)
 
@@ -398,13 +398,13 @@
             or time.monotonic_ns() > self.ends_at
         ):
             return
-        wait = (
+        wait_s = (
             clients.backoff_ms
             / 1000
             * 2**exchange.number
             * (0.5 + chance.share(self.plan.seed, "back", exchange.id))
         )
-        self.loop.call_later(max(wait, after_s), self.send_retry, exchange)
+        self.loop.call_later(max(wait_s, after_s), self.send_retry, exchange)
 
     def send_retry(self, exchange):
         """Send the next retry."""
@@ -437,7 +437,7 @@
             if kind == 2:
                 exchange.copies_at_end += 1
                 continue
-            wait = (
+            wait_s = (
                 position * 0.003,  # together with it
                 position * 0.1,  # soon after it
                 None,  # in the event loop turn in which it ends, see above
@@ -445,7 +445,7 @@
                 position * limit_s,  # at any time up to its time limit
                 1.5 + position * 2.0,  # when a killed balancer may be running again
             )[kind]
-            self.loop.call_later(wait, self.send_copy, exchange, number + 1)
+            self.loop.call_later(wait_s, self.send_copy, exchange, number + 1)
 
     def send_copy(self, exchange, number):
         """Send a copy of a request under its idempotency key."""
@@ -462,7 +462,7 @@
                 exchange.balancer_number,
             ).start()
 
-    async def play(self, start):
+    async def send_all(self, start):
         """Send all requests of the run, then wait for the last responses."""
         self.ends_at = start + int(self.day.seconds * NS_PER_S)
         self.spawn(self.front.watch())
@@ -479,11 +479,11 @@
         while index < total:
             now = time.monotonic_ns() - start
             while index < total and times[index] <= now:
-                identity = f"{seed_hex}.{index:x}"
+                request_id = f"{seed_hex}.{index:x}"
                 Exchange(
                     self,
-                    identity,
-                    identity,
+                    request_id,
+                    request_id,
                     0,
                     grades[index],
                     customers[index],
@@ -531,13 +531,13 @@
         turn = 0
         while time.monotonic_ns() < self.ends_at:
             turn += 1
-            identity = f"{self.plan.seed:x}c{number:x}.{turn:x}"
-            draw = chance.share(self.plan.seed, "grade", identity)
+            request_id = f"{self.plan.seed:x}c{number:x}.{turn:x}"
+            draw = chance.share(self.plan.seed, "grade", request_id)
             grade = int(numpy.searchsorted(numpy.cumsum(normalized_shares(self.day.grades)), draw))
             exchange = Exchange(
                 self,
-                identity,
-                identity,
+                request_id,
+                request_id,
                 0,
                 grade,
                 -1 if not self.tenant_names else number % len(self.tenant_names),
@@ -551,14 +551,14 @@
     async def run_misbehaving_client(self, start, kind, number):
         """Run a misbehaving client; its messages aren't requests of the run and aren't audited."""
         await asyncio.sleep(max(0, start - time.monotonic_ns()) / NS_PER_S)
-        name, method = self.targets[0]
+        path, method = self.targets[0]
         turn = 0
         while time.monotonic_ns() < self.ends_at:
             turn += 1
-            identity = f"bad-{kind}-{number}-{turn}".encode()
-            headers = [(b"X-Request-ID", identity), (b"X-Timeout-Ms", b"500")]
-            valid = wire.message(method, name, headers, b"{}" if method == b"POST" else b"")
-            data, wait = {
+            request_id = f"bad-{kind}-{number}-{turn}".encode()
+            headers = [(b"X-Request-ID", request_id), (b"X-Timeout-Ms", b"500")]
+            valid = wire.message(method, path, headers, b"{}" if method == b"POST" else b"")
+            data, wait_s = {
                 "mute": (valid * 20, 2.0),  # requests whose responses are never read
                 "half": (valid[: len(valid) // 2], 2.0),  # half a request
                 "flood": (valid * 200, 0.05),  # many requests at once
@@ -568,7 +568,10 @@
                     ),
                     0.1,
                 ),
-                "forged": (valid.replace(identity, f"{self.plan.seed:x}.{turn:x}".encode()), 0.05),
+                "forged": (
+                    valid.replace(request_id, f"{self.plan.seed:x}.{turn:x}".encode()),
+                    0.05,
+                ),
             }[kind]
             if kind == "forged":
                 # Two X-Request-ID headers: ``forged``, and the id of a real client's request, which
@@ -583,7 +586,7 @@
                     reader, writer = await asyncio.open_connection(*address)
                     try:
                         writer.write(data)
-                        await asyncio.sleep(wait)
+                        await asyncio.sleep(wait_s)
                         if kind not in ("mute", "half"):
                             await asyncio.wait_for(reader.read(65536), 1)
                     finally:
@@ -607,13 +610,13 @@
                 for percentile in (50, 90, 99, 99.9)
             }
 
-        late = self.own_lateness.get_value_at_percentile(99) * 1000
+        late_ns = self.own_lateness.get_value_at_percentile(99) * 1000
         return {
             "operations": self.sent_count,
             "latency_ms": quantiles(self.latency),
             "served_ms": quantiles(self.served_latency),
             "own_lateness_ms": quantiles(self.own_lateness),
-            "void": bool(late > MAX_LATENESS_NS),
+            "void": bool(late_ns > MAX_LATENESS_NS),
             "served": self.served_latency.get_total_count(),
         }
 
@@ -622,10 +625,10 @@
     """Run the load from the shared start time until it is done or stdin closes; write load.json."""
     load = Load(plan, folder, choose_address)
     start, ended = await begin()
-    playing = asyncio.ensure_future(load.play(start))
-    await asyncio.wait([playing, ended], return_when=asyncio.FIRST_COMPLETED)
-    playing.cancel()
-    await asyncio.gather(playing, return_exceptions=True)
+    play_task = asyncio.ensure_future(load.send_all(start))
+    await asyncio.wait([play_task, ended], return_when=asyncio.FIRST_COMPLETED)
+    play_task.cancel()
+    await asyncio.gather(play_task, return_exceptions=True)
     await load.close()
     with open(f"{folder}/load.json", "w", encoding="utf-8") as file:
         json.dump(load.summary(), file)
--- a/pepperhook/lab/matrix.py
+++ b/pepperhook/lab/matrix.py
@@ -19,15 +19,17 @@
 OUTCOMES = ("served", "shed", "failed", "gone", "lost")
 
 
-def play(day, folder, seed, repeats, only, report_progress):
+def play(day, folder, seed, repeats, only_variants, report_progress):
     """Run the experiment and return the results.
 
-    ``only`` has the names of the variants to run, all if empty; ``report_progress(text, share)`` is
-    called with the progress.
+    ``only_variants`` has the names of the variants to run, all if empty.
+    ``report_progress(text, share)`` is called with the progress.
 
     Each result is stored as soon as its run is over; an interrupt skips the remaining runs.
     """
-    variants = [variant for variant in day.variants if not only or variant.name in only]
+    variants = [
+        variant for variant in day.variants if not only_variants or variant.name in only_variants
+    ]
     folder.mkdir(parents=True, exist_ok=True)
     write_atomically(folder / "experiment.json", msgspec.json.encode(day))
     worktrees, results, count = Worktrees(), [], repeats * len(variants)
@@ -207,12 +209,12 @@
 
     Each is compared with the first variant that has results.
     """
-    by_name, rows, first = by_variant(results), [], None
+    by_name, rows, first_variant = by_variant(results), [], None
     for variant in day.variants:
         by_seed = by_name.get(variant.name)
         if not by_seed:
             continue
-        first = first or variant.name
+        first_variant = first_variant or variant.name
         findings = {}
         for result in by_seed.values():
             for finding in result["findings"]:
@@ -258,8 +260,8 @@
                     float(numpy.mean([result["first_tier_cpu_ms"] for result in runs])), 3
                 ),
                 "findings": findings,
-                "against_first": compare(results, first, variant.name)["figures"]["goodput"]
-                if variant.name != first
+                "against_first": compare(results, first_variant, variant.name)["figures"]["goodput"]
+                if variant.name != first_variant
                 else None,
             }
         )
--- a/pepperhook/lab/planted.py
+++ b/pepperhook/lab/planted.py
@@ -424,10 +424,10 @@
 
     from pepperhook.server.request_lifecycle import RequestLifecycle
 
-    original, leaked = RequestLifecycle._client_left, []
+    original, leaked_descriptors = RequestLifecycle._client_left, []
 
     def client_left(self):
-        leaked.append(os.dup(2))
+        leaked_descriptors.append(os.dup(2))
         original(self)
 
     RequestLifecycle._client_left = client_left
@@ -439,11 +439,11 @@
 
     original = app.BalancerApp.shut_down
 
-    async def shut_down(self, *arguments, **named):
+    async def shut_down(self, *arguments, **keywords):
         for handler in list(self.http_server.server.idle):
             if handler.transport is not None:
                 handler.transport.abort()
-        await original(self, *arguments, **named)
+        await original(self, *arguments, **keywords)
 
     app.BalancerApp.shut_down = shut_down
 
--- a/pepperhook/lab/proofs/amplification.py
+++ b/pepperhook/lab/proofs/amplification.py
@@ -27,7 +27,7 @@
     def run(self):
         """Play each case with naive retries and with pepperhook's."""
         cases = (
-            [(p, d) for d in (1, 2, 3) for p in (0.3, 0.5)]
+            [(chance, depth) for depth in (1, 2, 3) for chance in (0.3, 0.5)]
             if self.full
             else [(0.5, 1), (0.3, 2), (0.3, 3)]
         )
@@ -58,7 +58,7 @@
                 results[f"{variant} p={chance} d={depth}"] for variant in ("naive", "pepperhook")
             )
             naive_amplification = naive["figures"]["amplification"][str(depth - 1)]
-            findings = [f for result in (naive, pepperhook) for f in result["findings"]]
+            findings = [finding for result in (naive, pepperhook) for finding in result["findings"]]
             amplification = pepperhook["figures"]["amplification"][str(depth - 1)]
             is_bounded = amplification <= 1 + self.MAX_RETRY_FRACTION * depth
             holds = (
@@ -79,7 +79,7 @@
                     "pepperhook_at_most": 1 + self.MAX_RETRY_FRACTION * depth,
                     "naive_served": naive["figures"]["served"],
                     "pepperhook_served": pepperhook["figures"]["served"],
-                    "rules_broken": [f["name"] for f in findings],
+                    "rules_broken": [finding["name"] for finding in findings],
                 }
             )
         return holds, {"retries": 3, "tolerance": self.TOLERANCE, "table": table}
@@ -96,7 +96,7 @@
             )
         ):
             axes.bar(
-                [n + position * 0.27 for n in range(len(rows))],
+                [index + position * 0.27 for index in range(len(rows))],
                 [row[key] for row in rows],
                 0.26,
                 color=LINE_COLOURS[position],
@@ -104,7 +104,7 @@
             )
         axes.set(
             ylabel="attempts received / first attempts, last tier",
-            xticks=[n + 0.27 for n in range(len(rows))],
+            xticks=[index + 0.27 for index in range(len(rows))],
             xticklabels=[
                 f"p {row['chance']}\n{row['tiers']} tier{'s'[: row['tiers'] > 1]}" for row in rows
             ],
@@ -129,9 +129,9 @@
             "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
         ]
         lines += [
-            f"| {r['chance']} | {r['tiers']} | {r['formula']:.3f} | {r['naive']:.3f} | {r['off']:+.1%} | "
-            f"{r['pepperhook']:.3f} | {r['wishes']} | {r['naive_served']:.3f} | {r['pepperhook_served']:.3f} |"
-            for r in rows
+            f"| {row['chance']} | {row['tiers']} | {row['formula']:.3f} | {row['naive']:.3f} | {row['off']:+.1%} | "
+            f"{row['pepperhook']:.3f} | {row['wishes']} | {row['naive_served']:.3f} | {row['pepperhook_served']:.3f} |"
+            for row in rows
         ]
         lines += [
             "",
--- a/pepperhook/lab/proofs/chain.py
+++ b/pepperhook/lab/proofs/chain.py
@@ -128,7 +128,7 @@
     def run(self):
         """Play each scenario with the context and without it."""
         scenarios = self.scenarios()
-        runs, off = [], Variant(name="off")
+        runs, variant_without_context = [], Variant(name="off")
         others = {
             "half": self.variant_with_context(carry=["pass", "drop"]),
             "naive": Variant(name="naive", module="retries", options={"retries": 3}),
@@ -147,7 +147,14 @@
                     )
                 )
                 if name != "loops":
-                    runs.append((scenarios[name], off, f"{name}: off {seed}", {"seed": seed}))
+                    runs.append(
+                        (
+                            scenarios[name],
+                            variant_without_context,
+                            f"{name}: off {seed}",
+                            {"seed": seed},
+                        )
+                    )
             if self.full and name not in ("loops", "forged"):
                 runs += [
                     (scenarios[name], variant, f"{name}: {key} {self.seed}", {})
@@ -292,13 +299,15 @@
                     for name in names
                 ]
                 axes.bar(
-                    [n + position * 0.16 for n in range(len(names))],
+                    [index + position * 0.16 for index in range(len(names))],
                     values,
                     0.15,
                     color=LINE_COLOURS[position],
                     label=variant,
                 )
-            axes.set(ylabel=unit, xticks=[n + 0.32 for n in range(len(names))], xticklabels=names)
+            axes.set(
+                ylabel=unit, xticks=[index + 0.32 for index in range(len(names))], xticklabels=names
+            )
             axes.legend(frameon=False, fontsize=8, loc="upper left", bbox_to_anchor=(1, 1))
             figure.savefig(folder / f"chain-{plot_name}.svg", metadata={"Date": None})
         lines = [
@@ -324,7 +333,7 @@
                 + f" | {row['amplification']:.3f} | {row['outlived']:.0f} | {row['outlived_s']:.1f} |"
             )
         bound = ", ".join(
-            f"{p}: {value}" for p, value in result["figures"]["bound_of_naive"].items()
+            f"{chance}: {value}" for chance, value in result["figures"]["bound_of_naive"].items()
         )
         lines += [
             "",
--- a/pepperhook/lab/proofs/control.py
+++ b/pepperhook/lab/proofs/control.py
@@ -367,7 +367,7 @@
                 made_ms=0,
                 document={
                     "version": 1,
-                    "grades": {f"g{n}": {"goal_ms": float(n)} for n in range(30)},
+                    "grades": {f"g{number}": {"goal_ms": float(number)} for number in range(30)},
                 },
             ),
             KeyRing([("k1", SECRET)]),
--- a/pepperhook/lab/proofs/h2.py
+++ b/pepperhook/lab/proofs/h2.py
@@ -154,9 +154,9 @@
             "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
         ]
         lines += [
-            f"| {r['day']} | {r['served']} | {r['shed']} | {r['failed']} | {r['gone']} | {r['lost']} | {r['p50']:.1f} | "
-            f"{r['p99']:.1f} | {r['core_ms']:.2f} |"
-            for r in rows
+            f"| {row['day']} | {row['served']} | {row['shed']} | {row['failed']} | {row['gone']} | {row['lost']} | {row['p50']:.1f} | "
+            f"{row['p99']:.1f} | {row['core_ms']:.2f} |"
+            for row in rows
         ]
         if memory:
             lines += [
--- a/pepperhook/lab/proofs/mass.py
+++ b/pepperhook/lab/proofs/mass.py
@@ -130,7 +130,8 @@
             fault
             if fault.who is None
             else replace(
-                fault, who=[n for n in fault.who if n < tiers[fault.tier].upstreams] or [0]
+                fault,
+                who=[number for number in fault.who if number < tiers[fault.tier].upstreams] or [0],
             )
             for fault in scenario.troubles
         ],
--- a/pepperhook/lab/proofs/membership.py
+++ b/pepperhook/lab/proofs/membership.py
@@ -14,7 +14,7 @@
 from pepperhook.lab.proofs.base import Proof
 from pepperhook.membership import datagram, fleet_position
 from pepperhook.membership.messages import MemberRecord, MemberState, Message, MessageType
-from pepperhook.membership.settings import NS_PER_S as S
+from pepperhook.membership.settings import NS_PER_S
 
 SECRET = "the secret of this installation"
 LOG_LINE = re.compile(r"^time=(\S+) .* event=(\S+) ?(.*)$")
@@ -72,13 +72,13 @@
         """Measure how many periods a death takes to be suspected, confirmed and known by all."""
         count, problems, figures = self.large_fleet(), [], {}
         for members in (20, count):
-            net = gossip.settled(members, self.seed, tiers=2)
+            network = gossip.settled(members, self.seed, tiers=2)
             for number in range(5, 5 + (12 if self.full else 8)):
-                net.kill(f"m{number:04}")
-                net.run(net.now / S + 1.7)
-            net.run(net.now / S + 40)
-            deaths = net.figures().deaths
-            if not net.agreed() or any(death.known is None for death in deaths):
+                network.kill(f"m{number:04}")
+                network.run(network.now / NS_PER_S + 1.7)
+            network.run(network.now / NS_PER_S + 40)
+            deaths = network.figures().deaths
+            if not network.agreed() or any(death.known is None for death in deaths):
                 problems.append(
                     f"of {members} members not all know of "
                     f"{sum(death.known is None for death in deaths)} deaths"
@@ -87,12 +87,12 @@
             # In periods, with all confirmations.
             shortest_suspicion = 3.0 * log10(members - len(deaths))
             figures[members] = {
-                "suspected": round(mean(death.suspected for death in deaths) / S, 2),
+                "suspected": round(mean(death.suspected for death in deaths) / NS_PER_S, 2),
                 "published_first_probe": round(FIRST_PROBE_PERIODS, 2),
-                "lost": round(mean(death.lost for death in deaths) / S, 2),
+                "lost": round(mean(death.lost for death in deaths) / NS_PER_S, 2),
                 "shortest_suspicion": round(shortest_suspicion, 2),
-                "known_by_all": round(mean(death.known for death in deaths) / S, 2),
-                "known_by_all_at_most": round(max(death.known for death in deaths) / S, 2),
+                "known_by_all": round(mean(death.known for death in deaths) / NS_PER_S, 2),
+                "known_by_all_at_most": round(max(death.known for death in deaths) / NS_PER_S, 2),
             }
             # A member is suspected only at the end of the period of the probe that failed.
             if not figures[members]["suspected"] < FIRST_PROBE_PERIODS + 1 + 0.8 or not figures[
@@ -108,11 +108,14 @@
         """
         problems, figures = [], {}
         for members in (20, self.large_fleet()):
-            net = gossip.settled(members, self.seed + 1)
-            joined_s, busiest_rate = net.now / S, max(net.sent.values()) / (net.now / S)
-            before = sum(net.sent.values())
-            net.run(net.now / S + 20)
-            per_member = (sum(net.sent.values()) - before) / 20 / members
+            network = gossip.settled(members, self.seed + 1)
+            joined_s, busiest_rate = (
+                network.now / NS_PER_S,
+                max(network.sent.values()) / (network.now / NS_PER_S),
+            )
+            before = sum(network.sent.values())
+            network.run(network.now / NS_PER_S + 20)
+            per_member = (sum(network.sent.values()) - before) / 20 / members
             figures[members] = {
                 "datagrams_a_period": round(per_member, 2),
                 "joined_in_s": round(joined_s, 1),
@@ -126,22 +129,22 @@
 
     def loss(self):
         """Lose 5% of all datagrams: live members may be suspected, but not declared lost."""
-        net = gossip.settled(self.large_fleet() // 4, self.seed + 2, loss=0.05)
-        net.run(net.now / S + 120)
-        net.kill("m0005")
-        net.run(net.now / S + 40)
-        run_figures = net.figures()
+        network = gossip.settled(self.large_fleet() // 4, self.seed + 2, loss=0.05)
+        network.run(network.now / NS_PER_S + 120)
+        network.kill("m0005")
+        network.run(network.now / NS_PER_S + 40)
+        run_figures = network.figures()
         figures = {
             "members": run_figures.members,
             "loss": 0.05,
             "suspicions_a_member_an_hour": round(
-                run_figures.suspected / run_figures.members / net.now * S * 3600, 2
+                run_figures.suspected / run_figures.members / network.now * NS_PER_S * 3600, 2
             ),
             "refuted": run_figures.refuted,
             "falsely_lost": run_figures.falsely_lost,
         }
         problems = []
-        if run_figures.falsely_lost or not net.agreed():
+        if run_figures.falsely_lost or not network.agreed():
             problems.append(
                 f"with datagram loss a live member was declared lost "
                 f"{run_figures.falsely_lost} times"
@@ -152,25 +155,28 @@
 
     def split(self):
         """Partition a network of forty into halves: neither may lower its fleet size."""
-        net, count = gossip.settled(40, self.seed + 3), 40
+        network, count = gossip.settled(40, self.seed + 3), 40
         positions = {
-            name: fleet_position.FleetPosition(name, count, 18 * S) for name in net.members
+            name: fleet_position.FleetPosition(name, count, 18 * NS_PER_S)
+            for name in network.members
         }
 
         def pass_time(seconds):
             for _ in range(seconds):
-                net.run(net.now / S + 1)
-                for name, member in net.members.items():
+                network.run(network.now / NS_PER_S + 1)
+                for name, member in network.members.items():
                     table = member.protocol.table
-                    positions[name].update(net.now, table.present_names(), table.departed_names())
-                    positions[name].settle(net.now)
+                    positions[name].update(
+                        network.now, table.present_names(), table.departed_names()
+                    )
+                    positions[name].settle(network.now)
 
         pass_time(5)
         half = {f"m{number:04}" for number in range(20)}
-        net.cut = lambda sender, receiver: (sender in half) != (receiver in half)
+        network.cut = lambda sender, receiver: (sender in half) != (receiver in half)
         pass_time(90)
         fleet_sizes = sorted({position.count for position in positions.values()})
-        net.cut = lambda sender, receiver: False
+        network.cut = lambda sender, receiver: False
         pass_time(60)
         problems = (
             []
@@ -178,39 +184,39 @@
             else [f"in halves of a partitioned network fleet sizes were {fleet_sizes}, not {count}"]
         )
         indexes = sorted(position.index for position in positions.values())
-        if not net.agreed() or indexes != list(range(count)):
+        if not network.agreed() or indexes != list(range(count)):
             problems.append("the halves do not agree after the partition")
-        return problems, {"counted_in_the_halves": fleet_sizes, "agreed_again": net.agreed()}
+        return problems, {"counted_in_the_halves": fleet_sizes, "agreed_again": network.agreed()}
 
     def stall(self):
         """Stall a member for a minute while it suspects another, which is reachable again soon.
 
         The stalled member must not declare the other one lost when it continues.
         """
-        net = gossip.settled(20, self.seed + 4)
-        net.cut = lambda sender, receiver: "m0007" in (sender, receiver)
-        protocol = net.members["m0005"].protocol
+        network = gossip.settled(20, self.seed + 4)
+        network.cut = lambda sender, receiver: "m0007" in (sender, receiver)
+        protocol = network.members["m0005"].protocol
         while protocol.table.record_of("m0007").state != MemberState.SUSPECT:
-            net.step()
-        net.stop("m0005")
-        net.cut = lambda sender, receiver: False
-        net.run(net.now / S + 60)
+            network.step()
+        network.stop("m0005")
+        network.cut = lambda sender, receiver: False
+        network.run(network.now / NS_PER_S + 60)
         before = protocol.counters.suspected
-        net.go_on("m0005")
-        net.run(net.now / S + 0.9)
+        network.go_on("m0005")
+        network.run(network.now / NS_PER_S + 0.9)
         suspicions = protocol.counters.suspected - before
-        net.run(net.now / S + 40)
+        network.run(network.now / NS_PER_S + 40)
         problems = [f"a stalled member suspected {suspicions} others"] if suspicions else []
-        if net.false_lost:
+        if network.false_lost:
             problems.append(
-                f"after the stall of a member a live one was declared lost {net.false_lost} times"
+                f"after the stall of a member a live one was declared lost {network.false_lost} times"
             )
-        if not net.agreed():
+        if not network.agreed():
             problems.append("the members do not agree after the stalled one continued")
         return problems, {
             "suspected_by_it": suspicions,
-            "taken_for_lost": net.false_lost,
-            "agreed_again": net.agreed(),
+            "taken_for_lost": network.false_lost,
+            "agreed_again": network.agreed(),
         }
 
     # Over sockets.
@@ -276,15 +282,15 @@
             if at > start + scenario.seconds:
                 continue  # all balancers are shut down after the run
             if event == "member":
-                pairs = dict(word.split("=", 1) for word in fields.split())
+                pairs = dict(pair.split("=", 1) for pair in fields.split())
                 if pairs["state"] in ("lost", "left"):
                     (lost if pairs["state"] == "lost" else left).setdefault(
                         pairs["name"], {}
                     ).setdefault((tier, number), at)
             elif event == "fleet_position":
-                last_positions[tier, number] = dict(word.split("=", 1) for word in fields.split())
+                last_positions[tier, number] = dict(pair.split("=", 1) for pair in fields.split())
             elif event == "part" and "name=gossip" in fields:
-                parts[tier, number] = dict(word.split("=", 1) for word in fields.split())
+                parts[tier, number] = dict(pair.split("=", 1) for pair in fields.split())
         detection_s = sorted(
             at - start - 5.0
             for number in (3, 6)
@@ -353,7 +359,7 @@
     @staticmethod
     def unix_start(run):
         """Return the start of the run in Unix seconds."""
-        return (run.start + time.time_ns() - time.monotonic_ns()) / S
+        return (run.start + time.time_ns() - time.monotonic_ns()) / NS_PER_S
 
 
 def log_rows(run):
--- a/pepperhook/lab/proofs/repeats.py
+++ b/pepperhook/lab/proofs/repeats.py
@@ -107,7 +107,7 @@
         for name, result in results.items():
             keys, findings = (
                 result["figures"]["keys"],
-                {f["name"]: f["count"] for f in result["findings"]},
+                {finding["name"]: finding["count"] for finding in result["findings"]},
             )
             table.append(
                 {
@@ -209,14 +209,14 @@
             "keys only rejected | failed attempts | goodput | p50 ms | p99 ms | broken rules |",
             "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
         ]
-        for r in figures["table"]:
+        for row in figures["table"]:
             broken = (
-                ", ".join(f"{name}: {count}" for name, count in r["findings"].items()) or "none"
+                ", ".join(f"{name}: {count}" for name, count in row["findings"].items()) or "none"
             )
             lines.append(
-                f"| {r['day']} | {r['keys']} | {r['duplicated']} | {r['tries']} | {r['runs']} | {r['ran_once']} | "
-                f"{r['answered_again']} | {r['shed_tries']} | {r['keys_only_shed']} | {r['failed_tries']} | "
-                f"{r['goodput']:.3f} | {r['p50']:.1f} | {r['p99']:.1f} | {broken} |"
+                f"| {row['day']} | {row['keys']} | {row['duplicated']} | {row['tries']} | {row['runs']} | {row['ran_once']} | "
+                f"{row['answered_again']} | {row['shed_tries']} | {row['keys_only_shed']} | {row['failed_tries']} | "
+                f"{row['goodput']:.3f} | {row['p50']:.1f} | {row['p99']:.1f} | {broken} |"
             )
         if "cost" in figures:
             lines += [
@@ -241,8 +241,8 @@
                 "| --- | --- | --- | --- | --- |",
             ]
             lines += [
-                f"| {name} | {r['operations_per_s']:.0f} | {r['core_us']:.1f} | {r['wait_p50_ms']:.1f} | "
-                f"{r['wait_p99_ms']:.1f} |"
+                f"| {name} | {row['operations_per_s']:.0f} | {row['core_us']:.1f} | {row['wait_p50_ms']:.1f} | "
+                f"{row['wait_p99_ms']:.1f} |"
                 for name, r in writing.items()
             ]
             lines += [
@@ -253,16 +253,16 @@
                 "| --- | --- | --- | --- |",
             ]
             lines += [
-                f"| {r['journal']} | {r['entries']:,} | {r['seconds']:.2f} | {r['bytes_an_entry']} |"
-                for r in reading
+                f"| {row['journal']} | {row['entries']:,} | {row['seconds']:.2f} | {row['bytes_an_entry']} |"
+                for row in reading
             ]
             plots = Plots()
             chart, axes = plots.figure(6.0, 3.0)
             for position, name in enumerate(("own", "sqlite")):
-                journal_rows = [r for r in reading if r["journal"] == name]
+                journal_rows = [row for row in reading if row["journal"] == name]
                 axes.plot(
-                    [r["entries"] for r in journal_rows],
-                    [r["seconds"] for r in journal_rows],
+                    [row["entries"] for row in journal_rows],
+                    [row["seconds"] for row in journal_rows],
                     marker="o",
                     color=LINE_COLOURS[position],
                     label=name,
--- a/pepperhook/lab/proofs/trace.py
+++ b/pepperhook/lab/proofs/trace.py
@@ -198,8 +198,8 @@
             content = file.read_bytes()
             with open_trace_file(file) as reader:
                 written = list(read_traces(reader))
-                ends = [(block.end_offset, block.block_type) for block in reader.blocks()]
-            first_end = ends[0][0]
+                block_ends = [(block.end_offset, block.block_type) for block in reader.blocks()]
+            first_end = block_ends[0][0]
             for trial in range(40):
                 data, position = bytearray(content), rng.randrange(first_end, len(content))
                 if trial % 2:
@@ -212,9 +212,9 @@
                         read = list(read_traces(reader))
                     except Exception as error:
                         read = [type(error).__name__]
-                blocks = sum(kind == BlockType.RECORDS for _, kind in ends)
+                blocks = sum(kind == BlockType.RECORDS for _, kind in block_ends)
                 complete = (
-                    sum(kind == BlockType.RECORDS and end <= position for end, kind in ends)
+                    sum(kind == BlockType.RECORDS and end <= position for end, kind in block_ends)
                     if not trial % 2
                     else blocks - 1
                 )
--- a/pepperhook/lab/soak/draw.py
+++ b/pepperhook/lab/soak/draw.py
@@ -88,7 +88,7 @@
     at: float  # seconds since the start of the run
     for_s: float  # seconds until the clients disconnect
     clients: int  # per balancer
-    begun: float  # fraction that sends a partial request
+    partial_share: float  # fraction that sends a partial request
 
 
 class SoakRun(Struct, frozen=True):
--- a/pepperhook/lab/soak/play.py
+++ b/pepperhook/lab/soak/play.py
@@ -83,7 +83,9 @@
         assert crowd is not None
         for number in range(self.day.tiers[0].balancers):
             address = self.plan.balancer(0, number)
-            self.idle_clients.connect(address, crowd.clients, int(crowd.clients * crowd.begun))
+            self.idle_clients.connect(
+                address, crowd.clients, int(crowd.clients * crowd.partial_share)
+            )
 
     def start_restart(self, restart: Restart) -> None:
         """Restart a balancer as the platform does, unless it is restarting or has ended."""
