--- a/pepperhook/lab/proofs/base.py
+++ b/pepperhook/lab/proofs/base.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from pepperhook.lab import experiment
-from pepperhook.lab.day import ROOT, Day, Failed
+from pepperhook.lab.day import ROOT, Day, RunError
 
 
 def void_reason(result):
@@ -71,14 +71,14 @@
     ) -> dict[str, Any]:
         """Play a run, again while it is void.
 
-        A run is void if the load generator or a balancer had too little CPU time. Raises Failed
+        A run is void if the load generator or a balancer had too little CPU time. Raises RunError
         if all ``MAX_PLAYS`` runs are void.
         """
         for play in range(self.MAX_PLAYS):
             result = self.play_once(scenario, variant, f"{name}-{play}", seed, **options)
             if not result["void"]:
                 return self.accept_result(name, result)
-        raise Failed(
+        raise RunError(
             f"{name}: void {self.MAX_PLAYS} times ({void_reason(result)}); this machine is too busy"
         )
 
@@ -104,14 +104,14 @@
         self.report_progress(name, self.runs_done / self.run_count)
         return result
 
-    def play_concurrently(self, runs, at_once):
-        """Play runs that use little CPU time, up to ``at_once`` at the same time.
+    def play_concurrently(self, runs, max_concurrent):
+        """Play runs that use little CPU time, up to ``max_concurrent`` at the same time.
 
         ``runs`` has tuples of (scenario, variant, name, options). Returns the results by name. Void
         runs are repeated after the others, each alone.
         """
         self.run_count, results = len(runs), {}
-        with ThreadPoolExecutor(at_once) as pool:
+        with ThreadPoolExecutor(max_concurrent) as pool:
             futures = [
                 pool.submit(self.play_once, scenario, variant, name, **options)
                 for scenario, variant, name, options in runs
--- a/pepperhook/lab/proofs/trace.py
+++ b/pepperhook/lab/proofs/trace.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from pepperhook.lab import events, experiment, planted
-from pepperhook.lab.day import Failed
+from pepperhook.lab.day import RunError
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
 
@@ -76,7 +76,7 @@
                 for trace in read_traces(reader):
                     traces[reader.metadata.tier, trace.id] = trace
         if not traces:
-            raise Failed("no request was traced")
+            raise RunError("no request was traced")
         problems += self.check_against_events(rows, traces)
         problems += self.check_damaged(files)
         offset_files = self.offset_clocks(files)
@@ -198,8 +198,8 @@
             content = file.read_bytes()
             with open_trace_file(file) as reader:
                 written = list(read_traces(reader))
-                ends = [(block.end_offset, block.block_type) for block in reader.blocks()]
-            first_end = ends[0][0]
+                block_ends = [(block.end_offset, block.block_type) for block in reader.blocks()]
+            first_end = block_ends[0][0]
             for trial in range(40):
                 data, position = bytearray(content), rng.randrange(first_end, len(content))
                 if trial % 2:
@@ -212,9 +212,9 @@
                         read = list(read_traces(reader))
                     except Exception as error:
                         read = [type(error).__name__]
-                blocks = sum(kind == BlockType.RECORDS for _, kind in ends)
+                blocks = sum(kind == BlockType.RECORDS for _, kind in block_ends)
                 complete = (
-                    sum(kind == BlockType.RECORDS and end <= position for end, kind in ends)
+                    sum(kind == BlockType.RECORDS and end <= position for end, kind in block_ends)
                     if not trial % 2
                     else blocks - 1
                 )
