--- a/tests/capture/captured_world.py
+++ b/tests/capture/captured_simulation.py
@@ -1,4 +1,4 @@
-"""A simulated world with random events whose policy is recorded to a capture."""
+"""A random simulation whose policy is recorded to a capture."""
 
 import shutil
 from pathlib import Path
@@ -9,23 +9,23 @@
 from pepperhook.capture.recorder import Recorder
 from pepperhook.container import ContainerWriter, FileMetadata
 from pepperhook.units import MILLISECOND
-from tests.world import World
+from tests.policy.simulation import PolicySimulation
 
 POLICY_FOLDER = Path(pepperhook.policy.__file__).parent
 
 
-class CapturedWorld(World):
-    """Writes a capture to ``path``.
+class CapturedSimulation(PolicySimulation):
+    """A random simulation whose policy is recorded to a capture at ``path``.
 
-    Before each step, the complete state is written with the probability ``state_chance``.
+    Before each step, the complete state is written with the probability ``state_probability``.
     """
 
-    def __init__(self, seed, path, state_chance=0, make=Balancer, **options):
-        self.state_chance = state_chance
-        self.make_recorded_policy = make
+    def __init__(self, seed, path, state_probability=0, make_policy=Balancer, **options):
+        self.state_probability = state_probability
+        self.make_recorded_policy = make_policy
         self.writer = ContainerWriter(path, FileMetadata("capture", 1))
         self.recorder = None
-        super().__init__(seed, make=self.make_recorder, **options)
+        super().__init__(seed, make_policy=self.make_recorder, **options)
 
     def make_recorder(self, settings, seed, now):
         policy = self.make_recorded_policy(settings, seed, now)
@@ -36,7 +36,7 @@
         self.writer.append(record, now)
 
     def step(self, duration_ns=2 * MILLISECOND):
-        if self.state_chance and self.random.random() < self.state_chance:
+        if self.state_probability and self.random.random() < self.state_probability:
             self.recorder.write_state(self.now)
         super().step(duration_ns)
 
--- a/tests/capture/test_extension.py
+++ b/tests/capture/test_extension.py
@@ -15,7 +15,6 @@
 from pepperhook.server.structured_logging import Log
 from tests.server.balancers import RunningBalancer, make_config
 from tests.server.peers import ScriptedPeer, make_response
-from tests.world import loopback
 
 
 @pytest.fixture
@@ -42,7 +41,6 @@
             capture.preserve()
 
 
-@loopback
 async def test_each_segment_of_a_balancers_capture_replays_on_its_own(make_capture, tmp_path):
     capture = make_capture(segment_s=1.0)
     responses = iter([make_response(), make_response(500), None] * 20)
@@ -79,7 +77,6 @@
     assert refused.exit_code == 2
 
 
-@loopback
 async def test_new_segment_begins_after_dropped_records(make_capture, tmp_path):
     capture = make_capture(segment_s=600.0)
     async with (
--- a/tests/capture/test_hostile_states.py
+++ b/tests/capture/test_hostile_states.py
@@ -27,7 +27,7 @@
 )
 from pepperhook.domain import Attempt, Request, Upstream
 from pepperhook.statistics import DecayingMoments
-from tests.capture.captured_world import CapturedWorld
+from tests.capture.captured_simulation import CapturedSimulation
 
 LEGACY_SHAPE = "97d25dcfc6463a83"
 
@@ -128,9 +128,9 @@
 @pytest.fixture(scope="module")
 def stored_state(tmp_path_factory):
     """Return a valid state as bytes."""
-    world = CapturedWorld(8, tmp_path_factory.mktemp("capture") / "a")
-    world.run(100)
-    policy = world.recorder.module
+    simulation = CapturedSimulation(8, tmp_path_factory.mktemp("capture") / "a")
+    simulation.run(100)
+    policy = simulation.recorder.module
     objects = state.find_objects(policy, (Request, Attempt, Upstream))
     return state.serialize(policy, tuple(objects.values()))
 
--- a/tests/capture/test_replay.py
+++ b/tests/capture/test_replay.py
@@ -1,4 +1,4 @@
-"""Captures of simulated worlds replay byte-identically, and changes of the policy are found."""
+"""Captures of random simulations replay byte-identically, and changes of the policy are found."""
 
 import dataclasses
 from pathlib import Path
@@ -9,7 +9,7 @@
 from pepperhook.capture import replay
 from pepperhook.container import ContainerWriter, FileMetadata
 from pepperhook.lab.proofs.replay import ReplayProof
-from tests.capture.captured_world import POLICY_FOLDER, CapturedWorld, changed_policy
+from tests.capture.captured_simulation import POLICY_FOLDER, CapturedSimulation, changed_policy
 from tests.policy.simulation import LOAD_QUERY_SETTINGS
 
 # Written by `pepperhook lab prove replay --write tests/captures`; each begins with the policy's
@@ -18,13 +18,13 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_simulated_worlds_replay_byte_identically_with_equal_states(tmp_path, seed):
+def test_random_simulations_replay_byte_identically_with_equal_states(tmp_path, seed):
     # Odd seeds use load reports: when the policy updated a report in place, captures contained its
     # later values.
     reports = LOAD_QUERY_SETTINGS if seed % 2 else {}
-    world = CapturedWorld(seed, tmp_path / "a", state_chance=0.01, **reports)
-    world.run(1500, chance=0.3)
-    world.writer.close()
+    simulation = CapturedSimulation(seed, tmp_path / "a", state_probability=0.01, **reports)
+    simulation.run(1500, arrival_probability=0.3)
+    simulation.writer.close()
 
     result = replay.replay_file(tmp_path / "a", Balancer)
 
@@ -35,13 +35,13 @@
 
 
 def test_capture_that_begins_with_a_state_replays_from_there(tmp_path):
-    world = CapturedWorld(3, tmp_path / "a")
-    world.run(500, chance=0.3)
-    world.writer.close()
-    world.writer = ContainerWriter(tmp_path / "b", FileMetadata("capture", 1))
-    world.recorder.write_state(world.now)
-    world.run(500, chance=0.3)
-    world.writer.close()
+    simulation = CapturedSimulation(3, tmp_path / "a")
+    simulation.run(500, arrival_probability=0.3)
+    simulation.writer.close()
+    simulation.writer = ContainerWriter(tmp_path / "b", FileMetadata("capture", 1))
+    simulation.recorder.write_state(simulation.now)
+    simulation.run(500, arrival_probability=0.3)
+    simulation.writer.close()
 
     result = replay.replay_file(tmp_path / "b", Balancer)
 
@@ -51,9 +51,9 @@
 
 
 def test_replay_differs_if_a_constant_has_another_value(tmp_path):
-    world = CapturedWorld(5, tmp_path / "a")
-    world.run(1500, chance=0.5)
-    world.writer.close()
+    simulation = CapturedSimulation(5, tmp_path / "a")
+    simulation.run(1500, arrival_probability=0.5)
+    simulation.writer.close()
     constant = "MAX_QUEUE_TIME = 0.2 "
 
     changed = changed_policy(tmp_path, "admission", constant, "MAX_QUEUE_TIME = 0.21 ")
@@ -68,9 +68,9 @@
 
 
 def test_replay_differs_if_the_policy_reads_a_clock(tmp_path):
-    world = CapturedWorld(6, tmp_path / "a")
-    world.run(1500, chance=0.5)
-    world.writer.close()
+    simulation = CapturedSimulation(6, tmp_path / "a")
+    simulation.run(1500, arrival_probability=0.5)
+    simulation.writer.close()
     line = "request.accepted_at = now\n"
     reads_clock = "now += __import__('time').perf_counter_ns() % 1000\n        " + line
 
@@ -83,9 +83,9 @@
     line = "request.accepted_at = now\n"
     raises = f"{line}        if request.id == 5:\n            raise ArithmeticError\n"
     build = changed_policy(tmp_path, "completion", line, raises)
-    world = CapturedWorld(7, tmp_path / "a", make=build)
-    assert sum(step_raises(world) for _ in range(400)) == 1
-    world.writer.close()
+    simulation = CapturedSimulation(7, tmp_path / "a", make_policy=build)
+    assert sum(step_raises(simulation) for _ in range(400)) == 1
+    simulation.writer.close()
 
     result = replay.replay_file(tmp_path / "a", build)
     difference = replay.replay_file(tmp_path / "a", Balancer).difference
@@ -95,15 +95,15 @@
     assert (difference.fault, difference.name, difference.about) == (None, "take", "5")
 
 
-def step_raises(world):
+def step_raises(simulation):
     """Run one step; continue if the policy raises an exception, and return whether it did."""
     try:
-        world.run(1, chance=0.5)
+        simulation.run(1, arrival_probability=0.5)
     except ArithmeticError:
         # The actions that the policy added before the exception are still carried out.
-        actions, world.recorder.actions = world.recorder.actions, []
-        world.responses[world.requests[-1]] = "fault"
-        world.perform(actions)
+        actions, simulation.recorder.actions = simulation.recorder.actions, []
+        simulation.responses[simulation.requests[-1]] = "fault"
+        simulation.perform(actions)
         return True
     return False
 
@@ -145,23 +145,22 @@
     """Requests in flight keep their service class objects through a reconfiguration.
 
     When a replay created all classes again, each state after a reconfiguration that kept them, for
-    example a change of the fleet size, was reported as different, because
-    it shared other objects.
+    example a change of the fleet size, was reported as different, because it shared other objects.
     """
-    world = CapturedWorld(11, tmp_path / "a")
-    world.run(300, chance=0.5)
-    settings = dataclasses.replace(world.recorder.module.settings, fleet_size=3, index=1)
+    simulation = CapturedSimulation(11, tmp_path / "a")
+    simulation.run(300, arrival_probability=0.5)
+    settings = dataclasses.replace(simulation.recorder.module.settings, fleet_size=3, index=1)
     if not keeps_classes:
         settings.service_classes = [
             dataclasses.replace(service_class) for service_class in settings.service_classes
         ]
-    assert any(not request.finished for request in world.requests)
+    assert any(not request.finished for request in simulation.requests)
 
-    world.recorder.reconfigure(world.now, settings, [])
-    world.recorder.write_state(world.now)
-    world.state_chance = 0.05
-    world.run(300, chance=0.5)
-    world.writer.close()
+    simulation.recorder.reconfigure(simulation.now, settings, [])
+    simulation.recorder.write_state(simulation.now)
+    simulation.state_probability = 0.05
+    simulation.run(300, arrival_probability=0.5)
+    simulation.writer.close()
     result = replay.replay_file(tmp_path / "a", Balancer)
 
     assert result.difference is None
--- a/tests/capture/test_state.py
+++ b/tests/capture/test_state.py
@@ -8,17 +8,17 @@
 from pepperhook.capture import policy_build, replay, state
 from pepperhook.capture.state_errors import StateRefusedError
 from pepperhook.container import ContainerWriter, FileMetadata
-from tests.capture.captured_world import CapturedWorld, changed_policy
+from tests.capture.captured_simulation import CapturedSimulation, changed_policy
 
 
 def test_state_of_another_shape_is_refused(tmp_path):
-    world = CapturedWorld(8, tmp_path / "a")
-    world.run(100)
-    world.writer.close()
-    world.writer = ContainerWriter(tmp_path / "b", FileMetadata("capture", 1))
-    world.recorder.write_state(world.now)
-    world.run(50)
-    world.writer.close()
+    simulation = CapturedSimulation(8, tmp_path / "a")
+    simulation.run(100)
+    simulation.writer.close()
+    simulation.writer = ContainerWriter(tmp_path / "b", FileMetadata("capture", 1))
+    simulation.recorder.write_state(simulation.now)
+    simulation.run(50)
+    simulation.writer.close()
     line = "self.queue = ValueQueue()"
     build = changed_policy(tmp_path, "admission", line, f"{line}\n        self.extra = 1")
 
--- a/tests/control_plane/test_balancer_settings.py
+++ b/tests/control_plane/test_balancer_settings.py
@@ -12,7 +12,7 @@
 from pepperhook.domain import Effect, Outcome, RepeatGroup
 from pepperhook.settings import Names
 from pepperhook.units import MILLISECOND, SECOND
-from tests.capture.captured_world import CapturedWorld
+from tests.capture.captured_simulation import CapturedSimulation
 from tests.control_plane.helpers import document
 from tests.policy.simulation import PolicySimulation, make_service_class, make_settings
 
@@ -71,13 +71,13 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_requests_keep_their_service_class_while_settings_change(seed, tmp_path):
-    simulation = CapturedWorld(seed, tmp_path / "a", state_chance=0.003)
+    simulation = CapturedSimulation(seed, tmp_path / "a", state_probability=0.003)
     generator = random.Random(seed)
     startup = replace(simulation.settings)
     admitted_under = []
 
     for _ in range(40):
-        simulation.run(40, chance=0.4)
+        simulation.run(40, arrival_probability=0.4)
         running = [
             request for request in simulation.requests if request not in simulation.responses
         ]
--- a/tests/http2/test_client.py
+++ b/tests/http2/test_client.py
@@ -10,12 +10,10 @@
 from tests.http2.frames import END_HEADERS, END_STREAM, encode_headers
 from tests.http2.scripted_client import ScriptedClient
 from tests.http2.scripted_upstream import ScriptedUpstream
-from tests.server.balancers import RunningBalancer, endpoint_rows
+from tests.server.balancers import RunningBalancer, endpoint_list, endpoint_rows
 from tests.server.peers import ScriptedPeer, make_response
-from tests.world import loopback
 
 
-@loopback
 async def test_requests_above_a_goaways_last_id_are_sent_again_and_those_up_to_it_are_answered():
     open_requests = []
 
@@ -40,7 +38,6 @@
     assert len(upstream.requests) == 5
 
 
-@loopback
 async def test_a_reset_or_cancelled_stream_does_not_affect_other_streams_of_its_connection():
     def script(connection, request):
         if request.id == "bad":
@@ -67,7 +64,6 @@
         assert upstream.reset_codes == [ErrorCodes.CANCEL]
 
 
-@loopback
 async def test_a_response_with_a_wrong_length_does_not_affect_others_on_its_connection():
     # Guards against a malformed response that ends other requests on its connection. In a full run
     # of the lab's scenario h2, one request in 1,824 failed for this reason.
@@ -100,7 +96,6 @@
         assert len(upstream.connections) == 1
 
 
-@loopback
 async def test_a_silent_connection_is_closed_after_a_ping_and_an_idle_one_gets_no_ping():
     def script(connection, request):
         if len(connection.upstream.connections) == 1 and len(connection.upstream.requests) > 1:
@@ -131,7 +126,6 @@
         assert len(upstream.connections) == 2
 
 
-@loopback
 async def test_a_draining_upstream_completes_its_streams_and_gets_no_new_ones():
     release = asyncio.Event()
 
@@ -147,7 +141,7 @@
         first = client.request()
         await wait_until(lambda: upstream.requests)
         draining = endpoint_rows([upstream.address], health="draining")
-        balancer.app.discovery.apply({"seq": 2, "whole": True, "hosts": draining})
+        balancer.app.discovery.apply(endpoint_list(2, draining))
 
         later = client.request(x_timeout_ms="300")
         assert (await client.response(later)).status == 503
@@ -156,7 +150,6 @@
         assert (await client.response(first)).status == 200
 
 
-@loopback
 async def test_a_protocol_in_the_endpoint_list_takes_precedence_over_the_default():
     async with (
         ScriptedUpstream() as http2_upstream,
@@ -165,13 +158,12 @@
     ):
         endpoints = endpoint_rows([http2_upstream.address, http1_upstream.address])
         endpoints[0]["protocol"] = "h2"
-        balancer.app.discovery.apply({"seq": 1, "whole": True, "hosts": endpoints})
+        balancer.app.discovery.apply(endpoint_list(1, endpoints))
 
         assert {(await balancer.request())[1] for _ in range(40)} == {b"done", b"HTTP/1.1"}
     assert http2_upstream.requests and http1_upstream.requests
 
 
-@loopback
 async def test_an_upstreams_stream_limit_is_respected_and_further_requests_wait():
     max_open = 0
 
@@ -202,7 +194,6 @@
         assert not endpoint.client.waiters
 
 
-@loopback
 async def test_an_exhausted_window_of_an_upstream_blocks_only_its_own_stream():
     async with (
         ScriptedUpstream(settings={SettingCodes.INITIAL_WINDOW_SIZE: 10}) as upstream,
--- a/tests/http2/test_conformance.py
+++ b/tests/http2/test_conformance.py
@@ -30,7 +30,6 @@
 from tests.http2.scripted_client import ScriptedClient
 from tests.server.balancers import RunningBalancer
 from tests.server.peers import ScriptedPeer, make_response
-from tests.world import loopback
 
 STREAM_ID = 1  # of the request whose response is checked
 READ_TIMEOUT_S = 5
@@ -473,7 +472,6 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=[f"{case.section} {case.condition}" for case in CASES])
-@loopback
 async def test_frames_get_the_expected_reaction_and_other_clients_are_served(case):
     async with (
         ScriptedPeer(lambda *_: make_response()) as peer,
--- a/tests/http2/test_floods.py
+++ b/tests/http2/test_floods.py
@@ -30,7 +30,6 @@
 from tests.http2.scripted_upstream import ScriptedUpstream
 from tests.server.balancers import RunningBalancer
 from tests.server.peers import ScriptedPeer, make_response
-from tests.world import loopback
 
 MAX_ROUNDS = 4000
 ROUNDS_PER_BATCH = 50
@@ -121,7 +120,6 @@
 
 
 @pytest.mark.parametrize("flood", FLOODS)
-@loopback
 async def test_a_flooding_client_is_disconnected_and_others_are_served(flood):
     async with (
         ScriptedPeer(lambda *_: make_response()) as peer,
@@ -166,7 +164,6 @@
     return False
 
 
-@loopback
 async def test_a_client_that_resets_each_request_in_flight_is_disconnected():
     release = asyncio.Event()
 
@@ -188,7 +185,6 @@
         assert counters["h2 floods"] == 1
 
 
-@loopback
 async def test_an_upstream_that_repeatedly_resets_closed_streams_is_disconnected():
     def respond_and_reset(connection, request):
         connection.respond(request)
--- a/tests/http2/test_fuzz.py
+++ b/tests/http2/test_fuzz.py
@@ -22,6 +22,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
+from tests.conftest import ASYNC_TEST_TIMEOUT_S
 from tests.http2.balancers import HTTP2_BOTH_SIDES, HTTP2_CLIENTS
 from tests.http2.frames import (
     END_HEADERS,
@@ -37,7 +38,6 @@
 from tests.http2.scripted_upstream import ScriptedUpstream
 from tests.server.balancers import RunningBalancer
 from tests.server.peers import ScriptedPeer, make_response
-from tests.world import loopback
 
 # No deadline and no health checks, so that a busy machine does not fail the test.
 FUZZ = settings(
@@ -152,11 +152,15 @@
         await asyncio.sleep(0.002)
 
 
+def run_with_timeout(coroutine):
+    """Run a coroutine in an event loop; tests with ``@given`` can't be coroutine functions."""
+    asyncio.run(asyncio.wait_for(coroutine, ASYNC_TEST_TIMEOUT_S))
+
+
 @FUZZ
 @given(st.lists(CLIENT_FRAMES, min_size=1, max_size=CLIENT_COUNT))
 def test_fuzzed_clients_cause_no_logged_fault_and_leave_no_stream_or_request_open(connections):
-    @loopback
-    async def run():
+    async def send_and_check():
         async with (
             ScriptedPeer(lambda *_: make_response()) as peer,
             RunningBalancer([peer.address], extensions=HTTP2_CLIENTS) as balancer,
@@ -169,7 +173,7 @@
                 await asyncio.sleep(0.005)
 
     with no_faults_logged():
-        run()
+        run_with_timeout(send_and_check())
 
 
 def set_stream_id(frame, request):
@@ -205,8 +209,7 @@
 @FUZZ
 @given(UPSTREAM_REPLIES)
 def test_fuzzed_upstreams_cause_no_logged_fault_and_each_request_gets_one_response(replies):
-    @loopback
-    async def run():
+    async def send_and_check():
         async with (
             ScriptedUpstream(reply_script(replies)) as upstream,
             RunningBalancer([upstream.address], extensions=HTTP2_BOTH_SIDES) as balancer,
@@ -222,4 +225,4 @@
             assert len(client.ended) == REQUEST_COUNT
 
     with no_faults_logged():
-        run()
+        run_with_timeout(send_and_check())
--- a/tests/http2/test_malformed_heads.py
+++ b/tests/http2/test_malformed_heads.py
@@ -26,7 +26,6 @@
 from tests.http2.scripted_upstream import ScriptedUpstream
 from tests.server.balancers import RunningBalancer
 from tests.server.peers import ScriptedPeer, make_response
-from tests.world import loopback
 
 MALFORMED_RESPONSES = {
     "no status": [("x", "y")],
@@ -50,7 +49,6 @@
 
 
 @pytest.mark.parametrize("name", MALFORMED_RESPONSES)
-@loopback
 async def test_malformed_response_headers_end_only_their_own_stream(name):
     pending_requests = []
 
@@ -75,7 +73,6 @@
         assert balancer.app.counters["attempts malformed response"] == 1
 
 
-@loopback
 async def test_malformed_response_trailers_end_only_their_own_stream():
     pending_requests = []
 
@@ -100,7 +97,6 @@
 
 
 @pytest.mark.parametrize("name", MALFORMED_REQUESTS)
-@loopback
 async def test_request_with_malformed_headers_is_reset_and_others_are_answered(name):
     release = asyncio.Event()
 
--- a/tests/http2/test_outcomes.py
+++ b/tests/http2/test_outcomes.py
@@ -18,7 +18,6 @@
 from tests.http2.frames import END_HEADERS, END_STREAM, GET_HEADERS, encode_headers
 from tests.http2.scripted_upstream import ScriptedUpstream, never_respond, respond_ok
 from tests.server.balancers import RunningBalancer
-from tests.world import loopback
 
 
 def respond_with(status, **headers):
@@ -139,7 +138,6 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=[case.condition for case in CASES])
-@loopback
 async def test_each_upstream_reaction_gives_its_outcome_and_status_without_a_second_execution(case):
     async with (
         ScriptedUpstream(case.script) as upstream,
--- a/tests/http2/test_protocol_detection.py
+++ b/tests/http2/test_protocol_detection.py
@@ -5,12 +5,10 @@
 from tests.http2.scripted_client import ScriptedClient
 from tests.http2.scripted_upstream import ScriptedUpstream
 from tests.server.balancers import RunningBalancer
-from tests.world import loopback
 
 INCOMPLETE_PREFACE = PREFACE[:9]
 
 
-@loopback
 async def test_both_protocols_are_served_on_one_listener():
     async with (
         ScriptedUpstream() as upstream,
@@ -21,7 +19,6 @@
         assert await balancer.request() == (200, b"done")
 
 
-@loopback
 async def test_a_client_that_sends_an_incomplete_preface_is_disconnected_without_a_response():
     async with (
         RunningBalancer(extensions=HTTP2_BOTH_SIDES) as balancer,
@@ -31,7 +28,6 @@
         assert await client.remaining_bytes() == b""
 
 
-@loopback
 async def test_bytes_that_differ_from_the_preface_are_answered_over_http_1():
     async with (
         RunningBalancer(extensions=HTTP2_BOTH_SIDES) as balancer,
--- a/tests/http2/test_server.py
+++ b/tests/http2/test_server.py
@@ -16,13 +16,11 @@
 from tests.http2.scripted_upstream import ScriptedUpstream
 from tests.server.balancers import RunningBalancer, with_permissions
 from tests.server.peers import ScriptedPeer, make_response
-from tests.world import loopback
 
 ENVIRONMENT_WITH_CANCEL = with_permissions(cancel=True)  # attempts may be cancelled
 LARGEST_BODY = b"x" * 65536
 
 
-@loopback
 async def test_each_of_many_streams_gets_one_response():
     async with (
         ScriptedUpstream() as upstream,
@@ -43,7 +41,6 @@
         assert sorted(len(request.body) for request in upstream.requests) == list(range(1, 40))
 
 
-@loopback
 async def test_a_request_is_forwarded_with_its_body_headers_and_remaining_time():
     async with (
         ScriptedUpstream() as upstream,
@@ -89,7 +86,6 @@
         "body at the limit",
     ],
 )
-@loopback
 async def test_a_request_gets_the_same_status_as_over_http_1(path, method, body, headers, status):
     lower_case_headers = {name.lower(): value for name, value in headers.items()}
     async with (
@@ -102,7 +98,6 @@
         assert (await balancer.request(path, method.encode(), body, **headers))[0] == status
 
 
-@loopback
 async def test_a_health_check_of_the_balancer_is_answered():
     async with (
         ScriptedPeer(lambda *_: make_response()) as peer,
@@ -112,7 +107,6 @@
         assert await client.response(client.request("/_health")) == (200, b"serving\n")
 
 
-@loopback
 async def test_a_second_request_with_the_same_id_is_refused():
     async with (
         ScriptedPeer(lambda *_: make_response()) as peer,
@@ -124,7 +118,6 @@
         assert statuses == {200, 409}
 
 
-@loopback
 async def test_attempts_are_cancelled_when_their_client_resets_the_stream_or_disconnects():
     async with (
         ScriptedPeer(lambda *_: None) as peer,
@@ -144,7 +137,6 @@
         assert not balancer.app.http_server.server.streams
 
 
-@loopback
 async def test_a_shutdown_answers_accepted_streams_and_refuses_later_ones():
     release = asyncio.Event()
 
@@ -176,7 +168,6 @@
     assert len(peer.requests) == 1
 
 
-@loopback
 async def test_an_exhausted_window_of_a_client_blocks_only_its_own_stream():
     async with (
         ScriptedPeer(lambda *_: make_response(body=b"x" * 30000)) as peer,
@@ -197,7 +188,6 @@
         assert len((await client.response(blocked)).body) == 30000
 
 
-@loopback
 async def test_one_connection_transfers_more_than_its_window():
     # Guards against connection windows that are not replenished, on either side.
     count = CONNECTION_WINDOW // len(LARGEST_BODY) + 4
@@ -220,7 +210,6 @@
         assert len(upstream.connections) == 1
 
 
-@loopback
 async def test_streams_beyond_the_announced_limit_reach_no_upstream():
     four_streams = Extensions(h2=Http2Table(streams=4))
     async with (
@@ -240,7 +229,6 @@
         assert len(peer.requests) <= 4
 
 
-@loopback
 async def test_an_oversized_frame_is_rejected_as_soon_as_its_header_is_received():
     # Guards against peers that announce frames of 16 MB and send them slowly, on many connections:
     # the balancer would buffer each frame until it is complete.
--- a/tests/idempotency/test_durability.py
+++ b/tests/idempotency/test_durability.py
@@ -16,7 +16,6 @@
     wait_until,
 )
 from tests.server.peers import ScriptedPeer, make_response
-from tests.world import loopback
 
 MAX_ATTEMPTS = 100
 
@@ -26,7 +25,6 @@
     return tmp_path / "journal"
 
 
-@loopback
 async def test_restart_replays_completed_requests_and_fails_running_ones(directory):
     upstream = BlockingUpstream()
     crashed = directory.with_name("crashed")
@@ -51,7 +49,6 @@
     assert restarted.told()["records"] >= 2
 
 
-@loopback
 async def test_unsafe_requests_are_rejected_while_their_records_cant_be_written(directory):
     extension = make_extension(journal=str(directory))
     journal = extension.journal
@@ -85,7 +82,6 @@
     assert extension.record_failures >= 1
 
 
-@loopback
 async def test_waiter_runs_when_the_first_client_leaves_before_its_record_is_durable(
     directory,
 ):
--- a/tests/idempotency/test_extension.py
+++ b/tests/idempotency/test_extension.py
@@ -14,13 +14,11 @@
     wait_until,
 )
 from tests.server.peers import ScriptedPeer, make_response
-from tests.world import loopback
 
 FAILED = (500, b"broken off\n")
 NOT_STORED = b"was fulfilled before; the answer was too large to be kept\n"
 
 
-@loopback
 async def test_repeat_receives_the_result_while_the_first_request_runs_and_afterwards():
     upstream, extension = BlockingUpstream(), make_extension()
     async with ScriptedPeer(upstream) as peer, running_balancer(peer, extension) as balancer:
@@ -38,7 +36,6 @@
     assert extension.store.counts[Verdict.REPLAY] == 2
 
 
-@loopback
 async def test_key_with_another_body_is_refused_and_another_key_runs():
     upstream = BlockingUpstream()
     upstream.release.set()
@@ -53,7 +50,6 @@
     assert upstream.runs == 2
 
 
-@loopback
 async def test_key_that_is_too_long_is_refused():
     async with (
         ScriptedPeer(lambda *_: make_response()) as peer,
@@ -68,7 +64,6 @@
     assert not peer.requests
 
 
-@loopback
 async def test_request_without_a_required_key_is_refused():
     extension = make_extension(require=["pay"])
     async with (
@@ -80,7 +75,6 @@
         assert (await balancer.request())[0] == 200
 
 
-@loopback
 async def test_repeat_receives_the_response_after_the_first_client_has_left():
     upstream, extension = BlockingUpstream(), make_extension()
     async with ScriptedPeer(upstream) as peer, running_balancer(peer, extension) as balancer:
@@ -98,7 +92,6 @@
     assert peer.connections == 1
 
 
-@loopback
 async def test_keyed_request_is_cancelled_only_when_all_clients_have_left():
     upstream, extension = BlockingUpstream(), make_extension()
     async with ScriptedPeer(upstream) as peer, running_balancer(peer, extension) as balancer:
@@ -111,7 +104,6 @@
     assert upstream.runs == 1
 
 
-@loopback
 async def test_unsafe_request_continues_after_all_clients_left_and_a_repeat_receives_its_result():
     upstream, extension = BlockingUpstream(), make_extension()
     async with ScriptedPeer(upstream) as peer, running_balancer(peer, extension) as balancer:
@@ -152,7 +144,6 @@
         return make_response(body=b"second")
 
 
-@loopback
 async def test_request_that_never_ran_is_handed_over_to_a_waiter_within_its_time_limit():
     upstream, extension = RejectsFirst(), make_extension()
     async with ScriptedPeer(upstream) as peer, running_balancer(peer, extension) as balancer:
@@ -170,7 +161,6 @@
     assert upstream.runs == 2
 
 
-@loopback
 async def test_request_whose_time_limit_expired_is_not_run_again():
     upstream = BlockingUpstream()
     async with ScriptedPeer(upstream) as peer, running_balancer(peer, make_extension()) as balancer:
@@ -185,7 +175,6 @@
     assert upstream.runs == 1
 
 
-@loopback
 async def test_full_store_rejects_with_retry_after_and_sends_nothing_to_an_upstream():
     extension = make_extension(entries=2)
     async with (
@@ -203,7 +192,6 @@
 
 
 @pytest.mark.parametrize("body_kb, expected", [(0, (409, NOT_STORED)), (64, (200, b"done"))])
-@loopback
 async def test_response_is_replayed_only_if_it_was_stored(body_kb, expected):
     extension = make_extension(body_kb=body_kb)
     async with (
--- a/tests/idempotency/test_journal_recovery.py
+++ b/tests/idempotency/test_journal_recovery.py
@@ -17,7 +17,6 @@
     make_record,
     write_one_by_one,
 )
-from tests.world import loopback
 
 RECORDS = 5
 FIRST_OF_LAST_THREE = 2
@@ -30,7 +29,6 @@
     ]
 
 
-@loopback
 async def test_acknowledged_records_survive_a_cut_at_every_byte_of_the_last_three(
     tmp_path, records
 ):
@@ -53,7 +51,6 @@
         assert not recovered.has_rebooted
 
 
-@loopback
 async def test_damage_is_reported_unless_it_is_in_the_payload_of_the_last_block(tmp_path, records):
     await write_one_by_one(tmp_path, records)
     path = tmp_path / "1.log"
@@ -74,7 +71,6 @@
         assert "byte" in str(raised.value)
 
 
-@loopback
 async def test_zeros_after_the_last_block_are_cut_off(tmp_path, records):
     await write_one_by_one(tmp_path, records)
     path = tmp_path / "1.log"
--- a/tests/idempotency/test_journal_writer.py
+++ b/tests/idempotency/test_journal_writer.py
@@ -12,10 +12,8 @@
 from pepperhook.idempotency.journal.recovery import recover
 from pepperhook.idempotency.journal.segments import segment_numbers
 from tests.idempotency.journals import make_journal, make_record, number_of, write_one_by_one
-from tests.world import loopback
 
 
-@loopback
 async def test_full_segments_are_followed_by_new_ones_and_all_records_are_recovered(tmp_path):
     records = [make_record(number, body=bytes(200)) for number in range(40)]
     await write_one_by_one(tmp_path, records, segment_bytes=2000)
@@ -30,7 +28,6 @@
     assert journal.statistics.groups == 20
 
 
-@loopback
 async def test_segments_are_deleted_when_the_windows_of_their_records_are_over(tmp_path):
     records = [make_record(number, body=bytes(200)) for number in range(40)]
     await write_one_by_one(tmp_path, records, segment_bytes=2000)
@@ -42,7 +39,6 @@
     assert len(segment_numbers(tmp_path)) <= 4
 
 
-@loopback
 async def test_full_disk_fails_waiting_records_and_the_journal_resumes_when_there_is_space(
     tmp_path,
 ):
--- a/tests/idempotency/test_peers.py
+++ b/tests/idempotency/test_peers.py
@@ -23,7 +23,6 @@
     wait_until,
 )
 from tests.server.peers import ScriptedPeer, make_response
-from tests.world import loopback
 
 PAY = 1  # the number of the service class
 WINDOW_S = 0.4
@@ -100,7 +99,6 @@
     return Edges(tmp_path)
 
 
-@loopback
 async def test_repeat_at_another_edge_receives_the_owners_result(edges):
     upstream, key = BlockingUpstream(), edges.key_of("e0")
     async with ScriptedPeer(upstream) as peer:
@@ -127,7 +125,6 @@
     assert upstream.runs == 1
 
 
-@loopback
 async def test_unsafe_request_is_rejected_and_safe_one_served_while_the_owner_is_down(edges):
     upstream, key = BlockingUpstream(), edges.key_of("e0")
     upstream.release.set()
@@ -148,7 +145,6 @@
     assert upstream.runs == 7
 
 
-@loopback
 async def test_owner_notices_that_a_client_has_left_another_edge(edges):
     upstream, key = BlockingUpstream(), edges.key_of("e0")
     async with ScriptedPeer(upstream) as peer:
@@ -163,7 +159,6 @@
             upstream.release.set()
 
 
-@loopback
 async def test_key_that_changes_owners_is_rejected_until_a_window_after_the_change(
     edges,
 ):
@@ -195,7 +190,6 @@
                 await asyncio.sleep(0.05)
 
 
-@loopback
 async def test_invalid_member_list_leaves_the_old_one_in_effect(edges):
     upstream, key = BlockingUpstream(), edges.key_of("e0")
     upstream.release.set()
--- a/tests/rate_limit/test_extension.py
+++ b/tests/rate_limit/test_extension.py
@@ -9,7 +9,6 @@
 from pepperhook.server.extensions import Extensions, listed_name
 from tests.server.balancers import ENVIRONMENT, RunningBalancer, make_config
 from tests.server.peers import ScriptedPeer, make_response
-from tests.world import loopback
 
 TENANTS = [{"name": "acme"}, {"name": "bell"}]
 MAX_RETRY_AFTER_US = 60_000_000
@@ -21,7 +20,6 @@
 }
 
 
-@loopback
 async def test_tenant_over_its_limit_gets_503_with_retry_after_and_others_are_served():
     limits = RateLimitTable(default=TenantLimit(per_second=0.05, burst=2.0))
     extension = RateLimitExtension(limits, make_config(env=SETTINGS_WITH_RETRY_AFTER))
--- a/tests/shadow/test_extension.py
+++ b/tests/shadow/test_extension.py
@@ -23,7 +23,6 @@
 from tests.policy.simulation import PolicySimulation, make_service_class
 from tests.server.balancers import ENVIRONMENT, RunningBalancer, make_config
 from tests.server.peers import ScriptedPeer, make_response
-from tests.world import loopback
 
 STEPS = 1500
 CLASSES_WITHOUT_OBJECTIVE = [
@@ -165,7 +164,6 @@
         make_shadow(tmp_path, ENVIRONMENT | overrides)
 
 
-@loopback
 async def test_running_balancer_counts_differences_and_responses_stay_the_same(tmp_path):
     # With a latency objective of 0, the candidate settings have every request rejected.
     candidate = ENVIRONMENT | {
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -17,7 +17,8 @@
 
 from pepperhook.lab import day
 from tests.programs import free_port, write_config
-from tests.world import Peer, Running, answer, hosts, loopback
+from tests.server.balancers import RunningBalancer, endpoint_list, endpoint_rows
+from tests.server.peers import ScriptedPeer, make_response
 
 ROOT = Path(day.ROOT)
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -84,44 +85,42 @@
     assert "test -x .venv/bin/python || python3 -m venv .venv" in DEPLOY["build"]
 
 
-@loopback
 async def test_balancer_starts_serves_reloads_and_drains_under_the_platform_restrictions(
     tmp_path,
 ):
     release, request_received = asyncio.Event(), asyncio.Event()
 
-    def endpoint_list(head, _):
+    def respond_to_poll(head, _):
         # A poll for changes gets no response.
-        return (
-            None
-            if b"since" in head
-            else answer(
-                body=b'{"seq":2,"whole":true,"hosts":[{"host":"h0","dial":"%s","health":"ready"}]}'
-                % peer.dial.encode()
-            )
+        if b"since" in head:
+            return None
+        return make_response(
+            body=b'{"seq":2,"whole":true,"hosts":[{"host":"h0","dial":"%s","health":"ready"}]}'
+            % peer.address.encode()
         )
 
     async def respond(head, _):
         if b"slow" in head:
             request_received.set()
             await release.wait()
-        return answer()
+        return make_response()
 
     async with (
-        Peer(respond) as peer,
-        Peer(endpoint_list) as discovery_a,
-        Peer(endpoint_list) as discovery_b,
+        ScriptedPeer(respond) as peer,
+        ScriptedPeer(respond_to_poll) as discovery_a,
+        ScriptedPeer(respond_to_poll) as discovery_b,
     ):
-        balancer = Running()
+        balancer = RunningBalancer()
         balancer.port = free_port()
         config = dict(
-            known={"seq": 1, "whole": True, "hosts": hosts([peer.dial])}, discovery=discovery_a.dial
+            known=endpoint_list(1, endpoint_rows([peer.address])),
+            discovery=discovery_a.address,
         )
         environ = {
             **restricted_environment(tmp_path),
             **write_config(tmp_path, **config),
             "LB_LISTEN": f"127.0.0.1:{balancer.port}",
-            "LB_DISCOVERY": discovery_a.dial,
+            "LB_DISCOVERY": discovery_a.address,
         }
         process = subprocess.Popen(
             ["/bin/sh", "-c", DEPLOY["run"]],
@@ -145,15 +144,15 @@
         maps = Path(f"/proc/{process.pid}/maps").read_text()
         assert "python" in os.path.basename(balancer_process.exe()) and "libc.so" in maps
         # Serve requests.
-        assert (await balancer.ask("/look"))[0] == 200
-        assert (await balancer.ask("/pay", b"POST", b"1"))[0] == 200
+        assert (await balancer.request("/look"))[0] == 200
+        assert (await balancer.request("/pay", b"POST", b"1"))[0] == 200
         # Reload on SIGHUP, and log the counters on SIGUSR1.
-        write_config(tmp_path, **{**config, "discovery": discovery_b.dial})
+        write_config(tmp_path, **{**config, "discovery": discovery_b.address})
         process.send_signal(signal.SIGHUP)
-        await wait_for_event(f"reloaded discovery={discovery_b.dial}")
+        await wait_for_event(f"reloaded discovery={discovery_b.address}")
         process.send_signal(signal.SIGUSR1)
         await wait_for_event("counters")
-        reader, writer = await balancer.send("/look/slow")
+        reader, writer = await balancer.send_request("/look/slow")
         await request_received.wait()
         assert not balancer_process.children(recursive=True)
         # SIGHUP and SIGTERM together: the config file is reloaded, and the request in progress is
@@ -163,7 +162,7 @@
         process.send_signal(signal.SIGTERM)
         await wait_for_event("leaving")
         release.set()
-        assert (await balancer.answer(reader))[0] == 200
+        assert (await balancer.read_response(reader))[0] == 200
         writer.close()
         _, remaining_log = await asyncio.to_thread(process.communicate, timeout=60)
         log = "".join(log_lines) + remaining_log
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -32,7 +32,6 @@
 from tests.idempotency import balancers
 from tests.server.balancers import RunningBalancer
 from tests.server.peers import ScriptedPeer, make_response
-from tests.world import loopback
 
 STORED = Path(__file__).parent / "data" / "stored-0.2"
 SECRET = "a long secret of the installation"
@@ -412,7 +411,6 @@
     )
 
 
-@loopback
 async def test_journal_of_0_2_replays_responses_and_blocks_indeterminate_requests(tmp_path):
     extension = balancers.make_extension(
         journal=str(copy_journal(tmp_path)), window_s={"hold": 60.0}
@@ -515,7 +513,6 @@
     control.store.close()
 
 
-@loopback
 async def test_last_good_version_applies_without_a_control_service(tmp_path):
     path = shutil.copy(STORED / "last-good.json", tmp_path)
     version = json.loads(Path(path).read_bytes())
--- a/tests/tracing/test_commands.py
+++ b/tests/tracing/test_commands.py
@@ -9,8 +9,8 @@
 from click.testing import CliRunner
 
 from pepperhook.cli import main
+from pepperhook.units import SECOND
 from tests.tracing.traces import two_tiers
-from tests.world import S
 
 # Prints a line once its signal handler is installed.
 EXIT_ON_SIGUSR2 = (
@@ -32,7 +32,7 @@
     (tmp_path / "key").write_text("a key of the installation\n")
     (tmp_path / "short").write_text("x")
     (tmp_path / "text.trc").write_text("no trace")
-    return two_tiers(tmp_path, S)
+    return two_tiers(tmp_path, SECOND)
 
 
 @pytest.fixture
--- a/tests/tracing/test_cut.py
+++ b/tests/tracing/test_cut.py
@@ -6,8 +6,8 @@
 from pepperhook.tracing.cut import cut
 from pepperhook.tracing.filter import TraceFilter
 from pepperhook.tracing.reader import open_trace_file
+from pepperhook.units import MILLISECOND
 from tests.tracing.traces import BASE, read_file, request_trace, write_file
-from tests.world import MS
 
 
 @pytest.fixture
@@ -16,7 +16,7 @@
 
 
 def test_cut_copies_the_requests_of_a_time_window(path, tmp_path):
-    window = TraceFilter(begin=BASE + 100 * MS, end=BASE + 200 * MS)
+    window = TraceFilter(begin=BASE + 100 * MILLISECOND, end=BASE + 200 * MILLISECOND)
 
     count = cut([path], tmp_path / "c.trc", window)
 
--- a/tests/tracing/test_extension.py
+++ b/tests/tracing/test_extension.py
@@ -13,8 +13,9 @@
 from pepperhook.server.structured_logging import Log
 from pepperhook.tracing.extension import Tracing
 from pepperhook.tracing.retrace import trace_captures
+from tests.server.balancers import RunningBalancer, make_config
+from tests.server.peers import ScriptedPeer, make_response
 from tests.tracing.traces import read_file
-from tests.world import Peer, Running, answer, loopback, told
 
 FINAL_OF_STATUS = {200: "fulfilled", 503: "shed", 500: "broken off"}
 LOG = Log(logging.getLogger("test"))
@@ -26,27 +27,28 @@
     for number in range(count):
         path, method, body = ("/pay", b"POST", b"1") if number % 3 else ("/look", b"GET", b"")
         headers = {"X_Timeout_Ms": "300", "X_Tenant_Id": "acme"}
-        status, _ = await balancer.ask(path, method, body, **headers)
+        status, _ = await balancer.request(path, method, body, **headers)
         statuses.append(status)
     return statuses
 
 
-@loopback
 async def test_balancer_writes_traces_that_match_those_made_from_its_capture(tmp_path):
     capture_table = CaptureTable(folder=str(tmp_path / "r"), segment_s=60.0)
     trace_table = TraceTable(folder=str(tmp_path / "t"), sampled_fraction=1.0)
-    capture, tracing = Capture(capture_table, told(), LOG), Tracing(trace_table, told(), LOG)
-    responses = iter([answer(), answer(500), None] * 20)
+    capture = Capture(capture_table, make_config(), LOG)
+    tracing = Tracing(trace_table, make_config(), LOG)
+    responses = iter([make_response(), make_response(500), None] * 20)
     async with (
-        Peer(lambda *_: next(responses)) as unreliable_peer,
-        Peer(lambda *_: answer()) as healthy_peer,
-        Running(
-            [unreliable_peer.dial, healthy_peer.dial], parts=Extensions([capture, tracing])
+        ScriptedPeer(lambda *_: next(responses)) as unreliable_peer,
+        ScriptedPeer(lambda *_: make_response()) as healthy_peer,
+        RunningBalancer(
+            [unreliable_peer.address, healthy_peer.address],
+            extensions=Extensions([capture, tracing]),
         ) as balancer,
     ):
         statuses = await send_requests(balancer)
         tracing.preserve()
-        await balancer.ask()
+        await balancer.request()
         assert tracing.told()["seen"] == 21
 
     preserved = sorted((tmp_path / "t").glob("kept-*/*.trc"))
@@ -92,7 +94,7 @@
     with tempfile.NamedTemporaryFile() as file:
         path = tmp_path / "op.toml"
         path.write_text(f'version = 1\n[trace]\nfolder = "{file.name}/x"\n')
-        extensions = operator_config.build(str(path), told(), LOG)
+        extensions = operator_config.build(str(path), make_config(), LOG)
 
         with pytest.raises(SegmentFolderError, match="trace.folder"):
             extensions.hold[0]()
--- a/tests/tracing/test_merge.py
+++ b/tests/tracing/test_merge.py
@@ -4,10 +4,10 @@
 from msgspec.structs import replace
 
 from pepperhook.tracing.merge import count_early_calls, merge
+from pepperhook.units import MILLISECOND, SECOND
 from tests.tracing.traces import read_file, request_trace, two_tiers, write_file
-from tests.world import MS, S
 
-OFFSETS = [S, -S, 0]
+OFFSETS = [SECOND, -SECOND, 0]
 
 
 @pytest.mark.parametrize("ahead_ns", OFFSETS)
@@ -17,7 +17,7 @@
     merged = merge([back, front], tmp_path / "m.trc")
 
     clock = {offset.name: offset for offset in merged.clocks}["back"]
-    assert abs(clock.ahead - ahead_ns) <= clock.error < 5 * MS
+    assert abs(clock.ahead - ahead_ns) <= clock.error < 5 * MILLISECOND
     assert clock.pairs == 60
     assert not clock.contradicts
 
@@ -41,7 +41,7 @@
         assert call.time_ns(call.answered) <= request.time_ns(request.sent[0].ended)
 
 
-@pytest.mark.parametrize(("ahead_ns", "early"), [(S, 0), (-S, 60)])
+@pytest.mark.parametrize(("ahead_ns", "early"), [(SECOND, 0), (-SECOND, 60)])
 def test_early_calls_are_counted_in_a_file_with_uncorrected_clocks(tmp_path, ahead_ns, early):
     _, _, requests, calls = two_tiers(tmp_path, ahead_ns)
     by_time = sorted(requests + calls, key=lambda trace: trace.taken)
--- a/tests/tracing/test_reader.py
+++ b/tests/tracing/test_reader.py
@@ -16,14 +16,14 @@
 from pepperhook.tracing.filter import TraceFilter
 from pepperhook.tracing.reader import find_descendants, open_trace_file, read_traces
 from pepperhook.tracing.records import RequestTrace
+from pepperhook.units import MILLISECOND, SECOND
 from tests.tracing.traces import BASE, read_file, request_trace, two_tiers, write_file
-from tests.world import MS, S
 
 ONE_ID = TraceFilter(ids=frozenset(["id00123"]))
 FILTERS = [
     ONE_ID,
     TraceFilter(grades=frozenset(["sale"])),
-    TraceFilter(begin=BASE + S, end=BASE + S + 300 * MS),
+    TraceFilter(begin=BASE + SECOND, end=BASE + SECOND + 300 * MILLISECOND),
     TraceFilter(outcomes=frozenset(["late"])),
     TraceFilter(outcomes=frozenset(["fulfilled"])),
     TraceFilter(customers=frozenset(["c7"]), reason="chance"),
@@ -39,8 +39,8 @@
         request_trace(
             number,
             final=rng.choice(["fulfilled", "shed", "broken off"]),
-            grade=rng.choice(["look", "sale"]),
-            customer=f"c{rng.randrange(40)}",
+            service_class=rng.choice(["look", "sale"]),
+            tenant=f"c{rng.randrange(40)}",
         )
         for number in range(300)
     ]
--- a/tests/tracing/test_report_page.py
+++ b/tests/tracing/test_report_page.py
@@ -5,8 +5,8 @@
 from pepperhook.tracing.report_page import report_page
 from pepperhook.tracing.summary import Summary
 from pepperhook.tracing.timeline import MAX_BINS, Timeline
+from pepperhook.units import SECOND
 from tests.tracing.traces import BASE, request_trace
-from tests.world import S
 
 
 def timeline_of(traces):
@@ -19,7 +19,7 @@
 def test_long_timeline_has_at_most_max_bins_and_counts_every_request():
     # The multiplication mixes the order of the times.
     traces = [
-        request_trace(number, taken=BASE + (number * 37 % 5000) * S) for number in range(5000)
+        request_trace(number, taken=BASE + (number * 37 % 5000) * SECOND) for number in range(5000)
     ]
 
     bins = timeline_of(traces).bins()
--- a/tests/tracing/test_retrace.py
+++ b/tests/tracing/test_retrace.py
@@ -4,7 +4,7 @@
 
 from pepperhook.tracing.retrace import trace_captures
 from pepperhook.tracing.tracer import Tracer
-from tests.capture.captured_world import CapturedWorld
+from tests.capture.captured_simulation import CapturedSimulation
 from tests.tracing.traces import SERVICE_CLASSES, TENANTS, read_file
 
 NAMES = {f"#{number}": name for number, name in enumerate(SERVICE_CLASSES)}
@@ -16,14 +16,14 @@
 
 
 def test_trace_of_a_capture_equals_the_trace_of_the_live_policy(tmp_path):
-    world = CapturedWorld(4, tmp_path / "a", state_chance=0.005)
-    policy = world.recorder.module
+    simulation = CapturedSimulation(4, tmp_path / "a", state_probability=0.005)
+    policy = simulation.recorder.module
     live_traces = []
-    tracer = Tracer(world.recorder, live_traces.append, SERVICE_CLASSES, TENANTS)
-    world.balancer = tracer
-    world.run(1500, chance=0.4)
+    tracer = Tracer(simulation.recorder, live_traces.append, SERVICE_CLASSES, TENANTS)
+    simulation.balancer = tracer
+    simulation.run(1500, arrival_probability=0.4)
     tracer.stop()
-    world.writer.close()
+    simulation.writer.close()
     assert policy.notes is None  # disabled by Tracer.stop
 
     result = trace_captures([tmp_path / "a"], tmp_path / "t.trc")
--- a/tests/tracing/test_strip.py
+++ b/tests/tracing/test_strip.py
@@ -8,8 +8,8 @@
 from pepperhook.tracing.pseudonyms import NameKind, Pseudonyms
 from pepperhook.tracing.reader import open_trace_file
 from pepperhook.tracing.strip import strip
+from pepperhook.units import SECOND
 from tests.tracing.traces import read_file, summary_of, two_tiers, write_file
-from tests.world import S
 
 KEY = b"a key of the installation"
 
@@ -17,7 +17,7 @@
 @pytest.fixture
 def front_traces(tmp_path):
     """The requests of seven tenants at the first tier."""
-    _, _, requests, _ = two_tiers(tmp_path, S)
+    _, _, requests, _ = two_tiers(tmp_path, SECOND)
     return [
         replace(trace, customer=f"customer-{number % 7}") for number, trace in enumerate(requests)
     ]
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def back_traces(tmp_path):
-    return two_tiers(tmp_path, S)[3]
+    return two_tiers(tmp_path, SECOND)[3]
 
 
 @pytest.fixture
--- a/tests/tracing/test_tracer.py
+++ b/tests/tracing/test_tracer.py
@@ -12,8 +12,9 @@
 from pepperhook.tracing.open_trace import MAX_RECORDED_STEPS
 from pepperhook.tracing.sampling import RequestSampler
 from pepperhook.tracing.tracer import Tracer
+from pepperhook.units import MILLISECOND, SECOND
+from tests.policy.simulation import PolicySimulation, make_settings
 from tests.tracing.traces import SERVICE_CLASSES, TracedSimulation
-from tests.world import MS, S, World, settings
 
 
 @pytest.fixture(scope="module")
@@ -23,33 +24,35 @@
 
 
 def simulation_with_failures(seed):
-    world = TracedSimulation(seed, slow_start_capacity=1.0, slow_start_ns=0)
+    simulation = TracedSimulation(seed, slow_start_capacity=1.0, slow_start_ns=0)
     outcomes = [Outcome.SERVED] * 3 + [Outcome.ERROR] * 2 + [Outcome.TIMED_OUT]
-    world.outcome_of = lambda _: world.random.choice(outcomes)
-    world.latency_of = lambda _: world.random.randrange(100 * MS, 900 * MS)
-    world.run(2500, chance=0.6)
-    world.balancer.retry_budget.B = 0.0
-    world.run(100, chance=0.6)
-    return world
+    simulation.outcome_of = lambda _: simulation.random.choice(outcomes)
+    simulation.latency_of = lambda _: simulation.random.randrange(
+        100 * MILLISECOND, 900 * MILLISECOND
+    )
+    simulation.run(2500, arrival_probability=0.6)
+    simulation.balancer.retry_budget.B = 0.0
+    simulation.run(100, arrival_probability=0.6)
+    return simulation
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_traces_match_the_simulation_and_tracing_does_not_change_it(seed):
-    world = TracedSimulation(seed, may_cancel=False)
-    untraced = World(seed, may_cancel=False)
-    world.run(1500, chance=0.5)
-    untraced.run(1500, chance=0.5)
-    world.tracer.stop()
-
-    assert list(world.responses.values()) == list(untraced.responses.values())
-    assert [sent_at for sent_at, _ in world.sent_attempts] == [
+    simulation = TracedSimulation(seed, may_cancel=False)
+    untraced = PolicySimulation(seed, may_cancel=False)
+    simulation.run(1500, arrival_probability=0.5)
+    untraced.run(1500, arrival_probability=0.5)
+    simulation.tracer.stop()
+
+    assert list(simulation.responses.values()) == list(untraced.responses.values())
+    assert [sent_at for sent_at, _ in simulation.sent_attempts] == [
         sent_at for sent_at, _ in untraced.sent_attempts
     ]
-    by_id = {trace.id: trace for trace in world.traces}
-    assert len(by_id) == len(world.traces) == len(world.requests)
-    for request in world.requests:
+    by_id = {trace.id: trace for trace in simulation.traces}
+    assert len(by_id) == len(simulation.traces) == len(simulation.requests)
+    for request in simulation.requests:
         trace = by_id[str(request.id)]
-        assert trace.final == world.responses.get(request, "open")
+        assert trace.final == simulation.responses.get(request, "open")
         assert trace.grade == SERVICE_CLASSES[request.service_class.number]
         assert_attempts_match(trace, request)
         assert_decisions_are_recorded(trace)
@@ -82,8 +85,8 @@
 def traces_by_reason(simulations):
     return {
         (trace.final, trace.reason): trace
-        for world in reversed(simulations)
-        for trace in reversed(world.traces)
+        for simulation in reversed(simulations)
+        for trace in reversed(simulation.traces)
     }
 
 
@@ -116,13 +119,15 @@
 
 
 def test_requests_served_in_time_are_sampled_and_all_others_are_written():
-    world = TracedSimulation(3, sampled_fraction=0.2)
-    world.run(3000, chance=0.4)
+    simulation = TracedSimulation(3, sampled_fraction=0.2)
+    simulation.run(3000, arrival_probability=0.4)
 
-    served = list(world.responses.values()).count("fulfilled")
-    unserved = len(world.responses) - served
-    in_time = [trace for trace in world.traces if trace.final == "fulfilled" and not trace.late]
-    others = [trace for trace in world.traces if trace not in in_time]
+    served = list(simulation.responses.values()).count("fulfilled")
+    unserved = len(simulation.responses) - served
+    in_time = [
+        trace for trace in simulation.traces if trace.final == "fulfilled" and not trace.late
+    ]
+    others = [trace for trace in simulation.traces if trace not in in_time]
     assert 0.1 * served < len(in_time) < 0.3 * served
     assert len(others) >= unserved - 5
 
@@ -158,18 +163,18 @@
 
 
 def test_trace_is_written_although_the_policy_raised_in_a_call():
-    policy = Balancer(settings(), 1, 9 * S)
+    policy = Balancer(make_settings(), 1, 9 * SECOND)
     traces = []
     tracer = Tracer(policy, traces.append)
-    tracer.endpoints_changed(9 * S, True, [(Upstream(b"u"), UpstreamState.READY, 0)])
-    request = Request("a", policy.settings.service_classes[0], 0, None, 10 * S)
+    tracer.endpoints_changed(9 * SECOND, True, [(Upstream(b"u"), UpstreamState.READY, 0)])
+    request = Request("a", policy.settings.service_classes[0], 0, None, 10 * SECOND)
     handle = policy.completion.handle
     policy.completion.handle = lambda *_: 1 / 0
     with pytest.raises(ZeroDivisionError):
-        tracer.accept(9 * S, request)
+        tracer.accept(9 * SECOND, request)
     policy.completion.handle = handle
 
-    tracer.client_left(9 * S + MS, request)
+    tracer.client_left(9 * SECOND + MILLISECOND, request)
 
     assert [trace.final for trace in traces] == ["left"]
     assert not tracer.collector.open_traces
@@ -184,20 +189,20 @@
     """
     traces = []
     collector = TraceCollector(traces.append, ["look"], ["acme"], RequestSampler(1.0, None))
-    service_class = settings().service_classes[0]
-    request = Request("r1", service_class, None, None, 60 * S)
+    service_class = make_settings().service_classes[0]
+    request = Request("r1", service_class, None, None, 60 * SECOND)
     upstream = Upstream(b"u0")
     collector.accept(0, request)
     for number in range(MAX_RECORDED_STEPS + 1):
         attempt = request.start_attempt(upstream, number)
         # The name stands for any call that starts an attempt.
-        collector.collect(number, "accept", (request,), (), [StartAttempt(attempt, S)])
+        collector.collect(number, "accept", (request,), (), [StartAttempt(attempt, SECOND)])
         is_last = number == MAX_RECORDED_STEPS
         attempt.outcome = outcome if is_last else Outcome.ERROR
         attempt.close()
         request.finished = is_last
         actions = [FailRequest(request)] if is_last and outcome is Outcome.ERROR else []
-        arguments = (attempt, attempt.outcome, MS, is_last)
+        arguments = (attempt, attempt.outcome, MILLISECOND, is_last)
         collector.collect(number, "attempt_ended", arguments, (), actions)
 
     assert not collector.open_traces
--- a/tests/tracing/traces.py
+++ b/tests/tracing/traces.py
@@ -17,20 +17,22 @@
 from pepperhook.tracing.summary import Summary
 from pepperhook.tracing.trace_file import append_trace
 from pepperhook.tracing.tracer import Tracer
-from tests.world import MS, S, World
+from pepperhook.units import MILLISECOND, SECOND
+from tests.policy.simulation import PolicySimulation
 
-BASE = 1_700_000_000 * S
-SERVICE_CLASSES = ["look", "pay", "hold"]  # names of the safe, unsafe and keyed classes of World
+BASE = 1_700_000_000 * SECOND
+# The names of the safe, the unsafe and the keyed class of tests.policy.simulation.make_settings.
+SERVICE_CLASSES = ["look", "pay", "hold"]
 TENANTS = ["acme"]
 
 
-class TracedSimulation(World):
+class TracedSimulation(PolicySimulation):
     """A random simulation whose policy is traced."""
 
     def __init__(self, seed, sampled_fraction=1.0, **options):
         self.traces = []
         self.sampled_fraction = sampled_fraction
-        super().__init__(seed, make=self.make_traced_policy, **options)
+        super().__init__(seed, make_policy=self.make_traced_policy, **options)
 
     def make_traced_policy(self, settings, seed, now):
         policy = Balancer(settings, seed, now)
@@ -41,7 +43,7 @@
 
 
 def request_trace(
-    number, final="fulfilled", attempts=1, grade="look", customer="acme", **overrides
+    number, final="fulfilled", attempts=1, service_class="look", tenant="acme", **overrides
 ) -> RequestTrace:
     """Return a request that was accepted ``number`` times 10 ms after BASE.
 
@@ -50,7 +52,7 @@
     fields = {
         "id": f"id{number:05d}",
         "parent": "",
-        "taken": BASE + number * 10 * MS,
+        "taken": BASE + number * 10 * MILLISECOND,
         "limit": 500000,
         "goal": 200000,
         "worth": 1.0,
@@ -59,7 +61,7 @@
         "sent": [attempt_trace(number, index, attempts, final) for index in range(attempts)],
         **overrides,
     }
-    return RequestTrace(final=final, grade=grade, customer=customer, **fields)
+    return RequestTrace(final=final, grade=service_class, customer=tenant, **fields)
 
 
 def attempt_trace(number, index, attempts, final):
