--- a/tests/lab/test_discovery_overload.py
+++ b/tests/lab/test_discovery_overload.py
@@ -14,8 +14,8 @@
 from pepperhook.lab.proofs.discovery_overload import OverloadChecks, evenly_loaded, reduced
 from pepperhook.policy import endpoints
 from pepperhook.poll_backoff import PollBackoff
+from tests.policy.simulation import make_settings
 from tests.test_lab import DAY
-from tests.world import settings
 
 S, MS = 10**9, 10**6
 GRACE = 450 * MS
@@ -183,7 +183,7 @@
     balancers = []
     for index in range(size):
         balancer = Balancer(
-            settings(
+            make_settings(
                 index=index,
                 fleet_size=size,
                 polls_endpoints=True,
--- a/tests/lab/test_discovery_stand_in.py
+++ b/tests/lab/test_discovery_stand_in.py
@@ -12,7 +12,6 @@
 from pepperhook.lab.discovery import Discovery
 from pepperhook.lab.experiment import Experiment, Plan, Trouble
 from tests.test_lab import DAY
-from tests.world import loopback
 
 POLL_WHOLE_LIST = "GET /catalog/members HTTP/1.1\r\nHost: list\r\n\r\n"
 WATCH = "GET /catalog/members?since=1&timeout_ms=60000 HTTP/1.1\r\nHost: list\r\n\r\n"
@@ -167,7 +166,6 @@
         await asyncio.sleep(0)
 
 
-@loopback
 async def test_polls_without_a_capacity_are_answered_or_rejected_without_retry_after(tmp_path):
     stand_in = StandIn(tmp_path, "waiting = 1\n")
     callers = [Caller(stand_in.service, number) for number in range(3)]
@@ -177,7 +175,6 @@
     assert b"Retry-After" not in b"".join(caller.writer.written for caller in callers)
 
 
-@loopback
 async def test_poll_beyond_the_backlog_limit_is_answered_503_at_once(tmp_path):
     stand_in = StandIn(tmp_path, "calls_per_s = 20\nlines_per_s = 1000000\nwaiting = 1\n")
     callers = [Caller(stand_in.service, number) for number in range(4)]
@@ -190,7 +187,6 @@
     assert [row.status for row in stand_in.rows(events.Asked)] == [503, 503, 200, 200]
 
 
-@loopback
 async def test_poll_that_times_out_is_answered_503_and_still_delays_the_next(
     tmp_path,
 ):
@@ -206,7 +202,6 @@
 @pytest.mark.parametrize(
     ("settings", "header"), [("", b""), ("retry_after_s = 3\n", b"Retry-After: 3\r\n")]
 )
-@loopback
 async def test_fault_refuses_polls_with_or_without_retry_after(tmp_path, settings, header):
     stand_in = StandIn(tmp_path, settings)
     fault, ends = await stand_in.fault("discovery_refused")
@@ -223,7 +218,6 @@
     assert b"Retry-After" not in after.writer.written
 
 
-@loopback
 async def test_fault_that_refuses_a_fraction_refuses_the_same_polls_for_the_same_seed(tmp_path):
     stand_in = StandIn(tmp_path)
     await stand_in.fault("discovery_refused", 0.3)
@@ -233,7 +227,6 @@
     assert 0.2 < sum(first) / 400 < 0.4
 
 
-@loopback
 async def test_watch_is_answered_without_changes_at_the_longest_watch_time(tmp_path):
     stand_in = StandIn(tmp_path, "longest_watch_s = 0.01\n")
     caller = Caller(stand_in.service)
@@ -243,7 +236,6 @@
     assert len(watches) == 1 and watches[0].ended > watches[0].came
 
 
-@loopback
 async def test_watch_open_during_a_silence_is_never_answered_and_a_later_one_is(tmp_path):
     stand_in = StandIn(tmp_path)
     before, during, after = (Caller(stand_in.service, number) for number in range(3))
@@ -267,7 +259,6 @@
     assert [row.caller for row in stand_in.rows(events.Asked)] == [2]
 
 
-@loopback
 async def test_silence_does_not_affect_polls_for_the_whole_list(tmp_path):
     stand_in = StandIn(tmp_path)
     await stand_in.fault("discovery_silence")
@@ -276,7 +267,6 @@
     assert await caller.answer() == 200
 
 
-@loopback
 async def test_delayed_answer_has_the_list_at_the_time_of_the_answer(tmp_path):
     stand_in = StandIn(tmp_path, "calls_per_s = 20\n")
     caller = Caller(stand_in.service)
@@ -286,7 +276,6 @@
     assert await caller.answer() == 200 and b"draining" in caller.writer.written
 
 
-@loopback
 async def test_poll_before_the_start_of_the_run_is_not_limited_by_the_capacity(tmp_path):
     run = tomlfile.decode(DAY + "[discovery]\ncalls_per_s = 0.001\n", Experiment)
     service = Discovery(Plan(run, 1, 30), events.Book(tmp_path / "x.rows"))
@@ -297,7 +286,6 @@
     assert service.queue.cost_s(WHOLE_LIST_ROWS) == 1000.0
 
 
-@loopback
 async def test_watch_that_is_open_at_the_end_is_recorded(tmp_path):
     stand_in = StandIn(tmp_path)
     caller = Caller(stand_in.service, 1)
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -19,7 +19,6 @@
 from pepperhook.lab.network import Network, Relay, Side
 from pepperhook.lab.stage import Stage
 from pepperhook.lab.upstream import Upstream
-from tests.world import loopback
 
 DAY = """version = 1
 name = "troubles"
@@ -341,7 +340,6 @@
     stage.book.close()
 
 
-@loopback
 async def test_network_cut_resets_open_connections_and_allows_new_ones():
     # A cut while no request is in flight leaves no event row of a request, so it is tested here.
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -22,7 +22,7 @@
 from pepperhook.lab.experiment import Experiment, Plan
 from pepperhook.lab.instances import Timeline
 from pepperhook.lab.machine import MS, Job, Machine, S, Spec
-from tests.world import World
+from tests.policy.simulation import PolicySimulation
 
 DAY = """version = 1
 name = "t"
@@ -547,19 +547,21 @@
     assert low < 0 < high
 
 
-# The baselines keep the rules that they claim to keep, in the simulation of tests/world.py that
-# also tests the balancer's policy.
+# The baselines keep the rules that they claim to keep, in the simulation that also tests the
+# balancer's policy.
 
 
 @pytest.mark.parametrize("name", baselines.MODULES)
 def test_baselines_keep_their_rules_over_random_runs(name):
-    world = World(6, make=baselines.MODULES[name], max_attempts=9)
-    world.run(1500)
-    counts = [list(world.responses.values()).count(kind) for kind in ("fulfilled", "broken off")]
+    simulation = PolicySimulation(6, make_policy=baselines.MODULES[name], max_attempts=9)
+    simulation.run(1500)
+    counts = [
+        list(simulation.responses.values()).count(kind) for kind in ("fulfilled", "broken off")
+    ]
     assert min(counts) > 0 and all(
-        upstream.state == UpstreamState.READY for upstream in world.balancer.listed
+        upstream.state == UpstreamState.READY for upstream in simulation.balancer.listed
     )
-    retried = sum(len(request.attempts) > 1 for request in world.requests)
+    retried = sum(len(request.attempts) > 1 for request in simulation.requests)
     # All baselines but these four retry.
     assert (retried > 0) == (name not in ("random", "round-robin", "least-out", "two-choices"))
 
