--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,10 @@
-# What a fresh machine needs is made by the first target that wants it; nothing is installed outside .venv.
+# Targets create .venv if they need it; nothing is installed outside of it.
 .PHONY: demo lint test set-up clean
 
 demo: set-up
 	.venv/bin/pepperhook demo
 
-# The list of files that a rule is switched off for stands in pyproject.toml, and only shrinks.
+# pyproject.toml lists the files that are exempt from some rules; no file may be added.
 lint: set-up
 	.venv/bin/ruff format --check .
 	.venv/bin/ruff check .
