--- a/pepperhook/lab/null.py
+++ b/pepperhook/lab/null.py
@@ -17,7 +17,7 @@
     """Responds to each message immediately."""
 
     def connection_made(self, transport):
-        self.transport, self.messages = transport, wire.Messages()
+        self.transport, self.messages = transport, wire.MessageParser()
 
     def data_received(self, data):
         self.messages.feed(data)
@@ -25,15 +25,15 @@
             self.transport.write(ANSWER)
 
 
-ANSWER = wire.answer(200, b"0.0.null.1\n")
+ANSWER = wire.encode_response(200, b"0.0.null.1\n")
 
 
 async def serve(host, port):
     """Run the responder until stdin closes."""
-    from pepperhook.lab.stage import begin
+    from pepperhook.lab.stage import wait_for_start
 
     server = await asyncio.get_running_loop().create_server(Responder, host, port)
-    _, ended = await begin()
+    _, ended = await wait_for_start()
     await ended
     server.close()
 
@@ -56,17 +56,17 @@
     address = run.plan.balancer(0, 0)
     try:
         run.plan.write(folder / "plan.json")
-        responder = run.stage(address[0], address[1], module="pepperhook.lab.null")
-        run.ready(responder)
-        load = run.load = run.stage(address[0], address[1], module="pepperhook.lab.load")
-        run.ready(load)
+        responder = run.start_stand_in(address[0], address[1], module="pepperhook.lab.null")
+        run.wait_until_ready(responder)
+        load = run.load = run.start_stand_in(address[0], address[1], module="pepperhook.lab.load")
+        run.wait_until_ready(load)
         start = time.monotonic_ns() + 10**8
-        for process in run.stages:
+        for process in run.stand_in_processes:
             process.stdin.write(b"%d\n" % start)
             process.stdin.flush()
         load.wait(seconds + 30)
     finally:
-        for process in run.stages:
+        for process in run.stand_in_processes:
             process.stdin.close()
             try:
                 process.wait(5)
--- a/pepperhook/lab/stage.py
+++ b/pepperhook/lab/stage.py
@@ -46,7 +46,7 @@
     record_excess = record_unsolicited
 
 
-async def note_stalls(process, event_log):
+async def record_stalls(process, event_log):
     """Record each delay of this event loop of at least STALL_NS, until cancelled."""
     while True:
         due = time.monotonic_ns() + stalls.CHECK_NS
@@ -56,46 +56,46 @@
             event_log.add(events.Stall(process, due + late, late))
 
 
-async def run_upstreams(plan, folder, tier, begin):
+async def run_upstreams(plan, folder, tier, wait_for_start):
     """Run all upstreams of one tier."""
     from pepperhook.lab.upstream import Upstream
 
     stage = Stage(plan, folder, tier)
-    tier_upstreams = [Upstream(stage, number) for number in range(plan.day.tiers[tier].upstreams)]
-    for upstream in tier_upstreams:
+    upstreams = [Upstream(stage, number) for number in range(plan.day.tiers[tier].upstreams)]
+    for upstream in upstreams:
         await upstream.start(plan.day.cold)
-    start, ended = await begin()
+    start, ended = await wait_for_start()
     tasks = [
-        asyncio.create_task(run_fault(*row))
-        for row in fault_changes(plan.day, tier, start, tier_upstreams)
+        asyncio.create_task(run_fault(*change))
+        for change in fault_changes(plan.day, tier, start, upstreams)
     ]
     tasks += [
-        asyncio.create_task(run_transition(start, tier_upstreams[row.number], row))
-        for row in instances.Timeline.of(plan.day, tier).steps
+        asyncio.create_task(run_transition(start, upstreams[step.number], step))
+        for step in instances.Timeline.of(plan.day, tier).steps
     ]
     tasks.append(
-        asyncio.create_task(note_stalls(stalls.upstream_process_name(tier), stage.event_log))
+        asyncio.create_task(record_stalls(stalls.upstream_process_name(tier), stage.event_log))
     )
     while not ended.done():
         await asyncio.wait([ended], timeout=0.5)
         stage.event_log.flush()
-        for upstream in tier_upstreams:
+        for upstream in upstreams:
             upstream.close_idle_connections()
     for task in tasks:
         task.cancel()
-    for upstream in tier_upstreams:
+    for upstream in upstreams:
         await upstream.close()
     await asyncio.sleep(0)
     stage.event_log.close()
 
 
-def fault_changes(day, tier, start, tier_upstreams):
+def fault_changes(day, tier, start, upstreams):
     """Yield each start and end of a fault as (time in ns, upstream, fault, whether it starts)."""
     for fault in day.troubles:
         if fault.what in experiment.OF_UPSTREAMS and fault.tier == tier:
             for number, begins, ends in experiment.moments(day, fault):
                 for at, on in (begins, True), (ends, False):
-                    yield start + int(at * S), tier_upstreams[number], fault, on
+                    yield start + int(at * S), upstreams[number], fault, on
 
 
 async def run_fault(at, upstream, fault, on):
@@ -104,22 +104,22 @@
     await upstream.apply_fault(fault, on)
 
 
-async def run_transition(start, upstream, row):
+async def run_transition(start, upstream, step):
     """Apply a lifecycle transition to an upstream at its time."""
-    await asyncio.sleep(max(0, start / S + row.at - time.monotonic_ns() / S))
-    await upstream.apply_transition(row.transition)
+    await asyncio.sleep(max(0, start / S + step.at - time.monotonic_ns() / S))
+    await upstream.apply_transition(step.transition)
 
 
-async def run_discovery(plan, folder, begin):
+async def run_discovery(plan, folder, wait_for_start):
     """Run the discovery service."""
     from pepperhook.lab.discovery import Discovery
 
     event_log = events.EventLog(f"{folder}/discovery.rows")
     service = Discovery(plan, event_log)
     await service.open()
-    start, ended = await begin()
-    service.begin(start)
-    stall_monitor = asyncio.create_task(note_stalls("discovery", event_log))
+    start, ended = await wait_for_start()
+    service.schedule(start)
+    stall_monitor = asyncio.create_task(record_stalls("discovery", event_log))
     while not ended.done():
         await asyncio.wait([ended], timeout=0.5)
         event_log.flush()
@@ -128,21 +128,21 @@
     event_log.close()
 
 
-async def run_relays(plan, folder, begin):
+async def run_relays(plan, folder, wait_for_start):
     """Run the relays of the network."""
     from pepperhook.lab.network import Network
 
     event_log = events.EventLog(f"{folder}/relays.rows")
     network = Network(plan, event_log)
     await network.open()
-    start, ended = await begin()
-    network.begin(start)
+    start, ended = await wait_for_start()
+    network.schedule_faults(start)
     await ended
     await network.close()
     event_log.close()
 
 
-async def begin():
+async def wait_for_start():
     """Print "ready"; return the run's start and a task that ends with standard input."""
     print("ready", flush=True)
     loop = asyncio.get_running_loop()
@@ -160,9 +160,9 @@
     plan = Plan.read(plan)
 
     roles = {
-        "upstreams": lambda: run_upstreams(plan, folder, int(more[0]), begin),
-        "discovery": lambda: run_discovery(plan, folder, begin),
-        "relays": lambda: run_relays(plan, folder, begin),
+        "upstreams": lambda: run_upstreams(plan, folder, int(more[0]), wait_for_start),
+        "discovery": lambda: run_discovery(plan, folder, wait_for_start),
+        "relays": lambda: run_relays(plan, folder, wait_for_start),
     }
     import uvloop
 
--- a/tests/lab/test_discovery_stand_in.py
+++ b/tests/lab/test_discovery_stand_in.py
@@ -12,7 +12,6 @@
 from pepperhook.lab.discovery import Discovery
 from pepperhook.lab.experiment import Experiment, Plan, Trouble
 from tests.test_lab import DAY
-from tests.world import loopback
 
 POLL_WHOLE_LIST = "GET /catalog/members HTTP/1.1\r\nHost: list\r\n\r\n"
 WATCH = "GET /catalog/members?since=1&timeout_ms=60000 HTTP/1.1\r\nHost: list\r\n\r\n"
@@ -29,32 +28,32 @@
 
 def test_polls_are_processed_one_by_one_and_idle_time_is_not_accumulated():
     polls = make_queue()
-    assert [polls.enter(0.0, 0) for _ in range(2)] == [Admission(0.25, True), Admission(0.5, True)]
-    assert polls.enter(9.0, 0) == Admission(9.25, True)
+    assert [polls.admit(0.0, 0) for _ in range(2)] == [Admission(0.25, True), Admission(0.5, True)]
+    assert polls.admit(9.0, 0) == Admission(9.25, True)
 
 
 def test_answer_costs_a_fixed_part_and_a_part_for_each_line():
     polls = make_queue(line_cost_s=0.125)
-    assert polls.enter(0.0, 2) == Admission(0.5, True)
-    assert polls.enter(0.0, 0) == Admission(0.75, True)
+    assert polls.admit(0.0, 2) == Admission(0.5, True)
+    assert polls.admit(0.0, 0) == Admission(0.75, True)
 
 
 def test_poll_beyond_the_backlog_limit_is_refused_at_once_and_costs_nothing():
     polls = make_queue(max_backlog_s=0.5)
-    assert [polls.enter(0.0, 0) is not None for _ in range(4)] == [True, True, True, False]
+    assert [polls.admit(0.0, 0) is not None for _ in range(4)] == [True, True, True, False]
     assert polls.idle_at == 0.75
-    assert polls.enter(0.5, 0) == Admission(1.0, True)
+    assert polls.admit(0.5, 0) == Admission(1.0, True)
 
 
 def test_poll_that_times_out_is_still_processed():
     polls = make_queue(timeout_s=0.5)
-    admissions = [polls.enter(0.0, 0) for _ in range(4)]
+    admissions = [polls.admit(0.0, 0) for _ in range(4)]
     assert admissions[1:] == [Admission(0.5, True), Admission(0.5, False), Admission(0.5, False)]
     assert polls.idle_at == 1.0
 
 
 def test_slow_call_fault_replaces_the_cost_of_a_call():
-    assert make_queue(line_cost_s=0.125).enter(0.0, 1, slow_call_s=0.5) == Admission(0.625, True)
+    assert make_queue(line_cost_s=0.125).admit(0.0, 1, slow_call_s=0.5) == Admission(0.625, True)
 
 
 @pytest.mark.parametrize(("pause_s", "all_answered"), [(0.2, False), (24.0, True)])
@@ -70,7 +69,7 @@
         now, caller = due.pop(0)
         if now > 120.0:
             break
-        admission = polls.enter(now, 0)
+        admission = polls.admit(now, 0)
         if admission is not None and admission.is_in_time:
             answered_after.append(admission.answer_at)
         else:
@@ -135,22 +134,22 @@
         experiment.check(run)
         self.event_log = events.EventLog(folder / "x.rows")
         self.service = Discovery(Plan(run, 1, 30), self.event_log)
-        self.service.begin(0)
-        self.catalog = self.service.catalogs[0]
+        self.service.schedule(0)
+        self.endpoint_list = self.service.endpoint_lists[0]
 
     async def wait_for_watches(self, count):
         while len(self.service.open_watches) < count:
             await asyncio.sleep(0)
 
     def change(self):
-        self.catalog.change(0, "t0-00", "draining", None)
+        self.endpoint_list.change(0, "t0-00", "draining", None)
 
     async def fault(self, what, size=0.0):
         """Begin a fault; return its task and the event that ends it."""
         begins, ends = asyncio.Event(), asyncio.Event()
         # Discovery.run_fault waits twice: for the begin and for the end.
         gates = iter([begins, ends])
-        self.service.until = lambda *_: next(gates).wait()
+        self.service.sleep_until = lambda *_: next(gates).wait()
         work = asyncio.ensure_future(self.service.run_fault(0, Trouble(what=what, at=0, size=size)))
         begins.set()
         await asyncio.sleep(0)
@@ -167,7 +166,6 @@
         await asyncio.sleep(0)
 
 
-@loopback
 async def test_polls_without_a_capacity_are_answered_or_rejected_without_retry_after(tmp_path):
     stand_in = StandIn(tmp_path, "waiting = 1\n")
     callers = [Caller(stand_in.service, number) for number in range(3)]
@@ -177,7 +175,6 @@
     assert b"Retry-After" not in b"".join(caller.writer.written for caller in callers)
 
 
-@loopback
 async def test_poll_beyond_the_backlog_limit_is_answered_503_at_once(tmp_path):
     stand_in = StandIn(tmp_path, "calls_per_s = 20\nlines_per_s = 1000000\nwaiting = 1\n")
     callers = [Caller(stand_in.service, number) for number in range(4)]
@@ -190,7 +187,6 @@
     assert [row.status for row in stand_in.rows(events.EndpointListPoll)] == [503, 503, 200, 200]
 
 
-@loopback
 async def test_poll_that_times_out_is_answered_503_and_still_delays_the_next(
     tmp_path,
 ):
@@ -206,7 +202,6 @@
 @pytest.mark.parametrize(
     ("settings", "header"), [("", b""), ("retry_after_s = 3\n", b"Retry-After: 3\r\n")]
 )
-@loopback
 async def test_fault_refuses_polls_with_or_without_retry_after(tmp_path, settings, header):
     stand_in = StandIn(tmp_path, settings)
     fault, ends = await stand_in.fault("discovery_refused")
@@ -223,17 +218,15 @@
     assert b"Retry-After" not in after.writer.written
 
 
-@loopback
 async def test_fault_that_refuses_a_fraction_refuses_the_same_polls_for_the_same_seed(tmp_path):
     stand_in = StandIn(tmp_path)
     await stand_in.fault("discovery_refused", 0.3)
     first = [stand_in.service.count_and_check_refusal(0) for _ in range(400)]
-    stand_in.service.polls = 0
+    stand_in.service.poll_count = 0
     assert [stand_in.service.count_and_check_refusal(0) for _ in range(400)] == first
     assert 0.2 < sum(first) / 400 < 0.4
 
 
-@loopback
 async def test_watch_is_answered_without_changes_at_the_longest_watch_time(tmp_path):
     stand_in = StandIn(tmp_path, "longest_watch_s = 0.01\n")
     caller = Caller(stand_in.service)
@@ -243,7 +236,6 @@
     assert len(watches) == 1 and watches[0].ended_at > watches[0].started_at
 
 
-@loopback
 async def test_watch_open_during_a_silence_is_never_answered_and_a_later_one_is(tmp_path):
     stand_in = StandIn(tmp_path)
     before, during, after = (Caller(stand_in.service, number) for number in range(3))
@@ -267,7 +259,6 @@
     assert [row.caller for row in stand_in.rows(events.EndpointListPoll)] == [2]
 
 
-@loopback
 async def test_silence_does_not_affect_polls_for_the_whole_list(tmp_path):
     stand_in = StandIn(tmp_path)
     await stand_in.fault("discovery_silence")
@@ -276,7 +267,6 @@
     assert await caller.answer() == 200
 
 
-@loopback
 async def test_delayed_answer_has_the_list_at_the_time_of_the_answer(tmp_path):
     stand_in = StandIn(tmp_path, "calls_per_s = 20\n")
     caller = Caller(stand_in.service)
@@ -286,18 +276,16 @@
     assert await caller.answer() == 200 and b"draining" in caller.writer.written
 
 
-@loopback
 async def test_poll_before_the_start_of_the_run_is_not_limited_by_the_capacity(tmp_path):
     run = tomlfile.decode(DAY + "[discovery]\ncalls_per_s = 0.001\n", Experiment)
     service = Discovery(Plan(run, 1, 30), events.EventLog(tmp_path / "x.rows"))
     caller = Caller(service)
     caller.poll(POLL_WHOLE_LIST)
     assert await caller.answer() == 200
-    service.begin(0)
+    service.schedule(0)
     assert service.queue.cost_s(WHOLE_LIST_ROWS) == 1000.0
 
 
-@loopback
 async def test_watch_that_is_open_at_the_end_is_recorded(tmp_path):
     stand_in = StandIn(tmp_path)
     caller = Caller(stand_in.service, 1)
--- a/tests/lab/test_stalls.py
+++ b/tests/lab/test_stalls.py
@@ -119,7 +119,7 @@
 
 async def test_stand_in_records_a_stall_of_its_event_loop(tmp_path):
     event_log = events.EventLog(tmp_path / "a.rows")
-    monitor = asyncio.create_task(stage.note_stalls(UPSTREAMS, event_log))
+    monitor = asyncio.create_task(stage.record_stalls(UPSTREAMS, event_log))
     await asyncio.sleep(0.05)
     rows_before = len(event_log.rows)
 
