--- a/pepperhook/cli/lab_measurements.py
+++ b/pepperhook/cli/lab_measurements.py
@@ -126,7 +126,7 @@
         try:
             with show_progress(as_json) as update:
                 rows = control_benchmark.measure(counts, folder, port, update)
-        except (OSError, control_benchmark.Failed) as error:
+        except (OSError, control_benchmark.MeasurementError) as error:
             raise CommandFailedError(f"control-load: {error}") from error
     if as_json:
         print_json(rows)
--- a/pepperhook/lab/demo.py
+++ b/pepperhook/lab/demo.py
@@ -16,17 +16,17 @@
 from pepperhook.lab import audit, events, experiment, matrix, report
 from pepperhook.lab.scenario_run import ScenarioRun, write_atomically
 
-EXPERIMENT_PATH = Path(__file__).parent / "days" / "demo.toml"
-S = 10**9
+DEMO_EXPERIMENT = Path(__file__).parent / "days" / "demo.toml"
+NS_PER_S = 10**9
 
 
-class Tail:
+class EventReader:
     """Reads the complete lines that were added to the event files since the last call."""
 
     def __init__(self, folder):
         self.folder, self.offsets, self.decoder = folder, {}, msgspec.json.Decoder(events.Event)
 
-    def new(self):
+    def read_new(self):
         """Yield the new event rows."""
         for path in self.folder.glob("*.rows"):
             with open(path, "rb") as file:
@@ -45,21 +45,22 @@
 
     def start_processes(self, load=True):
         super().start_processes(load)
-        # ``tries``: clients' requests of the last two seconds; ``works``: attempts by tier.
-        self.tail, self.tries, self.works, self.on = Tail(self.folder), deque(), Counter(), []
+        self.event_reader = EventReader(self.folder)
+        self.recent_requests = deque()  # clients' requests of the last two seconds
+        self.attempts_by_tier = Counter()
 
     def make_table(self):
         """Return the table of the last two seconds."""
         now = time.monotonic_ns()
-        for row in self.tail.new():
-            if isinstance(row, events.Try) and not row.tier:
-                self.tries.append(row)
-            elif isinstance(row, events.Work):
-                self.works[row.tier] += 1
-        while self.tries and self.tries[0].ended < now - 2 * S:
-            self.tries.popleft()
-        at = (now - self.start) / S
-        counts = Counter(audit.outcome(attempt) for attempt in self.tries)
+        for row in self.event_reader.read_new():
+            if isinstance(row, events.Attempt) and not row.tier:
+                self.recent_requests.append(row)
+            elif isinstance(row, events.UpstreamWork):
+                self.attempts_by_tier[row.tier] += 1
+        while self.recent_requests and self.recent_requests[0].ended_at < now - 2 * NS_PER_S:
+            self.recent_requests.popleft()
+        at = (now - self.start) / NS_PER_S
+        counts = Counter(audit.client_outcome(attempt) for attempt in self.recent_requests)
         table = Table(
             title=f"pepperhook demo, second {max(0, at):.0f} of {self.scenario.seconds:.0f}",
             title_justify="left",
@@ -75,14 +76,17 @@
             for load in self.scenario.load
         )
         faults = [
-            f"{t.type} of upstream {t.tier}.{t.target_numbers[0] if t.target_numbers else 'all'}"
-            for t in self.scenario.faults
-            if t.start_s <= at < t.start_s + t.duration_s
+            f"{fault.type} of upstream {fault.tier}."
+            f"{fault.target_numbers[0] if fault.target_numbers else 'all'}"
+            for fault in self.scenario.faults
+            if fault.start_s <= at < fault.start_s + fault.duration_s
         ] + (["a burst of load"] if in_burst else [])
         table.add_row("faults", ", ".join(faults) or "none")
         table.add_row(
             "attempts so far by tier",
-            "  ".join(f"{t}: {self.works[t]}" for t in range(len(self.scenario.tiers))),
+            "  ".join(
+                f"{tier}: {self.attempts_by_tier[tier]}" for tier in range(len(self.scenario.tiers))
+            ),
         )
         for name, text in self.balancer_rows():
             table.add_row(name, text)
@@ -93,10 +97,10 @@
         texts = {}
         with open(self.balancers[0, 0].log, encoding="utf-8", errors="replace") as file:
             file.seek(max(0, file.seek(0, 2) - 4000))
-            from pepperhook.lab.scenario_run import LINE
+            from pepperhook.lab.scenario_run import LOG_FIELD
 
             for line in file.read().splitlines()[1:]:
-                pairs = dict(LINE.findall(line))
+                pairs = dict(LOG_FIELD.findall(line))
                 if pairs.get("event") == "budget":
                     texts["retry budget"] = (
                         f"B {pairs['B']}  f {pairs['f']}  waiting {pairs['waiting']}"
@@ -109,10 +113,10 @@
         return sorted(texts.items(), key=lambda row: (row[0] != "retry budget", row[0]))
 
     def run_actions(self):
-        self.report_progress = self.show
+        self.report_progress = self.update_display
         super().run_actions()
 
-    def show(self, _text, share):
+    def update_display(self, _text, share):
         """Update the live display, if there is one."""
         if self.live is not None and share < 1:
             self.live.update(self.make_table())
@@ -120,14 +124,14 @@
 
 def run(seconds, folder):
     """Run the demo, scaled to ``seconds``, and return the path of its report."""
-    scenario = experiment.read(EXPERIMENT_PATH)
+    scenario = experiment.read(DEMO_EXPERIMENT)
     scale = seconds / scenario.seconds
     scenario = replace(
         scenario,
         seconds=float(seconds),
         faults=[
-            replace(t, start_s=t.start_s * scale, duration_s=t.duration_s * scale)
-            for t in scenario.faults
+            replace(fault, start_s=fault.start_s * scale, duration_s=fault.duration_s * scale)
+            for fault in scenario.faults
         ],
         load=[
             replace(
@@ -156,6 +160,6 @@
     console.print(
         f"{figures['wishes']} requests, {figures['served']:.1%} served, "
         f"{figures['goodput']:.1%} of their value, {figures['shed']:.1%} rejected; rules broken: "
-        f"{', '.join(f['name'] for f in result['findings']) or 'none'}."
+        f"{', '.join(finding['name'] for finding in result['findings']) or 'none'}."
     )
     return folder / "report.html"
--- a/pepperhook/lab/experiment.py
+++ b/pepperhook/lab/experiment.py
@@ -344,10 +344,10 @@
             )
         if (
             variant.faulty_balancer is not None
-            and variant.faulty_balancer not in faulty_balancers.WAYS
+            and variant.faulty_balancer not in faulty_balancers.FINDINGS_BY_FAULT
         ):
             wrong(
-                f"no such kind; there are {', '.join(faulty_balancers.WAYS)}",
+                f"no such kind; there are {', '.join(faulty_balancers.FINDINGS_BY_FAULT)}",
                 "variants",
                 at,
                 "crooked",
--- a/pepperhook/lab/faulty_balancers.py
+++ b/pepperhook/lab/faulty_balancers.py
@@ -1,7 +1,8 @@
-"""Run a deliberately faulty balancer: ``python -m pepperhook.lab.faulty_balancers WAY``.
+"""Run a deliberately faulty balancer: ``python -m pepperhook.lab.faulty_balancers FAULT``.
 
-Each way breaks one rule, so that a scenario can show that the auditor reports it. ``honest`` breaks
-none; it is a minimal balancer that makes one attempt per request, to the upstreams in turn.
+Each kind of fault breaks one rule, so that a scenario can show that the auditor reports it.
+``honest`` breaks none; it is a minimal balancer that makes one attempt per request, to the
+upstreams in turn.
 """
 
 import asyncio
@@ -13,7 +14,7 @@
 from pepperhook.lab import http1, random_draws
 
 # Kind of fault: the finding that the auditor must report.
-WAYS = {
+FINDINGS_BY_FAULT = {
     "honest": None,
     "twice": "answered twice",
     "loses": "lost",
@@ -33,13 +34,14 @@
     """One attempt, an exchange of `http1.Pool`.
 
     ``result`` is a future of (status, body, whether the request was never executed). The pool reads
-    and sets ``over`` (the attempt has ended), ``link`` (its connection) and ``fresh`` (whether that
-    is new). The parameters ``why`` and ``unread`` belong to its interface and are ignored here.
+    ``has_ended`` and sets ``connection`` and ``is_on_new_connection`` (whether that connection was
+    opened for this attempt). The parameters ``why`` and ``unread`` belong to its interface and are
+    ignored here.
     """
 
     def __init__(self, pool, data, limit_s):
         loop = asyncio.get_running_loop()
-        self.over, self.link, self.fresh, self.pool, self.result = (
+        self.has_ended, self.connection, self.is_on_new_connection, self.pool, self.result = (
             False,
             None,
             False,
@@ -49,25 +51,25 @@
         self.timer = loop.call_later(limit_s, self.time_out)
         pool.send(self, data)
 
-    def written(self):
+    def on_connected(self):
         """Do nothing: the pool calls this when a new connection is established."""
 
     def finish(self, *result):
         """Set the result, unless the attempt has ended already."""
-        if not self.over:
-            self.over = True
+        if not self.has_ended:
+            self.has_ended = True
             self.timer.cancel()
             self.result.set_result(result)
 
-    def answered(self, status, body, headers):
+    def on_response(self, status, body, headers):
         """Finish with the response."""
         self.finish(status, body, headers.get(b"x-not-processed") == b"1")
 
-    def lost(self, why, unread=False):
+    def on_lost(self, why, unread=False):
         """Finish after the connection was lost: the request may have been executed."""
         self.finish(0, b"", False)
 
-    def unconnected(self, why):
+    def on_connect_failed(self, why):
         """Finish after the connection failed: the request was never executed."""
         self.finish(0, b"", True)
 
@@ -78,20 +80,17 @@
 
 
 class FaultyBalancer:
-    """A balancer that is faulty in one way; ``environ`` has the variables that a balancer reads."""
+    """A balancer with one kind of fault; ``environ`` has the variables that a balancer reads."""
 
-    def __init__(self, way, environ):
+    def __init__(self, fault, environ):
         with open(environ["LB_CONFIG"], encoding="utf-8") as file:
             config = json.load(file)
-        self.way, self.pools, self.states, self.born, self.selections = way, {}, {}, {}, 0
+        self.fault, self.pools, self.states, self.started_ms, self.selections = fault, {}, {}, {}, 0
         self.service_classes = {row["name"]: row for row in config["settings"]["serviceGrades"]}
         self.listen, self.discovery = (
-            address(environ[key]) for key in ("LB_LISTEN", "LB_DISCOVERY")
+            parse_address(environ[key]) for key in ("LB_LISTEN", "LB_DISCOVERY")
         )
-        self.cold, self.back = (
-            [],
-            set(),
-        )  # cold: upstreams that have restarted
+        self.cold = []  # addresses of upstreams that have restarted
 
     async def run(self):
         """Serve until SIGTERM."""
@@ -110,8 +109,8 @@
             try:
                 reader, writer = await asyncio.open_connection(*self.discovery)
                 query = "" if since is None else f"?since={since}&timeout_ms=2000"
-                writer.write(http1.message(b"GET", f"/catalog/members{query}".encode(), []))
-                messages = http1.Messages()
+                writer.write(http1.encode_request(b"GET", f"/catalog/members{query}".encode(), []))
+                messages = http1.MessageParser()
                 while (message := messages.next()) is None:
                     data = await reader.read(65536)
                     if not data:
@@ -128,35 +127,39 @@
 
     def update_upstream(self, row):
         """Apply one row of the endpoint list."""
-        dial, state = row["dial"], row["health"]
-        if state == "ready" and row["born_ms"] != self.born.get(dial, row["born_ms"]):
-            self.cold.append(dial)
-        self.born[dial] = row["born_ms"]
+        upstream_address, state = row["dial"], row["health"]
+        if state == "ready" and row["born_ms"] != self.started_ms.get(
+            upstream_address, row["born_ms"]
+        ):
+            self.cold.append(upstream_address)
+        self.started_ms[upstream_address] = row["born_ms"]
         # The kind `drained` keeps the first state of an upstream, and so sends to draining ones.
-        if self.way == "drained" and dial in self.states:
+        if self.fault == "drained" and upstream_address in self.states:
             return
-        self.states[dial] = state
-        if dial not in self.pools:
-            host = address(dial)
-            self.pools[dial] = http1.Pool(lambda: host)
+        self.states[upstream_address] = state
+        if upstream_address not in self.pools:
+            host = parse_address(upstream_address)
+            self.pools[upstream_address] = http1.Pool(lambda: host)
 
     def select(self):
         """Return the address of the next upstream, or None when none is ready."""
-        ready = sorted(dial for dial, state in self.states.items() if state == "ready")
-        if self.way == "floods" and self.cold:
+        ready = sorted(
+            upstream_address for upstream_address, state in self.states.items() if state == "ready"
+        )
+        if self.fault == "floods" and self.cold:
             return self.cold[-1]
         self.selections += 1
         return ready[self.selections % len(ready)] if ready else None
 
     async def serve(self, reader, writer):
         """Handle the requests of one client connection."""
-        messages = http1.Messages()
+        messages = http1.MessageParser()
         try:
             while data := await reader.read(65536):
                 messages.feed(data)
                 while (message := messages.next()) is not None:
                     await self.handle(writer, *message)
-        except (http1.Broken, ConnectionError):
+        except (http1.MalformedMessageError, ConnectionError):
             pass
         finally:
             writer.close()
@@ -165,13 +168,13 @@
         """Handle one request; a fraction, chosen by the request id, is handled faultily."""
         path = head.start[1]
         if path == b"/_health":
-            writer.write(http1.answer(200 if self.states else 503))
+            writer.write(http1.encode_response(200 if self.states else 503))
             return
         request_id = head.headers[b"x-request-id"]
         service_class = self.service_classes[path.split(b"/")[1].decode()]
         limit_s = head.number(b"x-timeout-ms", 1000) / 1000
         is_faulty = random_draws.share("crooked", request_id) < 1 / FAULTY_ONE_IN
-        way = self.way if is_faulty else None
+        fault = self.fault if is_faulty else None
         is_unsafe = service_class["effect"] == "at_most_once"
         headers = [
             (name, head.headers[name.lower()])
@@ -179,42 +182,44 @@
             if name.lower() in head.headers
         ]
         headers.append((b"X-Timeout-Ms", b"%d" % max(1, int(limit_s * 1000))))
-        data = http1.message(head.start[0], path, headers, body)
+        data = http1.encode_request(head.start[0], path, headers, body)
 
-        def send(dial=None):
-            dial = dial or self.select()
-            return Attempt(self.pools[dial], data, limit_s) if dial else None
+        def send(upstream_address=None):
+            upstream_address = upstream_address or self.select()
+            return (
+                Attempt(self.pools[upstream_address], data, limit_s) if upstream_address else None
+            )
 
-        if way == "invents":
-            writer.write(http1.answer(200, b"0.0.made-up.1\n"))
+        if fault == "invents":
+            writer.write(http1.encode_response(200, b"0.0.made-up.1\n"))
             return
         first = send()
         if first is None:
-            writer.write(http1.answer(503, b"shed\n"))
+            writer.write(http1.encode_response(503, b"shed\n"))
             return
-        if way == "overlaps":
+        if fault == "overlaps":
             second = send()
             await second.result
         status, response, never_executed = await first.result
-        if way == "reruns" and is_unsafe and status == 200:
+        if fault == "reruns" and is_unsafe and status == 200:
             status, response, never_executed = await send().result
-        if way == "repeats-late" and service_class["effect"] == "deduplicated" and status == 200:
+        if fault == "repeats-late" and service_class["effect"] == "deduplicated" and status == 200:
             await asyncio.sleep(service_class["keyTtlUs"] / 1e6 + 0.3)
             status, response, never_executed = await send().result
-        if way == "loses":
+        if fault == "loses":
             writer.close()
             return
-        if way == "late":
+        if fault == "late":
             await asyncio.sleep(limit_s + 0.06)
-        if way == "sheds-what-ran" and is_unsafe:
-            writer.write(http1.answer(503, b"shed\n"))
+        if fault == "sheds-what-ran" and is_unsafe:
+            writer.write(http1.encode_response(503, b"shed\n"))
         elif status == 200:
-            writer.write(http1.answer(200, response) * (2 if way == "twice" else 1))
+            writer.write(http1.encode_response(200, response) * (2 if fault == "twice" else 1))
         else:
-            writer.write(http1.answer(503 if never_executed else 500))
+            writer.write(http1.encode_response(503 if never_executed else 500))
 
 
-def address(text):
+def parse_address(text):
     """Return host and port of ``host:port``."""
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/pepperhook/lab/load_generator.py
+++ b/pepperhook/lab/load_generator.py
@@ -19,18 +19,19 @@
 from pepperhook.lab import events, http1, random_draws
 from pepperhook.lab.experiment import Plan
 
-MS, S = 10**6, 10**9
-LATE_NS = 20 * MS  # a 99th percentile of the generator's lateness above this makes a run void
-AFTER_S = 1.0  # how long to wait for late responses after the longest time limit
-SLACK_NS = 50 * MS  # tolerance past the time limit, as responses may be late on a busy machine
-FLUSH_S = 0.25  # interval at which event rows are flushed
-HEALTH_S = 0.5  # interval of the front's health checks
-# An exchange's number shows its kind. Retries have numbers below COPY. Copies have the sum of COPY
-# and a small number, of COPY, AT_END and an index, or of COPY, AFTER_LOSS and an index. A lost
-# exchange with a number below AFTER_LOSS is copied.
-COPY = 100
-AT_END = 50
-AFTER_LOSS = 200
+NS_PER_MS, NS_PER_S = 10**6, 10**9
+MAX_LATENESS_NS = 20 * NS_PER_MS  # void above this 99th percentile of the generator's lateness
+LATE_RESPONSE_WAIT_S = 1.0  # how long to wait for late responses after the longest time limit
+# Tolerance past the time limit, as responses may be late on a busy machine.
+TIME_LIMIT_SLACK_NS = 50 * NS_PER_MS
+FLUSH_INTERVAL_S = 0.25  # interval at which event rows are flushed
+HEALTH_CHECK_INTERVAL_S = 0.5  # interval of the front's health checks
+# An exchange's number shows its kind. Retries have numbers below COPY_NUMBER. Copies have the sum
+# of COPY_NUMBER and a small number, of COPY_NUMBER, COPY_AT_END and an index, or of COPY_NUMBER,
+# COPY_AFTER_LOSS and an index. A lost exchange with a number below COPY_AFTER_LOSS is copied.
+COPY_NUMBER = 100
+COPY_AT_END = 50
+COPY_AFTER_LOSS = 200
 
 
 def arrivals(scenario, seed):
@@ -42,12 +43,12 @@
     parts = []
     for index, load in enumerate(scenario.load):
         rng = numpy.random.default_rng([seed, index])
-        ends = (
+        end_s = (
             scenario.seconds
             if load.duration_s is None
             else min(scenario.seconds, load.start_s + load.duration_s)
         )
-        duration, peak_rate = ends - load.start_s, max(load.rate, load.end_rate or 0.0)
+        duration, peak_rate = end_s - load.start_s, max(load.rate, load.end_rate or 0.0)
         if duration <= 0 or not peak_rate:
             continue
         times = numpy.sort(rng.uniform(0, duration, rng.poisson(peak_rate / load.burst * duration)))
@@ -56,22 +57,29 @@
             times = times[rng.uniform(0, peak_rate, len(times)) < rate]
         if load.burst > 1:
             times = numpy.repeat(times, rng.geometric(1 / load.burst, len(times)))
-        names = [g.name for g in scenario.service_classes], [c.name for c in scenario.tenants]
+        names = (
+            [service_class.name for service_class in scenario.service_classes],
+            [tenant.name for tenant in scenario.tenants],
+        )
         service_classes = (
             numpy.full(len(times), names[0].index(load.service_class))
             if load.service_class
             else rng.choice(
-                len(scenario.service_classes), len(times), p=shares(scenario.service_classes)
+                len(scenario.service_classes),
+                len(times),
+                p=normalized_shares(scenario.service_classes),
             )
         )
         if load.tenant:
             tenants = numpy.full(len(times), names[1].index(load.tenant))
         elif scenario.tenants:
-            tenants = rng.choice(len(scenario.tenants), len(times), p=shares(scenario.tenants))
+            tenants = rng.choice(
+                len(scenario.tenants), len(times), p=normalized_shares(scenario.tenants)
+            )
         else:
             tenants = numpy.full(len(times), -1)
-        to = numpy.full(len(times), -1 if load.balancer is None else load.balancer)
-        parts.append(((load.start_s + times) * S, service_classes, tenants, to))
+        balancers = numpy.full(len(times), -1 if load.balancer is None else load.balancer)
+        parts.append(((load.start_s + times) * NS_PER_S, service_classes, tenants, balancers))
     if not parts:
         return tuple(numpy.array([], dtype=int) for _ in range(4))
     joined = [numpy.concatenate(part) for part in zip(*parts)]
@@ -79,7 +87,7 @@
     return tuple(part[order].astype(int) for part in joined)
 
 
-def shares(rows):
+def normalized_shares(rows):
     """Return the rows' shares, scaled to a sum of one."""
     weights = numpy.array([row.share for row in rows])
     return weights / weights.sum()
@@ -88,9 +96,8 @@
 class Front:
     """Stand-in for the network load balancer before the first tier.
 
-    It distributes connections over the balancers, round robin or skewed.
-
-    It notices only with a delay that a balancer went down or came back.
+    It distributes connections over the balancers, round robin or skewed, and notices only after a
+    delay that a balancer went down or came back.
     """
 
     def __init__(self, plan):
@@ -101,7 +108,7 @@
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
         self.alive = list(self.addresses)
         self.last_healthy_at = dict.fromkeys(self.addresses, time.monotonic())
-        self.turn = 0
+        self.connection_count = 0
         ranked = sorted(
             self.addresses, key=lambda address: random_draws.share(plan.seed, "rank", address)
         )
@@ -113,10 +120,10 @@
         """Return the address for the next connection; None if no balancer is alive."""
         if not self.alive:
             return None
-        self.turn += 1
+        self.connection_count += 1
         if not self.config.skew:
-            return self.alive[self.turn % len(self.alive)]
-        drawn = random_draws.share(self.seed, "deal", self.turn) * sum(
+            return self.alive[self.connection_count % len(self.alive)]
+        drawn = random_draws.share(self.seed, "deal", self.connection_count) * sum(
             self.weights[address] for address in self.alive
         )
         for address in self.alive:
@@ -129,7 +136,7 @@
         """Check the health of all balancers, until cancelled."""
         while True:
             for address in self.addresses:
-                if await healthy(address):
+                if await is_healthy(address):
                     self.last_healthy_at[address] = time.monotonic()
                     if address not in self.alive:
                         self.alive.append(address)
@@ -138,10 +145,10 @@
                     and address in self.alive
                 ):
                     self.alive.remove(address)
-            await asyncio.sleep(HEALTH_S)
+            await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
 
 
-async def healthy(address):
+async def is_healthy(address):
     """Return whether a balancer passes its health check within a second."""
     try:
         async with asyncio.timeout(1):
@@ -164,40 +171,60 @@
     __slots__ = (
         "load",
         "id",
-        "first",  # id of the first try; its own unless it is a retry or a copy
-        "number",  # 0: first try; else the number of the retry or copy
+        "first_id",  # id of the first attempt; its own unless it is a retry or a copy
+        "number",  # 0: first attempt; else the number of the retry or copy
         "service_class",
         "tenant",
         "intended",
         "sent",
-        "limit",
-        "link",
-        "fresh",  # its connection was opened for it
-        "over",  # its row has been written
+        "limit_ns",
+        "connection",
+        "is_on_new_connection",  # its connection was opened for it
+        "has_ended",  # its row has been written
         "timer",
         "data",
         "resent",
         "leaves_early",
         "future",
-        "stream",
-        "to",  # number of the balancer; -1: the front chooses
+        "stream_id",
+        "balancer_number",  # number of the balancer; -1: the front chooses
         "pool",
         "copies_at_end",
     )
 
     data: bytes  # the message as sent, kept for sending it again on a new connection
 
-    def __init__(self, load, identity, first, number, service_class, tenant, intended, to=-1):
-        self.load, self.id, self.first, self.number, self.service_class = (
+    def __init__(
+        self,
+        load,
+        request_id,
+        first_id,
+        number,
+        service_class,
+        tenant,
+        intended,
+        balancer_number=-1,
+    ):
+        self.load, self.id, self.first_id, self.number, self.service_class = (
             load,
-            identity,
-            first,
+            request_id,
+            first_id,
             number,
             service_class,
         )
         self.tenant, self.intended, self.sent, self.future = tenant, intended, 0, None
-        self.limit, self.to, self.pool = load.limits[service_class], to, load.pools[to]
-        self.link, self.fresh, self.over, self.resent, self.leaves_early = (
+        self.limit_ns, self.balancer_number, self.pool = (
+            load.limits_ns[service_class],
+            balancer_number,
+            load.pools[balancer_number],
+        )
+        (
+            self.connection,
+            self.is_on_new_connection,
+            self.has_ended,
+            self.resent,
+            self.leaves_early,
+        ) = (
             None,
             False,
             False,
@@ -206,17 +233,17 @@
         )
         self.copies_at_end = 0  # copies to send in the same event loop turn in which this one ends
 
-    def begin(self):
+    def start(self):
         """Send the request and start its timer."""
         load = self.load
-        load.open += 1
-        name, method = load.targets[self.service_class]
+        load.open_count += 1
+        path, method = load.targets[self.service_class]
         headers = [
             (b"X-Request-ID", self.id.encode()),
-            (b"X-Timeout-Ms", b"%d" % (self.limit // MS)),
+            (b"X-Timeout-Ms", b"%d" % (self.limit_ns // NS_PER_MS)),
         ]
         if self.tenant >= 0:
-            headers.append((b"X-Tenant-Id", load.tenants[self.tenant]))
+            headers.append((b"X-Tenant-Id", load.tenant_names[self.tenant]))
         if self.number:
             headers.append((b"X-Retried", b"1"))
         if (
@@ -224,80 +251,86 @@
             and not self.number
             and load.has_effect[self.service_class]
         ):
-            load.duplicate(self)
+            load.schedule_copies(self)
         if load.keyed[self.service_class]:
-            headers.append((b"Idempotency-Key", self.first.encode()))
+            headers.append((b"Idempotency-Key", self.first_id.encode()))
         self.sent = time.monotonic_ns()
-        patience = load.patience if load.patience is not None else self.limit + 2 * SLACK_NS
+        patience_ns = (
+            load.patience_ns
+            if load.patience_ns is not None
+            else self.limit_ns + 2 * TIME_LIMIT_SLACK_NS
+        )
         leave = load.scenario.clients.leave_fraction
         if leave and (draw := random_draws.share(load.plan.seed, "leave", self.id)) < leave:
             # Drawn by the request's id, so it is the same for HTTP/1.1 and HTTP/2.
             self.leaves_early = True
-            patience = self.limit * draw / leave / 3
-        self.timer = load.loop.call_later(patience / S, self.on_timeout)
-        self.pool.ask(self, method, name, headers, load.bodies[self.service_class])
+            patience_ns = self.limit_ns * draw / leave / 3
+        self.timer = load.loop.call_later(patience_ns / NS_PER_S, self.on_timeout)
+        self.pool.send_request(self, method, path, headers, load.bodies[self.service_class])
 
-    def written(self):
+    def on_connected(self):
         """Set the send time: the client's time limit counts from sending, after connecting."""
         self.sent = time.monotonic_ns()
 
-    def answered(self, status, body, headers):
+    def on_response(self, status, body, headers):
         """Record a response; retry one that isn't 200."""
-        self.done("answer", status, body.decode(errors="replace").strip())
+        self.finish("answer", status, body.decode(errors="replace").strip())
         load = self.load
         if status != 200:
-            after = headers.get(b"retry-after")
-            load.failed(self, float(after) if after else 0.0)
+            retry_after = headers.get(b"retry-after")
+            load.schedule_retry(self, float(retry_after) if retry_after else 0.0)
 
-    def lost(self, why, unread=False):
+    def on_lost(self, why, unread=False):
         """Record a broken connection; ``unread``: it broke before any byte of the response."""
-        if unread and not self.fresh and not self.resent:
+        if unread and not self.is_on_new_connection and not self.resent:
             # The balancer closed the kept connection while the request was sent: resend it once on
             # a new connection.
             self.resent = True
             self.pool.idle.clear()
             self.pool.send(self, self.data)
             return
-        self.done("lost", 0, "", why)
+        self.finish("lost", 0, "", why)
         load = self.load
         if (
             load.scenario.clients.duplicates
             and load.has_effect[self.service_class]
-            and self.number < AFTER_LOSS
+            and self.number < COPY_AFTER_LOSS
         ):
             # Like a client whose connection broke: send a copy at once, and another when a killed
             # balancer may be running again.
-            for wait in 0.05, 2.2 + random_draws.share(load.plan.seed, "lost", self.id):
+            for wait_s in 0.05, 2.2 + random_draws.share(load.plan.seed, "lost", self.id):
                 load.loop.call_later(
-                    wait, load.copy, self, AFTER_LOSS + 2 * self.number + int(wait)
+                    wait_s, load.send_copy, self, COPY_AFTER_LOSS + 2 * self.number + int(wait_s)
                 )
-        load.failed(self, 0.0)
+        load.schedule_retry(self, 0.0)
 
-    def unconnected(self, why):
+    def on_connect_failed(self, why):
         """Record that no connection could be opened."""
-        self.done("unconnected", 0, "", why)
-        self.load.failed(self, 0.0)
+        self.finish("unconnected", 0, "", why)
+        self.load.schedule_retry(self, 0.0)
 
     def on_timeout(self):
         """Record that the client's patience or time limit ran out, and close the connection."""
         self.pool.drop(self)
-        self.done("gone" if self.leaves_early or self.load.patience is not None else "open", 0, "")
-        self.load.failed(self, 0.0)
+        self.finish(
+            "gone" if self.leaves_early or self.load.patience_ns is not None else "open", 0, ""
+        )
+        self.load.schedule_retry(self, 0.0)
 
-    def done(self, kind, status, body, note=""):
+    def finish(self, kind, status, body, note=""):
         """Write the event row, once, and send the copies due at its end."""
-        if self.over:
+        if self.has_ended:
             return
-        self.over = True
+        self.has_ended = True
         self.timer.cancel()
         load, now = self.load, time.monotonic_ns()
-        load.open -= 1
-        load.book.add(
-            events.Try(
+        load.open_count -= 1
+        load.event_log.add(
+            events.Attempt(
                 0,
-                load.front.numbers.get(getattr(self.link, "address", None), -1),
+                load.front.numbers.get(getattr(self.connection, "address", None), -1),
                 self.id,
-                self.first,
+                self.first_id,
                 self.number,
                 self.service_class,
                 self.tenant,
@@ -307,64 +340,86 @@
                 kind,
                 status,
                 body,
-                self.limit,
+                self.limit_ns,
                 note,
             )
         )
         load.latency.record_value(max(1, min(60 * 10**6, (now - self.intended) // 1000)))
         if status == 200:
-            load.served.record_value(max(1, min(60 * 10**6, (now - self.intended) // 1000)))
+            load.served_latency.record_value(max(1, min(60 * 10**6, (now - self.intended) // 1000)))
         if self.future is not None and not self.future.done():
             self.future.set_result(status)
         for turn in range(self.copies_at_end):
-            load.copy(self, AT_END + turn)
+            load.send_copy(self, COPY_AT_END + turn)
 
 
 class Load:
     """The clients of one run."""
 
-    def __init__(self, plan, folder, where=None):
+    def __init__(self, plan, folder, choose_address=None):
         self.plan, self.scenario, self.folder, self.loop = (
             plan,
             plan.scenario,
             folder,
             asyncio.get_running_loop(),
         )
-        self.book = events.Book(f"{folder}/clients.rows")
+        self.event_log = events.EventLog(f"{folder}/clients.rows")
         self.front = Front(plan)
-        make = http1.Pool
+        pool_class = http1.Pool
         if plan.scenario.clients.protocol == "h2":
-            from pepperhook.lab.http2 import Pool2 as make
-        self.pools = {-1: make(where or self.front.next_address, self.unasked, self.unasked)}
+            from pepperhook.lab.http2 import Http2Pool as pool_class
+        self.pools = {
+            -1: pool_class(
+                choose_address or self.front.next_address,
+                self.record_unsolicited,
+                self.record_unsolicited,
+            )
+        }
         for number, address in enumerate(self.front.addresses):
-            self.pools[number] = make(lambda address=address: address, self.unasked, self.unasked)
+            self.pools[number] = pool_class(
+                lambda address=address: address, self.record_unsolicited, self.record_unsolicited
+            )
         service_classes = plan.scenario.service_classes
-        self.limits = [int((g.client_limit_ms or g.time_limit_ms) * MS) for g in service_classes]
+        self.limits_ns = [
+            int((service_class.client_limit_ms or service_class.time_limit_ms) * NS_PER_MS)
+            for service_class in service_classes
+        ]
         self.targets = [  # (path, method) by service class
-            (b"/" + g.name.encode(), b"GET" if g.effect == "idempotent" else b"POST")
-            for g in service_classes
+            (
+                b"/" + service_class.name.encode(),
+                b"GET" if service_class.effect == "idempotent" else b"POST",
+            )
+            for service_class in service_classes
         ]
         self.bodies = [
-            b"x" * max(2, g.body_bytes) if g.effect != "idempotent" else b""
-            for g in service_classes
+            b"x" * max(2, service_class.body_bytes) if service_class.effect != "idempotent" else b""
+            for service_class in service_classes
+        ]
+        self.has_effect = [
+            service_class.effect != "idempotent" for service_class in service_classes
         ]
-        self.has_effect = [g.effect != "idempotent" for g in service_classes]
         self.keyed = [
-            g.effect == "deduplicated"
-            or g.effect == "at_most_once"
+            service_class.effect == "deduplicated"
+            or service_class.effect == "at_most_once"
             and plan.scenario.clients.duplicates
-            for g in service_classes
+            for service_class in service_classes
         ]
-        self.tenants = [c.name.encode() for c in plan.scenario.tenants]
+        self.tenant_names = [tenant.name.encode() for tenant in plan.scenario.tenants]
         clients = plan.scenario.clients
-        self.patience = None if clients.patience_ms is None else int(clients.patience_ms * MS)
-        self.latency, self.served, self.lateness = (HdrHistogram(1, 60 * 10**6, 3) for _ in "abc")
-        self.open, self.count, self.tasks, self.ends = 0, 0, set(), None
+        self.patience_ns = (
+            None if clients.patience_ms is None else int(clients.patience_ms * NS_PER_MS)
+        )
+        self.latency, self.served_latency, self.own_lateness = (
+            HdrHistogram(1, 60 * 10**6, 3) for _ in "abc"
+        )
+        self.open_count, self.sent_count, self.tasks, self.ends_at = 0, 0, set(), None
 
-    def unasked(self, exchange, data):
+    def record_unsolicited(self, exchange, data):
         """Record bytes received without an open request."""
-        self.book.add(
-            events.Extra(0, time.monotonic_ns(), exchange.id if exchange else "", len(data))
+        self.event_log.add(
+            events.UnexpectedBytes(
+                0, time.monotonic_ns(), exchange.id if exchange else "", len(data)
+            )
         )
 
     def spawn(self, work):
@@ -373,38 +428,38 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def failed(self, exchange, after_s):
+    def schedule_retry(self, exchange, after_s):
         """Schedule a client's retry, which is a new request to the balancer."""
         clients = self.scenario.clients
         if (
             exchange.number >= clients.retries
             or exchange.future is not None
-            or time.monotonic_ns() > self.ends
+            or time.monotonic_ns() > self.ends_at
         ):
             return
-        wait = (
+        wait_s = (
             clients.backoff_ms
             / 1000
             * 2**exchange.number
             * (0.5 + random_draws.share(self.plan.seed, "back", exchange.id))
         )
-        self.loop.call_later(max(wait, after_s), self.again, exchange)
+        self.loop.call_later(max(wait_s, after_s), self.send_retry, exchange)
 
-    def again(self, exchange):
+    def send_retry(self, exchange):
         """Send the next retry."""
         number = exchange.number + 1
         Exchange(
             self,
-            f"{exchange.first}r{number}",
-            exchange.first,
+            f"{exchange.first_id}r{number}",
+            exchange.first_id,
             number,
             exchange.service_class,
             exchange.tenant,
             time.monotonic_ns(),
-            exchange.to,
-        ).begin()
+            exchange.balancer_number,
+        ).start()
 
-    def duplicate(self, exchange):
+    def schedule_copies(self, exchange):
         """Schedule copies of a first attempt, with their own ids and its idempotency key.
 
         They are sent at the most difficult moments: together with it, while it runs, in the event
@@ -415,132 +470,138 @@
         def draw(*names):
             return random_draws.share(self.plan.seed, "copy", exchange.id, *names)
 
-        limit = exchange.limit / S
+        limit_s = exchange.limit_ns / NS_PER_S
         for number in range(int(draw() * (self.scenario.clients.duplicates + 1))):
             kind, position = int(draw(number) * 6), draw(number, "at")
             if kind == 2:
                 exchange.copies_at_end += 1
                 continue
-            wait = (
+            wait_s = (
                 position * 0.003,  # together with it
                 position * 0.1,  # soon after it
                 None,  # in the event loop turn in which it ends, see above
-                limit + (position - 0.5) * 0.06,  # around its time limit
-                position * limit,  # at any time up to its time limit
+                limit_s + (position - 0.5) * 0.06,  # around its time limit
+                position * limit_s,  # at any time up to its time limit
                 1.5 + position * 2.0,  # when a killed balancer may be running again
             )[kind]
-            self.loop.call_later(wait, self.copy, exchange, number + 1)
+            self.loop.call_later(wait_s, self.send_copy, exchange, number + 1)
 
-    def copy(self, exchange, number):
+    def send_copy(self, exchange, number):
         """Send a copy of a request under its idempotency key."""
-        if time.monotonic_ns() < self.ends + 2 * S:
-            # A number of COPY or more is above any limit of retries: a copy is never retried.
+        if time.monotonic_ns() < self.ends_at + 2 * NS_PER_S:
+            # COPY_NUMBER is above any limit of retries: a copy is never retried.
             Exchange(
                 self,
-                f"{exchange.first}k{number}",
-                exchange.first,
-                COPY + number,
+                f"{exchange.first_id}k{number}",
+                exchange.first_id,
+                COPY_NUMBER + number,
                 exchange.service_class,
                 exchange.tenant,
                 time.monotonic_ns(),
-                exchange.to,
-            ).begin()
+                exchange.balancer_number,
+            ).start()
 
-    async def play(self, start):
+    async def send_all(self, start):
         """Send all requests of the run, then wait for the last responses."""
-        self.ends = start + int(self.scenario.seconds * S)
+        self.ends_at = start + int(self.scenario.seconds * NS_PER_S)
         self.spawn(self.front.watch())
-        self.spawn(self.write())
+        self.spawn(self.flush_event_rows())
         for number in range(self.scenario.clients.closed_loop_clients):
-            self.spawn(self.closed(start, number))
+            self.spawn(self.run_closed_loop_client(start, number))
         for kind, count in self.scenario.clients.misbehaving.items():
             for number in range(count):
-                self.spawn(self.bad(start, kind, number))
-        times, service_classes, tenants, to = (
+                self.spawn(self.run_misbehaving_client(start, kind, number))
+        times, service_classes, tenants, balancers = (
             part.tolist() for part in arrivals(self.scenario, self.plan.seed)
         )
         seed_hex, index, total = f"{self.plan.seed:x}", 0, len(times)
         while index < total:
             now = time.monotonic_ns() - start
             while index < total and times[index] <= now:
-                identity = f"{seed_hex}.{index:x}"
+                request_id = f"{seed_hex}.{index:x}"
                 Exchange(
                     self,
-                    identity,
-                    identity,
+                    request_id,
+                    request_id,
                     0,
                     service_classes[index],
                     tenants[index],
                     start + times[index],
-                    to[index],
-                ).begin()
+                    balancers[index],
+                ).start()
                 # The generator's own lateness, kept apart from the balancer's latency.
-                self.lateness.record_value(
+                self.own_lateness.record_value(
                     max(1, (time.monotonic_ns() - start - times[index]) // 1000)
                 )
                 index += 1
             if index < total:
                 # Very short sleeps would only keep the event loop from reading responses.
-                await asyncio.sleep(max(0.0005, (times[index] - (time.monotonic_ns() - start)) / S))
-        self.count = index
-        await asyncio.sleep(max(0.0, (self.ends - time.monotonic_ns()) / S))
-        longest = (
-            (max(self.limits) + 2 * SLACK_NS) / S
-            + AFTER_S
+                await asyncio.sleep(
+                    max(0.0005, (times[index] - (time.monotonic_ns() - start)) / NS_PER_S)
+                )
+        self.sent_count = index
+        await asyncio.sleep(max(0.0, (self.ends_at - time.monotonic_ns()) / NS_PER_S))
+        longest_s = (
+            (max(self.limits_ns) + 2 * TIME_LIMIT_SLACK_NS) / NS_PER_S
+            + LATE_RESPONSE_WAIT_S
             + (2.0 if self.scenario.clients.duplicates else 0.0)
         )
-        stop = time.monotonic() + longest
-        quiet = time.monotonic() + (
+        deadline = time.monotonic() + longest_s
+        copies_scheduled_until = time.monotonic() + (
             2.0 if self.scenario.clients.duplicates else 0.0
         )  # copies are still scheduled
-        while (self.open or time.monotonic() < quiet) and time.monotonic() < stop:
+        while (
+            self.open_count or time.monotonic() < copies_scheduled_until
+        ) and time.monotonic() < deadline:
             await asyncio.sleep(0.02)
 
-    async def write(self):
+    async def flush_event_rows(self):
         """Flush the event rows regularly, for live displays.
 
         Buffered rows are otherwise written only in large groups.
         """
         while True:
-            await asyncio.sleep(FLUSH_S)
-            self.book.flush()
+            await asyncio.sleep(FLUSH_INTERVAL_S)
+            self.event_log.flush()
 
-    async def closed(self, start, number):
+    async def run_closed_loop_client(self, start, number):
         """Run a closed-loop client: it sends its next request after a response and a think time."""
-        await asyncio.sleep(max(0, start - time.monotonic_ns()) / S)
+        await asyncio.sleep(max(0, start - time.monotonic_ns()) / NS_PER_S)
         turn = 0
-        while time.monotonic_ns() < self.ends:
+        while time.monotonic_ns() < self.ends_at:
             turn += 1
-            identity = f"{self.plan.seed:x}c{number:x}.{turn:x}"
-            draw = random_draws.share(self.plan.seed, "grade", identity)
+            request_id = f"{self.plan.seed:x}c{number:x}.{turn:x}"
+            draw = random_draws.share(self.plan.seed, "grade", request_id)
             service_class = int(
-                numpy.searchsorted(numpy.cumsum(shares(self.scenario.service_classes)), draw)
+                numpy.searchsorted(
+                    numpy.cumsum(normalized_shares(self.scenario.service_classes)), draw
+                )
             )
             exchange = Exchange(
                 self,
-                identity,
-                identity,
+                request_id,
+                request_id,
                 0,
                 service_class,
-                -1 if not self.tenants else number % len(self.tenants),
+                -1 if not self.tenant_names else number % len(self.tenant_names),
                 time.monotonic_ns(),
             )
             exchange.future = self.loop.create_future()
-            exchange.begin()
+            exchange.start()
             await exchange.future
             await asyncio.sleep(self.scenario.clients.think_ms / 1000)
 
-    async def bad(self, start, kind, number):
+    async def run_misbehaving_client(self, start, kind, number):
         """Run a misbehaving client; its messages aren't requests of the run and aren't audited."""
-        await asyncio.sleep(max(0, start - time.monotonic_ns()) / S)
-        name, method = self.targets[0]
+        await asyncio.sleep(max(0, start - time.monotonic_ns()) / NS_PER_S)
+        path, method = self.targets[0]
         turn = 0
-        while time.monotonic_ns() < self.ends:
+        while time.monotonic_ns() < self.ends_at:
             turn += 1
-            identity = f"bad-{kind}-{number}-{turn}".encode()
-            headers = [(b"X-Request-ID", identity), (b"X-Timeout-Ms", b"500")]
-            valid = http1.message(method, name, headers, b"{}" if method == b"POST" else b"")
-            data, wait = {
+            request_id = f"bad-{kind}-{number}-{turn}".encode()
+            headers = [(b"X-Request-ID", request_id), (b"X-Timeout-Ms", b"500")]
+            valid = http1.encode_request(method, path, headers, b"{}" if method == b"POST" else b"")
+            data, wait_s = {
                 "mute": (valid * 20, 2.0),  # requests whose responses are never read
                 "half": (valid[: len(valid) // 2], 2.0),  # half a request
                 "flood": (valid * 200, 0.05),  # many requests at once
@@ -550,7 +611,10 @@
                     ),
                     0.1,
                 ),
-                "forged": (valid.replace(identity, f"{self.plan.seed:x}.{turn:x}".encode()), 0.05),
+                "forged": (
+                    valid.replace(request_id, f"{self.plan.seed:x}.{turn:x}".encode()),
+                    0.05,
+                ),
             }[kind]
             if kind == "forged":
                 # Two X-Request-ID headers: ``forged``, and the id of a real client's request, which
@@ -565,7 +629,7 @@
                     reader, writer = await asyncio.open_connection(*address)
                     try:
                         writer.write(data)
-                        await asyncio.sleep(wait)
+                        await asyncio.sleep(wait_s)
                         if kind not in ("mute", "half"):
                             await asyncio.wait_for(reader.read(65536), 1)
                     finally:
@@ -578,35 +642,36 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
         for pool in self.pools.values():
             await pool.close()
-        self.book.close()
+        self.event_log.close()
 
     def summary(self):
         """Return the counts and latency quantiles in ms; ``void`` if the generator was late."""
 
-        def points(histogram):
+        def quantiles(histogram):
             return {
-                f"p{p:g}": histogram.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)
+                f"p{percentile:g}": histogram.get_value_at_percentile(percentile) / 1000
+                for percentile in (50, 90, 99, 99.9)
             }
 
-        late = self.lateness.get_value_at_percentile(99) * 1000
+        late_ns = self.own_lateness.get_value_at_percentile(99) * 1000
         return {
-            "operations": self.count,
-            "latency_ms": points(self.latency),
-            "served_ms": points(self.served),
-            "own_lateness_ms": points(self.lateness),
-            "void": bool(late > LATE_NS),
-            "served": self.served.get_total_count(),
+            "operations": self.sent_count,
+            "latency_ms": quantiles(self.latency),
+            "served_ms": quantiles(self.served_latency),
+            "own_lateness_ms": quantiles(self.own_lateness),
+            "void": bool(late_ns > MAX_LATENESS_NS),
+            "served": self.served_latency.get_total_count(),
         }
 
 
-async def run(plan, folder, begin, where=None):
+async def run(plan, folder, wait_for_start, choose_address=None):
     """Run the load from the shared start time until it is done or stdin closes; write load.json."""
-    load = Load(plan, folder, where)
-    start, ended = await begin()
-    playing = asyncio.ensure_future(load.play(start))
-    await asyncio.wait([playing, ended], return_when=asyncio.FIRST_COMPLETED)
-    playing.cancel()
-    await asyncio.gather(playing, return_exceptions=True)
+    load = Load(plan, folder, choose_address)
+    start, ended = await wait_for_start()
+    play_task = asyncio.ensure_future(load.send_all(start))
+    await asyncio.wait([play_task, ended], return_when=asyncio.FIRST_COMPLETED)
+    play_task.cancel()
+    await asyncio.gather(play_task, return_exceptions=True)
     await load.close()
     with open(f"{folder}/load.json", "w", encoding="utf-8") as file:
         json.dump(load.summary(), file)
@@ -615,11 +680,11 @@
 def main(arguments):
     import uvloop
 
-    from pepperhook.lab.stand_ins import begin
+    from pepperhook.lab.stand_ins import wait_for_start
 
     plan, folder = arguments[:2]
     address = (arguments[2], int(arguments[3])) if len(arguments) > 2 else None
-    uvloop.run(run(Plan.read(plan), folder, begin, address and (lambda: address)))
+    uvloop.run(run(Plan.read(plan), folder, wait_for_start, address and (lambda: address)))
 
 
 if __name__ == "__main__":
--- a/pepperhook/lab/load_generator_limit.py
+++ b/pepperhook/lab/load_generator_limit.py
@@ -17,7 +17,7 @@
     """Responds to each message immediately."""
 
     def connection_made(self, transport):
-        self.transport, self.messages = transport, http1.Messages()
+        self.transport, self.messages = transport, http1.MessageParser()
 
     def data_received(self, data):
         self.messages.feed(data)
@@ -25,15 +25,15 @@
             self.transport.write(ANSWER)
 
 
-ANSWER = http1.answer(200, b"0.0.null.1\n")
+ANSWER = http1.encode_response(200, b"0.0.null.1\n")
 
 
 async def serve(host, port):
     """Run the responder until stdin closes."""
-    from pepperhook.lab.stand_ins import begin
+    from pepperhook.lab.stand_ins import wait_for_start
 
     server = await asyncio.get_running_loop().create_server(Responder, host, port)
-    _, ended = await begin()
+    _, ended = await wait_for_start()
     await ended
     server.close()
 
@@ -65,12 +65,12 @@
         )
         run.wait_until_ready(load)
         start = time.monotonic_ns() + 10**8
-        for process in run.stand_ins:
+        for process in run.stand_in_processes:
             process.stdin.write(b"%d\n" % start)
             process.stdin.flush()
         load.wait(seconds + 30)
     finally:
-        for process in run.stand_ins:
+        for process in run.stand_in_processes:
             process.stdin.close()
             try:
                 process.wait(5)
--- a/pepperhook/lab/proofs/auditor.py
+++ b/pepperhook/lab/proofs/auditor.py
@@ -25,11 +25,15 @@
         "drains-unheeded": "the policy treats a draining upstream as ready",
     }
     # The findings that the auditor with this defect does not report.
-    BLIND = {"deaf": ("answered twice",), "patient": ("late",), "trusting": ("invented",)}
+    IGNORED_FINDINGS = {
+        "deaf": ("answered twice",),
+        "patient": ("late",),
+        "trusting": ("invented",),
+    }
 
     def run(self):
         """Play one run of pepperhook and one of each faulty balancer."""
-        blind = self.BLIND.get(self.plant, ())
+        ignored_findings = self.IGNORED_FINDINGS.get(self.plant, ())
         long_scenario = replace(self.scenario, seconds=60.0 if self.full else self.scenario.seconds)
         policy_defect = self.plant if self.plant in defects.DEFECTS else None
         correct_variant = Variant(
@@ -39,19 +43,24 @@
         )
         runs = [(long_scenario, correct_variant, "pepperhook", {})]
         # The faulty balancers do not run the policy: its defects can show only in the first run.
-        for way in () if policy_defect else faulty_balancers.WAYS:
+        for fault in () if policy_defect else faulty_balancers.FINDINGS_BY_FAULT:
             runs.append(
-                (self.scenario, Variant(name=way, faulty_balancer=way), way, {"blind": blind})
+                (
+                    self.scenario,
+                    Variant(name=fault, faulty_balancer=fault),
+                    fault,
+                    {"ignored_findings": ignored_findings},
+                )
             )
         results = self.play_concurrently(runs, 4)
         findings = {
-            name: {f["name"]: f["count"] for f in result["findings"]}
+            name: {finding["name"]: finding["count"] for finding in result["findings"]}
             for name, result in results.items()
         }
         missed = [
-            way
-            for way, finding in faulty_balancers.WAYS.items()
-            if not policy_defect and finding and finding not in findings[way]
+            fault
+            for fault, finding in faulty_balancers.FINDINGS_BY_FAULT.items()
+            if not policy_defect and finding and finding not in findings[fault]
         ]
         is_clean = not findings["pepperhook"] and not findings.get("honest")
         return is_clean and not missed, {
--- a/pepperhook/lab/proofs/mass.py
+++ b/pepperhook/lab/proofs/mass.py
@@ -133,7 +133,11 @@
             if fault.target_numbers is None
             else replace(
                 fault,
-                target_numbers=[n for n in fault.target_numbers if n < tiers[fault.tier].upstreams]
+                target_numbers=[
+                    number
+                    for number in fault.target_numbers
+                    if number < tiers[fault.tier].upstreams
+                ]
                 or [0],
             )
             for fault in scenario.faults
--- a/pepperhook/lab/proofs/trace.py
+++ b/pepperhook/lab/proofs/trace.py
@@ -9,7 +9,7 @@
 from pepperhook.lab import defects, events, experiment
 from pepperhook.lab.experiment import Variant
 from pepperhook.lab.proofs.base import Proof
-from pepperhook.lab.scenario_run import Failed
+from pepperhook.lab.scenario_run import RunError
 
 PARENT_PATTERN = r"^(.+)-\d+[a-z]$"  # of the request ids that the lab's upstreams give their calls
 KEY = b"the key of this installation"
@@ -78,7 +78,7 @@
                 for trace in read_traces(reader):
                     traces[reader.metadata.tier, trace.id] = trace
         if not traces:
-            raise Failed("no request was traced")
+            raise RunError("no request was traced")
         problems += self.check_against_events(rows, traces)
         problems += self.check_damaged(files)
         offset_files = self.offset_clocks(files)
@@ -136,10 +136,12 @@
     def check_against_events(self, rows, traces):
         """Compare the traces with the event rows that clients and upstreams wrote."""
         problems = Counter()
-        client_rows = [row for row in rows if isinstance(row, events.Try) and row.kind == "answer"]
+        client_rows = [
+            row for row in rows if isinstance(row, events.Attempt) and row.kind == "answer"
+        ]
         executions: dict = {}
         for row in rows:
-            if isinstance(row, events.Work):
+            if isinstance(row, events.UpstreamWork):
                 executions.setdefault((row.tier, row.id), []).append(row)
         finals = {200: "fulfilled", 429: "shed", 503: "shed"}
         for client_row in client_rows:
@@ -152,7 +154,7 @@
                 client_row.status, "broken off"
             )
             problems["answered later than the client recorded"] += (
-                trace.answered * 1000 > client_row.ended - client_row.sent + 10**7
+                trace.answered * 1000 > client_row.ended_at - client_row.sent_at + 10**7
             )
             work_rows = executions.get((client_row.tier, client_row.id), ())
             # Each request that an upstream received was an attempt. Attempts that never got a
@@ -160,7 +162,7 @@
             problems["fewer attempts than upstreams recorded"] += len(trace.sent) < len(work_rows)
             names = [
                 f"t{client_row.tier}-{row.upstream:02d}"
-                for row in sorted(work_rows, key=lambda row: row.first_byte)
+                for row in sorted(work_rows, key=lambda row: row.first_byte_at)
             ]
             problems["attempts at other upstreams than those that recorded it"] += [
                 attempt.upstream
@@ -200,8 +202,8 @@
             content = file.read_bytes()
             with open_trace_file(file) as reader:
                 written = list(read_traces(reader))
-                ends = [(block.end_offset, block.block_type) for block in reader.blocks()]
-            first_end = ends[0][0]
+                block_ends = [(block.end_offset, block.block_type) for block in reader.blocks()]
+            first_end = block_ends[0][0]
             for trial in range(40):
                 data, position = bytearray(content), rng.randrange(first_end, len(content))
                 if trial % 2:
@@ -214,9 +216,9 @@
                         read = list(read_traces(reader))
                     except Exception as error:
                         read = [type(error).__name__]
-                blocks = sum(kind == BlockType.RECORDS for _, kind in ends)
+                blocks = sum(kind == BlockType.RECORDS for _, kind in block_ends)
                 complete = (
-                    sum(kind == BlockType.RECORDS and end <= position for end, kind in ends)
+                    sum(kind == BlockType.RECORDS and end <= position for end, kind in block_ends)
                     if not trial % 2
                     else blocks - 1
                 )
--- a/pepperhook/lab/report.py
+++ b/pepperhook/lab/report.py
@@ -22,11 +22,20 @@
     "gone": "#7a6fa8",
     "lost": "#222222",
 }
-# Colours of lines and bars, used in order and again from the first.
-LINES = ("#2b5d8a", "#b8433b", "#3b7d4f", "#d9a441", "#7a6fa8", "#5b5b5b", "#c06c9b", "#4aa3a3")
+# Colours of lines and bars, used in turn.
+LINE_COLOURS = (
+    "#2b5d8a",
+    "#b8433b",
+    "#3b7d4f",
+    "#d9a441",
+    "#7a6fa8",
+    "#5b5b5b",
+    "#c06c9b",
+    "#4aa3a3",
+)
 PERCENTILES = ("p50", "p90", "p99", "p99.9")
 # Note on the origin of the figures, for every report.
-SAID = "Figures are of stand-in clients, upstreams and lists on one machine's loopback."
+ORIGIN_NOTE = "Figures are of stand-in clients, upstreams and lists on one machine's loopback."
 
 
 def write(folder, scenario, results, summary):
@@ -37,10 +46,10 @@
     folder = Path(folder)
     write_atomically(folder / "report.json", json.dumps(summary, indent=1).encode())
     write_atomically(folder / "report.md", markdown(scenario, summary).encode())
-    write_atomically(folder / "report.html", page(folder, scenario, results, summary).encode())
+    write_atomically(folder / "report.html", html_page(folder, scenario, results, summary).encode())
 
 
-def table(summary):
+def variant_table(summary):
     """Return the column names and the rows of the table of variants."""
     column_names = [
         "variant",
@@ -81,11 +90,11 @@
 
 def markdown(scenario, summary):
     """Return the report as Markdown."""
-    column_names, rows = table(summary)
+    column_names, rows = variant_table(summary)
     lines = [
         f"# {scenario.name}",
         "",
-        f"{scenario.seconds:g} s per run. {SAID}",
+        f"{scenario.seconds:g} s per run. {ORIGIN_NOTE}",
         "",
         "| " + " | ".join(column_names) + " |",
         "| " + " | ".join("---" for _ in column_names) + " |",
@@ -103,7 +112,7 @@
 
 
 class Plots:
-    """Draws figures and embeds them as SVG in the page."""
+    """Creates figures and embeds them as SVG in the page."""
 
     def __init__(self):
         """Import matplotlib, with the backend that needs no display."""
@@ -149,9 +158,9 @@
         )
     for load in scenario.load:
         if load.start_s:
-            ends = scenario.seconds if load.duration_s is None else load.start_s + load.duration_s
+            end_s = scenario.seconds if load.duration_s is None else load.start_s + load.duration_s
             axes.axvspan(
-                load.start_s, min(ends, scenario.seconds), color="#d9a441", alpha=0.13, lw=0
+                load.start_s, min(end_s, scenario.seconds), color="#d9a441", alpha=0.13, lw=0
             )
             axes.text(
                 load.start_s,
@@ -163,7 +172,7 @@
             )
 
 
-def outcomes(plots, scenario, result):
+def outcomes_plot(plots, scenario, result):
     """Return a figure of the outcomes of client attempts over time, for one run."""
     figure, axes = plots.figure()
     seconds = numpy.arange(int(scenario.seconds))
@@ -181,7 +190,7 @@
     return plots.embed(figure)
 
 
-def goodput(plots, scenario, results):
+def goodput_plot(plots, scenario, results):
     """Return a figure of the goodput over time, one line per variant."""
     figure, axes = plots.figure()
     for index, result in enumerate(results):
@@ -192,7 +201,7 @@
         with numpy.errstate(invalid="ignore"):
             axes.plot(
                 earned / numpy.where(possible, possible, numpy.nan),
-                color=LINES[index % len(LINES)],
+                color=LINE_COLOURS[index % len(LINE_COLOURS)],
                 lw=1.3,
                 label=result["variant"],
             )
@@ -204,7 +213,7 @@
     return plots.embed(figure)
 
 
-def latencies(plots, results):
+def latency_plot(plots, results):
     """Return a figure of the latency percentiles of served requests, one line per variant."""
     figure, axes = plots.figure(height=2.6)
     for index, result in enumerate(results):
@@ -213,7 +222,7 @@
             [result["load"]["served_ms"][percentile] for percentile in PERCENTILES],
             marker="o",
             ms=4,
-            color=LINES[index % len(LINES)],
+            color=LINE_COLOURS[index % len(LINE_COLOURS)],
             label=result["variant"],
         )
     axes.set(ylabel="ms from scheduled sending", yscale="log")
@@ -221,7 +230,7 @@
     return plots.embed(figure)
 
 
-def amplification(plots, scenario, summary):
+def amplification_plot(plots, scenario, summary):
     """Return a bar chart of the amplification of each variant by tier."""
     figure, axes = plots.figure(height=2.6)
     width = 0.8 / max(1, len(summary["variants"]))
@@ -231,7 +240,7 @@
             numpy.arange(len(values)) + index * width,
             values,
             width,
-            color=LINES[index % len(LINES)],
+            color=LINE_COLOURS[index % len(LINE_COLOURS)],
             label=row["variant"],
         )
     axes.axhline(1, color="#444444", lw=0.8)
@@ -244,14 +253,16 @@
     return plots.embed(figure)
 
 
-def comparison(plots, summary):
+def goodput_comparison_plot(plots, summary):
     """Return a figure of each variant's goodput difference from the first variant."""
     figure, axes = plots.figure(height=0.9 + 0.32 * len(summary["variants"]))
     rows = [row for row in summary["variants"] if row["against_first"]]
     for index, row in enumerate(rows):
         difference = row["against_first"]
-        axes.plot([difference["low"], difference["high"]], [index, index], color=LINES[0], lw=2)
-        axes.plot(difference["difference"], index, "o", color=LINES[0], ms=5)
+        axes.plot(
+            [difference["low"], difference["high"]], [index, index], color=LINE_COLOURS[0], lw=2
+        )
+        axes.plot(difference["difference"], index, "o", color=LINE_COLOURS[0], ms=5)
     axes.axvline(0, color="#444444", lw=0.8)
     axes.set(
         yticks=range(len(rows)),
@@ -268,25 +279,25 @@
     The values come from the balancers' logs. Returns "" if they logged none.
     """
     path = folder / f"{result['variant']}-{result['seed']}"
-    rows = [row for row in events.read(path) if isinstance(row, events.Sample)]
+    rows = [row for row in events.read(path) if isinstance(row, events.BalancerSample)]
     if not rows:
         return ""
     figure, axes = plots.figure()
-    for at, (tier, number) in enumerate(sorted({(row.tier, row.balancer) for row in rows})):
+    for tier, number in sorted({(row.tier, row.balancer) for row in rows}):
         samples = [row for row in rows if (row.tier, row.balancer) == (tier, number)]
         times = [(row.at - result["start"]) / 1e9 for row in samples]
-        colour = LINES[tier % len(LINES)]
+        colour = LINE_COLOURS[tier % len(LINE_COLOURS)]
         is_labelled = number == 0  # one legend entry per tier
         axes.plot(
             times,
-            [row.b for row in samples],
+            [row.budget_b for row in samples],
             color=colour,
             lw=1.1,
             label=f"B, tier {tier}" if is_labelled else None,
         )
         axes.plot(
             times,
-            [row.f for row in samples],
+            [row.budget_f for row in samples],
             color=colour,
             lw=1.1,
             ls=":",
@@ -304,16 +315,18 @@
         for row in rows:
             if row.tier == tier:
                 at = round((row.at - result["start"]) / 1e9)
-                for number, out in enumerate(row.out):
-                    sums[number, at] = sums.get((number, at), 0) + out
+                for number, in_flight in enumerate(row.in_flight):
+                    sums[number, at] = sums.get((number, at), 0) + in_flight
         for number in sorted({number for number, _ in sums}):
-            points = sorted((at, out) for (upstream, at), out in sums.items() if upstream == number)
+            points = sorted(
+                (at, in_flight) for (upstream, at), in_flight in sums.items() if upstream == number
+            )
             axes.plot(
                 [at for at, _ in points],
-                [out for _, out in points],
+                [in_flight for _, in_flight in points],
                 lw=1,
                 alpha=0.8,
-                color=LINES[tier % len(LINES)],
+                color=LINE_COLOURS[tier % len(LINE_COLOURS)],
                 label=None if number else f"tier {tier}, each upstream",
             )
     mark_faults_and_load_changes(axes, scenario)
@@ -322,7 +335,7 @@
     return budget_figure + plots.embed(figure)
 
 
-def page(folder, scenario, results, summary):
+def html_page(folder, scenario, results, summary):
     """Return the report as an HTML page, with figures of the first run of each variant."""
     plots = Plots()
     first_runs = [
@@ -333,11 +346,13 @@
         )
         for row in summary["variants"]
     ]
-    column_names, rows = table(summary)
+    column_names, rows = variant_table(summary)
     cells = "".join(
         "<tr>" + "".join(f"<td>{html.escape(cell)}</td>" for cell in row) + "</tr>" for row in rows
     )
-    parts = [f"<h1>{html.escape(scenario.name)}</h1><p>{scenario.seconds:g} s per run. {SAID}"]
+    parts = [
+        f"<h1>{html.escape(scenario.name)}</h1><p>{scenario.seconds:g} s per run. {ORIGIN_NOTE}"
+    ]
     if summary["interrupted"]:
         parts.append(" <b>Interrupted: this covers only what had been run.</b>")
     parts.append(
@@ -346,21 +361,24 @@
         + f"</tr>{cells}</table>"
     )
     if first_runs:
-        parts += ["<h2>Goodput over time</h2>", goodput(plots, scenario, first_runs)]
+        parts += ["<h2>Goodput over time</h2>", goodput_plot(plots, scenario, first_runs)]
         for result in first_runs:
             parts += [
                 f"<h2>{html.escape(result['variant'])}: outcomes</h2>",
-                outcomes(plots, scenario, result),
+                outcomes_plot(plots, scenario, result),
                 budget_and_in_flight_plots(plots, scenario, Path(folder), result),
             ]
         parts += [
             "<h2>Latency of served answers</h2>",
-            latencies(plots, first_runs),
+            latency_plot(plots, first_runs),
             "<h2>Amplification by tier</h2>",
-            amplification(plots, scenario, summary),
+            amplification_plot(plots, scenario, summary),
         ]
         if len(summary["variants"]) > 1:
-            parts += ["<h2>Goodput against the first variant</h2>", comparison(plots, summary)]
+            parts += [
+                "<h2>Goodput against the first variant</h2>",
+                goodput_comparison_plot(plots, summary),
+            ]
         for result in first_runs:
             for finding in result["findings"]:
                 parts.append(
--- a/pepperhook/lab/throughput.py
+++ b/pepperhook/lab/throughput.py
@@ -13,7 +13,7 @@
 
 from pepperhook.lab.experiment import Clients, Experiment, Load, ServiceClass, Tier, Variant
 from pepperhook.lab.machine import Spec
-from pepperhook.lab.scenario_run import Failed, ScenarioRun
+from pepperhook.lab.scenario_run import RunError, ScenarioRun
 
 PAIRINGS = {
     "1-1": ("http/1.1", "http/1.1"),
@@ -42,7 +42,7 @@
 
 
 def run_pairing(experiment, pairing, seed, folder):
-    """Return the result of a run and the cores that the balancer used. Raises Failed."""
+    """Return the result of a run and the cores that the balancer used. Raises RunError."""
     clients, upstreams = PAIRINGS[pairing]
     experiment = replace(experiment, clients=replace(experiment.clients, protocol=clients))
     operator = None if pairing == "1-1" else {"h2": {"upstreams": upstreams}}
@@ -50,21 +50,21 @@
     if result["interrupted"]:
         raise KeyboardInterrupt
     if result["findings"]:
-        raise Failed(f"{pairing}: {result['findings'][0]['name']}")
-    cpu = sum(row["cpu_s"] - row["start_cpu_s"] for row in result["costs"].values())
-    return result, cpu / experiment.seconds
+        raise RunError(f"{pairing}: {result['findings'][0]['name']}")
+    cpu_s = sum(row["cpu_s"] - row["start_cpu_s"] for row in result["costs"].values())
+    return result, cpu_s / experiment.seconds
 
 
 def measure(rounds, seconds, seed, folder, report_progress):
     """Return the figures by pairing: medians over the rounds, and the ratios to 1-1 in each round.
 
-    Raises Failed.
+    Raises RunError.
     """
     names, rows = list(PAIRINGS), {name: [] for name in PAIRINGS}
     for round_number in range(rounds):
-        for at, name in enumerate(names[round_number % 4 :] + names[: round_number % 4]):
+        for index, name in enumerate(names[round_number % 4 :] + names[: round_number % 4]):
             report_progress(
-                f"round {round_number + 1} of {rounds}: {name}", (round_number + at / 4) / rounds
+                f"round {round_number + 1} of {rounds}: {name}", (round_number + index / 4) / rounds
             )
             saturated, cores = run_pairing(
                 make_experiment(seconds, clients=Clients(closed_loop_clients=CLIENTS)),
@@ -73,7 +73,7 @@
                 folder / f"{name}-{round_number}-full",
             )
             if cores < MIN_BUSY_CORES:
-                raise Failed(
+                raise RunError(
                     f"{name}: the balancer used {cores:.2f} of a core; "
                     "something else was the bottleneck"
                 )
@@ -86,7 +86,7 @@
                 folder / f"{name}-{round_number}-half",
             )
             if half_rate["void"]:
-                raise Failed(
+                raise RunError(
                     f"{name}: the load generator was late at {rate / 2:.0f} requests per second"
                 )
             rows[name].append(
@@ -100,15 +100,16 @@
                     "half_p99_ms": half_rate["load"]["latency_ms"]["p99"],
                     "half_served": half_rate["figures"]["served"],
                     "half_core_ms": half_rate["first_tier_cpu_ms"],
-                    "rss_mb": max(r["rss_mb"] for r in saturated["costs"].values()),
+                    "rss_mb": max(row["rss_mb"] for row in saturated["costs"].values()),
                 }
             )
     figures_by_name = {}
-    for name, own_rows in rows.items():
+    for name, pairing_rows in rows.items():
         figures_by_name[name] = {
-            key: round(statistics.median(row[key] for row in own_rows), 4) for key in own_rows[0]
+            key: round(statistics.median(row[key] for row in pairing_rows), 4)
+            for key in pairing_rows[0]
         }
         for key in "core_ms", "half_core_ms":
-            ratios = [row[key] / base[key] for row, base in zip(own_rows, rows["1-1"])]
+            ratios = [row[key] / base[key] for row, base in zip(pairing_rows, rows["1-1"])]
             figures_by_name[name][f"{key}_ratios"] = [round(ratio, 3) for ratio in sorted(ratios)]
     return {"rounds": rounds, "seconds": seconds, "clients": CLIENTS, "pairings": figures_by_name}
--- a/pepperhook/lab/tracecost.py
+++ b/pepperhook/lab/tracecost.py
@@ -63,9 +63,9 @@
         elif kind == "call" and driver.policy is not None:
             name, now, arguments, _, _ = rest
             requests += name == CALLS["accept"]
-            begun = clock()
+            started_at = clock()
             driver.call(name, now, arguments)
-            spent_ns += clock() - begun
+            spent_ns += clock() - started_at
     return Run(spent_ns / NS_PER_S, requests, sum(traces), len(traces))
 
 
@@ -77,17 +77,17 @@
 
 def play_revision(build: RevisionBuild, path: str | Path) -> Run:
     """Replay with a revision's own code. Raises UnreadableFileError."""
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "pepperhook.lab.tracecost", str(Path(path).resolve())],
         cwd=build.folder.name,
         capture_output=True,
         text=True,
         check=False,
     )
-    if done.returncode:
-        reason = (done.stderr.strip().splitlines() or ["nothing was printed"])[-1]
+    if completed.returncode:
+        reason = (completed.stderr.strip().splitlines() or ["nothing was printed"])[-1]
         raise UnreadableFileError(f"revision {build.revision}: {reason}")
-    return Run(*json.loads(done.stdout))
+    return Run(*json.loads(completed.stdout))
 
 
 def measure(
--- a/tests/server/peers.py
+++ b/tests/server/peers.py
@@ -81,7 +81,7 @@
 
 def make_response(status=200, body=b"done", headers=b""):
     """Return the bytes of a response; ``headers``: complete header lines."""
-    return http1.answer(status, body, headers)
+    return http1.encode_response(status, body, headers)
 
 
 def header_value(head, name):
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -15,11 +15,10 @@
 from pepperhook.lab import events, experiment
 from pepperhook.lab.experiment import Experiment, Fault, Variant
 from pepperhook.lab.machine import Job, Machine
-from pepperhook.lab.network import Network, Relay, Side
+from pepperhook.lab.network import Network, Relay, RelaySide
 from pepperhook.lab.scenario_run import ScenarioRun
 from pepperhook.lab.stand_ins import TierState
 from pepperhook.lab.upstream import Upstream
-from tests.world import loopback
 
 EXPERIMENT = """version = 1
 name = "troubles"
@@ -107,24 +106,26 @@
 
 def test_each_fault_begins_ends_and_has_an_effect(played):
     scenario, _, rows = played
-    recorded = {(row.what, row.on) for row in rows if isinstance(row, events.Happened)}
+    recorded = {(row.name, row.is_start) for row in rows if isinstance(row, events.StateChange)}
     for what in {fault.type for fault in scenario.faults} - {"kill_balancer", "discovery_move"}:
         assert (what, True) in recorded and (what, False) in recorded, what
     assert ("balancer killed", True) in recorded and ("discovery_move", True) in recorded
-    works = [row for row in rows if isinstance(row, events.Work)]
+    works = [row for row in rows if isinstance(row, events.UpstreamWork)]
     outcomes = {(row.upstream, row.outcome) for row in works}
     assert {(1, "hung"), (2, "error"), (4, "reset"), (7, "spoilt")} <= outcomes
-    start = min(row.intended for row in rows if isinstance(row, events.Try))
+    start = min(row.scheduled_at for row in rows if isinstance(row, events.Attempt))
     # Faults last from 1.5 s to 3.5 s. Upstreams that are down or unreachable get nothing; both
     # balancers get the list's changes.
     for upstream in (0, 5, 6, 9, 10):
         assert not [
             row
             for row in works
-            if row.upstream == upstream and 1.7e9 < row.first_byte - start < 3.3e9
+            if row.upstream == upstream and 1.7e9 < row.first_byte_at - start < 3.3e9
         ], upstream
     notified = {
-        (row.caller, row.upstream, row.state) for row in rows if isinstance(row, events.Told)
+        (row.caller, row.upstream, row.state)
+        for row in rows
+        if isinstance(row, events.EndpointListEntry)
     }
     assert {(0, 0, "gone"), (1, 0, "gone"), (0, 0, "ready"), (1, 10, "gone")} <= notified
 
@@ -135,10 +136,10 @@
     bad = [
         row.id
         for row in rows
-        if isinstance(row, events.Work) and row.id.startswith(("bad-half", "bad-lengths"))
+        if isinstance(row, events.UpstreamWork) and row.id.startswith(("bad-half", "bad-lengths"))
     ]
     assert not bad and not [
-        row for row in rows if isinstance(row, events.Work) and row.id == "forged"
+        row for row in rows if isinstance(row, events.UpstreamWork) and row.id == "forged"
     ]
 
 
@@ -202,14 +203,14 @@
     _, result, rows, _ = second
     notified_at = {}
     for row in rows:
-        if isinstance(row, events.Told) and row.upstream == 0:
+        if isinstance(row, events.EndpointListEntry) and row.upstream == 0:
             notified_at.setdefault((row.caller, row.state), []).append(row.at)
     before, after = [], []
     for caller in 0, 1:
         received = [
-            row.first_byte
+            row.first_byte_at
             for row in rows
-            if isinstance(row, events.Work) and (row.upstream, row.caller) == (0, caller)
+            if isinstance(row, events.UpstreamWork) and (row.upstream, row.caller) == (0, caller)
         ]
         drained = notified_at[caller, "draining"][0]
         ready = min(at for at in notified_at[caller, "ready"] if at > drained)
@@ -225,21 +226,23 @@
 
 def test_crowding_and_network_faults_affect_only_their_targets(second):
     _, result, rows, _ = second
-    works = [row for row in rows if isinstance(row, events.Work)]
-    tries = {row.id: row for row in rows if isinstance(row, events.Try)}
+    works = [row for row in rows if isinstance(row, events.UpstreamWork)]
+    tries = {row.id: row for row in rows if isinstance(row, events.Attempt)}
 
     def within(row, begin=1.1, end=2.9):
-        return begin < since_start(result, row.first_byte) < end
+        return begin < since_start(result, row.first_byte_at) < end
 
     # Work of 2 ms takes a crowded upstream at least 10 ms, as it runs at a fifth of its speed until
     # it has been idle for a second.
     crowded = [
-        row.ended - row.came
+        row.ended_at - row.arrived_at
         for row in works
         if row.upstream == 1 and row.outcome == "served" and within(row)
     ]
     others = sorted(
-        row.ended - row.came for row in works if row.upstream == 7 and row.outcome == "served"
+        row.ended_at - row.arrived_at
+        for row in works
+        if row.upstream == 7 and row.outcome == "served"
     )
     assert crowded and min(crowded) >= 9.9e6 and others[len(others) // 2] < 9e6
     # A relay adds its delay in both directions.
@@ -249,7 +252,7 @@
         if row.upstream == 2 and row.outcome == "served" and within(row, end=3.2)
     ]
     delayed = [row for row in delayed if row.body.startswith("0.2.")]
-    assert delayed and min(row.ended - row.sent for row in delayed) >= 120e6
+    assert delayed and min(row.ended_at - row.sent_at for row in delayed) >= 120e6
     # Deaf: no request arrives. Mute: requests arrive and are processed, but no response gets back.
     assert not [row for row in works if row.upstream == 3 and within(row)]
     # Requests sent in the first moments stay in flight, so the upstream gets hardly any further
@@ -265,7 +268,7 @@
     # tried only now and then.
     assert (
         len(
-            {row.upstream for row in works if since_start(result, row.first_byte) > 4.0}
+            {row.upstream for row in works if since_start(result, row.first_byte_at) > 4.0}
             & {1, 2, 3, 4}
         )
         >= 2
@@ -274,7 +277,7 @@
 
 def test_discovery_service_is_silent_during_an_outage_and_late_during_a_lag(second):
     _, result, rows, _ = second
-    notifications = [row for row in rows if isinstance(row, events.Told)]
+    notifications = [row for row in rows if isinstance(row, events.EndpointListEntry)]
     assert not [row for row in notifications if 3.45 < since_start(result, row.at) < 4.55]
     first = {}
     for row in notifications:
@@ -284,26 +287,29 @@
     listed = [
         since_start(result, row.at)
         for row in rows
-        if isinstance(row, events.Happened) and (row.what, row.who) == ("listed draining", 6)
+        if isinstance(row, events.StateChange)
+        and (row.name, row.process_number) == ("listed draining", 6)
     ]
     assert listed and listed[0] > 6.35
 
 
 def test_balancers_reload_leave_and_are_rolled_one_after_another(second):
     _, result, rows, folder = second
-    happened = [(row.what, row.who) for row in rows if isinstance(row, events.Happened)]
-    assert ("balancer told to read again", 0) in happened
+    state_changes = [
+        (row.name, row.process_number) for row in rows if isinstance(row, events.StateChange)
+    ]
+    assert ("balancer told to read again", 0) in state_changes
     logs = [(folder / f"balancer-0-{number}.log").read_text() for number in (0, 1)]
     assert "event=reloaded" in logs[0]
     # The second balancer is asked to leave and is rolled, the first is only rolled. Each has exited
     # before its successor takes over its address.
-    left = [happened.count(("balancer told to leave", number)) for number in (0, 1)]
-    assert left == [1, 2] == [happened.count(("balancer begun", number)) for number in (0, 1)]
+    left = [state_changes.count(("balancer told to leave", number)) for number in (0, 1)]
+    assert left == [1, 2] == [state_changes.count(("balancer begun", number)) for number in (0, 1)]
     assert [log.count("event=started") for log in logs] == [2, 3]
     rolled = sorted(
         row.at
         for row in rows
-        if isinstance(row, events.Happened) and row.what == "balancer told to leave"
+        if isinstance(row, events.StateChange) and row.name == "balancer told to leave"
     )[1:]
     assert rolled[1] - rolled[0] >= 0.7 * S
 
@@ -313,13 +319,13 @@
     # Ids of closed-loop requests have a c after the seed, which is 9 here.
     by_client = {}
     for row in rows:
-        if isinstance(row, events.Try) and "c" in row.id.split(".")[0]:
+        if isinstance(row, events.Attempt) and "c" in row.id.split(".")[0]:
             by_client.setdefault(row.id.split(".")[0], []).append(row)
     assert len(by_client) == 3
     for tries in by_client.values():
-        tries.sort(key=lambda row: row.intended)
+        tries.sort(key=lambda row: row.scheduled_at)
         assert len(tries) > 10 and all(
-            after.intended - before.ended >= 39e6 for before, after in zip(tries, tries[1:])
+            after.scheduled_at - before.ended_at >= 39e6 for before, after in zip(tries, tries[1:])
         )
 
 
@@ -331,23 +337,22 @@
     upstream.machine = Machine(upstream.spec, time.monotonic_ns())
 
     def poll():
-        head, _, body = upstream.told_load(b"/_load").partition(b"\r\n\r\n")
+        head, _, body = upstream.probe_response(b"/_load").partition(b"\r\n\r\n")
         return int(head.split()[1]), json.loads(body)["outstanding"] if body else None
 
     assert poll() == (200, 0)
-    upstream.on["stale_report"] = Fault(type="stale_report", start_s=0)
+    upstream.active_faults["stale_report"] = Fault(type="stale_report", start_s=0)
     upstream.machine.arrive(time.monotonic_ns(), Job(S, None))
     assert poll() == (200, 0)
-    del upstream.on["stale_report"]
+    del upstream.active_faults["stale_report"]
     assert poll() == (200, 1)
-    upstream.on["lost_report"] = Fault(type="lost_report", start_s=0)
+    upstream.active_faults["lost_report"] = Fault(type="lost_report", start_s=0)
     assert poll() == (503, None)
-    del upstream.on["lost_report"]
+    del upstream.active_faults["lost_report"]
     assert poll() == (200, 1)
-    tier_state.book.close()
+    tier_state.event_log.close()
 
 
-@loopback
 async def test_network_cut_resets_open_connections_and_allows_new_ones():
     # A cut while no request is in flight leaves no event row of a request, so it is tested here.
 
@@ -361,7 +366,7 @@
     network = Network(None, None)
     relay = Relay(network, server.sockets[0].getsockname()[:2])
     front = await asyncio.get_running_loop().create_server(
-        lambda: Side(relay, "on"), "127.0.0.1", 0
+        lambda: RelaySide(relay, "to_target"), "127.0.0.1", 0
     )
 
     async def exchange_byte():
@@ -371,14 +376,14 @@
 
     reader, writer, answer = await exchange_byte()
     assert answer == b"x"
-    Network.set(relay, Fault(type="net_cut", start_s=0), True)
+    Network.apply_fault(relay, Fault(type="net_cut", start_s=0), True)
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
         await reader.readexactly(1)
     writer.close()
     reader, writer, answer = await exchange_byte()
     assert answer == b"x"
     writer.close()
-    relay.cut()
+    relay.abort_connections()
     front.close()
     server.close()
     await network.close()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -22,7 +22,7 @@
 from pepperhook.lab.experiment import Experiment, Plan
 from pepperhook.lab.instances import Timeline
 from pepperhook.lab.machine import MS, Job, Machine, S, Spec
-from tests.world import World
+from tests.policy.simulation import PolicySimulation
 
 EXPERIMENT = """version = 1
 name = "t"
@@ -60,27 +60,27 @@
 # The model of an upstream's machine.
 
 
-def run(box, ends, step=MS):
+def run(model, ends, step=MS):
     """Advance a machine by its own wake-ups; return {job: time at which it was done}, in ns."""
-    done, now = {}, box.at
+    done, now = {}, model.advanced_to
     while now < ends:
-        at = box.next_at(now)
+        at = model.next_due_at(now)
         now = ends if at is None else min(ends, max(now + 1, at))
-        for job in box.due(now):
+        for job in model.due(now):
             done[job] = now
-            box.free(now, job)
+            model.finish_job(now, job)
     return done
 
 
 def test_jobs_share_cores_evenly_and_none_gets_more_than_one():
-    box, jobs = Machine(Spec(cores=2, connect_work_ms=0), 0), [Job(10 * MS, n) for n in range(4)]
+    model, jobs = Machine(Spec(cores=2, connect_work_ms=0), 0), [Job(10 * MS, n) for n in range(4)]
     for job in jobs:
-        assert box.arrive(0, job) == machine.TAKEN
-    done = run(box, S)
+        assert model.arrive(0, job) == machine.STARTED
+    done = run(model, S)
     assert [round(done[job] / MS) for job in jobs] == [20] * 4
     alone = Job(10 * MS, 9)
-    box.arrive(S, alone)
-    assert round((run(box, 2 * S)[alone] - S) / MS) == 10
+    model.arrive(S, alone)
+    assert round((run(model, 2 * S)[alone] - S) / MS) == 10
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -93,78 +93,82 @@
         cancel_stops=chance.random() < 0.5,
         crowd_at=chance.choice([0, 4]),
     )
-    box, now, taken, finished, turned_away = Machine(spec, 0), 0, [], set(), 0
+    model, now, accepted, finished, rejected = Machine(spec, 0), 0, [], set(), 0
     for _ in range(400):
         now += chance.randrange(0, 6 * MS)
-        for job in box.due(now):
+        for job in model.due(now):
             assert job.state == "done" and job not in finished
             finished.add(job)
-            box.free(now, job)
+            model.finish_job(now, job)
         if chance.random() < 0.6:
             job = Job(chance.randrange(MS, 20 * MS), None)
-            answer = box.arrive(now, job)
-            turned_away += answer == machine.TURNED_AWAY
-            if answer != machine.TURNED_AWAY:
-                taken.append(job)
-        elif taken and chance.random() < 0.3:
-            job = chance.choice(taken)
+            admission = model.arrive(now, job)
+            rejected += admission == machine.REJECTED
+            if admission != machine.REJECTED:
+                accepted.append(job)
+        elif accepted and chance.random() < 0.3:
+            job = chance.choice(accepted)
             if (
                 job not in finished
                 and job.state in ("working", "waiting")
-                and box.abandon(now, job)
+                and model.abandon(now, job)
             ):
                 finished.add(job)
-        assert box.held <= spec.slots and len(box.waiting) <= spec.queue
-        assert box.working == sum(job.state == "working" for job in taken) <= box.held
+        assert model.slots_in_use <= spec.slots and len(model.waiting) <= spec.queue
+        assert (
+            model.active_jobs
+            == sum(job.state == "working" for job in accepted)
+            <= model.slots_in_use
+        )
         # The cores can't have done more work than the elapsed time allows.
-        assert box.done_work <= spec.cores * spec.speed * now + 1000
-    finished |= set(run(box, now + 100 * S))
-    assert finished == set(taken) and not box.held and not box.waiting
+        assert model.done_work <= spec.cores * spec.speed * now + 1000
+    finished |= set(run(model, now + 100 * S))
+    assert finished == set(accepted) and not model.slots_in_use and not model.waiting
 
 
 def test_cold_machine_warms_up_and_fails_when_overloaded():
     spec = Spec(cores=1, start_capacity=0.2, warm_s=2, fall_multiple=2, fall_s=1)
-    box = Machine(spec, 0, cold=True)
+    model = Machine(spec, 0, cold=True)
     assert (
-        box.warmth(0) == pytest.approx(0.2)
-        and box.warmth(S) == pytest.approx(0.6)
-        and box.warmth(2 * S) == 1
+        model.warmth(0) == pytest.approx(0.2)
+        and model.warmth(S) == pytest.approx(0.6)
+        and model.warmth(2 * S) == 1
     )
     # With little work, a cold machine stays up.
-    box = Machine(spec, 0, cold=True)
+    model = Machine(spec, 0, cold=True)
     for at in range(20):
-        box.arrive(at * 10 * MS, Job(5 * MS, at))
-    assert not box.fell
+        model.arrive(at * 10 * MS, Job(5 * MS, at))
+    assert not model.has_crashed
     # More than fall_multiple of its present capacity makes it fail.
     for at in range(60):
-        box.arrive(S // 5 + at * MS, Job(20 * MS, at))
-    assert box.fell
+        model.arrive(S // 5 + at * MS, Job(20 * MS, at))
+    assert model.has_crashed
     # A warm machine stays up.
     warm = Machine(spec, 0)
     for at in range(200):
         warm.arrive(at, Job(20 * MS, at))
-    assert not warm.fell
+    assert not warm.has_crashed
 
 
 def test_crowded_machine_stays_slow_until_it_has_been_idle():
-    box = Machine(Spec(cores=1, crowd_at=3, crowd_speed=0.5, crowd_rest_s=1), 0)
+    model = Machine(Spec(cores=1, crowd_at=3, crowd_speed=0.5, crowd_rest_s=1), 0)
     for n in range(3):
-        box.arrive(0, Job(10 * MS, n))
-    assert max(run(box, S // 10).values()) == pytest.approx(60 * MS, rel=0.01)
+        model.arrive(0, Job(10 * MS, n))
+    assert max(run(model, S // 10).values()) == pytest.approx(60 * MS, rel=0.01)
     late, soon = Job(10 * MS, 5), Job(10 * MS, 4)
-    box.arrive(S // 2, soon)
-    assert run(box, S)[soon] - S // 2 == pytest.approx(20 * MS, rel=0.01)
-    box.arrive(3 * S, late)
-    assert run(box, 4 * S)[late] - 3 * S == pytest.approx(10 * MS, rel=0.01)
+    model.arrive(S // 2, soon)
+    assert run(model, S)[soon] - S // 2 == pytest.approx(20 * MS, rel=0.01)
+    model.arrive(3 * S, late)
+    assert run(model, 4 * S)[late] - 3 * S == pytest.approx(10 * MS, rel=0.01)
 
 
 def test_paused_machine_resumes_its_work():
-    box, job = Machine(Spec(cores=1), 0), Job(10 * MS, 0)
-    box.arrive(0, job)
-    box.slow(5 * MS, 0.0)
-    assert not run(box, S)
-    box.slow(S, 1.0)
-    assert run(box, 2 * S)[job] == pytest.approx(S + 5 * MS, abs=MS)
+    model, job = Machine(Spec(cores=1), 0), Job(10 * MS, 0)
+    model.arrive(0, job)
+    model.set_fault_factor(5 * MS, 0.0)
+    assert not run(model, S)
+    model.set_fault_factor(S, 1.0)
+    assert run(model, 2 * S)[job] == pytest.approx(S + 5 * MS, abs=MS)
 
 
 # Experiments.
@@ -301,57 +305,59 @@
 def test_messages_are_parsed_alike_however_the_bytes_are_split(seed):
     chance = random.Random(seed)
     sent = [
-        http1.message(b"POST", b"/x", [(b"X-Request-ID", b"%d" % n)], b"y" * n)
+        http1.encode_request(b"POST", b"/x", [(b"X-Request-ID", b"%d" % n)], b"y" * n)
         for n in range(0, 90, 7)
     ]
-    stream, messages, received = b"".join(sent), http1.Messages(), []
+    stream, messages, received = b"".join(sent), http1.MessageParser(), []
     while stream:
         cut = chance.randrange(1, 60)
         messages.feed(stream[:cut])
         stream = stream[cut:]
         while (message := messages.next()) is not None:
             received.append((message[0].headers[b"x-request-id"], len(message[1])))
-    assert received == [(b"%d" % n, n) for n in range(0, 90, 7)] and not messages.begun
+    assert (
+        received == [(b"%d" % n, n) for n in range(0, 90, 7)] and not messages.has_partial_message
+    )
     for malformed in (
         b"nothing\r\n\r\n",
         b"GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n",
         b"GET / HTTP/1.1\r\nno colon\r\n\r\n",
     ):
-        messages = http1.Messages()
+        messages = http1.MessageParser()
         messages.feed(malformed)
-        with pytest.raises(http1.Broken):
+        with pytest.raises(http1.MalformedMessageError):
             messages.next()
 
 
 # The auditor: a correct run has no finding, and each fault has its own.
 
 
-def one(
+def make_attempt_row(
     at=100,
-    grade=0,
+    service_class=0,
     kind="answer",
     status=200,
-    took=20,
+    duration=20,
     identity="a",
     body=None,
-    first=None,
+    first_id=None,
     number=0,
     tier=0,
     caller=-1,
 ):
-    """Return the event row of a request attempt; times in ms."""
+    """Return the event row of a client attempt; times in ms."""
     body = f"0.0.{identity}.1" if body is None else body
-    return events.Try(
+    return events.Attempt(
         tier,
         caller,
         identity,
-        first or identity,
+        first_id or identity,
         number,
-        grade,
+        service_class,
         0,
         at * MS,
         at * MS,
-        (at + took) * MS,
+        (at + duration) * MS,
         kind,
         status,
         body if status == 200 else "",
@@ -359,132 +365,207 @@
     )
 
 
-def work(at=101, took=10, grade=0, outcome="served", identity="a", upstream=0, gone=0, seen=1):
+def make_work_row(
+    at=101,
+    duration=10,
+    service_class=0,
+    outcome="served",
+    identity="a",
+    upstream=0,
+    caller_left_at=0,
+    execution=1,
+):
     """Return the event row of an attempt at an upstream; times in ms.
 
-    ``gone``: when the client left, 0: never; ``seen``: number of the execution.
+    ``caller_left_at``: 0 if it did not leave; ``execution``: number of the execution.
     """
-    nonce = f"0.0.{identity}.{seen}" if outcome == "served" else ""
-    return events.Work(
+    nonce = f"0.0.{identity}.{execution}" if outcome == "served" else ""
+    return events.UpstreamWork(
         0,
         upstream,
         0,
         identity,
-        grade,
+        service_class,
         at * MS,
         at * MS,
-        (at + took) * MS,
+        (at + duration) * MS,
         outcome,
         at * MS,
         MS,
         nonce,
-        gone * MS,
-        (at + took) * MS,
+        caller_left_at * MS,
+        (at + duration) * MS,
     )
 
 
-def told(at, state, upstream=0):
-    """Return the event row of a state that a balancer was notified of; ``at`` in ms."""
-    return events.Told(0, 0, at * MS, upstream, state)
+def make_list_entry_row(at, state, upstream=0):
+    """Return the event row of a list entry sent to a balancer; ``at`` in ms."""
+    return events.EndpointListEntry(0, 0, at * MS, upstream, state)
 
 
 CASES = {
-    "honest": (None, [one(), work()]),
-    "honest-repeat": (None, [one(took=60), work(outcome="error"), work(at=120, upstream=1)]),
+    "honest": (None, [make_attempt_row(), make_work_row()]),
+    "honest-repeat": (
+        None,
+        [
+            make_attempt_row(duration=60),
+            make_work_row(outcome="error"),
+            make_work_row(at=120, upstream=1),
+        ],
+    ),
     "honest-shed-after-full": (
         None,
-        [one(grade=1, status=503), work(grade=1, outcome="turned away")],
+        [
+            make_attempt_row(service_class=1, status=503),
+            make_work_row(service_class=1, outcome="turned away"),
+        ],
     ),
     "honest-sale-after-full": (
         None,
-        [one(grade=1), work(grade=1, outcome="turned away"), work(at=115, grade=1)],
+        [
+            make_attempt_row(service_class=1),
+            make_work_row(service_class=1, outcome="turned away"),
+            make_work_row(at=115, service_class=1),
+        ],
+    ),
+    "honest-drain": (
+        None,
+        [
+            make_attempt_row(duration=500),
+            make_list_entry_row(0, "ready"),
+            make_list_entry_row(100, "draining"),
+            make_work_row(at=300),
+        ],
     ),
-    "honest-drain": (None, [one(took=500), told(0, "ready"), told(100, "draining"), work(at=300)]),
     "honest-cell": (
         None,
-        [one(grade=2), work(grade=2, outcome="error"), work(at=120, grade=2, upstream=3)],
+        [
+            make_attempt_row(service_class=2),
+            make_work_row(service_class=2, outcome="error"),
+            make_work_row(at=120, service_class=2, upstream=3),
+        ],
     ),
     "killed": (
         None,
-        [one(kind="lost", status=0), work(), events.Happened(150 * MS, "balancer killed", 0, 0)],
+        [
+            make_attempt_row(kind="lost", status=0),
+            make_work_row(),
+            events.StateChange(150 * MS, "balancer killed", 0, 0),
+        ],
     ),
     # The balancer of the client was killed: its lost request is excused.
     "its own": (
         None,
         [
-            one(kind="lost", status=0, caller=1),
-            work(),
-            events.Happened(150 * MS, "balancer killed", 0, 1),
+            make_attempt_row(kind="lost", status=0, caller=1),
+            make_work_row(),
+            events.StateChange(150 * MS, "balancer killed", 0, 1),
         ],
     ),
     # The upstream that called through a balancer of the second tier crashed: also excused.
     "its upstream's": (
         None,
-        [one(kind="lost", status=0, tier=1, caller=2), events.Happened(150 * MS, "crash", 0, 2)],
+        [
+            make_attempt_row(kind="lost", status=0, tier=1, caller=2),
+            events.StateChange(150 * MS, "crash", 0, 2),
+        ],
     ),
     # Another balancer was killed: not excused.
     "another's": (
         "lost",
         [
-            one(kind="lost", status=0, caller=1),
-            work(),
-            events.Happened(150 * MS, "balancer killed", 0, 0),
+            make_attempt_row(kind="lost", status=0, caller=1),
+            make_work_row(),
+            events.StateChange(150 * MS, "balancer killed", 0, 0),
         ],
     ),
     # A balancer that drains must not lose requests.
     "told to leave": (
         "lost",
         [
-            one(kind="lost", status=0, caller=1),
-            work(),
-            events.Happened(150 * MS, "balancer told to leave", 0, 1),
+            make_attempt_row(kind="lost", status=0, caller=1),
+            make_work_row(),
+            events.StateChange(150 * MS, "balancer told to leave", 0, 1),
         ],
     ),
     "killed-and-sent-again": (
         None,
         [
-            one(grade=1, took=90),
-            events.Happened(110 * MS, "balancer killed", 0, 0),
-            work(grade=1, outcome="given up", gone=110),
-            work(at=130, grade=1, upstream=1),
+            make_attempt_row(service_class=1, duration=90),
+            events.StateChange(110 * MS, "balancer killed", 0, 0),
+            make_work_row(service_class=1, outcome="given up", caller_left_at=110),
+            make_work_row(at=130, service_class=1, upstream=1),
         ],
     ),
     "given up": (
         "ran twice",
         [
-            one(grade=1, took=90),
-            work(grade=1, outcome="given up", gone=110),
-            work(at=130, grade=1, upstream=1),
+            make_attempt_row(service_class=1, duration=90),
+            make_work_row(service_class=1, outcome="given up", caller_left_at=110),
+            make_work_row(at=130, service_class=1, upstream=1),
         ],
     ),
-    "lost": ("lost", [one(kind="lost", status=0), work()]),
+    "lost": ("lost", [make_attempt_row(kind="lost", status=0), make_work_row()]),
     # The client got no response within its time limit.
-    "never": ("lost", [one(kind="open", status=0), work()]),
-    "late": ("late", [one(took=600), work(took=590)]),
-    "invented": ("invented", [one(body="0.0.b.1"), work()]),
+    "never": ("lost", [make_attempt_row(kind="open", status=0), make_work_row()]),
+    "late": ("late", [make_attempt_row(duration=600), make_work_row(duration=590)]),
+    "invented": ("invented", [make_attempt_row(body="0.0.b.1"), make_work_row()]),
     # A 200 without any attempt at an upstream.
-    "nobody's": ("invented", [one()]),
-    "twice": ("answered twice", [one(), work(), events.Extra(0, 130 * MS, "a", 40)]),
+    "nobody's": ("invented", [make_attempt_row()]),
+    "twice": (
+        "answered twice",
+        [make_attempt_row(), make_work_row(), events.UnexpectedBytes(0, 130 * MS, "a", 40)],
+    ),
     "ran twice": (
         "ran twice",
-        [one(grade=1), work(grade=1, outcome="reset"), work(at=140, grade=1, upstream=1)],
+        [
+            make_attempt_row(service_class=1),
+            make_work_row(service_class=1, outcome="reset"),
+            make_work_row(at=140, service_class=1, upstream=1),
+        ],
+    ),
+    "overlap": (
+        "overlap",
+        [
+            make_attempt_row(),
+            make_work_row(duration=30),
+            make_work_row(at=120, upstream=1, execution=2),
+        ],
     ),
-    "overlap": ("overlap", [one(), work(took=30), work(at=120, upstream=1, seen=2)]),
     "window": (
         "repeated outside its window",
-        [one(grade=2, took=450), work(grade=2, outcome="error"), work(at=420, grade=2)],
+        [
+            make_attempt_row(service_class=2, duration=450),
+            make_work_row(service_class=2, outcome="error"),
+            make_work_row(at=420, service_class=2),
+        ],
     ),
     "cell": (
         "repeated outside its group",
-        [one(grade=2), work(grade=2, outcome="error"), work(at=120, grade=2, upstream=1)],
+        [
+            make_attempt_row(service_class=2),
+            make_work_row(service_class=2, outcome="error"),
+            make_work_row(at=120, service_class=2, upstream=1),
+        ],
+    ),
+    "shed": (
+        "shed what may have run",
+        [
+            make_attempt_row(service_class=1, status=503),
+            make_work_row(service_class=1, outcome="error"),
+        ],
     ),
-    "shed": ("shed what may have run", [one(grade=1, status=503), work(grade=1, outcome="error")]),
     "drain": (
         "sent after drain",
-        [one(at=700), told(0, "ready"), told(100, "draining"), work(at=701)],
+        [
+            make_attempt_row(at=700),
+            make_list_entry_row(0, "ready"),
+            make_list_entry_row(100, "draining"),
+            make_work_row(at=701),
+        ],
     ),
-    "cold": ("pushed over cold", [events.Happened(5 * MS, "fell over", 0, 2)]),
-    "bytes": ("bad message to an upstream", [events.Happened(5 * MS, "bad message", 0, 2)]),
+    "cold": ("pushed over cold", [events.StateChange(5 * MS, "fell over", 0, 2)]),
+    "bytes": ("bad message to an upstream", [events.StateChange(5 * MS, "bad message", 0, 2)]),
 }
 
 
@@ -492,22 +573,22 @@
 def test_auditor_names_each_fault_and_no_other(name):
     expected, rows = CASES[name]
     findings = [
-        finding.name for finding in audit.Auditor(make_experiment(), rows, 0).judge().findings
+        finding.name for finding in audit.Auditor(make_experiment(), rows, 0).audit().findings
     ]
     assert findings == ([expected] if expected else [])
 
 
 def test_figures_count_requests_and_not_retries():
     rows = [
-        one(identity="a", status=500),
-        one(at=200, identity="ar1", first="a", number=1, body="0.0.ar1.1"),
-        work(outcome="error"),
-        work(at=201, identity="ar1"),
-        one(identity="b", status=503),
-        one(identity="c", kind="gone", status=0),
-        work(identity="c", outcome="given up", took=400, gone=130),
+        make_attempt_row(identity="a", status=500),
+        make_attempt_row(at=200, identity="ar1", first_id="a", number=1, body="0.0.ar1.1"),
+        make_work_row(outcome="error"),
+        make_work_row(at=201, identity="ar1"),
+        make_attempt_row(identity="b", status=503),
+        make_attempt_row(identity="c", kind="gone", status=0),
+        make_work_row(identity="c", outcome="given up", duration=400, caller_left_at=130),
     ]
-    figures = audit.Auditor(make_experiment(), rows, 0).judge().figures
+    figures = audit.Auditor(make_experiment(), rows, 0).audit().figures
     assert (figures["wishes"], figures["tries"], figures["goodput"]) == (3, 4, round(1 / 3, 4))
     assert (figures["shed"], figures["failed"], figures["gone"]) == (0.25, 0.25, 0.25)
     # Three attempts reached the first tier's upstreams, for three requests.
@@ -519,17 +600,17 @@
 
 
 def test_complete_rows_are_readable_after_a_writer_was_killed(tmp_path):
-    book = events.Book(tmp_path / "x.rows")
+    event_log = events.EventLog(tmp_path / "x.rows")
     rows = [
-        one(),
-        work(),
-        told(1, "ready"),
-        events.Happened(1, "crash", 0, 1),
-        events.Sample(0, 0, 1, 0.2, 0.0, 0, [1]),
+        make_attempt_row(),
+        make_work_row(),
+        make_list_entry_row(1, "ready"),
+        events.StateChange(1, "crash", 0, 1),
+        events.BalancerSample(0, 0, 1, 0.2, 0.0, 0, [1]),
     ]
     for row in rows:
-        book.add(row)
-    book.close()
+        event_log.add(row)
+    event_log.close()
     with open(tmp_path / "x.rows", "ab") as file:
         file.write(b'["try",0,-1,"half')
     assert events.read(tmp_path) == rows
@@ -559,19 +640,21 @@
     assert low < 0 < high
 
 
-# The baselines keep the rules that they claim to keep, in the simulation of tests/world.py that
-# also tests the balancer's policy.
+# The baselines keep the rules that they claim to keep, in the simulation that also tests the
+# balancer's policy.
 
 
 @pytest.mark.parametrize("name", baselines.MODULES)
 def test_baselines_keep_their_rules_over_random_runs(name):
-    world = World(6, make=baselines.MODULES[name], max_attempts=9)
-    world.run(1500)
-    counts = [list(world.responses.values()).count(kind) for kind in ("fulfilled", "broken off")]
+    simulation = PolicySimulation(6, make_policy=baselines.MODULES[name], max_attempts=9)
+    simulation.run(1500)
+    counts = [
+        list(simulation.responses.values()).count(kind) for kind in ("fulfilled", "broken off")
+    ]
     assert min(counts) > 0 and all(
-        upstream.state == UpstreamState.READY for upstream in world.balancer.listed
+        upstream.state == UpstreamState.READY for upstream in simulation.balancer.upstreams
     )
-    retried = sum(len(request.attempts) > 1 for request in world.requests)
+    retried = sum(len(request.attempts) > 1 for request in simulation.requests)
     # All baselines but these four retry.
     assert (retried > 0) == (name not in ("random", "round-robin", "least-out", "two-choices"))
 
