--- a/pepperhook/lab/proofs/base.py
+++ b/pepperhook/lab/proofs/base.py
@@ -104,14 +104,14 @@
         self.report_progress(name, self.runs_done / self.run_count)
         return result
 
-    def play_concurrently(self, runs, at_once):
-        """Play runs that use little CPU time, up to ``at_once`` at the same time.
+    def play_concurrently(self, runs, max_concurrent):
+        """Play runs that use little CPU time, up to ``max_concurrent`` at the same time.
 
         ``runs`` has tuples of (scenario, variant, name, options). Returns the results by name. Void
         runs are repeated after the others, each alone.
         """
         self.run_count, results = len(runs), {}
-        with ThreadPoolExecutor(at_once) as pool:
+        with ThreadPoolExecutor(max_concurrent) as pool:
             futures = [
                 pool.submit(self.play_once, scenario, variant, name, **options)
                 for scenario, variant, name, options in runs
--- a/pepperhook/lab/soak/run.py
+++ b/pepperhook/lab/soak/run.py
@@ -3,7 +3,7 @@
 import json
 import shutil
 import tempfile
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
@@ -13,9 +13,6 @@
 from pepperhook.lab.soak.play import SoakDay
 
 MAX_RUNS = 3  # per seed; a run is repeated if it is void, such as for lack of CPU time
-KEPT = "soak"  # subfolder of the results folder
-
-Tell = Callable[[Verdict], None]
 
 
 def run_seed(seed: int, seconds: float, folder: Path, plant: str | None = None) -> Verdict:
@@ -50,12 +47,13 @@
 
 
 def play(
-    seeds: range, seconds: float, at_once: int, folder: Path | None, plant: str | None
+    seeds: range, seconds: float, max_concurrent: int, folder: Path | None, plant: str | None
 ) -> Iterator[Verdict]:
     """Yield the verdict of each seed, in the order of the seeds.
 
-    ``at_once`` seeds run at the same time. Without ``folder``, results go to a temporary folder.
+    At most ``max_concurrent`` seeds run at the same time. Without ``folder``, results go to a
+    temporary folder.
     """
     results_folder = folder or Path(tempfile.mkdtemp(prefix="pepperhook-soak-"))
-    with ThreadPoolExecutor(at_once) as pool:
+    with ThreadPoolExecutor(max_concurrent) as pool:
         yield from pool.map(lambda seed: run_seed(seed, seconds, results_folder, plant), seeds)
