--- a/pepperhook/lab/audit.py
+++ b/pepperhook/lab/audit.py
@@ -628,10 +628,13 @@
         """
         last_check_at, intervals = {}, []
         for row in sorted(self.probes, key=lambda row: row.at):
-            path = row.tier, row.upstream, row.caller
-            if path in last_check_at and row.at - last_check_at[path] < MAX_PROBE_GAP_NS:
-                intervals.append(row.at - last_check_at[path])
-            last_check_at[path] = row.at
+            checked_by = row.tier, row.upstream, row.caller
+            if (
+                checked_by in last_check_at
+                and row.at - last_check_at[checked_by] < MAX_PROBE_GAP_NS
+            ):
+                intervals.append(row.at - last_check_at[checked_by])
+            last_check_at[checked_by] = row.at
         mean = sum(intervals) / len(intervals) if intervals else 0
         spread = (
             (sum((interval - mean) ** 2 for interval in intervals) / len(intervals)) ** 0.5 / mean
@@ -763,7 +766,7 @@
             else:
                 continue
             count += sum(work.remaining_retries > allowance for work in works)
-            # Only counts where the attempts carry a request context header (tries >= 0).
+            # Only counts where the attempts carry a request context header.
             count += len(works) - 1 > allowance and works[0].remaining_retries >= 0
         return count
 
--- a/pepperhook/lab/call_queue.py
+++ b/pepperhook/lab/call_queue.py
@@ -52,7 +52,7 @@
     def admit(self, now: float, lines: int, slow_call_s: float = 0.0) -> Admission | None:
         """Admit a poll, or refuse it (None).
 
-        A ``slow_call_s`` above ``call_cost_s`` replaces it.
+        If ``slow_call_s`` is above ``call_cost_s``, it is used in place of that.
         """
         cost_s = self.cost_s(lines) + max(0.0, slow_call_s - self.call_cost_s)
         begins_at = max(now, self.idle_at)
--- a/pepperhook/lab/discovery.py
+++ b/pepperhook/lab/discovery.py
@@ -55,8 +55,8 @@
         if since is None or since > self.seq:
             return [name for name, row in self.rows.items() if row[1] != GONE], True
         # "\uffff" sorts after every host name of that version.
-        at = bisect.bisect_right(self.log, (since, "\uffff"))
-        return list(dict.fromkeys(name for _, name in self.log[at:])), False
+        first_index = bisect.bisect_right(self.log, (since, "\uffff"))
+        return list(dict.fromkeys(name for _, name in self.log[first_index:])), False
 
     def response_for(self, since, caller):
         """Return the response document and the (number, state) pairs that it tells the caller."""
--- a/pepperhook/lab/http2.py
+++ b/pepperhook/lab/http2.py
@@ -77,7 +77,7 @@
         stream = self.streams.get(stream_id)
         if kind is h2.events.ResponseReceived:
             if stream is None:
-                # One byte stands for a response head without a request.
+                # The raw response head is not available here, so one byte is reported in its place.
                 return self.pool.report_unsolicited(self, b"x")
             stream[2] = {name.encode(): value.encode() for name, value in event.headers}
             stream[1] = int(stream[2][b":status"])
@@ -222,7 +222,7 @@
         try:
             events = self.h2.receive_data(data)
         except h2.exceptions.ProtocolError as error:
-            self.upstream.record_event("bad message", text=f"no HTTP/2: {error}")
+            self.upstream.record_event("bad message", details=f"no HTTP/2: {error}")
             return self.transport.abort()
         for event in events:
             kind, stream_id = type(event), getattr(event, "stream_id", None)
@@ -239,7 +239,7 @@
                 try:
                     self.upstream.handle_request(stream, stream, b"")
                 except (http1.MalformedMessageError, ValueError) as error:
-                    self.upstream.record_event("bad message", text=str(error))
+                    self.upstream.record_event("bad message", details=str(error))
                     self.h2.reset_stream(stream_id, Codes.PROTOCOL_ERROR)
             elif kind is h2.events.StreamReset and stream_id in self.streams:
                 self.streams[stream_id].on_end()
@@ -296,7 +296,8 @@
         if response is not None and (
             messages.buffer or b"content-length" not in response[0].headers
         ):
-            response = None  # deliberately malformed as HTTP/1.1, but valid once framed as HTTP/2
+            # HTTP/2 has its own framing, so this response would arrive without its fault.
+            response = None
         self.remove()
         try:
             if response is None:
--- a/pepperhook/lab/machine.py
+++ b/pepperhook/lab/machine.py
@@ -49,11 +49,11 @@
     ``work`` is its cost in nanoseconds of one core; ``owner`` is the object that it belongs to.
     """
 
-    __slots__ = ("work", "owner", "ends_at_v", "state", "arrived_at", "began_at", "abandoned")
+    __slots__ = ("work", "owner", "virtual_end", "state", "arrived_at", "began_at", "abandoned")
 
     def __init__(self, work, owner):
         # state: None, "waiting", "working", "done" (work ended, slot still in use) or "over".
-        self.work, self.owner, self.ends_at_v, self.state = max(1, int(work)), owner, 0.0, None
+        self.work, self.owner, self.virtual_end, self.state = max(1, int(work)), owner, 0.0, None
         self.arrived_at = self.began_at = 0
         self.abandoned = False  # cancelled by its client
 
@@ -194,11 +194,11 @@
 
     def begin(self, now, job):
         """Give a job a slot and begin its work."""
-        job.state, job.began_at, job.ends_at_v = "working", now, self.virtual_time + job.work
+        job.state, job.began_at, job.virtual_end = "working", now, self.virtual_time + job.work
         self.slots_in_use += 1
         self.active_jobs += 1
         self.sequence += 1
-        heappush(self.running, (job.ends_at_v, self.sequence, job))
+        heappush(self.running, (job.virtual_end, self.sequence, job))
 
     def charge(self, now, work):
         """Do work besides the jobs, such as a handshake.
@@ -226,7 +226,7 @@
             job.state = "over"
             return True
         if job.state == "working" and self.spec.cancel_stops:
-            self.wasted_work += max(0.0, job.work - (job.ends_at_v - self.virtual_time))
+            self.wasted_work += max(0.0, job.work - (job.virtual_end - self.virtual_time))
             job.state = "over"
             self.active_jobs -= 1
             self.free_slot(now)
--- a/pepperhook/lab/stand_ins.py
+++ b/pepperhook/lab/stand_ins.py
@@ -26,7 +26,8 @@
         self.event_log = events.EventLog(f"{folder}/upstreams-{tier}.rows")
         self.callers = experiment.caller_count(plan.scenario, tier)
         self.service_classes = {
-            service_class.name: at for at, service_class in enumerate(plan.scenario.service_classes)
+            service_class.name: index
+            for index, service_class in enumerate(plan.scenario.service_classes)
         }
         # deliveries: how often each request id has reached the tier.
         self.deliveries, self.tasks = {}, set()
--- a/pepperhook/lab/upstream.py
+++ b/pepperhook/lab/upstream.py
@@ -17,8 +17,8 @@
 from pepperhook.lab.machine import Job
 
 MS, S = 10**6, 10**9
-CHAIN_HEADER, CHAIN_RESULT_HEADER = b"pepperhook-chain", b"pepperhook-chain-result"
-ATTEMPT_COUNT = re.compile(rb"tries=(\d+)")
+CONTEXT_HEADER, CONTEXT_RESULT_HEADER = b"pepperhook-chain", b"pepperhook-chain-result"
+REMAINING_RETRIES = re.compile(rb"tries=(\d+)")
 RESTART_AFTER_OVERLOAD_S = 2.0
 TIME_LIMIT_MARGIN_MS = 5  # subtracted from the time limit that is sent to the next tier
 NOT_PROCESSED = b"X-Not-Processed: 1\r\n"
@@ -28,11 +28,11 @@
     """One received request, from its arrival to its event row; times are in nanoseconds."""
 
     __slots__ = (
-        "chain_results",
+        "context_results",
         "began_at",
         "calls",
         "arrived_at",
-        "chain_header",
+        "context_header",
         "is_recorded",
         "connection",
         "deadline",
@@ -42,16 +42,16 @@
         "service_class",
         "id",
         "job",
-        "limit",
+        "time_limit_ns",
         "nonce",
         "delivery",
     )
 
-    chain_results: list  # chain result headers from the next tier
+    context_results: list  # request context result headers from the next tier
     began_at: int  # 0: its work never began
     calls: int  # calls to the next tier that have not ended
     arrived_at: int
-    chain_header: bytes | None
+    context_header: bytes | None
     is_recorded: bool  # its event row has been written
     connection: Any  # the ServerConnection or ServerStream that it came on
     deadline: int  # when its time limit is over
@@ -61,7 +61,7 @@
     service_class: int  # index of its service class
     id: str
     job: Job
-    limit: int
+    time_limit_ns: int
     nonce: str  # names this attempt in the response body; empty: no valid response was sent
     delivery: int  # how often this request id has reached the tier, this attempt included
 
@@ -114,7 +114,7 @@
                     raise http1.MalformedMessageError("a second request before the response")
                 upstream.handle_request(self, *request)
         except (http1.MalformedMessageError, ValueError) as error:
-            upstream.record_event("bad message", text=str(error))
+            upstream.record_event("bad message", details=str(error))
             self.transport.write(http1.encode_response(400))
             self.transport.close()
 
@@ -150,7 +150,7 @@
         self.fails_checks = False  # health checks fail: true from the start of a drain
         self.active_faults = {}  # active faults by kind
         self.timer, self.pool, self.fillers, self.malformed_count = None, None, [], 0
-        self.calls, self.first_chain_header = set(), None
+        self.calls, self.first_context_header = set(), None
         self.open_attempts = set()  # attempts whose event row has not been written
         header_handling = self.scenario.tiers[self.tier].header_handling
         self.header_handling = header_handling[number % len(header_handling)]
@@ -158,10 +158,10 @@
     def now(self):
         return time.monotonic_ns()
 
-    def record_event(self, what, on=True, text=""):
-        """Record an event of this upstream; ``on`` is False if it is the end of a fault."""
+    def record_event(self, name, is_start=True, details=""):
+        """Record an event of this upstream; ``is_start`` is False at the end of a fault."""
         self.tier_state.event_log.add(
-            events.StateChange(self.now(), what, self.tier, self.number, on, text)
+            events.StateChange(self.now(), name, self.tier, self.number, is_start, details)
         )
 
     def fault_applies(self, kind, name):
@@ -186,12 +186,19 @@
         self.down = self.draining = self.fails_checks = False
         if cold:
             self.record_event("up cold")
-        # circle: the last tier calls tier 0, for attempts of that service class.
-        settings, last = self.scenario.tiers[self.tier], self.tier + 1 == len(self.scenario.tiers)
-        if self.pool is None and settings.calls and (not last or settings.loop_service_class):
+        # With loop_service_class the last tier calls tier 0, for attempts of that service class.
+        settings, is_last_tier = (
+            self.scenario.tiers[self.tier],
+            self.tier + 1 == len(self.scenario.tiers),
+        )
+        if (
+            self.pool is None
+            and settings.calls
+            and (not is_last_tier or settings.loop_service_class)
+        ):
             address = (
                 self.tier_state.plan.balancer(0, 0)
-                if last
+                if is_last_tier
                 else self.tier_state.plan.balancer(self.tier + 1, self.number)
             )
             self.pool = http1.Pool(
@@ -283,14 +290,14 @@
             now,
         )
         limit = head.number(b"x-timeout-ms")
-        attempt.limit = (
+        attempt.time_limit_ns = (
             limit * MS
             if limit is not None
             else int(self.scenario.service_classes[attempt.service_class].time_limit_ms * MS)
         )
-        attempt.chain_header, attempt.chain_results = head.headers.get(CHAIN_HEADER), []
-        if attempt.chain_header is not None:
-            self.first_chain_header = self.first_chain_header or attempt.chain_header
+        attempt.context_header, attempt.context_results = head.headers.get(CONTEXT_HEADER), []
+        if attempt.context_header is not None:
+            self.first_context_header = self.first_context_header or attempt.context_header
         (
             attempt.calls,
             attempt.failed,
@@ -302,7 +309,7 @@
         attempt.delivery = tier_state.deliveries[attempt.id] = (
             tier_state.deliveries.get(attempt.id, 0) + 1
         )
-        attempt.deadline = now + attempt.limit
+        attempt.deadline = now + attempt.time_limit_ns
         connection.open_attempt = attempt
         self.open_attempts.add(attempt)
         attempt.job = Job(
@@ -328,7 +335,7 @@
         if self.machine.has_crashed:
             # Overload while cold crashes the process; it restarts cold.
             self.record_event(
-                "fell over", text=f"cold, offered {self.machine.offered_work / S:.2f} s of work"
+                "fell over", details=f"cold, offered {self.machine.offered_work / S:.2f} s of work"
             )
             self.crash()
             asyncio.get_running_loop().call_later(
@@ -383,9 +390,9 @@
         if attempt.disconnected_at and settings.cancels_on_disconnect:
             self.machine.finish_job(self.now(), attempt.job)
             return self.record(attempt, "given up", attempt.disconnected_at)
-        last = self.tier + 1 == len(self.scenario.tiers)
+        is_last_tier = self.tier + 1 == len(self.scenario.tiers)
         if self.pool is not None and (
-            not last
+            not is_last_tier
             or settings.loop_service_class
             == self.scenario.service_classes[attempt.service_class].name
         ):
@@ -428,7 +435,7 @@
             return self.respond(
                 attempt,
                 "error",
-                http1.encode_response(500, b"error\n", self.chain_result_headers(attempt)),
+                http1.encode_response(500, b"error\n", self.context_result_headers(attempt)),
             )
         attempt.nonce = f"{self.tier}.{self.number}.{attempt.id}.{attempt.delivery}"
         body = attempt.nonce.encode() + b"\n"
@@ -438,13 +445,15 @@
             attempt.nonce = ""
             return self.respond(attempt, "spoilt", self.make_malformed_response(body))
         self.respond(
-            attempt, "served", http1.encode_response(200, body, self.chain_result_headers(attempt))
+            attempt,
+            "served",
+            http1.encode_response(200, body, self.context_result_headers(attempt)),
         )
 
-    def chain_result_headers(self, attempt):
-        """Return the next tier's chain results as header lines, unchanged."""
+    def context_result_headers(self, attempt):
+        """Return the next tier's request context results as header lines, unchanged."""
         return b"".join(
-            b"%s: %s\r\n" % (CHAIN_RESULT_HEADER, value) for value in attempt.chain_results
+            b"%s: %s\r\n" % (CONTEXT_RESULT_HEADER, value) for value in attempt.context_results
         )
 
     def make_malformed_response(self, body):
@@ -501,8 +510,9 @@
                 attempt.nonce,
                 attempt.disconnected_at,
                 self.now() if began_at else 0,
-                int(found[1])
-                if attempt.chain_header and (found := ATTEMPT_COUNT.search(attempt.chain_header))
+                int(retries_match[1])
+                if attempt.context_header
+                and (retries_match := REMAINING_RETRIES.search(attempt.context_header))
                 else -1,
             )
         )
@@ -541,15 +551,15 @@
 
     async def apply_fault(self, fault, on):
         """Begin or end one fault."""
-        what, now = fault.type, self.now()
-        self.record_event(what, on)
+        kind, now = fault.type, self.now()
+        self.record_event(kind, on)
         if on:
-            self.active_faults[what] = fault
+            self.active_faults[kind] = fault
         else:
-            self.active_faults.pop(what, None)
-        if what in LIFECYCLE_FAULTS:
+            self.active_faults.pop(kind, None)
+        if kind in LIFECYCLE_FAULTS:
             return  # the tier's timeline starts and ends the process, see apply_transition
-        if what == "unready":
+        if kind == "unready":
             # Refuses connections for the fault's size in seconds, then accepts them but fails
             # health checks and rejects requests.
             if on:
@@ -559,19 +569,19 @@
                 await self.listen()
             else:
                 self.unready = False
-        elif what in ("slow", "pause"):
+        elif kind in ("slow", "pause"):
             self.machine.set_fault_factor(
-                now, (0.0 if what == "pause" else fault.size or 0.2) if on else 1.0
+                now, (0.0 if kind == "pause" else fault.size or 0.2) if on else 1.0
             )
             self.set_timer()
-        elif what == "crowd":
+        elif kind == "crowd":
             self.machine.advance(now)
             self.machine.crowded = on or self.machine.crowded
             self.set_timer()
-        elif what in ("refused", "unconnectable"):
+        elif kind in ("refused", "unconnectable"):
             if on:
                 self.refuse_connections()
-                if what == "unconnectable":
+                if kind == "unconnectable":
                     for caller in range(self.tier_state.callers):
                         self.fillers += http1.fill_backlog(
                             self.tier_state.plan.upstream(self.tier, self.number, caller)
@@ -617,7 +627,7 @@
         self.id = f"{parent.id}-{parent.delivery}{'abcdefgh'[number]}"
         self.begun_at = upstream.now()
         forwards_limit = upstream.scenario.tiers[upstream.tier].forwards_remaining_time
-        self.limit = (
+        self.time_limit_ns = (
             parent.deadline - self.begun_at
             if forwards_limit
             else int(upstream.scenario.service_classes[parent.service_class].time_limit_ms * MS)
@@ -626,20 +636,20 @@
 
     def begin(self):
         """Send the request, or end at once if no time is left."""
-        if self.limit < 2 * MS:
+        if self.time_limit_ns < 2 * MS:
             # The request is never sent, and finish records none with this note.
             return self.finish("gone", 0, b"", "no time left")
         service_class = self.upstream.scenario.service_classes[self.parent.service_class]
         method = b"GET" if service_class.effect == "idempotent" else b"POST"
         headers = [
             (b"X-Request-ID", self.id.encode()),
-            (b"X-Timeout-Ms", b"%d" % (self.limit // MS)),
+            (b"X-Timeout-Ms", b"%d" % (self.time_limit_ns // MS)),
         ]
         if service_class.effect == "deduplicated":
             headers.append((b"Idempotency-Key", self.id.encode()))
-        headers += [(CHAIN_HEADER, value) for value in self.chain_headers()]
+        headers += [(CONTEXT_HEADER, value) for value in self.context_headers()]
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(self.limit / S + 0.1, self.on_timeout)
+        self.timer = loop.call_later(self.time_limit_ns / S + 0.1, self.on_timeout)
         self.upstream.pool.send(
             self,
             http1.encode_request(
@@ -650,13 +660,13 @@
             ),
         )
 
-    def chain_headers(self):
-        """Return the chain headers to send, as the tier's ``header_handling`` setting says."""
-        mode, value = self.upstream.header_handling, self.parent.chain_header
+    def context_headers(self):
+        """Return the context headers to send, by the tier's ``header_handling`` setting."""
+        mode, value = self.upstream.header_handling, self.parent.context_header
         if value is None or mode == "drop":
             return []
         if mode == "copy":
-            return [self.upstream.first_chain_header]  # of the first request with one
+            return [self.upstream.first_context_header]  # of the first request with one
         if mode == "change":
             return [re.sub(rb"left=\d+", b"left=1", re.sub(rb"tries=\d+", b"tries=9", value))]
         return [value] * (2 if mode == "twice" else 1)
@@ -666,8 +676,8 @@
 
     def on_response(self, status, body, headers):
         """Handle the response."""
-        if CHAIN_RESULT_HEADER in headers and self.upstream.header_handling != "drop":
-            self.parent.chain_results.append(headers[CHAIN_RESULT_HEADER])
+        if CONTEXT_RESULT_HEADER in headers and self.upstream.header_handling != "drop":
+            self.parent.context_results.append(headers[CONTEXT_RESULT_HEADER])
         self.finish("answer", status, body)
 
     def on_lost(self, why, unread=False):
@@ -714,7 +724,7 @@
                     kind,
                     status,
                     body.decode(errors="replace").strip(),
-                    self.limit,
+                    self.time_limit_ns,
                     note,
                 )
             )
--- a/tests/lab/test_discovery_overload.py
+++ b/tests/lab/test_discovery_overload.py
@@ -24,15 +24,15 @@
 REACHABLE_AT = START + 10 * S  # end of the outage of the discovery service
 
 
-def send(at, upstream=0, caller=0, identity="a"):
+def attempt_row(at, upstream=0, caller=0, identity="a"):
     return events.UpstreamWork(0, upstream, caller, identity, 0, at, at, at, "served", at, 0, "n")
 
 
-def listed(state, at, upstream=0):
+def state_row(state, at, upstream=0):
     return events.StateChange(at, f"listed {state}", 0, upstream)
 
 
-def poll(at, caller=0, status=200, reached_at=None):
+def poll_row(at, caller=0, status=200, reached_at=None):
     reached_at = at if reached_at is None else reached_at
     return events.EndpointListPoll(0, caller, at, True, status == 200, reached_at, status)
 
@@ -47,43 +47,45 @@
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_a_send_is_late_only_after_the_change_counts_as_notified(state):
     last = 10 * S + endpoints.NOTIFIED_AFTER + GRACE
-    assert not late_sends(listed(state, 10 * S), send(last))
-    late_rows = late_sends(listed(state, 10 * S), send(last + 1, caller=3))
+    assert not late_sends(state_row(state, 10 * S), attempt_row(last))
+    late_rows = late_sends(state_row(state, 10 * S), attempt_row(last + 1, caller=3))
     assert [(row.balancer, row.upstream, row.late_ns) for row in late_rows] == [(3, 0, 1)]
 
 
 def test_a_send_is_not_late_if_the_service_was_unreachable_until_shortly_before():
-    rows = listed("draining", 10 * S), send(20 * S)
+    rows = state_row("draining", 10 * S), attempt_row(20 * S)
     assert late_sends(*rows) and not late_sends(*rows, reachable_from=18 * S)
 
 
 def test_sends_to_an_upstream_that_is_ready_again_or_to_another_one_are_not_late():
-    assert not late_sends(listed("draining", 10 * S), listed("ready", 30 * S), send(40 * S))
-    assert not late_sends(listed("draining", 10 * S), send(40 * S, upstream=1))
-    assert late_sends(listed("ready", 0), listed("draining", 10 * S), send(40 * S))
+    assert not late_sends(
+        state_row("draining", 10 * S), state_row("ready", 30 * S), attempt_row(40 * S)
+    )
+    assert not late_sends(state_row("draining", 10 * S), attempt_row(40 * S, upstream=1))
+    assert late_sends(state_row("ready", 0), state_row("draining", 10 * S), attempt_row(40 * S))
 
 
 def test_only_polls_that_reached_the_service_count_as_load():
     rows = [
-        poll(REACHABLE_AT + at * MS, reached_at=REACHABLE_AT + at * MS) for at in (0, 999, 1000)
+        poll_row(REACHABLE_AT + at * MS, reached_at=REACHABLE_AT + at * MS) for at in (0, 999, 1000)
     ]
-    rows += [poll(REACHABLE_AT - 1), poll(REACHABLE_AT + 5, reached_at=0, status=0)]
+    rows += [poll_row(REACHABLE_AT - 1), poll_row(REACHABLE_AT + 5, reached_at=0, status=0)]
     assert EndpointAudit(rows).polls_by_second(REACHABLE_AT) == {0: 2, 1: 1}
 
 
 def test_a_balancer_is_notified_at_its_first_successful_poll_after_the_outage():
     rows = [
-        poll(REACHABLE_AT + 3 * S, caller=1),
-        poll(REACHABLE_AT + 2 * S, caller=1),
-        poll(REACHABLE_AT + 1, caller=1, status=503),
-        poll(REACHABLE_AT + 1, caller=0, reached_at=REACHABLE_AT - 1),
+        poll_row(REACHABLE_AT + 3 * S, caller=1),
+        poll_row(REACHABLE_AT + 2 * S, caller=1),
+        poll_row(REACHABLE_AT + 1, caller=1, status=503),
+        poll_row(REACHABLE_AT + 1, caller=0, reached_at=REACHABLE_AT - 1),
     ]
     assert EndpointAudit(rows).notified_at(REACHABLE_AT, 2) == {1: REACHABLE_AT + 2 * S}
 
 
 def test_age_of_the_list_counts_from_the_last_answer_or_the_end_of_the_last_watch():
-    rows = [poll(1 * S), events.HeldWatch(0, 0, 1 * S, 5 * S), poll(7 * S, status=503)]
-    sends = [send(at * S) for at in (1, 4, 5, 8)] + [send(9 * S, caller=1)]
+    rows = [poll_row(1 * S), events.HeldWatch(0, 0, 1 * S, 5 * S), poll_row(7 * S, status=503)]
+    sends = [attempt_row(at * S) for at in (1, 4, 5, 8)] + [attempt_row(9 * S, caller=1)]
     assert EndpointAudit(rows + sends).list_ages_ns(0) == [0, 0, 0, 3 * S]
 
 
@@ -95,21 +97,21 @@
 # The checks.
 
 
-def checks(*rows, scenario=SCENARIO):
+def make_checks(*rows, scenario=SCENARIO):
     return OverloadChecks(scenario, EndpointAudit(rows), START)
 
 
-def all_answered(scenario=SCENARIO, after_s=5.0):
+def answered_polls(scenario=SCENARIO, after_s=5.0):
     return [
-        poll(REACHABLE_AT + int((after_s + 0.1 * caller) * S), caller)
+        poll_row(REACHABLE_AT + int((after_s + 0.1 * caller) * S), caller)
         for caller in range(scenario.tiers[0].balancers)
     ]
 
 
 def test_run_without_faults_passes_all_checks_in_both_sizes():
-    assert checks(*all_answered()).failed_checks(True) == []
+    assert make_checks(*answered_polls()).failed_checks(True) == []
     quick = reduced(SCENARIO)
-    assert checks(*all_answered(quick), scenario=quick).failed_checks(False) == []
+    assert make_checks(*answered_polls(quick), scenario=quick).failed_checks(False) == []
 
 
 def test_the_quick_size_reduces_the_capacity_and_the_load_in_proportion():
@@ -118,7 +120,7 @@
         assert rate > 0
     assert quick.tiers[0].balancers / SCENARIO.tiers[0].balancers == 0.5
     assert quick.discovery.calls_per_s / SCENARIO.discovery.calls_per_s == 0.5
-    assert checks(scenario=quick).bound_s == checks().bound_s
+    assert make_checks(scenario=quick).bound_s == make_checks().bound_s
     experiment.check(quick)
 
 
@@ -130,40 +132,44 @@
 
 
 def test_run_with_a_late_send_fails_that_check():
-    row = send(REACHABLE_AT + endpoints.NOTIFIED_AFTER + S)
-    failed_checks = checks(*all_answered(), listed("draining", REACHABLE_AT), row).failed_checks(
-        True
-    )
+    row = attempt_row(REACHABLE_AT + endpoints.NOTIFIED_AFTER + S)
+    failed_checks = make_checks(
+        *answered_polls(), state_row("draining", REACHABLE_AT), row
+    ).failed_checks(True)
     assert failed_checks == ["rule 3: sent after a change counted as notified"]
 
 
 def test_run_with_polls_over_twice_the_capacity_in_a_second_fails_that_check():
     max_polls = int(2 * SCENARIO.discovery.calls_per_s)
-    rows = [poll(REACHABLE_AT + at, status=503) for at in range(max_polls + 1)]
-    assert checks(*all_answered(), *rows[1:]).failed_checks(True) == []
-    assert checks(*all_answered(), *rows).failed_checks(True) == [
+    rows = [poll_row(REACHABLE_AT + at, status=503) for at in range(max_polls + 1)]
+    assert make_checks(*answered_polls(), *rows[1:]).failed_checks(True) == []
+    assert make_checks(*answered_polls(), *rows).failed_checks(True) == [
         "the service got too many polls in a second"
     ]
 
 
 def test_full_size_fails_without_one_current_list_and_quick_size_only_without_many():
-    rows = all_answered()[:-1]
-    assert checks(*rows).failed_checks(True) == ["too few balancers have a current list"]
-    assert checks(*rows).failed_checks(False) == []
-    assert checks(*rows[: len(rows) // 2]).failed_checks(False) == [
+    rows = answered_polls()[:-1]
+    assert make_checks(*rows).failed_checks(True) == ["too few balancers have a current list"]
+    assert make_checks(*rows).failed_checks(False) == []
+    assert make_checks(*rows[: len(rows) // 2]).failed_checks(False) == [
         "too few balancers have a current list"
     ]
 
 
 def test_run_fails_if_balancers_get_a_current_list_after_the_bound():
-    assert checks(*all_answered(after_s=checks().bound_s)).failed_checks(True)
+    assert make_checks(*answered_polls(after_s=make_checks().bound_s)).failed_checks(True)
 
 
 def test_quiet_polls_exclude_those_between_the_outage_and_the_last_current_list():
-    rows = all_answered()
+    rows = answered_polls()
     end = max(row.at for row in rows)
-    other_polls = [poll(START + S), poll(REACHABLE_AT + S, status=503), poll(end + S, status=503)]
-    figures = checks(*rows, *other_polls).figures()
+    other_polls = [
+        poll_row(START + S),
+        poll_row(REACHABLE_AT + S, status=503),
+        poll_row(end + S, status=503),
+    ]
+    figures = make_checks(*rows, *other_polls).figures()
     assert (figures["quiet_polls"], figures["quiet_polls_refused"]) == (3, 1)
 
 
--- a/tests/lab/test_discovery_stand_in.py
+++ b/tests/lab/test_discovery_stand_in.py
@@ -60,7 +60,7 @@
 def test_callers_are_all_answered_only_if_they_wait_long_enough_between_polls(
     pause_s, all_answered
 ):
-    polls = make_queue(max_backlog_s=4.0)
+    queue = make_queue(max_backlog_s=4.0)
     # (time of the next poll, caller) of 60 callers; an answered caller polls no more.
     due = [(0.001 * caller, caller) for caller in range(60)]
     answered_after = []
@@ -69,7 +69,7 @@
         now, caller = due.pop(0)
         if now > 120.0:
             break
-        admission = polls.admit(now, 0)
+        admission = queue.admit(now, 0)
         if admission is not None and admission.is_in_time:
             answered_after.append(admission.answer_at)
         else:
@@ -107,7 +107,7 @@
 
     def __init__(self, service, number=0):
         self.reader, self.writer = asyncio.StreamReader(), Writer()
-        self.work = asyncio.ensure_future(service.serve(self.reader, self.writer, 0, number, 0))
+        self.task = asyncio.ensure_future(service.serve(self.reader, self.writer, 0, number, 0))
 
     def poll(self, request):
         self.reader.feed_data(request.encode())
@@ -122,7 +122,7 @@
 
     async def leave(self):
         self.reader.feed_eof()
-        await self.work
+        await self.task
 
 
 class StandIn:
@@ -130,10 +130,10 @@
 
     def __init__(self, folder, settings=""):
         self.folder = folder
-        run = tomlfile.decode(EXPERIMENT + "[discovery]\n" + settings, Experiment)
-        experiment.check(run)
+        scenario = tomlfile.decode(EXPERIMENT + "[discovery]\n" + settings, Experiment)
+        experiment.check(scenario)
         self.event_log = events.EventLog(folder / "x.rows")
-        self.service = Discovery(Plan(run, 1, 30), self.event_log)
+        self.service = Discovery(Plan(scenario, 1, 30), self.event_log)
         self.service.schedule(0)
         self.endpoint_list = self.service.endpoint_lists[0]
 
@@ -144,18 +144,18 @@
     def change(self):
         self.endpoint_list.change(0, "t0-00", "draining", None)
 
-    async def fault(self, what, size=0.0):
+    async def begin_fault(self, fault_type, size=0.0):
         """Begin a fault; return its task and the event that ends it."""
         begins, ends = asyncio.Event(), asyncio.Event()
         # Discovery.run_fault waits twice: for the begin and for the end.
         gates = iter([begins, ends])
         self.service.sleep_until = lambda *_: next(gates).wait()
-        work = asyncio.ensure_future(
-            self.service.run_fault(0, Fault(type=what, start_s=0, size=size))
+        task = asyncio.ensure_future(
+            self.service.run_fault(0, Fault(type=fault_type, start_s=0, size=size))
         )
         begins.set()
         await asyncio.sleep(0)
-        return work, ends
+        return task, ends
 
     def rows(self, kind):
         self.event_log.flush()
@@ -206,7 +206,7 @@
 )
 async def test_fault_refuses_polls_with_or_without_retry_after(tmp_path, settings, header):
     stand_in = StandIn(tmp_path, settings)
-    fault, ends = await stand_in.fault("discovery_refused")
+    fault, ends = await stand_in.begin_fault("discovery_refused")
     during, after = Caller(stand_in.service), Caller(stand_in.service, 1)
     during.poll(WATCH)
     assert await during.answer() == 503 and (b"Retry-After" in during.writer.written) == bool(
@@ -222,7 +222,7 @@
 
 async def test_fault_that_refuses_a_fraction_refuses_the_same_polls_for_the_same_seed(tmp_path):
     stand_in = StandIn(tmp_path)
-    await stand_in.fault("discovery_refused", 0.3)
+    await stand_in.begin_fault("discovery_refused", 0.3)
     first = [stand_in.service.count_and_check_refusal(0) for _ in range(400)]
     stand_in.service.poll_count = 0
     assert [stand_in.service.count_and_check_refusal(0) for _ in range(400)] == first
@@ -243,7 +243,7 @@
     before, during, after = (Caller(stand_in.service, number) for number in range(3))
     before.poll(WATCH)
     await stand_in.wait_for_watches(1)
-    fault, ends = await stand_in.fault("discovery_silence")
+    fault, ends = await stand_in.begin_fault("discovery_silence")
     during.poll(WATCH)
     await stand_in.wait_for_watches(2)
     stand_in.change()
@@ -263,7 +263,7 @@
 
 async def test_silence_does_not_affect_polls_for_the_whole_list(tmp_path):
     stand_in = StandIn(tmp_path)
-    await stand_in.fault("discovery_silence")
+    await stand_in.begin_fault("discovery_silence")
     caller = Caller(stand_in.service)
     caller.poll(POLL_WHOLE_LIST)
     assert await caller.answer() == 200
@@ -279,8 +279,8 @@
 
 
 async def test_poll_before_the_start_of_the_run_is_not_limited_by_the_capacity(tmp_path):
-    run = tomlfile.decode(EXPERIMENT + "[discovery]\ncalls_per_s = 0.001\n", Experiment)
-    service = Discovery(Plan(run, 1, 30), events.EventLog(tmp_path / "x.rows"))
+    scenario = tomlfile.decode(EXPERIMENT + "[discovery]\ncalls_per_s = 0.001\n", Experiment)
+    service = Discovery(Plan(scenario, 1, 30), events.EventLog(tmp_path / "x.rows"))
     caller = Caller(service)
     caller.poll(POLL_WHOLE_LIST)
     assert await caller.answer() == 200
@@ -296,7 +296,7 @@
     caller.writer.transport = SimpleNamespace(abort=lambda: None)
     await stand_in.service.close()
     assert [(row.tier, row.caller) for row in stand_in.rows(events.HeldWatch)] == [(0, 1)]
-    caller.work.cancel()
+    caller.task.cancel()
 
 
 # The experiment file.
--- a/tests/lab/test_goaway.py
+++ b/tests/lab/test_goaway.py
@@ -36,10 +36,10 @@
 
 
 def test_response_on_a_stream_that_a_goaway_leaves_open_is_accepted():
-    answers = []
+    responses = []
     connection = Http2PoolConnection(SimpleNamespace(connections=[]))
     connection.connection_made(Transport())
-    exchange = SimpleNamespace(on_response=lambda *answer: answers.append(answer))
+    exchange = SimpleNamespace(on_response=lambda *response: responses.append(response))
     connection.start_stream(exchange, "GET", "/look", [], b"")
 
     connection.data_received(SETTINGS.serialize() + GoAwayFrame(0, last_stream_id=1).serialize())
@@ -48,4 +48,4 @@
     connection.data_received(head.serialize() + body.serialize())
 
     assert not connection.transport.is_aborted
-    assert [(status, text) for status, text, _ in answers] == [(200, b"done")]
+    assert [(status, text) for status, text, _ in responses] == [(200, b"done")]
--- a/tests/tracing/test_tracer.py
+++ b/tests/tracing/test_tracer.py
@@ -195,7 +195,7 @@
     collector.accept(0, request)
     for number in range(MAX_RECORDED_STEPS + 1):
         attempt = request.start_attempt(upstream, number)
-        # The name stands for any call that starts an attempt.
+        # "accept" stands for any policy call that starts an attempt.
         collector.collect(number, "accept", (request,), (), [StartAttempt(attempt, SECOND)])
         is_last = number == MAX_RECORDED_STEPS
         attempt.outcome = outcome if is_last else Outcome.ERROR
