--- a/pepperhook/lab/upstream.py
+++ b/pepperhook/lab/upstream.py
@@ -18,7 +18,7 @@
 
 MS, S = 10**6, 10**9
 CONTEXT_HEADER, CONTEXT_RESULT_HEADER = b"pepperhook-chain", b"pepperhook-chain-result"
-REMAINING_RETRIES = re.compile(rb"tries=(\d+)")
+REMAINING_RETRIES = re.compile(rb"tries=(\d+)")  # in the request context header
 RESTART_AFTER_OVERLOAD_S = 2.0
 TIME_LIMIT_MARGIN_MS = 5  # subtracted from the time limit that is sent to the next tier
 NOT_PROCESSED = b"X-Not-Processed: 1\r\n"
@@ -51,7 +51,7 @@
     began_at: int  # 0: its work never began
     calls: int  # calls to the next tier that have not ended
     arrived_at: int
-    context_header: bytes | None
+    context_header: bytes | None  # value of the request context header
     is_recorded: bool  # its event row has been written
     connection: Any  # the ServerConnection or ServerStream that it came on
     deadline: int  # when its time limit is over
--- a/tests/lab/test_discovery_overload.py
+++ b/tests/lab/test_discovery_overload.py
@@ -185,7 +185,8 @@
     return lambda name: defects.DEFECTS[name]()
 
 
-def fleet(size, now):
+def make_fleet(size, now):
+    """Return balancers of one fleet, each with its only upstream, which is listed as ready."""
     balancers = []
     for index in range(size):
         balancer = Balancer(
@@ -204,7 +205,8 @@
     return balancers
 
 
-def next_poll(balancer, failed_at):
+def time_of_next_poll(balancer, failed_at):
+    """Return when a balancer whose first poll fails at ``failed_at`` polls again."""
     balancer.wake(failed_at)  # the first poll, which fails
     balancer.endpoint_poll_failed(failed_at, PollFailure.REFUSED)
     now = failed_at
@@ -216,14 +218,14 @@
 
 
 def polls_in_the_busiest_second(balancers):
-    seconds = [next_poll(balancer, 15 * S) // S for balancer, _ in balancers]
+    seconds = [time_of_next_poll(balancer, 15 * S) // S for balancer, _ in balancers]
     return max(seconds.count(second) for second in seconds)
 
 
 def test_polls_come_at_the_same_time_only_with_the_defect_polls_in_step(inject):
-    assert polls_in_the_busiest_second(fleet(12, 9 * S)) <= 4
+    assert polls_in_the_busiest_second(make_fleet(12, 9 * S)) <= 4
     inject("polls-in-step")
-    assert polls_in_the_busiest_second(fleet(12, 9 * S)) == 12
+    assert polls_in_the_busiest_second(make_fleet(12, 9 * S)) == 12
 
 
 def is_stale_after_failed_polls(balancer, upstream):
@@ -233,15 +235,15 @@
 
 
 def test_upstream_is_stale_after_failed_polls_unless_stale_by_last_call_is_injected(inject):
-    assert is_stale_after_failed_polls(*fleet(1, 9 * S)[0])
+    assert is_stale_after_failed_polls(*make_fleet(1, 9 * S)[0])
     inject("stale-by-last-call")
-    assert not is_stale_after_failed_polls(*fleet(1, 9 * S)[0])
+    assert not is_stale_after_failed_polls(*make_fleet(1, 9 * S)[0])
 
 
 def test_upstream_is_stale_after_failed_polls_unless_drains_held_serving_is_injected(inject):
-    assert is_stale_after_failed_polls(*fleet(1, 9 * S)[0])
+    assert is_stale_after_failed_polls(*make_fleet(1, 9 * S)[0])
     inject("drains-held-serving")
-    assert not is_stale_after_failed_polls(*fleet(1, 9 * S)[0])
+    assert not is_stale_after_failed_polls(*make_fleet(1, 9 * S)[0])
 
 
 def test_each_defect_of_the_scenario_can_be_injected():
--- a/tests/lab/test_discovery_stand_in.py
+++ b/tests/lab/test_discovery_stand_in.py
@@ -141,7 +141,7 @@
         while len(self.service.open_watches) < count:
             await asyncio.sleep(0)
 
-    def change(self):
+    def drain_upstream(self):
         self.endpoint_list.change(0, "t0-00", "draining", None)
 
     async def begin_fault(self, fault_type, size=0.0):
@@ -206,15 +206,15 @@
 )
 async def test_fault_refuses_polls_with_or_without_retry_after(tmp_path, settings, header):
     stand_in = StandIn(tmp_path, settings)
-    fault, ends = await stand_in.begin_fault("discovery_refused")
+    fault_task, fault_ends = await stand_in.begin_fault("discovery_refused")
     during, after = Caller(stand_in.service), Caller(stand_in.service, 1)
     during.poll(WATCH)
     assert await during.answer() == 503 and (b"Retry-After" in during.writer.written) == bool(
         header
     )
     assert header in during.writer.written
-    ends.set()
-    await fault
+    fault_ends.set()
+    await fault_task
     after.poll(POLL_WHOLE_LIST)
     assert await after.answer() == 200
     assert b"Retry-After" not in after.writer.written
@@ -243,14 +243,14 @@
     before, during, after = (Caller(stand_in.service, number) for number in range(3))
     before.poll(WATCH)
     await stand_in.wait_for_watches(1)
-    fault, ends = await stand_in.begin_fault("discovery_silence")
+    fault_task, fault_ends = await stand_in.begin_fault("discovery_silence")
     during.poll(WATCH)
     await stand_in.wait_for_watches(2)
-    stand_in.change()
+    stand_in.drain_upstream()
     await run_ready_tasks()
     assert not before.writer.written and not during.writer.written
-    ends.set()
-    await fault
+    fault_ends.set()
+    await fault_task
     before.poll(WATCH)
     await run_ready_tasks()
     assert not before.writer.written, "the connection stays silent, also for new polls"
@@ -274,7 +274,7 @@
     caller = Caller(stand_in.service)
     caller.poll(POLL_WHOLE_LIST)
     await run_ready_tasks()
-    stand_in.change()
+    stand_in.drain_upstream()
     assert await caller.answer() == 200 and b"draining" in caller.writer.written
 
 
--- a/tests/lab/test_instances.py
+++ b/tests/lab/test_instances.py
@@ -108,16 +108,16 @@
 
 @pytest.mark.parametrize("seed", range(60))
 def test_drained_instance_is_listed_as_draining_until_it_serves_again_or_ends(seed):
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     timeline = timeline_of(
         *(
             (
-                chance.choice(LIFECYCLE_FAULTS),
-                round(chance.uniform(0, 20), 2),
-                round(chance.uniform(0.3, 6), 2),
-                round(chance.uniform(0.2, 2), 2),
+                rng.choice(LIFECYCLE_FAULTS),
+                round(rng.uniform(0, 20), 2),
+                round(rng.uniform(0.3, 6), 2),
+                round(rng.uniform(0.2, 2), 2),
             )
-            for _ in range(chance.randint(2, 8))
+            for _ in range(rng.randint(2, 8))
         )
     )
 
@@ -127,7 +127,7 @@
             sum(step.transition in (END, START) for step in timeline.steps),
         )
     )
-    latest, started_at = {}, -NOTICE_S
+    listed_states, started_at = {}, -NOTICE_S
     moments = sorted(
         [(step.at, 1, step) for step in timeline.steps]
         + [(row.at, 0, row) for row in timeline.listings],
@@ -135,10 +135,10 @@
     )
     for at, is_step, row in moments:
         if not is_step:
-            latest[row.host] = row.state
+            listed_states[row.host] = row.state
         elif row.transition is START:
             started_at = at
         elif row.transition is DRAIN and at > started_at + NOTICE_S:
             # An instance whose end has been listed has no state to check.
-            [state] = [state for state in latest.values() if state != "gone"] or ["draining"]
+            [state] = [state for state in listed_states.values() if state != "gone"] or ["draining"]
             assert state == "draining"
--- a/tests/tracing/test_export.py
+++ b/tests/tracing/test_export.py
@@ -15,7 +15,7 @@
 from pepperhook.tracing.reader import read_files
 from tests.tracing.traces import two_tiers
 
-SERVER, CLIENT = 2, 3
+SERVER, CLIENT = 2, 3  # kinds of OpenTelemetry spans
 
 
 @pytest.fixture
