--- a/pepperhook/lab/baselines.py
+++ b/pepperhook/lab/baselines.py
@@ -184,7 +184,7 @@
         return usable[self.selections % len(usable)]
 
 
-class LeastOut(Baseline):
+class LeastConnections(Baseline):
     """One of the upstreams with the fewest attempts in flight (least connections)."""
 
     def choose(self, usable):
@@ -277,7 +277,7 @@
 MODULES = {
     "random": Random,
     "round-robin": RoundRobin,
-    "least-out": LeastOut,
+    "least-out": LeastConnections,
     "two-choices": Baseline,
     "retries": Retries,
     "backoff": Backoff,
--- a/pepperhook/lab/defects.py
+++ b/pepperhook/lab/defects.py
@@ -12,7 +12,7 @@
 RELOAD_PAUSE_S = 0.5  # of reload-lost: a reload requested this soon after another is ignored
 
 
-def time_kept():
+def forward_full_time_limit():
     """Forward the time limit unreduced by the time already spent."""
     from pepperhook.request_context import messages
     from pepperhook.request_context.context_policy import ContextPolicy
@@ -28,7 +28,7 @@
     ContextPolicy.attempt_started = attempt_started
 
 
-def tries_unsplit():
+def forward_full_retry_allowance():
     """Give each tier and each attempt the whole retry allowance."""
     from pepperhook.request_context.context_policy import ContextPolicy
 
@@ -43,7 +43,7 @@
     ContextPolicy.attempt_started = attempt_started
 
 
-def forged_believed():
+def trust_any_context():
     """Trust the request context header whoever sent it."""
     from pepperhook.request_context import context_header
 
@@ -51,7 +51,7 @@
     context_header.read_members = lambda text, keys, is_trusted: original(text, keys, True)
 
 
-def hops_unchecked():
+def disable_loop_detection():
     """Detect no request loops."""
     from pepperhook.request_context.loop_detection import LoopDetector
 
@@ -59,7 +59,7 @@
     LoopDetector.is_loop = lambda self, state: False
 
 
-def reset_never_ran():
+def treat_reset_stream_as_never_executed():
     """Treat a reset stream as a request that was never executed."""
     from pepperhook.http2.client_connection import ClientConnection
     from pepperhook.server.attempt_errors import ConnectionLostError, OverloadedError
@@ -74,7 +74,7 @@
     )
 
 
-def goaway_ignored():
+def ignore_goaway():
     """Ignore the last stream id of a GOAWAY: keep waiting for the streams above it."""
     from pepperhook.http2.client_connection import ClientConnection
 
@@ -82,7 +82,7 @@
     ClientConnection.end_streams_above = lambda self, last_stream_id: None
 
 
-def ended_twice():
+def send_end_stream_twice():
     """Send END_STREAM twice for each stream."""
     from hyperframe.frame import DataFrame, GoAwayFrame
 
@@ -100,7 +100,7 @@
     ServerStream.write_response = write_response
 
 
-def window_kept():
+def withhold_window_updates():
     """Return no flow-control window for received data.
 
     Only the one large increment at the start of a connection, over 500 000 bytes, is sent.
@@ -113,7 +113,7 @@
     )
 
 
-def evicts_running():
+def evict_running_entries():
     """Evict entries of running requests, too, when the store is full."""
     from pepperhook.idempotency import store
 
@@ -136,7 +136,7 @@
     store.IdempotencyStore.make_room = make_room
 
 
-def record_after():
+def record_at_end():
     """Write the record of a request only when it has ended, not before its first attempt."""
     from pepperhook.idempotency import recorder
 
@@ -148,7 +148,7 @@
     recorder.RequestRecorder.record_started = record_started
 
 
-def first_calls_off():
+def cancel_when_first_client_leaves():
     """Cancel the running attempt when the first client leaves, even if others wait for it."""
     from pepperhook.idempotency import extension
 
@@ -159,7 +159,7 @@
     extension.Idempotency.leaving = leaving
 
 
-def all_dispatched():
+def dispatch_all_waiting():
     """Send all waiting requests when the first was never executed, instead of one of them."""
     from pepperhook.idempotency import store
     from pepperhook.idempotency.entries import Decision, Resolution, Verdict
@@ -176,7 +176,7 @@
     store.IdempotencyStore.hand_over = hand_over
 
 
-def clock_read():
+def read_clock():
     """Let the policy read a clock, so that its decisions do not replay."""
     import time
 
@@ -192,7 +192,7 @@
     completion.Completion.handle = handle
 
 
-def set_order():
+def iterate_in_set_order():
     """Iterate over the members of the subset in the order of a set."""
     from pepperhook.policy import selection
 
@@ -207,7 +207,7 @@
     selection.Selection.handle = handle
 
 
-def checksum_skipped():
+def skip_block_checksum():
     """Accept blocks whose checksum does not match."""
     import zstandard
 
@@ -235,14 +235,14 @@
 # Defects of the policy.
 
 
-def repeats_all():
+def retry_unsafe_requests():
     """Allow a retry of every request, unsafe ones included."""
     from pepperhook.policy import guard
 
     guard.Guard.may_retry = lambda self, now, request, upstream, own: True
 
 
-def window_forgotten():
+def ignore_retry_window():
     """Retry a keyed request even after its retry window has ended."""
     from pepperhook.policy import guard
 
@@ -256,7 +256,7 @@
     guard.Guard.may_retry = may_retry
 
 
-def group_forgotten():
+def ignore_upstream_group():
     """Retry a keyed request outside its group of upstreams, too."""
     from pepperhook.policy import guard
 
@@ -266,7 +266,7 @@
     )
 
 
-def sheds_all():
+def reject_unanswered_requests():
     """Reject every request without a response, even one that may have been executed."""
     from pepperhook.actions import FailRequest, RejectRequest
     from pepperhook.policy import completion
@@ -282,14 +282,14 @@
     completion.Completion.finish = finish
 
 
-def lost_never_ran():
+def treat_lost_response_as_never_executed():
     """Treat a reset connection or a malformed response as a request that was never executed."""
     from pepperhook import domain
 
     domain.NEVER_EXECUTED |= {Outcome.RESET, Outcome.MALFORMED_RESPONSE}
 
 
-def drains_unheeded():
+def treat_draining_as_ready():
     """Treat an upstream that is listed as draining as ready."""
     from pepperhook.policy import subset
 
@@ -307,14 +307,14 @@
     subset.Subset.apply = apply
 
 
-def cold_unheeded():
+def disable_slow_start():
     """Apply no slow start: treat every upstream as warm."""
     from pepperhook.policy import slow_start
 
     slow_start.SlowStart.capacity_fraction = lambda self, now, upstream: 1.0
 
 
-def cold_alone():
+def warm_up_as_only_caller():
     """Compute the capacity of a cold upstream as if this balancer were its only caller."""
     from pepperhook.policy import slow_start
 
@@ -328,7 +328,7 @@
     slow_start.SlowStart.capacity_fraction = capacity_fraction
 
 
-def granted_always():
+def disable_retry_budget():
     """Grant every retry that the guard allows by rule 2, without a retry budget."""
     from pepperhook.policy import retry_budget
 
@@ -345,7 +345,7 @@
     retry_budget.RetryBudget._grants = grants
 
 
-def budget_unhalved():
+def never_halve_retry_budget():
     """Never halve the retry budget, however many attempts fail."""
     from pepperhook.policy import retry_budget
 
@@ -355,7 +355,7 @@
     retry_budget.RetryBudget._adjust = adjust
 
 
-def probes_unspread():
+def remove_health_check_jitter():
     """Wait the same time between all health checks, without jitter."""
     from pepperhook.policy import outlier
 
@@ -368,14 +368,14 @@
     outlier.OutlierDetector.check_ended = check_ended
 
 
-def list_hasty():
+def poll_again_immediately():
     """Poll the endpoint list again 3 ms after a failed poll."""
     from pepperhook import poll_backoff
 
     poll_backoff.PollBackoff.next_poll = lambda self, now, *fleet: now + 3 * 10**6
 
 
-def polls_in_step():
+def poll_again_in_step():
     """Poll again after the same 200 ms on every balancer when a poll has failed."""
     from pepperhook import poll_backoff
 
@@ -384,7 +384,7 @@
     poll_backoff.PollBackoff.next_poll = lambda self, now, *fleet: now + pause_ns
 
 
-def stale_by_last_call():
+def count_failed_polls_as_current():
     """Treat the endpoint list as current for `NOTIFIED_AFTER` after each poll, failed or not."""
     from pepperhook.policy import endpoints
 
@@ -397,7 +397,7 @@
     endpoints.Endpoints.poll_failed = poll_failed
 
 
-def drains_held_serving():
+def never_treat_state_as_stale():
     """Never treat the state of an upstream as stale, so that draining ones still get requests."""
     from pepperhook.policy import endpoints
 
@@ -406,7 +406,7 @@
     endpoints.Endpoints.is_stale = lambda self, now, upstream: False
 
 
-def ends_at_once():
+def exit_immediately():
     """Exit at SIGTERM, whatever requests are in flight."""
     import os
 
@@ -418,7 +418,7 @@
     app.BalancerApp.shut_down = shut_down
 
 
-def descriptor_leaked():
+def leak_descriptor():
     """Leak a file descriptor for each request whose client has left."""
     import os
 
@@ -433,7 +433,7 @@
     RequestLifecycle._client_left = client_left
 
 
-def resting_dropped():
+def abort_idle_connections():
     """Abort idle connections at SIGTERM, losing requests that arrive on them at that moment."""
     from pepperhook.server import app
 
@@ -448,14 +448,14 @@
     app.BalancerApp.shut_down = shut_down
 
 
-def goaway_for_present_only():
+def omit_goaway_for_later_connections():
     """Send GOAWAY only to the HTTP/2 connections that are open at SIGTERM, not to later ones."""
     from pepperhook.http2.server import ServerConnection
 
     ServerConnection._announce_shutdown = lambda _: None
 
 
-def drain_heard_late():
+def delay_drain():
     """Apply a drain in the endpoint list `DRAIN_DELAY_S` late."""
     from pepperhook.server.endpoint_discovery import EndpointDiscovery
 
@@ -475,7 +475,7 @@
     EndpointDiscovery._update_upstream = update_upstream
 
 
-def odd_row_costs_list():
+def reject_list_with_unreadable_row():
     """Reject the whole endpoint list when one of its rows cannot be read."""
     from pepperhook.server import endpoint_list
 
@@ -490,7 +490,7 @@
     endpoint_list.decode = decode
 
 
-def reload_lost():
+def lose_reload():
     """Lose a reload of the configuration that closely follows another."""
     import time
 
@@ -504,7 +504,7 @@
     program.reload = reload
 
 
-def reason_of_another():
+def note_reason_in_previous_trace():
     """Record the reasons of a decision in the trace of the previous request."""
     from pepperhook.tracing.collector import TraceCollector
 
@@ -519,7 +519,7 @@
     TraceCollector.add_note = add_note
 
 
-def pseudonym_left_out():
+def omit_parent_pseudonym():
     """Leave the id of the parent request in a stripped trace without a pseudonym."""
     from pepperhook.tracing.pseudonyms import NameKind, Pseudonyms
 
@@ -533,7 +533,7 @@
     Pseudonyms.pseudonym = pseudonym
 
 
-def clocks_unmended():
+def skip_clock_correction():
     """Merge traces without correcting the clock offsets of the balancers."""
     from pepperhook.tracing import merge
     from pepperhook.tracing.clock_offsets import Offset
@@ -544,7 +544,7 @@
 # Defects of the control plane and of the membership.
 
 
-def applied_before_checked():
+def apply_before_check():
     """Apply a version before it is checked."""
     from pepperhook.control_plane.document import parse_document
     from pepperhook.control_plane.version_applier import VersionApplier
@@ -563,14 +563,14 @@
     VersionApplier.receive = receive
 
 
-def checks_deaf():
+def skip_version_checks():
     """Find no violation in any version."""
     from pepperhook.control_plane import version_applier
 
     version_applier.violations_on_balancer = lambda document, view: []  # type: ignore[attr-defined]
 
 
-def half_version():
+def accept_partial_version():
     """Accept a partly received version as complete, without verifying its checksum."""
     import msgspec
 
@@ -586,42 +586,42 @@
     frames.crc32 = lambda body: 0  # type: ignore[attr-defined]
 
 
-def lease_forever():
+def never_expire_leases():
     """Never expire the lease of a member."""
     from pepperhook.control_plane import member_registry
 
     member_registry.MemberRegistry.expire = lambda self, now: []
 
 
-def incarnation_ignored():
+def ignore_incarnation():
     """Ignore the incarnation when an update on a member is compared with the known record."""
     from pepperhook.membership.messages import MemberRecord
 
     MemberRecord.overrides = lambda self, known: self.state > known.state
 
 
-def suspected_for_ever():
+def never_declare_lost():
     """Never declare a suspected member lost."""
     from pepperhook.membership import suspicion
 
     suspicion.suspicion_timeout_ns = lambda *args: 10**15  # 11.6 days
 
 
-def falls_in_a_half():
+def skip_quorum():
     """Let the fleet size fall in any part of a partitioned network, without a quorum."""
     from pepperhook.membership.fleet_position import FleetPosition
 
     FleetPosition.has_quorum = lambda self: True
 
 
-def away_unheeded():
+def ignore_stalls():
     """Continue after a stall of the process as if it had run all the time."""
     from pepperhook.membership.protocol import SwimProtocol
 
     SwimProtocol.recover_from_stall = lambda self, stalled_ns: None
 
 
-def any_key():
+def accept_any_signature():
     """Accept datagrams with any signature."""
     import hmac
 
@@ -635,55 +635,55 @@
 
 
 DEFECTS = {
-    "incarnation-ignored": incarnation_ignored,
-    "suspected-for-ever": suspected_for_ever,
-    "falls-in-a-half": falls_in_a_half,
-    "away-unheeded": away_unheeded,
-    "any-key": any_key,
-    "applied-before-checked": applied_before_checked,
-    "checks-deaf": checks_deaf,
-    "half-version": half_version,
-    "lease-forever": lease_forever,
-    "reason-of-another": reason_of_another,
-    "pseudonym-left-out": pseudonym_left_out,
-    "clocks-unmended": clocks_unmended,
-    "repeats-all": repeats_all,
-    "window-forgotten": window_forgotten,
-    "group-forgotten": group_forgotten,
-    "sheds-all": sheds_all,
-    "lost-never-ran": lost_never_ran,
-    "drains-unheeded": drains_unheeded,
-    "cold-unheeded": cold_unheeded,
-    "cold-alone": cold_alone,
-    "granted-always": granted_always,
-    "budget-unhalved": budget_unhalved,
-    "probes-unspread": probes_unspread,
-    "list-hasty": list_hasty,
-    "polls-in-step": polls_in_step,
-    "stale-by-last-call": stale_by_last_call,
-    "drains-held-serving": drains_held_serving,
-    "ends-at-once": ends_at_once,
-    "descriptor-leaked": descriptor_leaked,
-    "resting-dropped": resting_dropped,
-    "goaway-for-present-only": goaway_for_present_only,
-    "drain-heard-late": drain_heard_late,
-    "odd-row-costs-list": odd_row_costs_list,
-    "reload-lost": reload_lost,
-    "clock-read": clock_read,
-    "set-order": set_order,
-    "checksum-skipped": checksum_skipped,
-    "evicts-running": evicts_running,
-    "record-after": record_after,
-    "first-calls-off": first_calls_off,
-    "all-dispatched": all_dispatched,
-    "reset-never-ran": reset_never_ran,
-    "goaway-ignored": goaway_ignored,
-    "ended-twice": ended_twice,
-    "window-kept": window_kept,
-    "time-kept": time_kept,
-    "tries-unsplit": tries_unsplit,
-    "forged-believed": forged_believed,
-    "hops-unchecked": hops_unchecked,
+    "incarnation-ignored": ignore_incarnation,
+    "suspected-for-ever": never_declare_lost,
+    "falls-in-a-half": skip_quorum,
+    "away-unheeded": ignore_stalls,
+    "any-key": accept_any_signature,
+    "applied-before-checked": apply_before_check,
+    "checks-deaf": skip_version_checks,
+    "half-version": accept_partial_version,
+    "lease-forever": never_expire_leases,
+    "reason-of-another": note_reason_in_previous_trace,
+    "pseudonym-left-out": omit_parent_pseudonym,
+    "clocks-unmended": skip_clock_correction,
+    "repeats-all": retry_unsafe_requests,
+    "window-forgotten": ignore_retry_window,
+    "group-forgotten": ignore_upstream_group,
+    "sheds-all": reject_unanswered_requests,
+    "lost-never-ran": treat_lost_response_as_never_executed,
+    "drains-unheeded": treat_draining_as_ready,
+    "cold-unheeded": disable_slow_start,
+    "cold-alone": warm_up_as_only_caller,
+    "granted-always": disable_retry_budget,
+    "budget-unhalved": never_halve_retry_budget,
+    "probes-unspread": remove_health_check_jitter,
+    "list-hasty": poll_again_immediately,
+    "polls-in-step": poll_again_in_step,
+    "stale-by-last-call": count_failed_polls_as_current,
+    "drains-held-serving": never_treat_state_as_stale,
+    "ends-at-once": exit_immediately,
+    "descriptor-leaked": leak_descriptor,
+    "resting-dropped": abort_idle_connections,
+    "goaway-for-present-only": omit_goaway_for_later_connections,
+    "drain-heard-late": delay_drain,
+    "odd-row-costs-list": reject_list_with_unreadable_row,
+    "reload-lost": lose_reload,
+    "clock-read": read_clock,
+    "set-order": iterate_in_set_order,
+    "checksum-skipped": skip_block_checksum,
+    "evicts-running": evict_running_entries,
+    "record-after": record_at_end,
+    "first-calls-off": cancel_when_first_client_leaves,
+    "all-dispatched": dispatch_all_waiting,
+    "reset-never-ran": treat_reset_stream_as_never_executed,
+    "goaway-ignored": ignore_goaway,
+    "ended-twice": send_end_stream_twice,
+    "window-kept": withhold_window_updates,
+    "time-kept": forward_full_time_limit,
+    "tries-unsplit": forward_full_retry_allowance,
+    "forged-believed": trust_any_context,
+    "hops-unchecked": disable_loop_detection,
 }
 
 
--- a/pepperhook/lab/experiment.py
+++ b/pepperhook/lab/experiment.py
@@ -274,7 +274,7 @@
     Raises tomlfile.TomlFileError.
     """
 
-    def wrong(problem, *steps):
+    def raise_error(problem, *steps):
         raise tomlfile.TomlFileError(tomlfile.format_problem(path, text, list(steps), problem))
 
     for key, rows in (
@@ -285,11 +285,11 @@
         seen = set()
         for at, row in enumerate(rows):
             if row.name in seen:
-                wrong(f"{row.name!r} is defined twice", key, at, "name")
+                raise_error(f"{row.name!r} is defined twice", key, at, "name")
             seen.add(row.name)
     for at, tier in enumerate(scenario.tiers):
         if at and tier.balancers != 1:
-            wrong(
+            raise_error(
                 "only the first tier has balancers of its own; later ones have one for each caller",
                 "tiers",
                 at,
@@ -298,10 +298,10 @@
         if tier.loop_service_class is not None and tier.loop_service_class not in [
             row.name for row in scenario.service_classes
         ]:
-            wrong(f"no grade has the name {tier.loop_service_class!r}", "tiers", at, "circle")
+            raise_error(f"no grade has the name {tier.loop_service_class!r}", "tiers", at, "circle")
     for at, load in enumerate(scenario.load):
         if load.balancer is not None and load.balancer >= scenario.tiers[0].balancers:
-            wrong(
+            raise_error(
                 f"the first tier has {scenario.tiers[0].balancers} balancers, numbered from 0",
                 "load",
                 at,
@@ -312,16 +312,20 @@
             ("grade", load.service_class, scenario.service_classes),
         ):
             if name is not None and name not in [row.name for row in rows]:
-                wrong(f"no {key} has the name {name!r}", "load", at, key)
+                raise_error(f"no {key} has the name {name!r}", "load", at, key)
     for at, fault in enumerate(scenario.faults):
         if fault.tier >= len(scenario.tiers):
-            wrong(f"there are {len(scenario.tiers)} tiers, numbered from 0", "troubles", at, "tier")
+            raise_error(
+                f"there are {len(scenario.tiers)} tiers, numbered from 0", "troubles", at, "tier"
+            )
         if fault.zone is not None and fault.zone >= scenario.zones:
-            wrong(f"there are {scenario.zones} zones, numbered from 0", "troubles", at, "zone")
+            raise_error(
+                f"there are {scenario.zones} zones, numbered from 0", "troubles", at, "zone"
+            )
         if fault.start_s >= scenario.seconds:
-            wrong(f"the run lasts {scenario.seconds:g} seconds", "troubles", at, "at")
+            raise_error(f"the run lasts {scenario.seconds:g} seconds", "troubles", at, "at")
         if fault.type in NETWORK_FAULTS and not scenario.tiers[fault.tier].has_relays:
-            wrong("needs `network = true` in its tier", "troubles", at, "what")
+            raise_error("needs `network = true` in its tier", "troubles", at, "what")
         count = len(scenario.tiers) and (
             caller_count(scenario, fault.tier)
             if fault.type in BALANCER_FAULTS
@@ -329,13 +333,13 @@
         )
         for target in fault.target_numbers or ():
             if not 0 <= target < count:
-                wrong(f"there are {count} targets, numbered from 0", "troubles", at, "who")
-    check_discovery(scenario, wrong)
+                raise_error(f"there are {count} targets, numbered from 0", "troubles", at, "who")
+    check_discovery(scenario, raise_error)
     from pepperhook.lab import baselines, faulty_balancers
 
     for at, variant in enumerate(scenario.variants):
         if variant.module != "pepperhook" and variant.module not in baselines.MODULES:
-            wrong(
+            raise_error(
                 f"no policy has the name {variant.module!r}; there are pepperhook, "
                 f"{', '.join(baselines.MODULES)}",
                 "variants",
@@ -346,7 +350,7 @@
             variant.faulty_balancer is not None
             and variant.faulty_balancer not in faulty_balancers.FINDINGS_BY_FAULT
         ):
-            wrong(
+            raise_error(
                 f"no such kind; there are {', '.join(faulty_balancers.FINDINGS_BY_FAULT)}",
                 "variants",
                 at,
@@ -354,13 +358,13 @@
             )
 
 
-def check_discovery(scenario, wrong):
-    """Check the discovery service's table and faults; ``wrong`` reports a problem at a key."""
+def check_discovery(scenario, raise_error):
+    """Check the discovery service's table and faults; ``raise_error`` names the key."""
     if scenario.discovery.lines_per_s is not None and scenario.discovery.calls_per_s is None:
-        wrong("needs calls_per_s beside it", "discovery", "lines_per_s")
+        raise_error("needs calls_per_s beside it", "discovery", "lines_per_s")
     for at, fault in enumerate(scenario.faults):
         if fault.type == "discovery_refused" and fault.size > 1:
-            wrong("must be a fraction of the calls, at most 1", "troubles", at, "size")
+            raise_error("must be a fraction of the calls, at most 1", "troubles", at, "size")
 
 
 def caller_count(scenario: Experiment, tier: int) -> int:
--- a/pepperhook/lab/load_generator.py
+++ b/pepperhook/lab/load_generator.py
@@ -175,15 +175,15 @@
         "number",  # 0: first attempt; else the number of the retry or copy
         "service_class",
         "tenant",
-        "intended",
-        "sent",
+        "scheduled_at",  # intended send time, ns
+        "sent_at",
         "limit_ns",
         "connection",
         "is_on_new_connection",  # its connection was opened for it
         "has_ended",  # its row has been written
         "timer",
         "data",
-        "resent",
+        "was_resent",
         "leaves_early",
         "future",
         "stream_id",
@@ -202,7 +202,7 @@
         number,
         service_class,
         tenant,
-        intended,
+        scheduled_at,
         balancer_number=-1,
     ):
         self.load, self.id, self.first_id, self.number, self.service_class = (
@@ -212,7 +212,7 @@
             number,
             service_class,
         )
-        self.tenant, self.intended, self.sent, self.future = tenant, intended, 0, None
+        self.tenant, self.scheduled_at, self.sent_at, self.future = tenant, scheduled_at, 0, None
         self.limit_ns, self.balancer_number, self.pool = (
             load.limits_ns[service_class],
             balancer_number,
@@ -222,7 +222,7 @@
             self.connection,
             self.is_on_new_connection,
             self.has_ended,
-            self.resent,
+            self.was_resent,
             self.leaves_early,
         ) = (
             None,
@@ -254,7 +254,7 @@
             load.schedule_copies(self)
         if load.keyed[self.service_class]:
             headers.append((b"Idempotency-Key", self.first_id.encode()))
-        self.sent = time.monotonic_ns()
+        self.sent_at = time.monotonic_ns()
         patience_ns = (
             load.patience_ns
             if load.patience_ns is not None
@@ -270,7 +270,7 @@
 
     def on_connected(self):
         """Set the send time: the client's time limit counts from sending, after connecting."""
-        self.sent = time.monotonic_ns()
+        self.sent_at = time.monotonic_ns()
 
     def on_response(self, status, body, headers):
         """Record a response; retry one that isn't 200."""
@@ -282,10 +282,10 @@
 
     def on_lost(self, why, unread=False):
         """Record a broken connection; ``unread``: it broke before any byte of the response."""
-        if unread and not self.is_on_new_connection and not self.resent:
+        if unread and not self.is_on_new_connection and not self.was_resent:
             # The balancer closed the kept connection while the request was sent: resend it once on
             # a new connection.
-            self.resent = True
+            self.was_resent = True
             self.pool.idle.clear()
             self.pool.send(self, self.data)
             return
@@ -334,8 +334,8 @@
                 self.number,
                 self.service_class,
                 self.tenant,
-                self.intended,
-                self.sent,
+                self.scheduled_at,
+                self.sent_at,
                 now,
                 kind,
                 status,
@@ -344,13 +344,15 @@
                 note,
             )
         )
-        load.latency.record_value(max(1, min(60 * 10**6, (now - self.intended) // 1000)))
+        load.latency.record_value(max(1, min(60 * 10**6, (now - self.scheduled_at) // 1000)))
         if status == 200:
-            load.served_latency.record_value(max(1, min(60 * 10**6, (now - self.intended) // 1000)))
+            load.served_latency.record_value(
+                max(1, min(60 * 10**6, (now - self.scheduled_at) // 1000))
+            )
         if self.future is not None and not self.future.done():
             self.future.set_result(status)
-        for turn in range(self.copies_at_end):
-            load.send_copy(self, COPY_AT_END + turn)
+        for index in range(self.copies_at_end):
+            load.send_copy(self, COPY_AT_END + index)
 
 
 class Load:
@@ -547,9 +549,10 @@
             + (2.0 if self.scenario.clients.duplicates else 0.0)
         )
         deadline = time.monotonic() + longest_s
+        # Copies may still be sent for two seconds after the end: see send_copy.
         copies_scheduled_until = time.monotonic() + (
             2.0 if self.scenario.clients.duplicates else 0.0
-        )  # copies are still scheduled
+        )
         while (
             self.open_count or time.monotonic() < copies_scheduled_until
         ) and time.monotonic() < deadline:
--- a/pepperhook/lab/proofs/__init__.py
+++ b/pepperhook/lab/proofs/__init__.py
@@ -4,7 +4,7 @@
 from pepperhook.lab.proofs.auditor import AuditorProof
 from pepperhook.lab.proofs.chain import ChainProof
 from pepperhook.lab.proofs.control import ControlProof
-from pepperhook.lab.proofs.customers import NoisyCustomerProof
+from pepperhook.lab.proofs.customers import NoisyTenantProof
 from pepperhook.lab.proofs.discovery_overload import DiscoveryOverloadProof
 from pepperhook.lab.proofs.h2 import H2Proof
 from pepperhook.lab.proofs.mass import MassProof
@@ -18,7 +18,7 @@
     for proof in (
         AuditorProof,
         AmplificationProof,
-        NoisyCustomerProof,
+        NoisyTenantProof,
         ChainProof,
         H2Proof,
         RepeatsProof,
--- a/pepperhook/lab/proofs/customers.py
+++ b/pepperhook/lab/proofs/customers.py
@@ -6,7 +6,7 @@
 from pepperhook.lab.proofs.base import Proof
 
 
-class NoisyCustomerProof(Proof):
+class NoisyTenantProof(Proof):
     """With a rate limit for each tenant, overload by one costs that tenant and not the others."""
 
     name = "noisy-customer"
@@ -62,8 +62,9 @@
             for result in (unlimited_result, limited_result)
             for finding in result["findings"]
         ]
-        # The quiet tenants lose at most 5% with the limit, and more than 10% and at least twice as
-        # much without it.
+        # The tenant ``loud`` overloads the fleet during the rush; all others are quiet. With the
+        # limit a quiet tenant loses at most 5%; without it, more than 10% and at least twice as
+        # much as with it.
         holds = (
             not findings
             and worst_limited >= 0.95
--- a/pepperhook/lab/proofs/mass.py
+++ b/pepperhook/lab/proofs/mass.py
@@ -7,7 +7,7 @@
 from pepperhook.lab.proofs.base import Proof
 from pepperhook.lab.scenario_run import ROOT
 
-# A release, a restart of most front balancers at once, the loss of a zone.
+# A release (roll), a restart of most front balancers at once (herd), the loss of a zone (zone).
 SCENARIOS = ("roll", "herd", "zone")
 # The most health checks, connections and endpoint list polls of all balancers per served request.
 MAX_PER_SERVED = {"probes_per_served": 0.1, "connections_per_served": 0.3, "asks_per_served": 0.4}
--- a/pepperhook/lab/scenario_run.py
+++ b/pepperhook/lab/scenario_run.py
@@ -94,8 +94,8 @@
     def __init__(self):
         self.folder, self.paths = None, {}
 
-    def at(self, revision):
-        """Return the path of a checkout of ``revision``. Raises RunError."""
+    def checkout(self, revision):
+        """Check ``revision`` out, unless it already is, and return its path. Raises RunError."""
         if revision not in self.paths:
             self.folder = self.folder or tempfile.mkdtemp(prefix="pepperhook-revisions-")
             path = f"{self.folder}/{len(self.paths)}"
@@ -162,7 +162,7 @@
         }
         environ.pop("LB_OPERATOR", None)
         if variant.operator is not None:
-            environ["LB_OPERATOR"] = run.operator_file(self.tier, self.number)
+            environ["LB_OPERATOR"] = run.write_operator_file(self.tier, self.number)
         command, folder = [sys.executable, "-m", "pepperhook"], None
         if variant.faulty_balancer:
             command = [
@@ -182,7 +182,7 @@
         elif variant.defect:
             command = [sys.executable, "-m", "pepperhook.lab.defects", variant.defect]
         elif variant.revision:
-            folder = run.worktrees.at(variant.revision)
+            folder = run.worktrees.checkout(variant.revision)
         self.start_cpu_s, self.started_at = 0.0, time.monotonic()
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
@@ -269,7 +269,7 @@
         )
         self.extra_actions = list(extra_actions)
 
-    def operator_file(self, tier, number):
+    def write_operator_file(self, tier, number):
         """Write the operator's file of one balancer and return its path."""
         import tomli_w
 
@@ -287,7 +287,7 @@
         write_atomically(path, tomli_w.dumps(fill_placeholders(document, placeholders)).encode())
         return str(path)
 
-    def peers_file(self, tier):
+    def write_peers_file(self, tier):
         """Write the member list of a tier, for operator's files that refer to it."""
         rows = "".join(
             '[[members]]\nname = "b{}-{}"\naddress = "{}:{}"\n'.format(
@@ -370,7 +370,7 @@
         for process in stand_ins:
             self.wait_until_ready(process)
         for tier in range(len(self.scenario.tiers)):
-            self.peers_file(tier)
+            self.write_peers_file(tier)
             for number in range(experiment.caller_count(self.scenario, tier)):
                 balancer = self.balancers[tier, number] = Balancer(self, tier, number)
                 balancer.start()
--- a/pepperhook/lab/soak/draw.py
+++ b/pepperhook/lab/soak/draw.py
@@ -103,10 +103,10 @@
     crowd: Crowd | None
 
 
-def draw(seed: int, seconds: float, plant: str | None = None) -> SoakRun:
+def draw(seed: int, seconds: float, defect: str | None = None) -> SoakRun:
     """Return the run of a seed; the same arguments always give the same run.
 
-    ``plant`` names a defect of ``pepperhook.lab.defects`` to inject into the balancers.
+    ``defect`` names a defect of ``pepperhook.lab.defects`` to inject into the balancers.
     """
     rng = random.Random(f"soak {seed}")
     tiers = _draw_tiers(rng)
@@ -136,7 +136,7 @@
     return SoakRun(
         seed=seed,
         experiment=experiment,
-        variant=_draw_variant(rng, plant),
+        variant=_draw_variant(rng, defect),
         sockets=rng.choice((256, 512)),
         restarts=_draw_restarts(rng, seconds, balancers),
         signals=_draw_signals(rng, seconds, balancers),
@@ -210,10 +210,10 @@
     return faults
 
 
-def _draw_variant(rng: random.Random, plant: str | None) -> Variant:
+def _draw_variant(rng: random.Random, defect: str | None) -> Variant:
     operator: dict[str, Any] = {"h2": {"upstreams": rng.choice(("http/1.1", "h2"))}}
     settings = {"discovery": rng.choice(("ask", "push")), "permissions": {"cancel": True}}
-    return Variant(name="soak", operator=operator, settings=settings, defect=plant)
+    return Variant(name="soak", operator=operator, settings=settings, defect=defect)
 
 
 def _draw_restarts(rng: random.Random, seconds: float, balancers: int) -> list[Restart]:
--- a/pepperhook/lab/soak/run.py
+++ b/pepperhook/lab/soak/run.py
@@ -15,12 +15,12 @@
 MAX_RUNS = 3  # per seed; a run is repeated if it is void, such as for lack of CPU time
 
 
-def run_seed(seed: int, seconds: float, folder: Path, plant: str | None = None) -> Verdict:
+def run_seed(seed: int, seconds: float, folder: Path, defect: str | None = None) -> Verdict:
     """Run one seed; repeat a void run, up to MAX_RUNS in total. Keep the logs of a failed run."""
     verdict = None
     for number in range(MAX_RUNS):
         run_folder = folder / f"{seed}-{number}"
-        verdict = _run_once(seed, seconds, run_folder, plant)
+        verdict = _run_once(seed, seconds, run_folder, defect)
         if verdict.holds or verdict.void:
             shutil.rmtree(run_folder, ignore_errors=True)
         if not verdict.void:
@@ -29,8 +29,8 @@
     return verdict
 
 
-def _run_once(seed: int, seconds: float, run_folder: Path, plant: str | None) -> Verdict:
-    run = draw(seed, seconds, plant)
+def _run_once(seed: int, seconds: float, run_folder: Path, defect: str | None) -> Verdict:
+    run = draw(seed, seconds, defect)
     scenario_run = SoakScenarioRun(run, run_folder)
     try:
         result = scenario_run.play()
@@ -47,7 +47,7 @@
 
 
 def play(
-    seeds: range, seconds: float, max_concurrent: int, folder: Path | None, plant: str | None
+    seeds: range, seconds: float, max_concurrent: int, folder: Path | None, defect: str | None
 ) -> Iterator[Verdict]:
     """Yield the verdict of each seed, in the order of the seeds.
 
@@ -56,4 +56,4 @@
     """
     results_folder = folder or Path(tempfile.mkdtemp(prefix="pepperhook-soak-"))
     with ThreadPoolExecutor(max_concurrent) as pool:
-        yield from pool.map(lambda seed: run_seed(seed, seconds, results_folder, plant), seeds)
+        yield from pool.map(lambda seed: run_seed(seed, seconds, results_folder, defect), seeds)
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -76,7 +76,7 @@
 
 
 @pytest.fixture(scope="module")
-def played(tmp_path_factory):
+def first_run(tmp_path_factory):
     """Run the first scenario; return the experiment, the result and the event rows."""
     text = (
         EXPERIMENT
@@ -96,16 +96,16 @@
     )
 
 
-def test_no_rule_is_broken_under_all_faults(played):
-    _, result, _ = played
+def test_no_rule_is_broken_under_all_faults(first_run):
+    _, result, _ = first_run
     assert result["findings"] == [] and not result["interrupted"]
     # Eleven of twelve upstreams are faulty at once for a third of the run, and one of two balancers
     # is killed.
     assert result["figures"]["wishes"] > 900 and 0.3 < result["figures"]["served"] < 1
 
 
-def test_each_fault_begins_ends_and_has_an_effect(played):
-    scenario, _, rows = played
+def test_each_fault_begins_ends_and_has_an_effect(first_run):
+    scenario, _, rows = first_run
     recorded = {(row.name, row.is_start) for row in rows if isinstance(row, events.StateChange)}
     for what in {fault.type for fault in scenario.faults} - {"kill_balancer", "discovery_move"}:
         assert (what, True) in recorded and (what, False) in recorded, what
@@ -130,9 +130,9 @@
     assert {(0, 0, "gone"), (1, 0, "gone"), (0, 0, "ready"), (1, 10, "gone")} <= notified
 
 
-def test_bad_clients_reach_no_upstream(played):
+def test_bad_clients_reach_no_upstream(first_run):
     # Incomplete, ambiguous and forged messages; mute and flood clients send valid ones.
-    _, _, rows = played
+    _, _, rows = first_run
     bad = [
         row.id
         for row in rows
@@ -173,7 +173,7 @@
 
 
 @pytest.fixture(scope="module")
-def second(tmp_path_factory):
+def second_run(tmp_path_factory):
     """Run the second scenario; return the experiment, the result, the event rows and the folder."""
     text = SECOND_SCENARIO + "".join(
         f'[[troubles]]\nwhat = "{what}"\nat = {at}\nfor = {long}\nsize = {size}\n'
@@ -192,15 +192,15 @@
     return (at - result["start"]) / S
 
 
-def test_second_scenario_breaks_no_rule(second):
-    _, result, _, _ = second
+def test_second_scenario_breaks_no_rule(second_run):
+    _, result, _, _ = second_run
     assert (
         result["findings"] == [] and not result["interrupted"] and result["figures"]["served"] > 0.8
     )
 
 
-def test_draining_upstream_gets_nothing_after_the_grace_until_it_is_ready_again(second):
-    _, result, rows, _ = second
+def test_draining_upstream_gets_nothing_after_the_grace_until_it_is_ready_again(second_run):
+    _, result, rows, _ = second_run
     notified_at = {}
     for row in rows:
         if isinstance(row, events.EndpointListEntry) and row.upstream == 0:
@@ -212,22 +212,22 @@
             for row in rows
             if isinstance(row, events.UpstreamWork) and (row.upstream, row.caller) == (0, caller)
         ]
-        drained = notified_at[caller, "draining"][0]
-        ready = min(at for at in notified_at[caller, "ready"] if at > drained)
+        draining_at = notified_at[caller, "draining"][0]
+        ready_at = min(at for at in notified_at[caller, "ready"] if at > draining_at)
         # Listed as draining at 1 s and as ready at 3 s. Before and after it gets its share; between
         # them nothing after the grace, plus the tolerance that the auditor gives a busy machine.
-        assert 0.9 < since_start(result, drained) < 2.5 < since_start(result, ready)
+        assert 0.9 < since_start(result, draining_at) < 2.5 < since_start(result, ready_at)
         # The upstream may be outside the subset of one of the two balancers.
-        before += [at for at in received if at < drained]
-        after += [at for at in received if at > ready]
-        assert not [at for at in received if drained + 0.45 * S < at < ready]
+        before += [at for at in received if at < draining_at]
+        after += [at for at in received if at > ready_at]
+        assert not [at for at in received if draining_at + 0.45 * S < at < ready_at]
     assert before and after
 
 
-def test_crowding_and_network_faults_affect_only_their_targets(second):
-    _, result, rows, _ = second
+def test_crowding_and_network_faults_affect_only_their_targets(second_run):
+    _, result, rows, _ = second_run
     works = [row for row in rows if isinstance(row, events.UpstreamWork)]
-    tries = {row.id: row for row in rows if isinstance(row, events.Attempt)}
+    attempts = {row.id: row for row in rows if isinstance(row, events.Attempt)}
 
     def within(row, begin=1.1, end=2.9):
         return begin < since_start(result, row.first_byte_at) < end
@@ -247,7 +247,7 @@
     assert crowded and min(crowded) >= 9.9e6 and others[len(others) // 2] < 9e6
     # A relay adds its delay in both directions.
     delayed = [
-        tries[row.id]
+        attempts[row.id]
         for row in works
         if row.upstream == 2 and row.outcome == "served" and within(row, end=3.2)
     ]
@@ -262,7 +262,9 @@
     assert mute and not [
         row
         for row in mute
-        if within(row, end=3.3) and tries[row.id].status == 200 and tries[row.id].body == row.nonce
+        if within(row, end=3.3)
+        and attempts[row.id].status == 200
+        and attempts[row.id].body == row.nonce
     ]
     # Afterwards they get requests again, though not all within these seconds: ejected upstreams are
     # tried only now and then.
@@ -275,8 +277,8 @@
     )
 
 
-def test_discovery_service_is_silent_during_an_outage_and_late_during_a_lag(second):
-    _, result, rows, _ = second
+def test_discovery_service_is_silent_during_an_outage_and_late_during_a_lag(second_run):
+    _, result, rows, _ = second_run
     notifications = [row for row in rows if isinstance(row, events.EndpointListEntry)]
     assert not [row for row in notifications if 3.45 < since_start(result, row.at) < 4.55]
     first = {}
@@ -293,16 +295,16 @@
     assert listed and listed[0] > 6.35
 
 
-def test_balancers_reload_leave_and_are_rolled_one_after_another(second):
-    _, result, rows, folder = second
+def test_balancers_reload_leave_and_are_rolled_one_after_another(second_run):
+    _, result, rows, folder = second_run
     state_changes = [
         (row.name, row.process_number) for row in rows if isinstance(row, events.StateChange)
     ]
     assert ("balancer told to read again", 0) in state_changes
     logs = [(folder / f"balancer-0-{number}.log").read_text() for number in (0, 1)]
     assert "event=reloaded" in logs[0]
-    # The second balancer is asked to leave and is rolled, the first is only rolled. Each has exited
-    # before its successor takes over its address.
+    # `term_balancer` restarts the second balancer, and `roll_balancers` both. Each has exited before
+    # its successor takes over its address.
     left = [state_changes.count(("balancer told to leave", number)) for number in (0, 1)]
     assert left == [1, 2] == [state_changes.count(("balancer begun", number)) for number in (0, 1)]
     assert [log.count("event=started") for log in logs] == [2, 3]
@@ -314,18 +316,19 @@
     assert rolled[1] - rolled[0] >= 0.7 * S
 
 
-def test_closed_loop_clients_wait_for_the_response_and_the_think_time(second):
-    _, result, rows, _ = second
+def test_closed_loop_clients_wait_for_the_response_and_the_think_time(second_run):
+    _, result, rows, _ = second_run
     # Ids of closed-loop requests have a c after the seed, which is 9 here.
     by_client = {}
     for row in rows:
         if isinstance(row, events.Attempt) and "c" in row.id.split(".")[0]:
             by_client.setdefault(row.id.split(".")[0], []).append(row)
     assert len(by_client) == 3
-    for tries in by_client.values():
-        tries.sort(key=lambda row: row.scheduled_at)
-        assert len(tries) > 10 and all(
-            after.scheduled_at - before.ended_at >= 39e6 for before, after in zip(tries, tries[1:])
+    for attempts in by_client.values():
+        attempts.sort(key=lambda row: row.scheduled_at)
+        assert len(attempts) > 10 and all(
+            after.scheduled_at - before.ended_at >= 39e6
+            for before, after in zip(attempts, attempts[1:])
         )
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -60,12 +60,12 @@
 # The model of an upstream's machine.
 
 
-def run(model, ends, step=MS):
+def run_machine(model, end, step=MS):
     """Advance a machine by its own wake-ups; return {job: time at which it was done}, in ns."""
     done, now = {}, model.advanced_to
-    while now < ends:
+    while now < end:
         at = model.next_due_at(now)
-        now = ends if at is None else min(ends, max(now + 1, at))
+        now = end if at is None else min(end, max(now + 1, at))
         for job in model.due(now):
             done[job] = now
             model.finish_job(now, job)
@@ -76,38 +76,38 @@
     model, jobs = Machine(Spec(cores=2, connect_work_ms=0), 0), [Job(10 * MS, n) for n in range(4)]
     for job in jobs:
         assert model.arrive(0, job) == machine.STARTED
-    done = run(model, S)
+    done = run_machine(model, S)
     assert [round(done[job] / MS) for job in jobs] == [20] * 4
     alone = Job(10 * MS, 9)
     model.arrive(S, alone)
-    assert round((run(model, 2 * S)[alone] - S) / MS) == 10
+    assert round((run_machine(model, 2 * S)[alone] - S) / MS) == 10
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_all_accepted_work_is_done_and_limits_of_slots_and_queue_hold(seed):
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     spec = Spec(
-        cores=chance.choice([1, 2, 3.5]),
-        slots=chance.randrange(1, 9),
-        queue=chance.randrange(0, 9),
-        cancel_stops=chance.random() < 0.5,
-        crowd_at=chance.choice([0, 4]),
+        cores=rng.choice([1, 2, 3.5]),
+        slots=rng.randrange(1, 9),
+        queue=rng.randrange(0, 9),
+        cancel_stops=rng.random() < 0.5,
+        crowd_at=rng.choice([0, 4]),
     )
     model, now, accepted, finished, rejected = Machine(spec, 0), 0, [], set(), 0
     for _ in range(400):
-        now += chance.randrange(0, 6 * MS)
+        now += rng.randrange(0, 6 * MS)
         for job in model.due(now):
             assert job.state == "done" and job not in finished
             finished.add(job)
             model.finish_job(now, job)
-        if chance.random() < 0.6:
-            job = Job(chance.randrange(MS, 20 * MS), None)
+        if rng.random() < 0.6:
+            job = Job(rng.randrange(MS, 20 * MS), None)
             admission = model.arrive(now, job)
             rejected += admission == machine.REJECTED
             if admission != machine.REJECTED:
                 accepted.append(job)
-        elif accepted and chance.random() < 0.3:
-            job = chance.choice(accepted)
+        elif accepted and rng.random() < 0.3:
+            job = rng.choice(accepted)
             if (
                 job not in finished
                 and job.state in ("working", "waiting")
@@ -122,7 +122,7 @@
         )
         # The cores can't have done more work than the elapsed time allows.
         assert model.done_work <= spec.cores * spec.speed * now + 1000
-    finished |= set(run(model, now + 100 * S))
+    finished |= set(run_machine(model, now + 100 * S))
     assert finished == set(accepted) and not model.slots_in_use and not model.waiting
 
 
@@ -154,21 +154,21 @@
     model = Machine(Spec(cores=1, crowd_at=3, crowd_speed=0.5, crowd_rest_s=1), 0)
     for n in range(3):
         model.arrive(0, Job(10 * MS, n))
-    assert max(run(model, S // 10).values()) == pytest.approx(60 * MS, rel=0.01)
+    assert max(run_machine(model, S // 10).values()) == pytest.approx(60 * MS, rel=0.01)
     late, soon = Job(10 * MS, 5), Job(10 * MS, 4)
     model.arrive(S // 2, soon)
-    assert run(model, S)[soon] - S // 2 == pytest.approx(20 * MS, rel=0.01)
+    assert run_machine(model, S)[soon] - S // 2 == pytest.approx(20 * MS, rel=0.01)
     model.arrive(3 * S, late)
-    assert run(model, 4 * S)[late] - 3 * S == pytest.approx(10 * MS, rel=0.01)
+    assert run_machine(model, 4 * S)[late] - 3 * S == pytest.approx(10 * MS, rel=0.01)
 
 
 def test_paused_machine_resumes_its_work():
     model, job = Machine(Spec(cores=1), 0), Job(10 * MS, 0)
     model.arrive(0, job)
     model.set_fault_factor(5 * MS, 0.0)
-    assert not run(model, S)
+    assert not run_machine(model, S)
     model.set_fault_factor(S, 1.0)
-    assert run(model, 2 * S)[job] == pytest.approx(S + 5 * MS, abs=MS)
+    assert run_machine(model, 2 * S)[job] == pytest.approx(S + 5 * MS, abs=MS)
 
 
 # Experiments.
@@ -303,14 +303,14 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_messages_are_parsed_alike_however_the_bytes_are_split(seed):
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     sent = [
         http1.encode_request(b"POST", b"/x", [(b"X-Request-ID", b"%d" % n)], b"y" * n)
         for n in range(0, 90, 7)
     ]
     stream, messages, received = b"".join(sent), http1.MessageParser(), []
     while stream:
-        cut = chance.randrange(1, 60)
+        cut = rng.randrange(1, 60)
         messages.feed(stream[:cut])
         stream = stream[cut:]
         while (message := messages.next()) is not None:
@@ -616,7 +616,7 @@
     assert events.read(tmp_path) == rows
 
 
-def result(seed, earned, variant="a"):
+def make_result(seed, earned, variant="a"):
     """Return the result of a run with these values earned per second."""
     return {
         "seed": seed,
@@ -629,11 +629,11 @@
 
 
 def test_interval_contains_the_difference_and_includes_zero_for_noise():
-    chance = random.Random(2)
-    noisy = [[chance.random() for _ in range(20)] for _ in range(12)]
-    base = {n: result(n, row) for n, row in enumerate(noisy)}
-    other = {n: result(n, [x - 0.2 for x in row]) for n, row in enumerate(noisy)}
-    unrelated = {n: result(n, [chance.random() for _ in range(20)]) for n in range(12)}
+    rng = random.Random(2)
+    noisy = [[rng.random() for _ in range(20)] for _ in range(12)]
+    base = {n: make_result(n, row) for n, row in enumerate(noisy)}
+    other = {n: make_result(n, [x - 0.2 for x in row]) for n, row in enumerate(noisy)}
+    unrelated = {n: make_result(n, [rng.random() for _ in range(20)]) for n in range(12)}
     difference, low, high = matrix.interval(base, other)
     assert difference == pytest.approx(-0.2) and low <= difference <= high < -0.19
     difference, low, high = matrix.interval(base, unrelated)
@@ -666,7 +666,9 @@
     # Guards against renames of a class or method that would leave a defect without effect; only the
     # defect's scenario would show that.
     code = (
-        "from pepperhook.lab import defects\nfor plant in defects.DEFECTS.values():\n    plant()\n"
+        "from pepperhook.lab import defects\n"
+        "for inject in defects.DEFECTS.values():\n"
+        "    inject()\n"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
     assert done.returncode == 0, done.stderr.splitlines()[-1:]
