--- a/pepperhook/lab/baselines.py
+++ b/pepperhook/lab/baselines.py
@@ -34,7 +34,7 @@
     def __init__(self, settings, seed, now, retries=0):
         super().__init__(settings, seed, now)
         self.max_retries, self.upstreams, self.selections = int(retries), [], 0
-        self.watching = False
+        self.is_polling = False
         self.call_at(now, self.watch_endpoints, None)
 
     # Choice of the upstream.
@@ -119,8 +119,8 @@
 
     def watch_endpoints(self, now, _):
         """Start a poll of the endpoint list if none is running."""
-        if not self.watching:
-            self.watching = True
+        if not self.is_polling:
+            self.is_polling = True
             self.actions.append(WatchEndpoints(WATCH_WAIT_NS))
 
     # Events.
@@ -138,11 +138,11 @@
         self.upstreams = sorted(present, key=lambda upstream: upstream.address)
 
     def on_endpoint_service_moved(self, now):
-        self.watching = False
+        self.is_polling = False
         self.watch_endpoints(now, None)
 
     def on_endpoint_poll_failed(self, now, failure, retry_after_ns):
-        self.watching = False
+        self.is_polling = False
         self.call_at(now + int((0.2 + self.random()) * NS_PER_S), self.watch_endpoints, None)
 
     def on_request(self, now, request):
@@ -239,14 +239,14 @@
 
 
 class Breaker(Retries):
-    """Circuit breaker: after ``failures`` in a row it is open for rest_ms, without attempts.
+    """Circuit breaker: after ``failures`` in a row it is open for ``rest_ms``, without attempts.
 
     Then it is half-open: one attempt at a time until one succeeds.
     """
 
     def __init__(self, settings, seed, now, retries=3, failures=5, rest_ms=1000.0):
         super().__init__(settings, seed, now, retries)
-        self.failures, self.rest_ns, self.failures_in_row, self.open_until = (
+        self.failures, self.open_ns, self.failures_in_row, self.open_until = (
             failures,
             int(rest_ms * NS_PER_MS),
             {},
@@ -265,7 +265,7 @@
         else:
             self.failures_in_row[upstream] = self.failures_in_row.get(upstream, 0) + 1
             if self.failures_in_row[upstream] >= self.failures:
-                self.open_until[upstream] = now + self.rest_ns
+                self.open_until[upstream] = now + self.open_ns
 
     def usable(self, now, request):
         # If all breakers are open, ignore them, as proxies do.
--- a/pepperhook/lab/explore.py
+++ b/pepperhook/lab/explore.py
@@ -80,7 +80,7 @@
     running: int = OLD_VERSION
     has_rejected: bool = False
     reported_version: int = OLD_VERSION  # the version that it last reported to the service
-    incoming_version: int = 0  # sent to the member but not yet received; 0: none
+    coming: int = 0  # version sent to the member but not yet received; 0: none
     reported_counts: tuple[int, int] = (0, 0)  # reported counts of succeeded and failed requests
 
 
@@ -190,12 +190,12 @@
             wanted = service.desired_version(name)
             if (
                 wanted != member.running
-                and not member.incoming_version
+                and not member.coming
                 and not (member.has_rejected and wanted == NEW_VERSION)
             ):
                 yield (
                     f"{wanted} is sent to {name}",
-                    self.with_member(state, number, incoming_version=wanted),
+                    self.with_member(state, number, coming=wanted),
                 )
             yield from self.deliveries(state, number, member)
             yield from self.heartbeats(state, number, member)
@@ -205,29 +205,29 @@
 
         A balancer applies only versions with a higher number than its own.
         """
-        if not member.incoming_version:
+        if not member.coming:
             return
         name = self.names[number]
-        if member.incoming_version == NEW_VERSION and number in self.case.rejecting_members:
+        if member.coming == NEW_VERSION and number in self.case.rejecting_members:
             yield (
-                f"{name} rejects {member.incoming_version}",
-                self.with_member(state, number, incoming_version=0, has_rejected=True),
+                f"{name} rejects {member.coming}",
+                self.with_member(state, number, coming=0, has_rejected=True),
             )
         else:
             yield (
-                f"{name} applies {member.incoming_version}",
+                f"{name} applies {member.coming}",
                 self.with_member(
                     state,
                     number,
-                    incoming_version=0,
-                    running=max(member.running, member.incoming_version),
+                    coming=0,
+                    running=max(member.running, member.coming),
                 ),
             )
         if state.losses:
             yield (
-                f"{member.incoming_version} is lost on its way to {name}",
+                f"{member.coming} is lost on its way to {name}",
                 msgspec.structs.replace(
-                    self.with_member(state, number, incoming_version=0), losses=state.losses - 1
+                    self.with_member(state, number, coming=0), losses=state.losses - 1
                 ),
             )
 
@@ -286,7 +286,7 @@
         running_or_sent = [
             self.names[number]
             for number, member in enumerate(state.members)
-            if member.running == NEW_VERSION or member.incoming_version == NEW_VERSION
+            if member.running == NEW_VERSION or member.coming == NEW_VERSION
         ]
         if stored.state != RolloutState.COMPLETED and not set(running_or_sent) <= set(
             stored.admitted
--- a/pepperhook/lab/faulty_balancers.py
+++ b/pepperhook/lab/faulty_balancers.py
@@ -90,7 +90,7 @@
         self.listen, self.discovery = (
             parse_address(environ[key]) for key in ("LB_LISTEN", "LB_DISCOVERY")
         )
-        self.cold = []  # addresses of upstreams that have restarted
+        self.restarted_upstreams = []  # addresses; they are cold after the restart
 
     async def run(self):
         """Serve until SIGTERM."""
@@ -131,7 +131,7 @@
         if state == "ready" and row["born_ms"] != self.started_ms.get(
             upstream_address, row["born_ms"]
         ):
-            self.cold.append(upstream_address)
+            self.restarted_upstreams.append(upstream_address)
         self.started_ms[upstream_address] = row["born_ms"]
         # The kind `drained` keeps the first state of an upstream, and so sends to draining ones.
         if self.fault == "drained" and upstream_address in self.states:
@@ -146,8 +146,8 @@
         ready = sorted(
             upstream_address for upstream_address, state in self.states.items() if state == "ready"
         )
-        if self.fault == "floods" and self.cold:
-            return self.cold[-1]
+        if self.fault == "floods" and self.restarted_upstreams:
+            return self.restarted_upstreams[-1]
         self.selections += 1
         return ready[self.selections % len(ready)] if ready else None
 
--- a/pepperhook/lab/load_generator.py
+++ b/pepperhook/lab/load_generator.py
@@ -26,9 +26,12 @@
 TIME_LIMIT_SLACK_NS = 50 * NS_PER_MS
 FLUSH_INTERVAL_S = 0.25  # interval at which event rows are flushed
 HEALTH_CHECK_INTERVAL_S = 0.5  # interval of the front's health checks
-# An exchange's number shows its kind. Retries have numbers below COPY_NUMBER. Copies have the sum
-# of COPY_NUMBER and a small number, of COPY_NUMBER, COPY_AT_END and an index, or of COPY_NUMBER,
-# COPY_AFTER_LOSS and an index. A lost exchange with a number below COPY_AFTER_LOSS is copied.
+# The number of an exchange (``Exchange.number``) shows its kind:
+#     0: first attempt; 1, 2, ...: retries of the client
+#     COPY_NUMBER + n: copy sent at a scheduled time
+#     COPY_NUMBER + COPY_AT_END + n: copy sent when the first attempt ends
+#     COPY_NUMBER + COPY_AFTER_LOSS + n: copy sent after an exchange was lost
+# A lost exchange is copied, unless it is itself a copy sent after a loss.
 COPY_NUMBER = 100
 COPY_AT_END = 50
 COPY_AFTER_LOSS = 200
--- a/pepperhook/lab/proofs/control.py
+++ b/pepperhook/lab/proofs/control.py
@@ -31,14 +31,14 @@
 
 
 class ControlledScenarioRun(ScenarioRun):
-    """A run with a control plane, in which the defect ``plant`` may be injected."""
+    """A run with a control plane, in which ``defect`` may be injected into the control plane."""
 
-    def __init__(self, *arguments, plant=None, **options):
+    def __init__(self, *arguments, defect=None, **options):
         super().__init__(*arguments, **options)
         self.address = f"127.{self.plan.block}.240.1:7400"
         self.folder.mkdir(parents=True, exist_ok=True)
         (self.folder / "keys").write_text(f"k1 {SECRET}\n")
-        self.control_plane, self.plant = None, plant
+        self.control_plane, self.defect = None, defect
 
     def start_control_plane(self):
         """Start the control plane on its address and store."""
@@ -48,7 +48,7 @@
                     sys.executable,
                     "-c",
                     CLI_WITH_DEFECT,
-                    self.plant or "",
+                    self.defect or "",
                     "control",
                     "serve",
                     "--listen",
@@ -133,10 +133,10 @@
     }
 
     def script(self, responses):
-        """Return the rows (seconds, work) of the run; its steps store responses by name."""
+        """Return the actions of the run, rows of (seconds, callable); they store responses by name."""
 
         def propose(document, name, **fields):
-            def work(run):
+            def action(run):
                 status, response = run.request(
                     "POST",
                     "/v1/versions",
@@ -151,10 +151,10 @@
                     response["number"] if status == 200 else (status, response.get("error"))
                 )
 
-            return work
+            return action
 
         def begin_rollout(name, steps, patience=60.0):
-            def work(run):
+            def action(run):
                 responses[f"{name} at"] = time.time()
                 status, response = run.request(
                     "POST",
@@ -163,7 +163,7 @@
                 )
                 responses[f"{name} rollout"] = status == 200 or response
 
-            return work
+            return action
 
         def roll_back(run):
             responses["held"] = run.request("GET", "/v1/rollout")[1]
@@ -176,10 +176,10 @@
             run.control_plane.wait()
 
         def read_members(name):
-            def work(run):
+            def action(run):
                 responses[name] = run.request("GET", "/v1/members")[1]
 
-            return work
+            return action
 
         one_step = [{"share": 1.0, "seconds": 0.0}]
         look_settings = {"goal_ms": 500.0, "earnings": 1.2}
@@ -253,7 +253,7 @@
             variant,
             self.seed,
             self.folder / "controlled",
-            plant=self.plant if self.plant in CONTROL_PLANE_DEFECTS else None,
+            defect=self.plant if self.plant in CONTROL_PLANE_DEFECTS else None,
             extra_actions=self.script(responses),
         )
         run.variant = replace(
--- a/pepperhook/lab/scenario_run.py
+++ b/pepperhook/lab/scenario_run.py
@@ -395,8 +395,8 @@
         deadline = time.monotonic() + START_TIMEOUT_S
         for balancer in balancers:
             address = self.plan.balancer(balancer.tier, balancer.number)
-            # Its own process must be alive, too, or the answer of another process at the same
-            # address would count as its own.
+            # The process must be alive, too: another process at the same address could answer the
+            # health check.
             while balancer.process.poll() is not None or not asyncio.run(is_healthy(address)):
                 if balancer.process.poll() is not None or time.monotonic() > deadline:
                     tail = Path(balancer.log).read_text(errors="replace").strip().splitlines()[-1:]
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -133,12 +133,12 @@
 def test_bad_clients_reach_no_upstream(first_run):
     # Incomplete, ambiguous and forged messages; mute and flood clients send valid ones.
     _, _, rows = first_run
-    bad = [
+    forwarded_ids = [
         row.id
         for row in rows
         if isinstance(row, events.UpstreamWork) and row.id.startswith(("bad-half", "bad-lengths"))
     ]
-    assert not bad and not [
+    assert not forwarded_ids and not [
         row for row in rows if isinstance(row, events.UpstreamWork) and row.id == "forged"
     ]
 
@@ -281,18 +281,18 @@
     _, result, rows, _ = second_run
     notifications = [row for row in rows if isinstance(row, events.EndpointListEntry)]
     assert not [row for row in notifications if 3.45 < since_start(result, row.at) < 4.55]
-    first = {}
+    drain_notified_s = {}
     for row in notifications:
         if row.state == "draining":
-            first.setdefault(row.upstream, since_start(result, row.at))
-    assert first[5] > 4.6 and first[6] > 5.2 + 1.2 - 0.05
-    listed = [
+            drain_notified_s.setdefault(row.upstream, since_start(result, row.at))
+    assert drain_notified_s[5] > 4.6 and drain_notified_s[6] > 5.2 + 1.2 - 0.05
+    drain_listed_s = [
         since_start(result, row.at)
         for row in rows
         if isinstance(row, events.StateChange)
         and (row.name, row.process_number) == ("listed draining", 6)
     ]
-    assert listed and listed[0] > 6.35
+    assert drain_listed_s and drain_listed_s[0] > 6.35
 
 
 def test_balancers_reload_leave_and_are_rolled_one_after_another(second_run):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -632,9 +632,9 @@
     rng = random.Random(2)
     noisy = [[rng.random() for _ in range(20)] for _ in range(12)]
     base = {n: make_result(n, row) for n, row in enumerate(noisy)}
-    other = {n: make_result(n, [x - 0.2 for x in row]) for n, row in enumerate(noisy)}
+    worse = {n: make_result(n, [x - 0.2 for x in row]) for n, row in enumerate(noisy)}
     unrelated = {n: make_result(n, [rng.random() for _ in range(20)]) for n in range(12)}
-    difference, low, high = matrix.interval(base, other)
+    difference, low, high = matrix.interval(base, worse)
     assert difference == pytest.approx(-0.2) and low <= difference <= high < -0.19
     difference, low, high = matrix.interval(base, unrelated)
     assert low < 0 < high
