--- a/pepperhook/lab/defects.py
+++ b/pepperhook/lab/defects.py
@@ -512,7 +512,7 @@
 
     def add_note(self, now, open_trace, note):
         recent_traces.append(open_trace)
-        # The trace of the note before this one.
+        # The trace that the previous call of add_note was for.
         previous = recent_traces.pop(0) if len(recent_traces) > 1 else open_trace
         original(self, now, previous, note)
 
--- a/pepperhook/lab/journals.py
+++ b/pepperhook/lab/journals.py
@@ -87,9 +87,9 @@
     async def append_in_turn(numbers):
         for number in numbers:
             started, completed = records(1, number)
-            waits_from = time.perf_counter()
+            wait_started_at = time.perf_counter()
             await journal.append_durably(started)
-            waits.append(time.perf_counter() - waits_from)
+            waits.append(time.perf_counter() - wait_started_at)
             journal.append(completed)
 
     begin = time.perf_counter()
--- a/pepperhook/lab/load_generator.py
+++ b/pepperhook/lab/load_generator.py
@@ -43,7 +43,7 @@
     Tenant and balancer are -1 where none is given. Arrivals are a Poisson process, thinned on
     ramps; the number of requests in a burst is geometrically distributed.
     """
-    parts = []
+    arrays_by_load = []  # one tuple of arrays for each load row
     for index, load in enumerate(scenario.load):
         rng = numpy.random.default_rng([seed, index])
         end_s = (
@@ -82,12 +82,14 @@
         else:
             tenants = numpy.full(len(times), -1)
         balancers = numpy.full(len(times), -1 if load.balancer is None else load.balancer)
-        parts.append(((load.start_s + times) * NS_PER_S, service_classes, tenants, balancers))
-    if not parts:
+        arrays_by_load.append(
+            ((load.start_s + times) * NS_PER_S, service_classes, tenants, balancers)
+        )
+    if not arrays_by_load:
         return tuple(numpy.array([], dtype=int) for _ in range(4))
-    joined = [numpy.concatenate(part) for part in zip(*parts)]
-    order = numpy.argsort(joined[0], kind="stable")
-    return tuple(part[order].astype(int) for part in joined)
+    columns = [numpy.concatenate(arrays) for arrays in zip(*arrays_by_load)]
+    order = numpy.argsort(columns[0], kind="stable")
+    return tuple(column[order].astype(int) for column in columns)
 
 
 def normalized_shares(rows):
@@ -517,7 +519,7 @@
             for number in range(count):
                 self.spawn(self.run_misbehaving_client(start, kind, number))
         times, service_classes, tenants, balancers = (
-            part.tolist() for part in arrivals(self.scenario, self.plan.seed)
+            column.tolist() for column in arrivals(self.scenario, self.plan.seed)
         )
         seed_hex, index, total = f"{self.plan.seed:x}", 0, len(times)
         while index < total:
--- a/pepperhook/lab/proofs/trace.py
+++ b/pepperhook/lab/proofs/trace.py
@@ -108,8 +108,8 @@
             )
             for clock in merged.clocks
         ]
-        # All balancers of one machine read one clock, so the offset of each is known: the one that
-        # was added, but for the microseconds between their own conversions to Unix time.
+        # All balancers run on one machine and read the same clock. So the true offset of each is the
+        # one that was added, except for some microseconds, as each converts to Unix time by itself.
         problems += [
             f"{name}: the clock offset is wrong by {deviation / 1e6:.3f} ms, with a stated error "
             f"of {error and error / 1e6} ms"
@@ -216,24 +216,24 @@
                         read = list(read_traces(reader))
                     except Exception as error:
                         read = [type(error).__name__]
-                blocks = sum(kind == BlockType.RECORDS for _, kind in block_ends)
-                complete = (
+                block_count = sum(kind == BlockType.RECORDS for _, kind in block_ends)
+                complete_count = (
                     sum(kind == BlockType.RECORDS and end <= position for end, kind in block_ends)
                     if not trial % 2
-                    else blocks - 1
+                    else block_count - 1
                 )
                 # The number of complete records is estimated from the mean of a block, with a slack
                 # of 2000 records.
                 if (
                     any(trace not in written for trace in read)
-                    or len(read) < len(written) * complete // max(1, blocks) - 2000
+                    or len(read) < len(written) * complete_count // max(1, block_count) - 2000
                 ):
                     problems.append(
                         f"{file.name} {'with a flipped bit' if trial % 2 else 'truncated'} at byte "
                         f"{position}: {len(read)} of {len(written)} traces, or a trace differs"
                     )
                     break
-                if not trial % 2 and complete == blocks and read != written:
+                if not trial % 2 and complete_count == block_count and read != written:
                     problems.append(
                         f"{file.name} truncated after its last block: {len(read)} of "
                         f"{len(written)} traces"
