--- a/pepperhook/lab/explore.py
+++ b/pepperhook/lab/explore.py
@@ -80,7 +80,7 @@
     running: int = OLD_VERSION
     has_rejected: bool = False
     reported_version: int = OLD_VERSION  # the version that it last reported to the service
-    coming: int = 0  # a version that was sent but not received; 0: none
+    coming: int = 0  # version sent to the member but not yet received; 0: none
     reported_counts: tuple[int, int] = (0, 0)  # reported counts of succeeded and failed requests
 
 
--- a/pepperhook/lab/load_generator.py
+++ b/pepperhook/lab/load_generator.py
@@ -26,9 +26,12 @@
 TIME_LIMIT_SLACK_NS = 50 * NS_PER_MS
 FLUSH_INTERVAL_S = 0.25  # interval at which event rows are flushed
 HEALTH_CHECK_INTERVAL_S = 0.5  # interval of the front's health checks
-# An exchange's number shows its kind. Retries have numbers below COPY_NUMBER. Copies have the sum
-# of COPY_NUMBER and a small number, of COPY_NUMBER, COPY_AT_END and an index, or of COPY_NUMBER,
-# COPY_AFTER_LOSS and an index. A lost exchange with a number below COPY_AFTER_LOSS is copied.
+# The number of an exchange (``Exchange.number``) shows its kind:
+#     0: first attempt; 1, 2, ...: retries of the client
+#     COPY_NUMBER + n: copy sent at a scheduled time
+#     COPY_NUMBER + COPY_AT_END + n: copy sent when the first attempt ends
+#     COPY_NUMBER + COPY_AFTER_LOSS + n: copy sent after an exchange was lost
+# A lost exchange is copied, unless it is itself a copy sent after a loss.
 COPY_NUMBER = 100
 COPY_AT_END = 50
 COPY_AFTER_LOSS = 200
@@ -40,7 +43,7 @@
     Tenant and balancer are -1 where none is given. Arrivals are a Poisson process, thinned on
     ramps; the number of requests in a burst is geometrically distributed.
     """
-    parts = []
+    arrays_by_load = []  # one tuple of arrays for each load row
     for index, load in enumerate(scenario.load):
         rng = numpy.random.default_rng([seed, index])
         end_s = (
@@ -79,12 +82,14 @@
         else:
             tenants = numpy.full(len(times), -1)
         balancers = numpy.full(len(times), -1 if load.balancer is None else load.balancer)
-        parts.append(((load.start_s + times) * NS_PER_S, service_classes, tenants, balancers))
-    if not parts:
+        arrays_by_load.append(
+            ((load.start_s + times) * NS_PER_S, service_classes, tenants, balancers)
+        )
+    if not arrays_by_load:
         return tuple(numpy.array([], dtype=int) for _ in range(4))
-    joined = [numpy.concatenate(part) for part in zip(*parts)]
-    order = numpy.argsort(joined[0], kind="stable")
-    return tuple(part[order].astype(int) for part in joined)
+    columns = [numpy.concatenate(arrays) for arrays in zip(*arrays_by_load)]
+    order = numpy.argsort(columns[0], kind="stable")
+    return tuple(column[order].astype(int) for column in columns)
 
 
 def normalized_shares(rows):
@@ -175,15 +180,15 @@
         "number",  # 0: first attempt; else the number of the retry or copy
         "service_class",
         "tenant",
-        "intended",
-        "sent",
+        "scheduled_at",  # intended send time, ns
+        "sent_at",
         "limit_ns",
         "connection",
         "is_on_new_connection",  # its connection was opened for it
         "has_ended",  # its row has been written
         "timer",
         "data",
-        "resent",
+        "was_resent",
         "leaves_early",
         "future",
         "stream_id",
@@ -202,7 +207,7 @@
         number,
         service_class,
         tenant,
-        intended,
+        scheduled_at,
         balancer_number=-1,
     ):
         self.load, self.id, self.first_id, self.number, self.service_class = (
@@ -212,7 +217,7 @@
             number,
             service_class,
         )
-        self.tenant, self.intended, self.sent, self.future = tenant, intended, 0, None
+        self.tenant, self.scheduled_at, self.sent_at, self.future = tenant, scheduled_at, 0, None
         self.limit_ns, self.balancer_number, self.pool = (
             load.limits_ns[service_class],
             balancer_number,
@@ -222,7 +227,7 @@
             self.connection,
             self.is_on_new_connection,
             self.has_ended,
-            self.resent,
+            self.was_resent,
             self.leaves_early,
         ) = (
             None,
@@ -254,7 +259,7 @@
             load.schedule_copies(self)
         if load.keyed[self.service_class]:
             headers.append((b"Idempotency-Key", self.first_id.encode()))
-        self.sent = time.monotonic_ns()
+        self.sent_at = time.monotonic_ns()
         patience_ns = (
             load.patience_ns
             if load.patience_ns is not None
@@ -270,7 +275,7 @@
 
     def on_connected(self):
         """Set the send time: the client's time limit counts from sending, after connecting."""
-        self.sent = time.monotonic_ns()
+        self.sent_at = time.monotonic_ns()
 
     def on_response(self, status, body, headers):
         """Record a response; retry one that isn't 200."""
@@ -282,10 +287,10 @@
 
     def on_lost(self, why, unread=False):
         """Record a broken connection; ``unread``: it broke before any byte of the response."""
-        if unread and not self.is_on_new_connection and not self.resent:
+        if unread and not self.is_on_new_connection and not self.was_resent:
             # The balancer closed the kept connection while the request was sent: resend it once on
             # a new connection.
-            self.resent = True
+            self.was_resent = True
             self.pool.idle.clear()
             self.pool.send(self, self.data)
             return
@@ -334,8 +339,8 @@
                 self.number,
                 self.service_class,
                 self.tenant,
-                self.intended,
-                self.sent,
+                self.scheduled_at,
+                self.sent_at,
                 now,
                 kind,
                 status,
@@ -344,13 +349,15 @@
                 note,
             )
         )
-        load.latency.record_value(max(1, min(60 * 10**6, (now - self.intended) // 1000)))
+        load.latency.record_value(max(1, min(60 * 10**6, (now - self.scheduled_at) // 1000)))
         if status == 200:
-            load.served_latency.record_value(max(1, min(60 * 10**6, (now - self.intended) // 1000)))
+            load.served_latency.record_value(
+                max(1, min(60 * 10**6, (now - self.scheduled_at) // 1000))
+            )
         if self.future is not None and not self.future.done():
             self.future.set_result(status)
-        for turn in range(self.copies_at_end):
-            load.send_copy(self, COPY_AT_END + turn)
+        for index in range(self.copies_at_end):
+            load.send_copy(self, COPY_AT_END + index)
 
 
 class Load:
@@ -512,7 +519,7 @@
             for number in range(count):
                 self.spawn(self.run_misbehaving_client(start, kind, number))
         times, service_classes, tenants, balancers = (
-            part.tolist() for part in arrivals(self.scenario, self.plan.seed)
+            column.tolist() for column in arrivals(self.scenario, self.plan.seed)
         )
         seed_hex, index, total = f"{self.plan.seed:x}", 0, len(times)
         while index < total:
@@ -547,9 +554,10 @@
             + (2.0 if self.scenario.clients.duplicates else 0.0)
         )
         deadline = time.monotonic() + longest_s
+        # Copies may still be sent for two seconds after the end: see send_copy.
         copies_scheduled_until = time.monotonic() + (
             2.0 if self.scenario.clients.duplicates else 0.0
-        )  # copies are still scheduled
+        )
         while (
             self.open_count or time.monotonic() < copies_scheduled_until
         ) and time.monotonic() < deadline:
